--- a/include/auburnstile/internal/gateway_parts.h
+++ b/include/auburnstile/internal/gateway_parts.h
@@ -4,7 +4,7 @@
 #ifndef AUBURNSTILE_INTERNAL_GATEWAY_PARTS_H
 #define AUBURNSTILE_INTERNAL_GATEWAY_PARTS_H
 
-#include <auburnstile/internal/crash_marks.h>
+#include <auburnstile/internal/crash_counts.h>
 #include <auburnstile/internal/gateway.h>
 
 G_BEGIN_DECLS
@@ -35,7 +35,7 @@
 	struct aub_routing *routing; /* NULL: none known yet */
 	int listener;
 	struct aub_poll_watch *watch;
-	struct aub_crash_marks *crashes;
+	struct aub_crash_counts *crashes;
 	guint sweep;
 	GQueue callers; /* of struct aub_caller */
 	guint requests;
@@ -166,7 +166,7 @@
 /* aub_request: called by its attempts. */
 void aub_request_attempt_failed(struct aub_request *request,
 				struct aub_attempt_state *attempt,
-				enum aub_attempt_end end);
+				enum aub_grant_result end);
 void aub_request_attempt_whole(struct aub_request *request,
 			       struct aub_attempt_state *attempt);
 /* The answer grows past what is held back: begin to pass it on. */
@@ -187,7 +187,7 @@
 void aub_attempt_end_body(struct aub_attempt_state *attempt);
 /* Abort and report `end`. Frees the attempt. */
 void aub_attempt_abort(struct aub_attempt_state *attempt,
-		       enum aub_attempt_end end);
+		       enum aub_grant_result end);
 void aub_attempt_free(struct aub_attempt_state *attempt);
 
 /* Callers' connections. */
--- a/include/auburnstile/internal/load_trend.h
+++ b/include/auburnstile/internal/load_trend.h
@@ -1,10 +1,10 @@
 /*
- * What a report of an upstream's load is worth some time later.
+ * Predicts an upstream's slowdown from a load report of a certain age.
  *
- * Upstreams share their hosts, so the time that work takes there changes all
- * the while. How much and how fast is learned from the reports of a service's
- * upstreams: a report counts in full when it is new, and fades towards the
- * mean as the changes that were seen make it unlikely to hold still.
+ * Upstreams share their hosts, so interference from neighbours changes their
+ * service times all the time. By how much and how fast is learned from the
+ * reports of a service's upstreams. A fresh report counts in full; its weight
+ * decays towards the mean at the rate at which the slowdowns change.
  */
 #ifndef AUBURNSTILE_INTERNAL_LOAD_TREND_H
 #define AUBURNSTILE_INTERNAL_LOAD_TREND_H
@@ -13,32 +13,38 @@
 
 G_BEGIN_DECLS
 
-/* Sums over the time between two reports of one upstream, in seconds. */
+/* Decayed sums over the time between two reports of one upstream. */
 struct aub_load_trend {
 	double seconds;
 	double sum; /* of slowdown x seconds */
-	double squares; /* of slowdown squared x seconds */
-	double jumps; /* of differences squared */
+	double squared_sum; /* of slowdown squared x seconds */
+	double squared_changes; /* of squared differences */
 };
 
 void aub_load_trend_init(struct aub_load_trend *trend);
 
 /*
- * One upstream told `before`, and `gap_us` later `after`. Slowdowns are times
- * the usual time of work: 1 is as usual.
+ * Records that one upstream reported `before`, and `after` `gap_us` later.
+ * Slowdowns are multiples of the baseline service time: 1 is typical.
  */
 void aub_load_trend_observe(struct aub_load_trend *trend, double before,
 			    double after, gint64 gap_us);
 
-/* The slowdown to expect of an upstream that told `told` `age_us` ago. */
-double aub_load_trend_expect(const struct aub_load_trend *trend, double told,
-			     gint64 age_us);
+/*
+ * Returns the slowdown to expect of an upstream that reported `reported`
+ * `age_us` ago.
+ */
+double aub_load_trend_predict(const struct aub_load_trend *trend,
+			      double reported, gint64 age_us);
 
-/* The mean slowdown, for upstreams that tell nothing. */
+/* Returns the mean slowdown, used for upstreams that report none. */
 double aub_load_trend_mean(const struct aub_load_trend *trend);
 
-/* How long a report holds, for logs and metrics, ms. */
-double aub_load_trend_holds_ms(const struct aub_load_trend *trend);
+/*
+ * Returns the correlation time of the slowdowns in ms: the age at which a
+ * report's weight has decayed to 1/e. For logs and metrics as well.
+ */
+double aub_load_trend_correlation_ms(const struct aub_load_trend *trend);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/placement.h
+++ b/include/auburnstile/internal/placement.h
@@ -1,12 +1,12 @@
 /*
- * Which upstream of one service takes the next request.
+ * Chooses the upstream of one service that takes the next request.
  *
- * Plain decisions: no clock, socket or random source. Entries that have a
- * request ask one of them, the service's placer, for an upstream; it counts
- * what it granted, so that no slot is promised twice, and keeps those that
- * find no slot in a queue. Bodies never pass through the placer. An entry
- * that can't reach a placer asks its own copy, which then grants nothing
- * that is cold or down.
+ * Pure decision logic: no clock, socket or random source. For each service one
+ * entry is the placer: the others send it a placement request for each of
+ * their requests. The placer tracks its grants, so that no slot is assigned
+ * twice, and queues requests that find no free slot. Request bodies never pass
+ * through the placer. An entry that can't reach a placer falls back to its own
+ * placement, which then grants no upstream that is cold or down.
  */
 #ifndef AUBURNSTILE_INTERNAL_PLACEMENT_H
 #define AUBURNSTILE_INTERNAL_PLACEMENT_H
@@ -18,238 +18,266 @@
 struct aub_placement;
 
 struct aub_placement_limits {
-	double retry_ratio; /* second attempts a first one, fleet-wide */
-	guint retry_slack; /* second attempts beyond that, in the window */
+	double retry_ratio; /* retries per request, fleet-wide */
+	guint retry_slack; /* retries beyond that, in the window */
 	gint64 window_us;
 };
 
 enum aub_verdict {
 	AUB_VERDICT_GRANTED,
-	AUB_VERDICT_QUEUED, /* a decision follows from _next() */
-	AUB_VERDICT_NO_UPSTREAM, /* none may take it now */
-	AUB_VERDICT_OVERLOAD, /* the queue is too long for its patience */
+	AUB_VERDICT_QUEUED, /* aub_placement_next_decision() follows up */
+	AUB_VERDICT_NO_UPSTREAM, /* none may take it at present */
+	AUB_VERDICT_OVERLOAD, /* the wait would exceed its maximum */
 	AUB_VERDICT_NO_BUDGET /* a retry beyond the fleet's budget */
 };
 
-struct aub_ask {
-	guint64 ticket; /* unique over the fleet */
-	guint64 holder; /* incarnation of the entry that asks */
+struct aub_placement_request {
+	guint64 ticket; /* unique in the fleet */
+	guint64 holder; /* incarnation of the requesting entry */
 	const char *zone;
-	guint priority; /* 0 is the most urgent */
-	guint target_ms; /* within this an answer is on time */
-	guint on_time_ms; /* granted within this, it can still be on time */
-	guint patience_ms; /* longest wait for a slot that helps at all */
-	bool retry; /* sent to an upstream before */
-	bool alone; /* asked here for want of a placer */
+	guint priority; /* 0 is the highest */
+	guint target_ms; /* a response within this time is on time */
+	guint on_time_wait_ms; /* granted within this, it can be on time */
+	guint max_wait_ms; /* longest useful wait for a slot */
+	bool retry; /* it was sent to an upstream before */
+	bool local_fallback; /* placed locally, for lack of a placer */
 	guint32 route; /* key of its route: versions are judged by route */
 	const char *const *avoid; /* upstreams it was sent to */
 	guint avoid_count;
 };
 
-struct aub_decision {
+struct aub_placement_decision {
 	guint64 ticket;
 	guint64 holder;
 	enum aub_verdict verdict;
-	const char *upstream; /* GRANTED: borrowed until the next call */
+	const char *upstream; /* if granted; valid until the next call */
 	const char *address;
-	guint retry_after_ms; /* where not granted: when to come back */
+	guint retry_after_ms; /* if refused: when to retry */
 };
 
-/* What became of a granted request. */
-enum aub_attempt_end {
-	AUB_END_OK, /* a whole answer */
-	AUB_END_FAILED, /* a whole answer that says failure */
-	AUB_END_REFUSED, /* the upstream said that it did not run it */
-	AUB_END_MISPLACED, /* another upstream has the address now */
-	AUB_END_UNREACHABLE, /* never connected: not run */
-	AUB_END_LOST, /* connection or answer broke: may have run */
-	AUB_END_TIMEOUT, /* may have run */
-	AUB_END_ABANDONED, /* the caller left, or another attempt won */
-	AUB_END_UNUSED /* never sent */
+/* The result of a granted request. */
+enum aub_grant_result {
+	AUB_GRANT_OK, /* a complete response */
+	AUB_GRANT_FAILED, /* a complete response with an error status */
+	AUB_GRANT_REFUSED, /* rejected by the upstream without executing it */
+	AUB_GRANT_WRONG_UPSTREAM, /* another upstream has the address now */
+	AUB_GRANT_UNREACHABLE, /* never connected: not executed */
+	AUB_GRANT_LOST, /* connection or response broke: may have executed */
+	AUB_GRANT_TIMEOUT, /* may have executed */
+	AUB_GRANT_ABANDONED, /* caller disconnected or another attempt won */
+	AUB_GRANT_UNUSED /* never sent */
 };
 
-struct aub_attempt_report {
+struct aub_grant_report {
 	guint64 ticket;
-	enum aub_attempt_end end;
-	gint64 elapsed_us; /* from sending to the answer's end */
+	enum aub_grant_result end;
+	gint64 elapsed_us; /* from sending to the end of the response */
 	struct aub_load load;
 };
 
+/* Returns an empty placement for `service`; both arguments are copied. */
 struct aub_placement *aub_placement_new(
 	const char *service, const struct aub_placement_limits *limits);
+/* Frees `placement`, which may be NULL. */
 void aub_placement_free(struct aub_placement *placement);
 const char *aub_placement_service(const struct aub_placement *placement);
 
-/* What the operators' configuration says of the service. */
+/* Applies the operators' configuration of the service. */
 void aub_placement_configure(struct aub_placement *placement,
 			     const struct aub_service_spec *spec);
 void aub_placement_set_limits(struct aub_placement *placement,
 			      const struct aub_placement_limits *limits);
 
-/* An upstream's entry was read, or is gone (`record` NULL). */
+/* Adds or updates upstream `id`, or removes it (`record` is NULL). */
 void aub_placement_register(struct aub_placement *placement, const char *id,
 			    const struct aub_upstream_record *record,
 			    gint64 now_us);
 
-/* A zone is to get nothing new, or may again. */
-void aub_placement_zone_out(struct aub_placement *placement, const char *zone,
-			    bool out, gint64 now_us);
+/* Sets whether `zone` is out: its upstreams get no new requests. */
+void aub_placement_set_zone_out(struct aub_placement *placement,
+				const char *zone, bool out, gint64 now_us);
 
 /*
- * May anything new be sent to `id`? Not where its entry is unknown here: it
- * may have left before this process started.
+ * Returns whether new requests may be sent to `id`. False for an upstream that
+ * is unknown here: it may have departed before this process started.
  */
 bool aub_placement_may_send(const struct aub_placement *placement,
 			    const char *id);
 
 /*
- * Orders to move to other versions are taken, within `limits`. Until
- * aub_placement_orders_known() nothing may be sent: an order may stand that
- * has not been read.
+ * Enables rollout orders within `limits`. Until
+ * aub_placement_set_rollouts_loaded() is called no requests are sent: there may
+ * be an order that has not been read.
  */
-void aub_placement_take_orders(struct aub_placement *placement,
-			       const struct aub_rollout_limits *limits);
-void aub_placement_orders_known(struct aub_placement *placement, gint64 now_us);
+void aub_placement_enable_rollouts(struct aub_placement *placement,
+				   const struct aub_rollout_limits *limits);
+void aub_placement_set_rollouts_loaded(struct aub_placement *placement,
+				       gint64 now_us);
 /*
- * What stands in the store: an order and its stored state, or none (`record`
- * NULL). `unreadable`: there is one, and nobody knows for which version.
+ * Sets the order and state read from the store; `record` is NULL if there is
+ * none. `unreadable`: there is one that can't be parsed, for an unknown
+ * version.
  */
-void aub_placement_order(struct aub_placement *placement,
-			 const struct aub_rollout_record *record,
-			 bool unreadable, gint64 now_us);
-/* How far another process is with `order`, which has been there for `age_us`.
- * False if that is not the order here. */
-bool aub_placement_order_told(struct aub_placement *placement,
-			      const struct aub_rollout_order *order,
-			      enum aub_rollout_state state, gint64 age_us,
-			      gint64 now_us);
-/* The order here, or NULL; borrowed. */
+void aub_placement_set_rollout(struct aub_placement *placement,
+			       const struct aub_rollout_record *record,
+			       bool unreadable, gint64 now_us);
+/*
+ * Merges the progress of another process with `order`, which it has had for
+ * `age_us`. Returns false if the order here is a different one.
+ */
+bool aub_placement_merge_rollout(struct aub_placement *placement,
+				 const struct aub_rollout_order *order,
+				 enum aub_rollout_state state, gint64 age_us,
+				 gint64 now_us);
+/* Returns the order here, or NULL; owned by `placement`. */
 const struct aub_rollout *aub_placement_rollout(
 	const struct aub_placement *placement);
 /*
- * Evidence of another process, to go on with; `reached` and `exposed` count
- * what it and those before it have sent, to either version and to the new one;
- * `allowance` is what it has beyond its share.
+ * Continues with the evidence of another process. `reached` and `exposed` are
+ * the requests that it and those before it have sent, to either version and to
+ * the new one; `allowance` is what it may send beyond its share.
  */
-void aub_placement_inherit(struct aub_placement *placement,
-			   const struct aub_judge_route *routes, guint count,
-			   guint64 reached, guint64 exposed, double allowance);
-/* This process alone may spend the order's slack. */
+void aub_placement_import_evidence(struct aub_placement *placement,
+				   const struct aub_judge_route *routes,
+				   guint count, guint64 reached,
+				   guint64 exposed, double allowance);
+/* Grants the order's slack to this process, which alone may spend it. */
 void aub_placement_grant_slack(struct aub_placement *placement);
-/* Now and then: versions for which no order came take part. */
-void aub_placement_admit(struct aub_placement *placement, gint64 now_us);
+/* Called periodically: admits versions for which no order arrived. */
+void aub_placement_admit_versions(struct aub_placement *placement,
+				  gint64 now_us);
 /*
- * As the one that places for all: judge and move on as far as it is time.
- * Returns the state that the store should hold; NONE: no order.
+ * Called by the placer only: judges the new version and advances the order.
+ * Returns the state to store; NONE if the store needs no update.
  */
 enum aub_rollout_state aub_placement_rollout_step(
 	struct aub_placement *placement, gint64 now_us);
 
-void aub_placement_ask(struct aub_placement *placement,
-		       const struct aub_ask *ask, gint64 now_us,
-		       struct aub_decision *decision);
+/* Decides on `request`. A repeated ticket gets the same decision. */
+void aub_placement_submit(struct aub_placement *placement,
+			  const struct aub_placement_request *request,
+			  gint64 now_us,
+			  struct aub_placement_decision *decision);
+/* Ends a grant, or removes a request from the queue. */
 void aub_placement_report(struct aub_placement *placement,
-			  const struct aub_attempt_report *report,
-			  gint64 now_us);
+			  const struct aub_grant_report *report, gint64 now_us);
 
-/* The next decision on a queued request; false if there is none now. */
-bool aub_placement_next(struct aub_placement *placement, gint64 now_us,
-			struct aub_decision *decision);
-guint aub_placement_queued(const struct aub_placement *placement);
+/*
+ * Sets `decision` to the next one on a queued request. Returns false if there
+ * is none at present.
+ */
+bool aub_placement_next_decision(struct aub_placement *placement, gint64 now_us,
+				 struct aub_placement_decision *decision);
+guint aub_placement_queue_length(const struct aub_placement *placement);
 
 /*
- * `holder` still holds just `tickets`: older grants that are not among them
- * are released. A lost report would otherwise block a slot for good.
+ * Releases those grants of `holder` that are not in `tickets`, unless they are
+ * recent. A lost report would otherwise occupy a slot forever.
  */
 void aub_placement_reconcile(struct aub_placement *placement, guint64 holder,
 			     const guint64 *tickets, guint count,
 			     gint64 now_us);
-/* A request that another placer granted, learned from its holder. */
+/* Adds a grant of another placer, reported by its holder. */
 void aub_placement_adopt(struct aub_placement *placement, guint64 holder,
 			 guint64 ticket, const char *upstream, guint target_ms,
 			 gint64 now_us);
-/* `holder` is gone: what it had queued and granted is dropped. */
-void aub_placement_forget(struct aub_placement *placement, guint64 holder,
-			  gint64 now_us);
+/* Drops the queued requests and the grants of a holder that is gone. */
+void aub_placement_drop_holder(struct aub_placement *placement, guint64 holder,
+			       gint64 now_us);
 
 struct aub_probe {
-	const char *upstream; /* borrowed until the next call */
+	const char *upstream; /* valid until the next call */
 	const char *address;
 	const char *path;
 };
 
-enum aub_probe_end {
-	AUB_PROBE_WELL,
-	AUB_PROBE_ILL, /* answered, and said that it is not well */
-	AUB_PROBE_OTHER, /* another upstream answered */
-	AUB_PROBE_SILENT
+enum aub_probe_result {
+	AUB_PROBE_HEALTHY,
+	AUB_PROBE_UNHEALTHY, /* the response reports it as unhealthy */
+	AUB_PROBE_WRONG_UPSTREAM, /* another upstream responded */
+	AUB_PROBE_NO_RESPONSE
 };
 
 /*
- * The next upstream to probe now, of `zone` or (NULL) of all; false if none
- * is due.
+ * Sets `probe` to the next upstream to probe now, in `zone` or, if that is
+ * NULL, in all zones. Returns false if none is due.
  */
 bool aub_placement_probe_next(struct aub_placement *placement, const char *zone,
 			      gint64 now_us, struct aub_probe *probe);
-void aub_placement_probe_ended(struct aub_placement *placement,
-			       const char *upstream, enum aub_probe_end end,
-			       const struct aub_load *load, gint64 now_us);
+void aub_placement_probe_finished(struct aub_placement *placement,
+				  const char *upstream,
+				  enum aub_probe_result result,
+				  const struct aub_load *load, gint64 now_us);
 
-/* The same, by a gateway that is nearer: the next own probe can wait. */
-void aub_placement_probe_told(struct aub_placement *placement,
-			      const char *upstream, enum aub_probe_end end,
-			      const struct aub_load *load, gint64 now_us);
+/*
+ * Applies the result of a probe by a gateway in the upstream's zone, which
+ * postpones the local one.
+ */
+void aub_placement_probe_received(struct aub_placement *placement,
+				  const char *upstream,
+				  enum aub_probe_result result,
+				  const struct aub_load *load, gint64 now_us);
 
-/* "up", "ill" (up, and said so), "down", "unknown" or "gone", for logs. */
+/*
+ * Returns "up", "ill" (up, but reports itself unhealthy), "down", "unknown" or
+ * "gone", for logs.
+ */
 const char *aub_placement_health_name(const struct aub_placement *placement,
 				      const char *id);
 
-/* The state of an upstream that is not just well, for others. */
+/* The health of an upstream that differs from up, warm and fast. */
 struct aub_upstream_health {
 	const char *upstream; /* borrowed */
 	bool down;
 	bool unknown; /* not probed so far */
-	guint cold_ms; /* left; 0: warm */
+	guint cold_ms; /* remaining; 0: warm */
 	guint slowdown; /* percent */
 };
+/*
+ * Copies up to `limit` entries to `list`, for other processes. Returns their
+ * number.
+ */
 guint aub_placement_list_health(const struct aub_placement *placement,
 				struct aub_upstream_health *list, guint limit,
 				gint64 now_us);
-/* All are up, but for those that aub_placement_set_health() then names. */
+/*
+ * Marks all upstreams up. aub_placement_set_health() is then called for the
+ * exceptions.
+ */
 void aub_placement_reset_health(struct aub_placement *placement);
 void aub_placement_set_health(struct aub_placement *placement,
 			      const struct aub_upstream_health *health,
 			      gint64 now_us);
 
-/* A placement at one moment, for logs and metrics. */
-struct aub_placement_state {
+/* A snapshot of a placement, for logs and metrics. */
+struct aub_placement_stats {
 	guint up; /* upstreams by state */
 	guint down;
 	guint unknown;
 	guint cold; /* of those that are up */
-	guint leaving; /* draining, or in a zone that is out */
-	guint held; /* of a version that is to get nothing */
+	guint draining; /* including those in a zone that is out */
+	guint withheld; /* of a version that gets no requests */
 	guint granted;
 	guint queued;
 	guint64 refused; /* since the start */
 	guint64 cold_grants; /* to cold upstreams, since the start */
-	double cold_per_s; /* requests a second that a cold one is given */
-	guint full_percent; /* of its slots that one is kept to, learned */
-	guint slowdown_percent; /* mean of what they tell; 100 is as usual */
-	guint burst_ms; /* for which a neighbour's burst lasts, learned */
-	enum aub_rollout_state rollout; /* of the order, as seen here */
+	double cold_rate_per_s; /* requests granted to a cold upstream */
+	guint concurrency_limit_percent; /* of an upstream's slots, learned */
+	guint slowdown_percent; /* mean of the reports; 100 is typical */
+	guint interference_ms; /* typical duration of a burst, learned */
+	enum aub_rollout_state rollout; /* state of the order, as seen here */
 	guint64 exposed; /* requests placed here at its version */
-	guint judged; /* answers of that version */
-	guint judged_bad; /* of these */
+	guint judged_answers; /* responses of that version */
+	guint bad_answers; /* of these */
 };
-void aub_placement_get_state(const struct aub_placement *placement,
-			     gint64 now_us, struct aub_placement_state *state);
+void aub_placement_get_stats(const struct aub_placement *placement,
+			     gint64 now_us, struct aub_placement_stats *stats);
 
-/* Walks all invariants; aborts where one is broken. For tests. */
-void aub_placement_check(const struct aub_placement *placement);
+/* Checks all invariants and aborts if one is violated. For tests. */
+void aub_placement_check_invariants(const struct aub_placement *placement);
 
 const char *aub_verdict_name(enum aub_verdict verdict);
-const char *aub_attempt_end_name(enum aub_attempt_end end);
+const char *aub_grant_result_name(enum aub_grant_result result);
 
 G_END_DECLS
 
--- /dev/null
+++ b/include/auburnstile/internal/placement_internal.h
@@ -0,0 +1,210 @@
+/*
+ * The internals of a placement, shared by its source files and its tests.
+ */
+#ifndef AUBURNSTILE_INTERNAL_PLACEMENT_INTERNAL_H
+#define AUBURNSTILE_INTERNAL_PLACEMENT_INTERNAL_H
+
+#include <auburnstile/internal/saturation.h>
+#include <auburnstile/internal/load_trend.h>
+#include <auburnstile/internal/placement.h>
+#include <auburnstile/internal/retry_budget.h>
+#include <auburnstile/internal/service_versions.h>
+#include <auburnstile/internal/service_times.h>
+
+G_BEGIN_DECLS
+
+#define AUB_US_PER_MS ((gint64)1000)
+
+/* An upstream that failed is tried again after some of these. */
+#define AUB_FAILURE_HALF_LIFE_US (2000 * AUB_US_PER_MS)
+
+/* Ratios below this are within the normal spread of service times. */
+#define AUB_SIGNIFICANT_SLOWNESS 1.5
+
+enum aub_endpoint_state {
+	AUB_ENDPOINT_UNKNOWN, /* no response since it was registered */
+	AUB_ENDPOINT_UP,
+	AUB_ENDPOINT_DOWN /* refused, reset or no response; only probed */
+};
+
+/* The traffic that an upstream's version allows. */
+enum aub_version_traffic {
+	AUB_VERSION_WITHHELD, /* none */
+	AUB_VERSION_ACTIVE, /* as much as it can handle */
+	AUB_VERSION_CANARY /* as much as the rollout order allows */
+};
+
+/* The placement's state of one upstream. */
+struct aub_endpoint {
+	char *id;
+	char *address;
+	char *zone;
+	guint slots;
+	gint64 started_ms;
+	gint version; /* index into the service's versions */
+	enum aub_version_traffic traffic;
+	struct aub_judge_evidence evidence; /* against its version */
+	bool registered; /* false: departed; kept while grants are open */
+	gint64 departed_us; /* time at which it departed */
+	bool draining;
+	bool zone_out;
+	enum aub_endpoint_state state;
+	gint64 cold_until_us;
+	gint64 next_cold_grant_us; /* while cold: no grant before this time */
+	guint granted; /* grants that have not ended */
+	struct aub_load load; /* last reported */
+	gint64 load_us; /* when it was reported; 0: never */
+	gint64 full_until_us; /* it refused a request: full until this time */
+	double slowness; /* actual over expected response time, smoothed */
+	double failures; /* share of its responses that failed, smoothed */
+	gint64 failures_us; /* time of the last update of `failures` */
+	gint64 last_ok_us; /* time of its last successful response */
+	bool probing;
+	bool unhealthy; /* reported by its last probe */
+	guint failed_probes; /* consecutive ones without a response */
+	gint64 next_probe_us;
+};
+
+struct aub_grant {
+	guint64 ticket;
+	guint64 holder;
+	guint endpoint_index;
+	guint concurrency; /* at the upstream, including this one, at grant */
+	double slowdown; /* expected at grant for other reasons than that */
+	guint target_ms;
+	guint32 route;
+	bool cold; /* the upstream was cold at grant */
+	bool canary; /* counts as exposure of a new version */
+	bool judged_early; /* counted as slow before it ended */
+	gint64 granted_us;
+};
+
+struct aub_queued_request {
+	guint64 ticket;
+	guint64 holder;
+	char *zone;
+	guint priority;
+	guint target_ms;
+	guint32 route;
+	bool retry;
+	bool local_fallback; /* no placer reachable: no cold or down upstream */
+	gint64 queued_us;
+	gint64 on_time_until_us; /* granted later, it is late for certain */
+	gint64 expires_us; /* end of its maximum wait */
+	GPtrArray *avoid; /* of char * */
+};
+
+struct aub_placement {
+	char *service;
+	struct aub_placement_limits limits;
+	struct aub_retry_budget budget;
+	char *health_path;
+	guint warmup_ms;
+	double warmup_per_s;
+	GPtrArray *endpoints; /* of struct aub_endpoint, addressed by index */
+	GHashTable *by_id; /* id -> index + 1 */
+	GHashTable *zones_out; /* set of names */
+	GHashTable *grants; /* &ticket -> struct aub_grant */
+	GPtrArray *queue; /* of struct aub_queued_request, by priority */
+	struct aub_saturation saturation;
+	struct aub_load_trend interference; /* from its upstreams' reports */
+	struct aub_service_times service_times;
+	bool rollouts_enabled; /* versions are taken into account */
+	bool rollouts_loaded;
+	bool rollout_unreadable; /* no other version is admitted */
+	struct aub_service_versions versions;
+	struct aub_rollout rollout;
+	double mean_slot_time_us; /* from grant to report, smoothed */
+	guint64 refused; /* requests that got no upstream, since the start */
+	guint64 cold_grants; /* to cold upstreams, since the start */
+	guint probing; /* endpoints with a probe in progress */
+	guint next_probe_index; /* where the search for the next probe starts */
+	guint search_start; /* index, rotated to break ties round-robin */
+};
+
+/* Returns the endpoint at `index`, owned by `placement`. */
+struct aub_endpoint *aub_placement_endpoint(
+	const struct aub_placement *placement, guint index);
+/* Returns the index of `id`, or -1. */
+gint aub_placement_find_endpoint(const struct aub_placement *placement,
+				 const char *id);
+
+/* Applies the load that a response or a probe reported. */
+void aub_endpoint_update_load(struct aub_placement *placement,
+			      struct aub_endpoint *endpoint,
+			      const struct aub_load *load, gint64 now_us);
+/* Updates the failure rate: `weight` is 1 for a failure, 0 for a success. */
+void aub_endpoint_update_failures(struct aub_endpoint *endpoint, double weight,
+				  gint64 now_us);
+void aub_endpoint_set_probing(struct aub_placement *placement,
+			      struct aub_endpoint *endpoint, bool probing);
+/* Marks `endpoint` down and schedules a probe. */
+void aub_endpoint_mark_down(struct aub_endpoint *endpoint, gint64 now_us);
+/* Returns the concurrency at which the upstream's throughput peaks. */
+guint aub_endpoint_concurrency_limit(const struct aub_placement *placement,
+				     const struct aub_endpoint *endpoint);
+/*
+ * Returns the present slowdown of an upstream, as a multiple of the baseline
+ * service time, from interference or a cold start. The effect of its own
+ * utilization is not included.
+ */
+double aub_endpoint_slowdown(const struct aub_placement *placement,
+			     const struct aub_endpoint *endpoint,
+			     gint64 now_us);
+/* Returns the requests per second that this placement grants a cold upstream.
+ */
+double aub_placement_cold_rate_per_s(const struct aub_placement *placement);
+bool aub_endpoint_is_cold(const struct aub_endpoint *endpoint, gint64 now_us);
+
+/* Counts an upstream registered with `version`, or removed (NULL). */
+void aub_endpoint_count_version(struct aub_placement *placement,
+				struct aub_endpoint *endpoint,
+				const char *version, bool was_registered,
+				gint64 now_us);
+/* Which upstreams a request may go to, by their versions. */
+enum aub_canary_choice {
+	AUB_CANARY_NONE, /* those of the active versions */
+	AUB_CANARY_FIRST, /* canaries with room, otherwise the others */
+	AUB_CANARY_ONLY /* canaries, as long as there are any */
+};
+enum aub_canary_choice aub_placement_canary_choice(
+	const struct aub_placement *placement,
+	const struct aub_placement_request *request, gint64 now_us);
+/*
+ * Returns the share that an upstream has used of the evidence it may
+ * contribute against its version; it may exceed 1.
+ */
+double aub_endpoint_evidence_share(const struct aub_placement *placement,
+				   const struct aub_endpoint *endpoint);
+/* Counts a new grant as exposure if its upstream is a canary. */
+void aub_grant_count_canary(struct aub_placement *placement,
+			    struct aub_grant *grant,
+			    const struct aub_endpoint *endpoint);
+/* Judges the versions by the result of a grant. */
+void aub_grant_judge(struct aub_placement *placement,
+		     struct aub_endpoint *endpoint,
+		     const struct aub_grant *grant,
+		     const struct aub_grant_report *report);
+
+/* Returns the index of `ticket` in the queue, or -1. */
+gint aub_placement_find_queued(const struct aub_placement *placement,
+			       guint64 ticket);
+
+/* Grants `request` a slot of the endpoint at `index` and sets `decision`. */
+void aub_placement_grant(struct aub_placement *placement, guint index,
+			 const struct aub_placement_request *request,
+			 gint64 now_us,
+			 struct aub_placement_decision *decision);
+
+/*
+ * Returns the index of the best endpoint with room for `request`, or -1. Sets
+ * `*usable` to the number of slots of the endpoints that may serve it, whether
+ * they have room or not.
+ */
+gint aub_placement_choose(struct aub_placement *placement,
+			  const struct aub_placement_request *request,
+			  gint64 now_us, guint *usable);
+
+G_END_DECLS
+
+#endif
--- a/include/auburnstile/internal/placer.h
+++ b/include/auburnstile/internal/placer.h
@@ -60,7 +60,7 @@
 
 /* All orders that stand in the store have been told. */
 void aub_placer_orders_known(struct aub_placer *placer);
-/* As aub_placement_order(). */
+/* As aub_placement_set_rollout(). */
 void aub_placer_order(struct aub_placer *placer, const char *service,
 		      const struct aub_rollout_record *record, bool unreadable);
 /* The store has taken `state` for the order of `service` from this process. */
@@ -82,18 +82,18 @@
  * possibly before this returns, unless aub_placer_cancel() came first.
  */
 void aub_placer_ask(struct aub_placer *placer, const char *service,
-		    const struct aub_ask *ask, guint64 id,
+		    const struct aub_placement_request *ask, guint64 id,
 		    aub_placed_callback *placed, void *context);
 /* The caller left before the decision. */
 void aub_placer_cancel(struct aub_placer *placer, guint64 ticket);
 /* What became of a granted request; the ticket is spent. */
 void aub_placer_report(struct aub_placer *placer, guint64 ticket,
-		       enum aub_attempt_end end, gint64 elapsed_us,
+		       enum aub_grant_result end, gint64 elapsed_us,
 		       const struct aub_load *load);
 
 /* Visit the placements that this gateway keeps, for metrics. */
 typedef void aub_placement_visitor(const char *service,
-				   const struct aub_placement_state *state,
+				   const struct aub_placement_stats *state,
 				   void *context);
 void aub_placer_visit(struct aub_placer *placer, aub_placement_visitor *visit,
 		      void *context);
--- a/include/auburnstile/internal/placer_parts.h
+++ b/include/auburnstile/internal/placer_parts.h
@@ -12,7 +12,7 @@
 struct aub_ticket {
 	guint64 id;
 	char *service;
-	struct aub_ask ask; /* its pointers are not used */
+	struct aub_placement_request ask; /* its pointers are not used */
 	GPtrArray *avoid; /* of char * */
 	aub_placed_callback *placed; /* NULL once it is decided */
 	void *context;
@@ -76,19 +76,19 @@
 void aub_ticket_free(void *data);
 /* Pass a decision on to the request; the ticket ends unless it was granted. */
 void aub_ticket_settle(struct aub_placer *placer, struct aub_ticket *ticket,
-		       const struct aub_decision *decision, guint64 from);
+		       const struct aub_placement_decision *decision, guint64 from);
 void aub_ticket_send_report(struct aub_placer *placer,
 			    struct aub_ticket *ticket,
-			    const struct aub_attempt_report *report);
+			    const struct aub_grant_report *report);
 /* Ask again, or the next placer, where one did not answer in time. */
 void aub_tickets_due(struct aub_placer *placer, gint64 now_us);
 
 /* A report for a placement here: a slot may be free. */
 void aub_placer_take_report(struct aub_placer *placer, const char *service,
-			    const struct aub_attempt_report *report);
+			    const struct aub_grant_report *report);
 /* A decision of a placement here, for whoever asked. */
 void aub_placer_deliver(struct aub_placer *placer,
-			const struct aub_decision *decision);
+			const struct aub_placement_decision *decision);
 /* There are tickets or queues that time alone moves on. */
 void aub_placer_arm(struct aub_placer *placer);
 
--- a/include/auburnstile/internal/request_path.h
+++ b/include/auburnstile/internal/request_path.h
@@ -1,9 +1,9 @@
 /*
- * Paths of requests in the form that rules are matched against.
+ * Request paths in the canonical form that rules are matched against.
  *
  * An upstream may read "/fees/./pay", "/fees//pay" or "/fees/%70ay" as
- * "/fees/pay". So may a rule: otherwise a request that must run at most once
- * would pass as one that may be repeated.
+ * "/fees/pay". Rules have to match these as well: otherwise an at-most-once
+ * request would be taken for one that may be retried.
  */
 #ifndef AUBURNSTILE_INTERNAL_REQUEST_PATH_H
 #define AUBURNSTILE_INTERNAL_REQUEST_PATH_H
@@ -14,13 +14,16 @@
 G_BEGIN_DECLS
 
 /*
- * Without query, percent signs, backslashes, parameters (";x"), empty and
- * dot segments, and without a slash at its end. Owned by the caller.
+ * Returns `path` without its query, percent-encoding, backslashes, path
+ * parameters (";x"), empty and dot segments, and trailing slash. The caller
+ * frees it.
  */
-char *aub_path_canonical(const char *path);
+char *aub_path_canonicalize(const char *path);
 
-/* True where `path` is `prefix` or lies below it; whole segments count. */
-bool aub_path_below(const char *path, const char *prefix);
+/*
+ * Returns whether `path` is `prefix` or below it. Only whole segments match.
+ */
+bool aub_path_has_prefix(const char *path, const char *prefix);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/rollout_judge.h
+++ b/include/auburnstile/internal/rollout_judge.h
@@ -1,13 +1,15 @@
 /*
- * Whether a new version of a service is worse than the one it runs beside.
+ * Decides whether a new version of a service is worse than the old one that
+ * runs concurrently with it.
  *
- * Sequential tests that may be looked at after each answer: cumulative sums
- * of log-likelihood ratios, never below zero, so that a version that turns
- * bad late is found as fast as one that is bad from its start. Each route is
- * tested for failures and for long answers, apart where upstreams are full,
- * against what the old version answers at the same time.
+ * Sequential tests that may be evaluated after each response: CUSUM charts,
+ * i.e. cumulative sums of log-likelihood ratios that never fall below zero, so
+ * that a regression that starts late is detected as fast as one present from
+ * the start. Each route is tested for failures and for slow responses,
+ * separately for nearly full upstreams, against the responses of the old
+ * version (the baseline) over the same time.
  *
- * Plain decisions: no clock, socket or random source.
+ * Pure decision logic: no clock, socket or random source.
  */
 #ifndef AUBURNSTILE_INTERNAL_ROLLOUT_JUDGE_H
 #define AUBURNSTILE_INTERNAL_ROLLOUT_JUDGE_H
@@ -17,98 +19,110 @@
 
 G_BEGIN_DECLS
 
-#define AUB_JUDGE_ROUTES 16 /* tested apart; more share the last one */
-#define AUB_JUDGE_BUCKETS 96 /* of answers' times, four an octave */
-#define AUB_JUDGE_ALTERNATIVES 4 /* rates of bad answers tested for */
+#define AUB_JUDGE_ROUTES_MAX 16 /* further routes share the last entry */
+#define AUB_JUDGE_LATENCY_BUCKETS 96 /* four per octave */
+#define AUB_JUDGE_ALTERNATIVES 4 /* rates of bad responses tested for */
 
 enum aub_judge_fault {
 	AUB_JUDGE_FAILURES,
 	AUB_JUDGE_SLOWNESS,
-	AUB_JUDGE_FAULTS
+	AUB_JUDGE_FAULT_COUNT
 };
 
-/* Cumulative sums, one for each alternative rate. */
+/* Cumulative sums in nats, one for each alternative rate. */
 struct aub_judge_test {
 	double sums[AUB_JUDGE_ALTERNATIVES];
 };
 
-/* The answers of one route. */
+/* The responses of one route. */
 struct aub_judge_route {
 	guint32 key;
-	/* Of the old version; halved now and then, so that they are recent. */
-	double base_answers;
-	double base_failures;
-	double base_times[AUB_JUDGE_BUCKETS];
-	double told_slow_ms; /* what another process takes for slow; 0: none */
+	/* Of the old version; halved periodically to favour recent ones. */
+	double baseline_answers;
+	double baseline_failures;
+	double baseline_times[AUB_JUDGE_LATENCY_BUCKETS];
+	/* Threshold that another process uses for slow; 0: none received. */
+	double reported_slow_ms;
 	/* Of the new version. */
 	guint answers;
-	guint timed; /* of these, those whose time could be judged */
-	guint bad[AUB_JUDGE_FAULTS];
-	struct aub_judge_test tests[AUB_JUDGE_FAULTS][2]; /* [1]: when full */
+	guint timed; /* of these, with a usable response time */
+	guint bad[AUB_JUDGE_FAULT_COUNT];
+	/* [1]: at nearly full upstreams. */
+	struct aub_judge_test tests[AUB_JUDGE_FAULT_COUNT][2];
 };
 
-/* All zero to begin with. */
+/* Zero-initialized by the owner. */
 struct aub_judge {
-	struct aub_judge_test pooled[AUB_JUDGE_FAULTS]; /* over all routes */
-	struct aub_judge_route routes[AUB_JUDGE_ROUTES];
-	guint count;
+	/* Over all routes. */
+	struct aub_judge_test pooled[AUB_JUDGE_FAULT_COUNT];
+	struct aub_judge_route routes[AUB_JUDGE_ROUTES_MAX];
+	guint count; /* of routes */
 	guint answers; /* of the new version */
-	guint timed; /* of these, those whose time could be judged */
+	guint timed; /* of these, with a usable response time */
 	guint bad;
-	/* The first that crossed the threshold. */
+	/* The first test that crossed the threshold. */
 	bool alarmed;
 	enum aub_judge_fault fault;
 	guint32 route;
 };
 
-/* What one upstream has brought forward against its version. */
+/* Evidence against the new version from one upstream, in nats. */
 struct aub_judge_evidence {
-	double brought[AUB_JUDGE_FAULTS];
+	double contributed[AUB_JUDGE_FAULT_COUNT];
 };
 
 struct aub_judge_answer {
 	guint32 route;
 	bool failed;
-	double ms; /* its time, with what is known to have slowed it divided
-		      out; 0: tells nothing */
-	bool full; /* its upstream had few slots left */
+	double ms; /* response time with known slowdowns divided out; 0: not
+		      usable */
+	bool full; /* the upstream was nearly full */
 };
 
-/* Another new version: what is known of the old one stays. */
-void aub_judge_restart(struct aub_judge *judge);
-/* An answer of the old version. */
-void aub_judge_take_base(struct aub_judge *judge,
-			 const struct aub_judge_answer *answer);
+/* Resets what is known of the new version; the baseline is kept. */
+void aub_judge_reset_canary(struct aub_judge *judge);
+/* Adds a response of the old version. */
+void aub_judge_add_baseline(struct aub_judge *judge,
+			    const struct aub_judge_answer *answer);
 /*
- * An answer of the new version. `evidence` is its upstream's, `most` what a
- * single one may bring forward: one ill upstream is no bad version.
+ * Adds a response of the new version. `evidence` is that of its upstream and
+ * at most `evidence_max` (see aub_judge_evidence_max()), so that one unhealthy
+ * upstream does not fail a version.
  */
-void aub_judge_take_new(struct aub_judge *judge,
-			const struct aub_judge_answer *answer,
-			struct aub_judge_evidence *evidence, double most);
+void aub_judge_add_canary(struct aub_judge *judge,
+			  const struct aub_judge_answer *answer,
+			  struct aub_judge_evidence *evidence,
+			  double evidence_max);
 /*
- * A time that only a slow version needs on `route`, ms; 0: not known yet.
- * What takes longer can be counted as slow before it has ended.
+ * Returns the response time on `route` above which a response counts as slow,
+ * in ms; 0 if it is not known yet. A request that takes longer can be counted
+ * before it ends.
  */
 double aub_judge_slow_ms(const struct aub_judge *judge, guint32 route,
 			 bool full);
 
+/* The key of the exported entry for all routes together. */
+#define AUB_JUDGE_POOLED 0
 /*
- * Evidence about the new version, in AUB_JUDGE_ROUTES + 1 places at most; one
- * of them, with key AUB_JUDGE_POOLED, is of all routes together.
+ * Copies the evidence about the new version into `routes`, which has room for
+ * AUB_JUDGE_ROUTES_MAX + 1 entries. Returns the number of entries; one of them
+ * has the key AUB_JUDGE_POOLED.
  */
-#define AUB_JUDGE_POOLED 0
 guint aub_judge_export(const struct aub_judge *judge,
 		       struct aub_judge_route *routes);
-/* Go on from another process's evidence. */
-void aub_judge_inherit(struct aub_judge *judge,
-		       const struct aub_judge_route *routes, guint count);
+/* Replaces the evidence by that of another process. */
+void aub_judge_import(struct aub_judge *judge,
+		      const struct aub_judge_route *routes, guint count);
 
-/* Evidence at which a version is bad; a share of it for one upstream. */
+/* Evidence at which a version is rejected, in nats. */
 extern const double aub_judge_threshold;
-double aub_judge_evidence_most(guint upstreams);
+/* Returns how much evidence one of `upstreams` may contribute, in nats. */
+double aub_judge_evidence_max(guint upstreams);
 
-/* Is there enough against the version that it should not be trusted yet? */
+/*
+ * Returns whether there is so much evidence against the version that all
+ * requests should not be switched to it yet.
+ */
 bool aub_judge_is_suspicious(const struct aub_judge *judge);
 
 const char *aub_judge_fault_name(enum aub_judge_fault fault);
--- a/include/auburnstile/internal/routing.h
+++ b/include/auburnstile/internal/routing.h
@@ -2,28 +2,28 @@
  * The operators' configuration as the data path uses it: which service a
  * request goes to, and under which limits.
  *
- * A routing is immutable but for the rotation of its splits and what is
- * learned of a route's callers, and counted: requests under way keep the one
- * they began with.
+ * A routing table is reference-counted: requests in progress keep the one that
+ * they started with. It is immutable except for the rotation of its traffic
+ * splits and the wait statistics of a route's callers.
  */
 #ifndef AUBURNSTILE_INTERNAL_ROUTING_H
 #define AUBURNSTILE_INTERNAL_ROUTING_H
 
-#include <auburnstile/internal/caller_age.h>
+#include <auburnstile/internal/caller_wait.h>
 
 #include <glib.h>
 #include <stdbool.h>
 
 G_BEGIN_DECLS
 
-#define AUB_MAX_ATTEMPTS 16 /* upstreams a request may be sent to, at most */
+#define AUB_MAX_ATTEMPTS 16 /* upstreams a request may be sent to */
 
 struct aub_service_spec {
 	char *name;
 	char *health_path;
-	guint max_connections; /* of one upstream, from all entries */
+	guint max_connections; /* to one upstream, from all entries */
 	guint warmup_ms;
-	double warmup_per_s; /* requests a cold upstream bears */
+	double warmup_per_s; /* requests a cold upstream can handle */
 };
 
 struct aub_split {
@@ -33,18 +33,18 @@
 
 struct aub_route {
 	char *name;
-	guint32 key; /* hash of its name, for gateways to tell each other */
+	guint32 key; /* hash of the name, identifies it between gateways */
 	char *host; /* lower case */
-	char *prefix; /* begins and ends with a slash */
+	char *prefix; /* starts and ends with a slash */
 	bool idempotent;
-	guint timeout_ms; /* longest that a caller is kept waiting */
-	guint target_ms; /* an answer within this is on time */
-	guint priority; /* 0 is the most urgent */
+	guint timeout_ms; /* maximum time that a caller is kept waiting */
+	guint target_ms; /* a response within this time is on time */
+	guint priority; /* 0 is the highest */
 	guint max_attempts;
-	GArray *splits; /* of struct aub_split; one where there is no split */
+	GArray *splits; /* of struct aub_split; a single one without a split */
 	double total_weight;
-	double phase; /* of the split's rotation, 0..1 */
-	struct aub_caller_age age; /* learned from its requests */
+	double split_phase; /* of the rotation through the splits, 0..1 */
+	struct aub_caller_wait caller_wait; /* learned from its requests */
 };
 
 struct aub_limits {
@@ -59,39 +59,51 @@
 	gint64 version;
 	GPtrArray *routes; /* of struct aub_route */
 	GHashTable *services; /* name -> struct aub_service_spec */
-	GHashTable *hosts; /* host -> GPtrArray of routes, longest first */
+	GHashTable *hosts; /* host -> GPtrArray of routes, longest prefix first
+			    */
 	struct aub_limits limits;
 };
 
+/* Returns an empty routing table with one reference. */
 struct aub_routing *aub_routing_new(void);
+/* Adds a reference and returns `routing`. */
 struct aub_routing *aub_routing_ref(struct aub_routing *routing);
+/* Drops a reference; the last one frees `routing`, which may be NULL. */
 void aub_routing_unref(struct aub_routing *routing);
 
+/* Returns an empty route; a routing table owns those in its list. */
 struct aub_route *aub_route_new(void);
 void aub_route_free(struct aub_route *route);
+/* Adds a split; the name is copied. */
 void aub_route_add_split(struct aub_route *route, const char *service,
 			 double weight);
 void aub_service_spec_free(struct aub_service_spec *spec);
 
-/* Build the lookup and check it; false with an error naming the field. */
-bool aub_routing_seal(struct aub_routing *routing, GError **error);
+/*
+ * Validates the routes and builds the lookup by host. Returns false and sets
+ * AUB_ERROR_INVALID, naming the route, if one is not valid.
+ */
+bool aub_routing_build_index(struct aub_routing *routing, GError **error);
 
-/* Take over what `old` has learned of the callers of routes in both. */
-void aub_routing_inherit(struct aub_routing *routing,
-			 const struct aub_routing *old);
+/*
+ * Copies the wait statistics of routes that are in `old` too, by host and
+ * prefix. `old` may be NULL.
+ */
+void aub_routing_copy_caller_waits(struct aub_routing *routing,
+				   const struct aub_routing *old);
 
 /*
- * The route of `host` (a port is ignored) with the longest prefix that
- * begins the path of `target`; NULL if there is none. Borrowed.
+ * Returns the route of `host` (a port is ignored) with the longest prefix of
+ * the path of `target`, or NULL if there is none. Owned by `routing`.
  */
 struct aub_route *aub_routing_find(const struct aub_routing *routing,
 				   const char *host, const char *target);
 
 /*
- * The service that the next request of `route` goes to. Steps of the golden
- * ratio keep each part's share within a request or two of its weight.
+ * Returns the service of the next request of `route`. Golden ratio steps keep
+ * the share of each split within one or two requests of its weight.
  */
-const char *aub_route_pick(struct aub_route *route);
+const char *aub_route_pick_service(struct aub_route *route);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/service_versions.h
+++ b/include/auburnstile/internal/service_versions.h
@@ -1,11 +1,12 @@
 /*
- * Which versions of a service's upstreams may take requests.
+ * Tracks which versions of a service's upstreams may take requests.
  *
- * One version is in force. Upstreams of another one are held: they are to get
- * requests only by an operators' order (see rollout.h). Where none comes for
- * a while they were replaced without one, and take part like the others.
+ * One version is current. Upstreams of any other version are withheld: they
+ * get requests only by an operator's rollout order (see rollout.h). If no
+ * order arrives for a while, the upstreams were replaced without one and take
+ * requests like the others.
  *
- * Plain decisions: no clock, socket or random source.
+ * Pure decision logic: no clock, socket or random source.
  */
 #ifndef AUBURNSTILE_INTERNAL_SERVICE_VERSIONS_H
 #define AUBURNSTILE_INTERNAL_SERVICE_VERSIONS_H
@@ -15,60 +16,72 @@
 
 G_BEGIN_DECLS
 
-#define AUB_VERSIONS_MOST 32 /* of a service, remembered at once */
+#define AUB_VERSIONS_MAX 32 /* of one service, tracked at the same time */
 #define AUB_VERSION_NONE (-1)
 
 struct aub_version {
 	char *name;
 	guint upstreams; /* registered ones */
-	gint64 born_ms; /* start of the oldest of these, Unix time */
-	gint64 since_us; /* since when there are any */
-	bool admitted; /* takes part without an order */
-	bool barred; /* takes part by an order only */
+	gint64 oldest_start_ms; /* of these, Unix time */
+	gint64 present_since_us; /* since when any is registered; 0: none is */
+	bool admitted; /* takes requests without an order */
+	bool requires_order; /* takes requests by an order only */
 };
 
 struct aub_service_versions {
-	struct aub_version list[AUB_VERSIONS_MOST];
+	struct aub_version list[AUB_VERSIONS_MAX];
 	guint count;
-	gint in_force; /* index, or AUB_VERSION_NONE */
-	gint64 in_force_us; /* since when */
+	gint current; /* index, or AUB_VERSION_NONE */
+	gint64 current_since_us;
 	gint target; /* of an order that is not completed */
 };
 
 void aub_service_versions_init(struct aub_service_versions *versions);
+/* Frees the names and resets `versions` to its initial state. */
 void aub_service_versions_clear(struct aub_service_versions *versions);
 
-/* Index of `name`, added where it is new. */
+/*
+ * Returns the index of `name`, which is added if it is new. Returns
+ * AUB_VERSION_NONE if the list is full of versions in use.
+ */
 gint aub_service_versions_index(struct aub_service_versions *versions,
 				const char *name);
-/* Begin to count anew what is registered ... */
-void aub_service_versions_recount(struct aub_service_versions *versions);
-void aub_service_versions_count(struct aub_service_versions *versions,
-				gint index, gint64 born_ms);
-/* One less is registered. */
-void aub_service_versions_discount(struct aub_service_versions *versions,
-				   gint index);
-/* ... and find what is in force then. */
-void aub_service_versions_counted(struct aub_service_versions *versions,
-				  gint64 now_us);
+/*
+ * Starts a new count of the registered upstreams. Each is then added, and
+ * aub_service_versions_finish_count() determines the current version.
+ */
+void aub_service_versions_begin_count(struct aub_service_versions *versions);
+/* Counts one upstream of version `index`, started at `started_ms`. */
+void aub_service_versions_add(struct aub_service_versions *versions, gint index,
+			      gint64 started_ms);
+/* Removes one upstream of version `index` from the count. */
+void aub_service_versions_remove(struct aub_service_versions *versions,
+				 gint index);
+void aub_service_versions_finish_count(struct aub_service_versions *versions,
+				       gint64 now_us);
 
-/* An order moves the service to `index`; AUB_VERSION_NONE: there is none. */
+/*
+ * Sets the target version of the rollout order; AUB_VERSION_NONE if there is
+ * no order.
+ */
 void aub_service_versions_set_target(struct aub_service_versions *versions,
 				     gint index, gint64 now_us);
-/* The order was completed: nothing else is in force. */
+/*
+ * Completes the order for version `index`, which becomes the only active one.
+ */
 void aub_service_versions_complete(struct aub_service_versions *versions,
 				   gint index, gint64 now_us);
 
 /*
- * Time has gone by in which an order would have been heard of: versions that
- * wait for none take part. True if one does now that did not.
+ * Admits versions that have been present for so long that an order for them
+ * would have been received. Returns whether any was admitted.
  */
 bool aub_service_versions_admit(struct aub_service_versions *versions,
 				gint64 now_us);
 
-/* May it take requests without an order? */
-bool aub_service_versions_is_free(const struct aub_service_versions *versions,
-				  gint index);
+/* Returns whether version `index` may take requests without an order. */
+bool aub_service_versions_is_active(const struct aub_service_versions *versions,
+				    gint index);
 
 G_END_DECLS
 
--- a/src/coordination/gateway.c
+++ b/src/coordination/gateway.c
@@ -112,7 +112,7 @@
 	gateway->options = *options;
 	gateway->listener = listener;
 	g_queue_init(&gateway->callers);
-	gateway->crashes = aub_crash_marks_new();
+	gateway->crashes = aub_crash_counts_new();
 	register_metrics(gateway);
 	gateway->watch = aub_poller_add(options->poller, listener, EPOLLIN,
 					on_acceptable, gateway);
@@ -136,7 +136,7 @@
 		aub_poll_watch_remove(gateway->watch);
 		close(gateway->listener);
 	}
-	aub_crash_marks_free(gateway->crashes);
+	aub_crash_counts_free(gateway->crashes);
 	aub_routing_unref(gateway->routing);
 	g_free(gateway);
 }
@@ -144,7 +144,7 @@
 void aub_gateway_configure(struct aub_gateway *gateway,
 			   struct aub_routing *routing)
 {
-	aub_routing_inherit(routing, gateway->routing);
+	aub_routing_copy_caller_waits(routing, gateway->routing);
 	aub_routing_unref(gateway->routing);
 	gateway->routing = aub_routing_ref(routing);
 }
@@ -152,7 +152,7 @@
 void aub_gateway_learn_crash(struct aub_gateway *gateway, guint64 fingerprint,
 			     guint deaths)
 {
-	aub_crash_marks_learn(gateway->crashes, fingerprint, deaths,
+	aub_crash_counts_merge(gateway->crashes, fingerprint, deaths,
 			      aub_timer_now(gateway->options.timers));
 }
 
--- a/src/coordination/gateway_answer.c
+++ b/src/coordination/gateway_answer.c
@@ -21,7 +21,7 @@
 	if (request->asking)
 		aub_placer_cancel(gateway->options.placer, request->ask);
 	if (request->attempt)
-		aub_attempt_abort(request->attempt, AUB_END_ABANDONED);
+		aub_attempt_abort(request->attempt, AUB_GRANT_ABANDONED);
 	gateway->requests--;
 	g_queue_remove(&request->caller->requests, request);
 	g_byte_array_unref(request->held);
--- a/src/coordination/gateway_attempt.c
+++ b/src/coordination/gateway_attempt.c
@@ -30,12 +30,12 @@
 }
 
 static void log_attempt(const struct aub_attempt_state *attempt,
-			enum aub_attempt_end end, gint64 elapsed_us)
+			enum aub_grant_result end, gint64 elapsed_us)
 {
 	aub_log_begin(AUB_LOG_ATTEMPT);
 	aub_log_text("id", attempt->request->id);
 	aub_log_text("upstream", attempt->upstream);
-	aub_log_text("end", aub_attempt_end_name(end));
+	aub_log_text("end", aub_grant_result_name(end));
 	aub_log_number("status", attempt->status);
 	aub_log_number("ms", elapsed_us / AUB_MS);
 	aub_log_number("load", attempt->load.running);
@@ -43,12 +43,12 @@
 	aub_log_end();
 }
 
-static void report(struct aub_attempt_state *attempt, enum aub_attempt_end end)
+static void report(struct aub_attempt_state *attempt, enum aub_grant_result end)
 {
 	struct aub_gateway *gateway = attempt->request->gateway;
 	gint64 now = aub_timer_now(gateway->options.timers);
 
-	if (end != AUB_END_OK)
+	if (end != AUB_GRANT_OK)
 		log_attempt(attempt, end, now - attempt->sent_us);
 	aub_placer_report(gateway->options.placer, attempt->ticket, end,
 			  now - attempt->sent_us, &attempt->load);
@@ -56,7 +56,7 @@
 }
 
 void aub_attempt_abort(struct aub_attempt_state *attempt,
-		       enum aub_attempt_end end)
+		       enum aub_grant_result end)
 {
 	aub_exchange_cancel(attempt->exchange);
 	attempt->exchange = NULL;
@@ -134,29 +134,29 @@
 		aub_request_attempt_streams(attempt->request, attempt);
 }
 
-static enum aub_attempt_end end_of(const struct aub_attempt_state *attempt,
+static enum aub_grant_result end_of(const struct aub_attempt_state *attempt,
 				   enum aub_exchange_end end)
 {
 	if (end == AUB_EXCHANGE_UNREACHABLE)
-		return AUB_END_UNREACHABLE;
+		return AUB_GRANT_UNREACHABLE;
 	if (end != AUB_EXCHANGE_WHOLE || attempt->broken || !attempt->status)
-		return AUB_END_LOST;
+		return AUB_GRANT_LOST;
 	if (attempt->status == STATUS_MISDIRECTED)
-		return AUB_END_MISPLACED;
+		return AUB_GRANT_WRONG_UPSTREAM;
 	if (attempt->unrun)
-		return AUB_END_REFUSED;
-	return attempt->status >= 500 ? AUB_END_FAILED : AUB_END_OK;
+		return AUB_GRANT_REFUSED;
+	return attempt->status >= 500 ? AUB_GRANT_FAILED : AUB_GRANT_OK;
 }
 
 static void on_ended(enum aub_exchange_end exchange_end, void *context)
 {
 	struct aub_attempt_state *attempt = context;
 	struct aub_request *request = attempt->request;
-	enum aub_attempt_end end = end_of(attempt, exchange_end);
+	enum aub_grant_result end = end_of(attempt, exchange_end);
 
 	attempt->exchange = NULL;
 	report(attempt, end);
-	if (end == AUB_END_OK || end == AUB_END_FAILED)
+	if (end == AUB_GRANT_OK || end == AUB_GRANT_FAILED)
 		aub_request_attempt_whole(request, attempt);
 	else
 		aub_request_attempt_failed(request, attempt, end);
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -52,7 +52,7 @@
 {
 	if (aub_exchange_may_have_sent(attempt->exchange))
 		request->may_have_run = true;
-	aub_attempt_abort(attempt, AUB_END_TIMEOUT);
+	aub_attempt_abort(attempt, AUB_GRANT_TIMEOUT);
 }
 
 static void on_limit(void *context, gint64 now_us)
@@ -126,7 +126,7 @@
 	gint64 left_us = request->deadline_us - request->begun_us;
 
 	return now_us - request->begun_us +
-	       AUB_MS * aub_caller_age_of(&request->route->age,
+	       AUB_MS * aub_caller_wait_estimate(&request->route->caller_wait,
 					  left_us / AUB_MS);
 }
 
@@ -153,11 +153,11 @@
 {
 	struct aub_gateway *gateway = request->gateway;
 	gint64 now = now_of(request);
-	const struct aub_ask ask = {
+	const struct aub_placement_request ask = {
 		.priority = request->route->priority,
 		.target_ms = request->route->target_ms,
-		.on_time_ms = on_time_ms(request, now),
-		.patience_ms = patience_ms(request, now),
+		.on_time_wait_ms = on_time_ms(request, now),
+		.max_wait_ms = patience_ms(request, now),
 		.retry = request->tried->len > request->unreachable,
 		.route = request->route->key,
 		.avoid = (const char *const *)request->tried->pdata,
@@ -172,7 +172,7 @@
 
 /* May what was sent be sent once more? */
 static bool may_repeat(const struct aub_request *request,
-		       enum aub_attempt_end end)
+		       enum aub_grant_result end)
 {
 	gint64 left_us = request->limit_us - now_of(request);
 
@@ -181,12 +181,12 @@
 	if ((double)left_us <
 	    RETRY_LEFT_SHARE * (double)(request->route->target_ms * AUB_MS))
 		return false;
-	if (end == AUB_END_UNREACHABLE)
+	if (end == AUB_GRANT_UNREACHABLE)
 		return request->unreachable < UNREACHABLE_MOST;
 	if (request->tried->len - request->unreachable >=
 	    request->route->max_attempts)
 		return false;
-	return end == AUB_END_REFUSED || end == AUB_END_MISPLACED ||
+	return end == AUB_GRANT_REFUSED || end == AUB_GRANT_WRONG_UPSTREAM ||
 	       request->route->idempotent;
 }
 
@@ -206,7 +206,7 @@
 	struct aub_gateway *gateway = request->gateway;
 	guint64 mark = fingerprint(request);
 	guint deaths =
-		aub_crash_marks_lost(gateway->crashes, mark, now_of(request));
+		aub_crash_counts_add(gateway->crashes, mark, now_of(request));
 
 	if (gateway->options.crashed && deaths > 1)
 		gateway->options.crashed(mark, deaths,
@@ -216,7 +216,7 @@
 static bool is_crashing(const struct aub_request *request)
 {
 	return request->body_whole &&
-	       aub_crash_marks_refuse(request->gateway->crashes,
+	       aub_crash_counts_is_blocked(request->gateway->crashes,
 				      fingerprint(request), now_of(request));
 }
 
@@ -225,17 +225,17 @@
 
 void aub_request_attempt_failed(struct aub_request *request,
 				struct aub_attempt_state *attempt,
-				enum aub_attempt_end end)
+				enum aub_grant_result end)
 {
 	bool streaming = attempt->streaming;
 	char *upstream = g_strdup(attempt->upstream);
 
 	aub_attempt_free(attempt);
-	if (end == AUB_END_UNREACHABLE)
+	if (end == AUB_GRANT_UNREACHABLE)
 		request->unreachable++;
-	if (end == AUB_END_LOST || end == AUB_END_TIMEOUT)
+	if (end == AUB_GRANT_LOST || end == AUB_GRANT_TIMEOUT)
 		request->may_have_run = true;
-	if (end == AUB_END_LOST && request->body_whole)
+	if (end == AUB_GRANT_LOST && request->body_whole)
 		mark_lost(request);
 	if (streaming) {
 		aub_request_log(request, AUB_COUNT_BROKEN, 0, "upstream-broke",
@@ -245,7 +245,7 @@
 		ask_upstream(request);
 	} else {
 		give_up(request, HTTP_STATUS_BAD_GATEWAY,
-			aub_attempt_end_name(end), upstream,
+			aub_grant_result_name(end), upstream,
 			UPSTREAM_REFUSED_RETRY_MS);
 	}
 	g_free(upstream);
@@ -336,11 +336,11 @@
 	bool failed = attempt->status >= 500;
 
 	if (failed && !attempt->streaming && request->route->idempotent &&
-	    may_repeat(request, AUB_END_FAILED)) {
+	    may_repeat(request, AUB_GRANT_FAILED)) {
 		/* A whole failure of one upstream; another may do better. */
 		request->may_have_run = true;
 		keep_answer(request, attempt);
-		aub_request_attempt_failed(request, attempt, AUB_END_FAILED);
+		aub_request_attempt_failed(request, attempt, AUB_GRANT_FAILED);
 		return;
 	}
 	if (attempt->streaming) {
@@ -350,7 +350,7 @@
 		aub_request_put_whole(request, attempt->head, attempt->body);
 	}
 	if (request->body_whole && !request->body_lost)
-		aub_crash_marks_answered(request->gateway->crashes,
+		aub_crash_counts_reset(request->gateway->crashes,
 					 fingerprint(request));
 	aub_request_log(request, AUB_COUNT_ANSWERED, attempt->status, "",
 			attempt->upstream);
@@ -384,7 +384,7 @@
 	request->body_read += length;
 	if (request->body_read > request->routing->limits.body_bytes) {
 		if (request->attempt)
-			aub_attempt_abort(request->attempt, AUB_END_ABANDONED);
+			aub_attempt_abort(request->attempt, AUB_GRANT_ABANDONED);
 		aub_request_deny(request, 413, "body-too-large");
 		return;
 	}
@@ -480,7 +480,7 @@
 	request->deadline_us = request->limit_us;
 	if (aub_header_is_number(text, &left_ms))
 		request->deadline_us = request->begun_us + left_ms * AUB_MS;
-	aub_caller_age_observe(&request->route->age,
+	aub_caller_wait_observe(&request->route->caller_wait,
 			       (request->deadline_us - request->begun_us) /
 				       AUB_MS);
 	request->limit_us = MIN(request->limit_us, request->deadline_us);
@@ -559,7 +559,7 @@
 	copy_head(request, head);
 	if (!request_route(request, head))
 		return NULL;
-	request->service = aub_route_pick(request->route);
+	request->service = aub_route_pick_service(request->route);
 	read_times(request, head);
 	request->timer = aub_timer_at(gateway->options.timers, "request",
 				      request->limit_us, on_limit, request);
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -168,7 +168,7 @@
 }
 
 static void export_placement(const char *service,
-			     const struct aub_placement_state *state,
+			     const struct aub_placement_stats *state,
 			     void *context)
 {
 	struct aub_node *node = context;
@@ -177,8 +177,8 @@
 	export_upstreams(node, service, "down", state->down);
 	export_upstreams(node, service, "unknown", state->unknown);
 	export_upstreams(node, service, "cold", state->cold);
-	export_upstreams(node, service, "leaving", state->leaving);
-	export_upstreams(node, service, "held", state->held);
+	export_upstreams(node, service, "leaving", state->draining);
+	export_upstreams(node, service, "held", state->withheld);
 	set_service(node, false, "auburnstile_queued", service,
 		    "requests that wait here for a slot", state->queued);
 	set_service(node, false, "auburnstile_granted", service,
@@ -190,20 +190,20 @@
 		    (gint64)state->cold_grants);
 	set_service(node, false, "auburnstile_cold_limit_per_1000_s", service,
 		    "requests that one cold upstream is given",
-		    (gint64)(1000 * state->cold_per_s));
+		    (gint64)(1000 * state->cold_rate_per_s));
 	set_service(node, false, "auburnstile_upstream_full_percent", service,
 		    "of its slots that an upstream is kept to, learned",
-		    state->full_percent);
+		    state->concurrency_limit_percent);
 	set_service(node, false, "auburnstile_upstream_slowdown_percent",
 		    service, "mean that upstreams tell; 100 is as usual",
 		    state->slowdown_percent);
 	set_service(node, false, "auburnstile_upstream_burst_ms", service,
 		    "for which what upstreams tell holds, learned",
-		    state->burst_ms);
+		    state->interference_ms);
 }
 
 static void export_rollout(const char *service,
-			   const struct aub_placement_state *state,
+			   const struct aub_placement_stats *state,
 			   void *context)
 {
 	struct aub_node *node = context;
@@ -220,9 +220,9 @@
 		    "requests placed here at the version of the order",
 		    (gint64)state->exposed);
 	set_service(node, false, "auburnstile_rollout_answers", service,
-		    "of the version, that judge it", state->judged);
+		    "of the version, that judge it", state->judged_answers);
 	set_service(node, false, "auburnstile_rollout_bad_answers", service,
-		    "of these, failures and slow ones", state->judged_bad);
+		    "of these, failures and slow ones", state->bad_answers);
 }
 
 static void export_store_kind(struct aub_node *node, enum aub_store_kind kind)
--- a/src/coordination/placer.c
+++ b/src/coordination/placer.c
@@ -90,10 +90,10 @@
 	placement = aub_placement_new(service, &placer->options.limits);
 	g_hash_table_iter_init(&iter, placer->zones_out);
 	while (g_hash_table_iter_next(&iter, &zone, NULL))
-		aub_placement_zone_out(placement, zone, true, 0);
-	aub_placement_take_orders(placement, &placer->options.rollouts);
+		aub_placement_set_zone_out(placement, zone, true, 0);
+	aub_placement_enable_rollouts(placement, &placer->options.rollouts);
 	if (placer->orders_known)
-		aub_placement_orders_known(placement,
+		aub_placement_set_rollouts_loaded(placement,
 					   aub_timer_now(
 						   placer->options.timers));
 	g_hash_table_insert(placer->placements, g_strdup(service), placement);
@@ -104,9 +104,9 @@
 		      struct aub_placement *placement)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_decision decision;
+	struct aub_placement_decision decision;
 
-	while (aub_placement_next(placement, now, &decision))
+	while (aub_placement_next_decision(placement, now, &decision))
 		aub_placer_deliver(placer, &decision);
 }
 
@@ -118,10 +118,10 @@
 
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &placement)) {
-		if (!aub_placement_queued(placement))
+		if (!aub_placement_queue_length(placement))
 			continue;
 		aub_placer_drain(placer, placement);
-		queued = queued || aub_placement_queued(placement);
+		queued = queued || aub_placement_queue_length(placement);
 	}
 	return queued;
 }
@@ -204,7 +204,7 @@
 		g_hash_table_remove(placer->zones_out, zone);
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &placement))
-		aub_placement_zone_out(placement, zone, out, now);
+		aub_placement_set_zone_out(placement, zone, out, now);
 }
 
 struct aub_placer *aub_placer_new(const struct aub_placer_options *options)
@@ -283,9 +283,9 @@
 
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &placement)) {
-		struct aub_placement_state state;
+		struct aub_placement_stats state;
 
-		aub_placement_get_state(placement, now, &state);
+		aub_placement_get_stats(placement, now, &state);
 		visit(aub_placement_service(placement), &state, context);
 	}
 }
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -27,7 +27,7 @@
 }
 
 static void send_decision(struct aub_placer *placer,
-			  const struct aub_decision *decision)
+			  const struct aub_placement_decision *decision)
 {
 	struct aub_peer *peer = aub_peers_by_incarnation(placer->options.peers,
 							 decision->holder);
@@ -51,7 +51,7 @@
 
 /* A decision of a placement here, for whoever asked. */
 void aub_placer_deliver(struct aub_placer *placer,
-			const struct aub_decision *decision)
+			const struct aub_placement_decision *decision)
 {
 	struct aub_ticket *ticket;
 
@@ -94,18 +94,18 @@
 	struct aub_placement *placement =
 		aub_placer_placement(placer, message->service);
 	GPtrArray *avoid;
-	struct aub_ask ask = {
+	struct aub_placement_request ask = {
 		.ticket = message->ticket,
 		.holder = message->holder,
 		.zone = message->zone,
 		.priority = message->priority,
 		.target_ms = message->target_ms,
-		.on_time_ms = message->on_time_ms,
-		.patience_ms = message->patience_ms,
+		.on_time_wait_ms = message->on_time_ms,
+		.max_wait_ms = message->patience_ms,
 		.retry = message->retry,
 		.route = message->route,
 	};
-	struct aub_decision decision;
+	struct aub_placement_decision decision;
 	struct aub_peer *holder =
 		aub_peers_by_incarnation(placer->options.peers,
 					 message->holder);
@@ -130,7 +130,7 @@
 	ask.avoid = (const char *const *)avoid->pdata;
 	ask.avoid_count = avoid->len;
 	aub_placer_wake_service(placer, message->service);
-	aub_placement_ask(placement, &ask,
+	aub_placement_submit(placement, &ask,
 			  aub_timer_now(placer->options.timers), &decision);
 	placer->counts.placed_here++;
 	send_decision(placer, &decision);
@@ -143,9 +143,9 @@
 static void return_grant(struct aub_placer *placer,
 			 const struct aub_place_decision *message)
 {
-	const struct aub_attempt_report report = {
+	const struct aub_grant_report report = {
 		.ticket = message->ticket,
-		.end = AUB_END_UNUSED,
+		.end = AUB_GRANT_UNUSED,
 		.load = AUB_LOAD_UNKNOWN,
 	};
 	struct aub_ticket ticket = {
@@ -172,7 +172,7 @@
 {
 	struct aub_ticket *ticket =
 		g_hash_table_lookup(placer->tickets, &message->ticket);
-	const struct aub_decision decision = {
+	const struct aub_placement_decision decision = {
 		.ticket = message->ticket,
 		.verdict = (enum aub_verdict)message->verdict,
 		.upstream = message->upstream,
@@ -196,7 +196,7 @@
 	if (decision.verdict == AUB_VERDICT_QUEUED) {
 		ticket->queued = true;
 		ticket->next_us = ticket->sent_us +
-				  ticket->ask.patience_ms * AUB_MS +
+				  ticket->ask.max_wait_ms * AUB_MS +
 				  AUB_QUEUED_SLACK_US;
 		return;
 	}
@@ -206,16 +206,16 @@
 static void take_remote_report(struct aub_placer *placer,
 			       const struct aub_place_report *message)
 {
-	const struct aub_attempt_report report = {
+	const struct aub_grant_report report = {
 		.ticket = message->ticket,
-		.end = (enum aub_attempt_end)message->end,
+		.end = (enum aub_grant_result)message->end,
 		.elapsed_us = (gint64)message->elapsed_us,
 		.load = aub_load_of(&message->load),
 	};
 	GHashTableIter iter;
 	void *placement;
 
-	if (message->end > AUB_END_UNUSED)
+	if (message->end > AUB_GRANT_UNUSED)
 		return;
 	if (message->service[0]) {
 		aub_placer_take_report(placer, message->service, &report);
@@ -269,7 +269,7 @@
 
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		aub_placement_forget(value, incarnation, now);
+		aub_placement_drop_holder(value, incarnation, now);
 	g_hash_table_iter_init(&iter, placer->tickets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct aub_ticket *ticket = value;
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -27,30 +27,30 @@
 	g_free(probe);
 }
 
-static enum aub_probe_end probe_end(const struct probe *probe,
+static enum aub_probe_result probe_end(const struct probe *probe,
 				    const struct aub_http_head *head)
 {
 	const char *id;
 
 	if (!head)
-		return AUB_PROBE_SILENT;
+		return AUB_PROBE_NO_RESPONSE;
 	id = aub_http_head_find(head,
 				probe->placer->options.platform->upstream_id);
 	if (id && strcmp(id, probe->upstream) != 0)
-		return AUB_PROBE_OTHER;
-	return head->status == 200 ? AUB_PROBE_WELL : AUB_PROBE_ILL;
+		return AUB_PROBE_WRONG_UPSTREAM;
+	return head->status == 200 ? AUB_PROBE_HEALTHY : AUB_PROBE_UNHEALTHY;
 }
 
 /* Only changes: one that stays ill is probed ten times a second. */
 static void log_health(const struct probe *probe, const char *was,
-		       const char *now, enum aub_probe_end end,
+		       const char *now, enum aub_probe_result end,
 		       const struct aub_load *load)
 {
 	static const char *const names[] = {
-		[AUB_PROBE_WELL] = "well",
-		[AUB_PROBE_ILL] = "ill",
-		[AUB_PROBE_OTHER] = "other",
-		[AUB_PROBE_SILENT] = "silent",
+		[AUB_PROBE_HEALTHY] = "well",
+		[AUB_PROBE_UNHEALTHY] = "ill",
+		[AUB_PROBE_WRONG_UPSTREAM] = "other",
+		[AUB_PROBE_NO_RESPONSE] = "silent",
 	};
 
 	if (!strcmp(was, now))
@@ -91,7 +91,7 @@
 
 /* For the placer of the service, which is in another zone. */
 static void tell_later(struct aub_placer *placer, const struct probe *probe,
-		       enum aub_probe_end end, const struct aub_load *load)
+		       enum aub_probe_result end, const struct aub_load *load)
 {
 	struct aub_active *active =
 		g_hash_table_lookup(placer->active, probe->service);
@@ -128,10 +128,10 @@
 			g_ptr_array_index(message->probed, i);
 		const struct aub_load load = aub_load_of(&probed->load);
 
-		if (probed->end <= AUB_PROBE_SILENT)
-			aub_placement_probe_told(
+		if (probed->end <= AUB_PROBE_NO_RESPONSE)
+			aub_placement_probe_received(
 				placement, probed->upstream,
-				(enum aub_probe_end)probed->end, &load, now);
+				(enum aub_probe_result)probed->end, &load, now);
 	}
 	aub_placer_drain(placer, placement);
 }
@@ -144,14 +144,14 @@
 	struct aub_placer *placer = probe->placer;
 	struct aub_placement *placement =
 		aub_placer_placement(placer, probe->service);
-	enum aub_probe_end ended = probe_end(probe, head);
+	enum aub_probe_result ended = probe_end(probe, head);
 	struct aub_load load = AUB_LOAD_UNKNOWN;
 	const char *was;
 
 	if (head)
 		placer->options.platform->decode_load(head, &load);
 	was = aub_placement_health_name(placement, probe->upstream);
-	aub_placement_probe_ended(placement, probe->upstream, ended, &load,
+	aub_placement_probe_finished(placement, probe->upstream, ended, &load,
 				  aub_timer_now(placer->options.timers));
 	log_health(probe, was,
 		   aub_placement_health_name(placement, probe->upstream), ended,
--- a/src/coordination/placer_rollouts.c
+++ b/src/coordination/placer_rollouts.c
@@ -26,9 +26,9 @@
 	aub_log_text("version", rollout->order.version);
 	aub_log_text("state", aub_rollout_state_name(rollout->state));
 	aub_log_text("reason", rollout->reason);
-	aub_log_number("age_ms", (now_us - rollout->began_us) / AUB_MS);
+	aub_log_number("age_ms", (now_us - rollout->started_us) / AUB_MS);
 	aub_log_number("duration_ms", rollout->order.duration_ms);
-	aub_log_number("upstreams", rollout->upstreams);
+	aub_log_number("upstreams", rollout->canary_upstreams);
 	aub_log_number("exposed", (gint64)rollout->exposed);
 	aub_log_number("reached", (gint64)rollout->reached);
 	aub_log_number("answers", judge->answers);
@@ -64,7 +64,7 @@
 	evidence->route = route->key;
 	evidence->answers = route->answers;
 	evidence->timed = route->timed;
-	evidence->slow_ms = (guint32)route->told_slow_ms;
+	evidence->slow_ms = (guint32)route->reported_slow_ms;
 	evidence->failures = route->bad[AUB_JUDGE_FAILURES];
 	evidence->slow = route->bad[AUB_JUDGE_SLOWNESS];
 	for (guint i = 0; i < G_N_ELEMENTS(evidence->strength); i++) {
@@ -89,7 +89,7 @@
 		.key = evidence->route,
 		.answers = evidence->answers,
 		.timed = evidence->timed,
-		.told_slow_ms = evidence->slow_ms,
+		.reported_slow_ms = evidence->slow_ms,
 		.bad = { [AUB_JUDGE_FAILURES] = evidence->failures,
 			 [AUB_JUDGE_SLOWNESS] = evidence->slow },
 	};
@@ -106,7 +106,7 @@
 	gint64 now = aub_timer_now(placer->options.timers);
 	const struct aub_rollout *rollout =
 		aub_placement_rollout(aub_placer_placement(placer, service));
-	struct aub_judge_route routes[AUB_JUDGE_ROUTES + 1];
+	struct aub_judge_route routes[AUB_JUDGE_ROUTES_MAX + 1];
 	struct aub_place_rollout *message;
 	guint count;
 
@@ -118,7 +118,7 @@
 	aub_string_set(&message->version, rollout->order.version);
 	message->duration_ms = rollout->order.duration_ms;
 	message->created = (guint64)rollout->order.created;
-	message->age_ms = (guint32)((now - rollout->began_us) / AUB_MS);
+	message->age_ms = (guint32)((now - rollout->started_us) / AUB_MS);
 	message->state = rollout->state;
 	message->reached = aub_rollout_total_reached(rollout);
 	message->exposed = aub_rollout_total_exposed(rollout);
@@ -164,20 +164,20 @@
 static void inherit(struct aub_placement *placement,
 		    const struct aub_place_rollout *message)
 {
-	struct aub_judge_route routes[AUB_JUDGE_ROUTES + 1];
+	struct aub_judge_route routes[AUB_JUDGE_ROUTES_MAX + 1];
 	guint count = MIN(message->evidence->len, G_N_ELEMENTS(routes));
 
 	for (guint i = 0; i < count; i++)
 		read_evidence(g_ptr_array_index(message->evidence, i),
 			      &routes[i]);
-	aub_placement_inherit(placement, routes, count, message->reached,
+	aub_placement_import_evidence(placement, routes, count, message->reached,
 			      message->exposed, message->allowance);
 }
 
 static bool knows_more(const struct aub_rollout *rollout,
 		       const struct aub_place_rollout *message, gint64 now_us)
 {
-	gint64 age_us = now_us - rollout->began_us;
+	gint64 age_us = now_us - rollout->started_us;
 
 	return age_us - message->age_ms * AUB_MS > AGE_SLACK_US;
 }
@@ -204,7 +204,7 @@
 	    !aub_placement_rollout(placement))
 		return;
 	before = aub_placement_rollout(placement)->state;
-	if (!aub_placement_order_told(placement, &order,
+	if (!aub_placement_merge_rollout(placement, &order,
 				      (enum aub_rollout_state)message->state,
 				      message->age_ms * AUB_MS, now))
 		return;
@@ -284,7 +284,7 @@
 	if (!rollout)
 		return;
 	/* While it is open each step tells, and more often. */
-	if (!aub_rollout_is_open(rollout))
+	if (!aub_rollout_is_in_progress(rollout))
 		aub_placer_tell_rollout(placer, service);
 	arm(placer);
 }
@@ -298,7 +298,7 @@
 	placer->orders_known = true;
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &placement)) {
-		aub_placement_orders_known(placement, now);
+		aub_placement_set_rollouts_loaded(placement, now);
 		aub_placer_drain(placer, placement);
 	}
 }
@@ -316,7 +316,7 @@
 
 	if (rollout && is_new)
 		log_ended(service, rollout, record ? "replaced" : "deleted");
-	aub_placement_order(placement, record, unreadable, now);
+	aub_placement_set_rollout(placement, record, unreadable, now);
 	rollout = aub_placement_rollout(placement);
 	if (rollout && (is_new || rollout->state != before))
 		log_rollout(service, rollout, now);
--- a/src/coordination/placer_round.c
+++ b/src/coordination/placer_round.c
@@ -132,11 +132,11 @@
 static void log_refusals(struct aub_placer *placer, const char *service,
 			 gint64 now_us)
 {
-	struct aub_placement_state state;
+	struct aub_placement_stats state;
 	struct aub_active *active =
 		g_hash_table_lookup(placer->active, service);
 
-	aub_placement_get_state(aub_placer_placement(placer, service), now_us,
+	aub_placement_get_stats(aub_placer_placement(placer, service), now_us,
 				&state);
 	if (!active || state.refused == active->refused)
 		return;
@@ -149,10 +149,10 @@
 	aub_log_number("down", state.down);
 	aub_log_number("unknown", state.unknown);
 	aub_log_number("cold", state.cold);
-	aub_log_number("leaving", state.leaving);
-	aub_log_number("full_percent", state.full_percent);
+	aub_log_number("leaving", state.draining);
+	aub_log_number("full_percent", state.concurrency_limit_percent);
 	aub_log_number("slowdown_percent", state.slowdown_percent);
-	aub_log_number("burst_ms", state.burst_ms);
+	aub_log_number("burst_ms", state.interference_ms);
 	aub_log_end();
 	active->refused = state.refused;
 }
@@ -188,7 +188,7 @@
 	while (g_hash_table_iter_next(&iter, &key, &placement)) {
 		const char *service = key;
 
-		aub_placement_admit(placement, now_us);
+		aub_placement_admit_versions(placement, now_us);
 
 		if (aub_placer_of(placer, service, now_us)) {
 			send_outstanding(placer, service, now_us);
--- a/src/coordination/placer_tickets.c
+++ b/src/coordination/placer_tickets.c
@@ -67,11 +67,11 @@
  * asks anew without that upstream.
  */
 static bool is_void(struct aub_placer *placer, struct aub_ticket *ticket,
-		    const struct aub_decision *decision, guint64 from)
+		    const struct aub_placement_decision *decision, guint64 from)
 {
-	const struct aub_attempt_report unused = {
+	const struct aub_grant_report unused = {
 		.ticket = ticket->id,
-		.end = AUB_END_UNUSED,
+		.end = AUB_GRANT_UNUSED,
 		.load = AUB_LOAD_UNKNOWN,
 	};
 
@@ -90,7 +90,7 @@
 
 /* Pass a decision on to the request; the ticket ends unless it was granted. */
 void aub_ticket_settle(struct aub_placer *placer, struct aub_ticket *ticket,
-		       const struct aub_decision *decision, guint64 from)
+		       const struct aub_placement_decision *decision, guint64 from)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	aub_placed_callback *callback = ticket->placed;
@@ -116,7 +116,7 @@
 }
 
 static void fill_ask(const struct aub_placer *placer,
-		     const struct aub_ticket *ticket, struct aub_ask *ask)
+		     const struct aub_ticket *ticket, struct aub_placement_request *ask)
 {
 	*ask = ticket->ask;
 	ask->ticket = ticket->id;
@@ -130,17 +130,17 @@
 		       bool alone)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_decision decision;
-	struct aub_ask ask;
+	struct aub_placement_decision decision;
+	struct aub_placement_request ask;
 
 	fill_ask(placer, ticket, &ask);
-	ask.alone = alone;
+	ask.local_fallback = alone;
 	if (alone)
 		placer->counts.placed_alone++;
 	else
 		aub_placer_wake_service(placer, ticket->service);
 	ticket->local = true;
-	aub_placement_ask(aub_placer_placement(placer, ticket->service), &ask,
+	aub_placement_submit(aub_placer_placement(placer, ticket->service), &ask,
 			  now, &decision);
 	placer->counts.placed_here++;
 	if (decision.verdict == AUB_VERDICT_QUEUED) {
@@ -174,8 +174,8 @@
 	aub_string_set(&message->zone, placer->zone);
 	message->priority = ticket->ask.priority;
 	message->target_ms = ticket->ask.target_ms;
-	message->on_time_ms = ticket->ask.on_time_ms;
-	message->patience_ms = ticket->ask.patience_ms;
+	message->on_time_ms = ticket->ask.on_time_wait_ms;
+	message->patience_ms = ticket->ask.max_wait_ms;
 	message->retry = ticket->ask.retry;
 	message->route = ticket->ask.route;
 	message->forward = is_first_choice(placer, ticket->service, peer);
@@ -308,7 +308,7 @@
 }
 
 void aub_placer_ask(struct aub_placer *placer, const char *service,
-		    const struct aub_ask *ask, guint64 id,
+		    const struct aub_placement_request *ask, guint64 id,
 		    aub_placed_callback *placed, void *context)
 {
 	struct aub_ticket *ticket = g_new0(struct aub_ticket, 1);
@@ -330,7 +330,7 @@
 
 void aub_ticket_send_report(struct aub_placer *placer,
 			    struct aub_ticket *ticket,
-			    const struct aub_attempt_report *report)
+			    const struct aub_grant_report *report)
 {
 	guint64 to = ticket->granted_by ? ticket->granted_by : ticket->placer;
 	struct aub_peer *peer =
@@ -351,7 +351,7 @@
 }
 
 void aub_placer_take_report(struct aub_placer *placer, const char *service,
-			    const struct aub_attempt_report *report)
+			    const struct aub_grant_report *report)
 {
 	struct aub_placement *placement = aub_placer_placement(placer, service);
 
@@ -361,12 +361,12 @@
 }
 
 void aub_placer_report(struct aub_placer *placer, guint64 id,
-		       enum aub_attempt_end end, gint64 elapsed_us,
+		       enum aub_grant_result end, gint64 elapsed_us,
 		       const struct aub_load *load)
 {
 	const struct aub_load nothing = AUB_LOAD_UNKNOWN;
 	struct aub_ticket *ticket = g_hash_table_lookup(placer->tickets, &id);
-	const struct aub_attempt_report report = {
+	const struct aub_grant_report report = {
 		.ticket = id,
 		.end = end,
 		.elapsed_us = elapsed_us,
@@ -385,5 +385,5 @@
 
 void aub_placer_cancel(struct aub_placer *placer, guint64 ticket)
 {
-	aub_placer_report(placer, ticket, AUB_END_UNUSED, 0, NULL);
+	aub_placer_report(placer, ticket, AUB_GRANT_UNUSED, 0, NULL);
 }
--- /dev/null
+++ b/src/state/crash_counts.c
@@ -0,0 +1,132 @@
+/*
+ * Marks of requests that upstreams died under: a small table that forgets.
+ */
+#include <auburnstile/internal/crash_counts.h>
+
+#include <string.h>
+
+/*
+ * Lost answers have many causes; three in a row, without one answer, have
+ * one. It is the number of upstreams that a crashing request may take down.
+ */
+#define LOSSES_MAX 3
+#define EXPIRY_US (60 * G_GINT64_CONSTANT(1000000)) /* since the last death */
+#define TRACKED_REQUESTS_MAX \
+	4096 /* at a loss a millisecond, four seconds of them */
+
+struct crash_count {
+	guint64 fingerprint;
+	guint losses;
+	gint64 last_loss_us;
+};
+
+struct aub_crash_counts {
+	GHashTable *counts; /* &fingerprint -> struct mark */
+};
+
+struct aub_crash_counts *aub_crash_counts_new(void)
+{
+	struct aub_crash_counts *counts = g_new0(struct aub_crash_counts, 1);
+
+	counts->counts = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+					       NULL, g_free);
+	return counts;
+}
+
+void aub_crash_counts_free(struct aub_crash_counts *counts)
+{
+	if (!counts)
+		return;
+	g_hash_table_unref(counts->counts);
+	g_free(counts);
+}
+
+guint64 aub_crash_fingerprint(const char *line, const char *host,
+			      const guint8 *body, gsize length)
+{
+	GChecksum *checksum = g_checksum_new(G_CHECKSUM_SHA256);
+	guint8 digest[32];
+	gsize size = sizeof(digest);
+	guint64 fingerprint;
+
+	/* With their NULs, so that no two pairs run together. */
+	g_checksum_update(checksum, (const guchar *)line,
+			  (gssize)strlen(line) + 1);
+	g_checksum_update(checksum, (const guchar *)host,
+			  (gssize)strlen(host) + 1);
+	g_checksum_update(checksum, body, (gssize)length);
+	g_checksum_get_digest(checksum, digest, &size);
+	g_checksum_free(checksum);
+	memcpy(&fingerprint, digest, sizeof(fingerprint));
+	return fingerprint ? fingerprint : 1;
+}
+
+static gboolean is_expired(void *key, void *value, void *context)
+{
+	gint64 now_us = *(gint64 *)context;
+
+	return now_us - ((struct crash_count *)value)->last_loss_us > EXPIRY_US;
+}
+
+static struct crash_count *crash_count_get(struct aub_crash_counts *counts,
+					   guint64 fingerprint, gint64 now_us)
+{
+	struct crash_count *crash_count =
+		g_hash_table_lookup(counts->counts, &fingerprint);
+
+	if (crash_count) {
+		if (is_expired(NULL, crash_count, &now_us))
+			crash_count->losses = 0;
+		return crash_count;
+	}
+	if (g_hash_table_size(counts->counts) >= TRACKED_REQUESTS_MAX)
+		g_hash_table_foreach_remove(counts->counts, is_expired,
+					    &now_us);
+	if (g_hash_table_size(counts->counts) >= TRACKED_REQUESTS_MAX)
+		return NULL;
+	crash_count = g_new0(struct crash_count, 1);
+	crash_count->fingerprint = fingerprint;
+	g_hash_table_insert(counts->counts, &crash_count->fingerprint,
+			    crash_count);
+	return crash_count;
+}
+
+guint aub_crash_counts_add(struct aub_crash_counts *counts, guint64 fingerprint,
+			   gint64 now_us)
+{
+	struct crash_count *crash_count =
+		crash_count_get(counts, fingerprint, now_us);
+
+	if (!crash_count)
+		return 0;
+	crash_count->last_loss_us = now_us;
+	return ++crash_count->losses;
+}
+
+void aub_crash_counts_merge(struct aub_crash_counts *counts,
+			    guint64 fingerprint, guint losses, gint64 now_us)
+{
+	struct crash_count *crash_count =
+		crash_count_get(counts, fingerprint, now_us);
+
+	if (!crash_count)
+		return;
+	crash_count->last_loss_us = now_us;
+	crash_count->losses = MAX(crash_count->losses, losses);
+}
+
+void aub_crash_counts_reset(struct aub_crash_counts *counts,
+			    guint64 fingerprint)
+{
+	g_hash_table_remove(counts->counts, &fingerprint);
+}
+
+bool aub_crash_counts_is_blocked(const struct aub_crash_counts *counts,
+				 guint64 fingerprint, gint64 now_us)
+{
+	const struct crash_count *crash_count =
+		g_hash_table_lookup(counts->counts, &fingerprint);
+
+	return crash_count && crash_count->losses >= LOSSES_MAX &&
+	       now_us - crash_count->last_loss_us <= EXPIRY_US;
+}
--- a/src/state/inventory.c
+++ b/src/state/inventory.c
@@ -144,7 +144,7 @@
 guint16 aub_inventory_route(const struct aub_inventory *inventory,
 			    const char *path)
 {
-	char *canonical = aub_path_canonical(path);
+	char *canonical = aub_path_canonicalize(path);
 	guint16 best = AUB_NO_HANDLE;
 	gsize longest = 0;
 
@@ -152,7 +152,7 @@
 		const char *prefix = aub_service_at(inventory, i)->path;
 		gsize length = strlen(prefix);
 
-		if (length > longest && aub_path_below(canonical, prefix)) {
+		if (length > longest && aub_path_has_prefix(canonical, prefix)) {
 			longest = length;
 			best = (guint16)i;
 		}
@@ -169,7 +169,7 @@
 
 	if (!service->once->len)
 		return NULL;
-	canonical = aub_path_canonical(path);
+	canonical = aub_path_canonicalize(path);
 	for (guint i = 0; i < service->once->len && !found; i++) {
 		const struct aub_once_rule *rule =
 			&g_array_index(service->once, struct aub_once_rule, i);
@@ -177,7 +177,7 @@
 		if (strcmp(rule->method, "*") != 0 &&
 		    g_ascii_strcasecmp(rule->method, method) != 0)
 			continue;
-		if (aub_path_below(canonical, rule->path))
+		if (aub_path_has_prefix(canonical, rule->path))
 			found = rule;
 	}
 	g_free(canonical);
--- a/src/state/inventory_check.c
+++ b/src/state/inventory_check.c
@@ -42,7 +42,7 @@
 		else
 			g_hash_table_insert(paths, service->path,
 					    service->name);
-		if (aub_path_below(service->path, AUB_RESERVED_PATH))
+		if (aub_path_has_prefix(service->path, AUB_RESERVED_PATH))
 			aub_draft_problem(draft, service_origin(draft, i),
 					  "path", "path-reserved",
 					  "paths below \"%s\" are the "
@@ -61,7 +61,7 @@
 {
 	const char *path = aub_service_at(inventory, service)->path;
 
-	if (aub_path_below(path, rule->path))
+	if (aub_path_has_prefix(path, rule->path))
 		return true;
 	return aub_inventory_route(inventory, rule->path) == service;
 }
--- a/src/state/inventory_fields.c
+++ b/src/state/inventory_fields.c
@@ -59,7 +59,7 @@
 		      const struct aub_draft_origin *origin, const char *key,
 		      const char *value, char **out)
 {
-	char *canonical = aub_path_canonical(value);
+	char *canonical = aub_path_canonicalize(value);
 	gsize length = strlen(canonical);
 
 	/* A slash at the end is a matter of taste; nothing else is. */
--- a/src/state/placement.c
+++ b/src/state/placement.c
@@ -2,7 +2,7 @@
  * A service's upstreams as a placement knows them: registered, observed,
  * probed.
  */
-#include <auburnstile/internal/placement_parts.h>
+#include <auburnstile/internal/placement_internal.h>
 
 #include <string.h>
 
@@ -10,39 +10,40 @@
  * Share of a new figure in a smoothed one. Upstreams share their hosts and
  * change many times a second: three answers make half of the figure.
  */
-#define SMOOTHING 0.2
+#define FAILURE_SMOOTHING 0.2
 
 /* Late reports and probes of one that left have come in by then. */
-#define GONE_KEPT_US (60000 * AUB_PLACE_MS)
+#define DEPARTED_RETENTION_US (60000 * AUB_US_PER_MS)
 
-struct aub_row *aub_placement_row(const struct aub_placement *placement,
-				  guint index)
+struct aub_endpoint *aub_placement_endpoint(
+	const struct aub_placement *placement, guint index)
 {
-	return g_ptr_array_index(placement->rows, index);
+	return g_ptr_array_index(placement->endpoints, index);
 }
 
-gint aub_placement_find(const struct aub_placement *placement, const char *id)
+gint aub_placement_find_endpoint(const struct aub_placement *placement,
+				 const char *id)
 {
 	return GPOINTER_TO_INT(g_hash_table_lookup(placement->by_id, id)) - 1;
 }
 
-static void row_free(void *data)
+static void endpoint_free(void *data)
 {
-	struct aub_row *row = data;
+	struct aub_endpoint *endpoint = data;
 
-	g_free(row->id);
-	g_free(row->address);
-	g_free(row->zone);
-	g_free(row);
+	g_free(endpoint->id);
+	g_free(endpoint->address);
+	g_free(endpoint->zone);
+	g_free(endpoint);
 }
 
-static void waiting_free(void *data)
+static void queued_free(void *data)
 {
-	struct aub_waiting *waiting = data;
+	struct aub_queued_request *queued = data;
 
-	g_ptr_array_unref(waiting->avoid);
-	g_free(waiting->zone);
-	g_free(waiting);
+	g_ptr_array_unref(queued->avoid);
+	g_free(queued->zone);
+	g_free(queued);
 }
 
 struct aub_placement *aub_placement_new(
@@ -53,18 +54,18 @@
 	placement->service = g_strdup(service);
 	placement->limits = *limits;
 	aub_retry_budget_init(&placement->budget, limits->window_us);
-	aub_knee_init(&placement->knee);
-	aub_load_trend_init(&placement->trend);
+	aub_saturation_init(&placement->saturation);
+	aub_load_trend_init(&placement->interference);
 	aub_service_versions_init(&placement->versions);
 	aub_rollout_init(&placement->rollout,
 			 &(struct aub_rollout_limits){ 0 });
-	placement->rows = g_ptr_array_new_with_free_func(row_free);
+	placement->endpoints = g_ptr_array_new_with_free_func(endpoint_free);
 	placement->by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	placement->zones_out =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	placement->grants = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						  NULL, g_free);
-	placement->waiting = g_ptr_array_new_with_free_func(waiting_free);
+	placement->queue = g_ptr_array_new_with_free_func(queued_free);
 	placement->health_path = g_strdup("/");
 	return placement;
 }
@@ -73,11 +74,11 @@
 {
 	if (!placement)
 		return;
-	g_ptr_array_unref(placement->waiting);
+	g_ptr_array_unref(placement->queue);
 	g_hash_table_unref(placement->grants);
 	g_hash_table_unref(placement->zones_out);
 	g_hash_table_unref(placement->by_id);
-	g_ptr_array_unref(placement->rows);
+	g_ptr_array_unref(placement->endpoints);
 	aub_service_versions_clear(&placement->versions);
 	aub_rollout_clear(&placement->rollout);
 	g_free(placement->health_path);
@@ -107,44 +108,47 @@
 	placement->limits = *limits;
 }
 
-bool aub_row_is_cold(const struct aub_row *row, gint64 now_us)
+bool aub_endpoint_is_cold(const struct aub_endpoint *endpoint, gint64 now_us)
 {
-	return row->cold_until_us > now_us;
+	return endpoint->cold_until_us > now_us;
 }
 
-void aub_row_observe(struct aub_placement *placement, struct aub_row *row,
-		     const struct aub_load *load, gint64 now_us)
+void aub_endpoint_update_load(struct aub_placement *placement,
+			      struct aub_endpoint *endpoint,
+			      const struct aub_load *load, gint64 now_us)
 {
 	if (load->slots >= 0) {
-		if (row->load_us && row->load.slowdown > 0 &&
+		if (endpoint->load_us && endpoint->load.slowdown > 0 &&
 		    load->slowdown > 0)
-			aub_load_trend_observe(&placement->trend,
-					       row->load.slowdown / 100.0,
+			aub_load_trend_observe(&placement->interference,
+					       endpoint->load.slowdown / 100.0,
 					       load->slowdown / 100.0,
-					       now_us - row->load_us);
-		row->load = *load;
-		row->load_us = now_us;
+					       now_us - endpoint->load_us);
+		endpoint->load = *load;
+		endpoint->load_us = now_us;
 	}
 	if (load->warmup_ms >= 0)
-		row->cold_until_us = now_us + load->warmup_ms * AUB_PLACE_MS;
+		endpoint->cold_until_us =
+			now_us + load->warmup_ms * AUB_US_PER_MS;
 }
 
-static void failures_decay(struct aub_row *row, gint64 now_us)
+static void decay_failures(struct aub_endpoint *endpoint, gint64 now_us)
 {
-	gint64 age = now_us - row->failures_us;
+	gint64 age = now_us - endpoint->failures_us;
 
-	while (age >= AUB_FAILURE_HALF_LIFE_US && row->failures > 0.01) {
-		row->failures /= 2;
+	while (age >= AUB_FAILURE_HALF_LIFE_US && endpoint->failures > 0.01) {
+		endpoint->failures /= 2;
 		age -= AUB_FAILURE_HALF_LIFE_US;
-		row->failures_us += AUB_FAILURE_HALF_LIFE_US;
+		endpoint->failures_us += AUB_FAILURE_HALF_LIFE_US;
 	}
 }
 
-void aub_row_fail(struct aub_row *row, double weight, gint64 now_us)
+void aub_endpoint_update_failures(struct aub_endpoint *endpoint, double weight,
+				  gint64 now_us)
 {
-	failures_decay(row, now_us);
-	row->failures += (weight - row->failures) * SMOOTHING;
-	row->failures_us = now_us;
+	decay_failures(endpoint, now_us);
+	endpoint->failures += (weight - endpoint->failures) * FAILURE_SMOOTHING;
+	endpoint->failures_us = now_us;
 }
 
 /*
@@ -153,20 +157,21 @@
  * again. Enough: after such a sign it gets nothing before a probe has said
  * how cold it is.
  */
-void aub_row_down(struct aub_row *row, gint64 now_us)
+void aub_endpoint_mark_down(struct aub_endpoint *endpoint, gint64 now_us)
 {
-	row->state = AUB_ROW_DOWN;
-	row->probe_us = MIN(row->probe_us, now_us);
+	endpoint->state = AUB_ENDPOINT_DOWN;
+	endpoint->next_probe_us = MIN(endpoint->next_probe_us, now_us);
 }
 
 /* Index of a row whose upstream is gone for good, or -1. */
-static gint find_free(const struct aub_placement *placement, gint64 now_us)
+static gint find_reusable(const struct aub_placement *placement, gint64 now_us)
 {
-	for (guint i = 0; i < placement->rows->len; i++) {
-		const struct aub_row *row = aub_placement_row(placement, i);
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		const struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
 
-		if (!row->registered && !row->granted &&
-		    now_us - row->gone_us > GONE_KEPT_US)
+		if (!endpoint->registered && !endpoint->granted &&
+		    now_us - endpoint->departed_us > DEPARTED_RETENTION_US)
 			return (gint)i;
 	}
 	return -1;
@@ -177,33 +182,33 @@
  * decision walks the rows of all that ever were. Enough: a row serves again
  * once its upstream has been gone for a while and nothing is out there.
  */
-static struct aub_row *row_add(struct aub_placement *placement, const char *id,
-			       gint64 now_us)
+static struct aub_endpoint *endpoint_add(struct aub_placement *placement,
+					 const char *id, gint64 now_us)
 {
-	struct aub_row *row = g_new0(struct aub_row, 1);
-	gint index = find_free(placement, now_us);
+	struct aub_endpoint *endpoint = g_new0(struct aub_endpoint, 1);
+	gint index = find_reusable(placement, now_us);
 
-	row->id = g_strdup(id);
-	row->slowness = 1.0;
-	row->version = AUB_VERSION_NONE;
+	endpoint->id = g_strdup(id);
+	endpoint->slowness = 1.0;
+	endpoint->version = AUB_VERSION_NONE;
 	if (index < 0) {
-		index = (gint)placement->rows->len;
-		g_ptr_array_add(placement->rows, row);
+		index = (gint)placement->endpoints->len;
+		g_ptr_array_add(placement->endpoints, endpoint);
 	} else {
-		struct aub_row *old =
-			aub_placement_row(placement, (guint)index);
+		struct aub_endpoint *old =
+			aub_placement_endpoint(placement, (guint)index);
 
-		aub_row_set_probing(placement, old, false);
+		aub_endpoint_set_probing(placement, old, false);
 		g_hash_table_remove(placement->by_id, old->id);
-		row_free(old);
-		placement->rows->pdata[index] = row;
+		endpoint_free(old);
+		placement->endpoints->pdata[index] = endpoint;
 	}
-	g_hash_table_insert(placement->by_id, row->id,
+	g_hash_table_insert(placement->by_id, endpoint->id,
 			    GINT_TO_POINTER(index + 1));
-	return row;
+	return endpoint;
 }
 
-static void text_set(char **to, const char *value)
+static void replace_string(char **to, const char *value)
 {
 	if (!g_strcmp0(*to, value))
 		return;
@@ -215,48 +220,49 @@
 			    const struct aub_upstream_record *record,
 			    gint64 now_us)
 {
-	gint index = aub_placement_find(placement, id);
-	struct aub_row *row;
+	gint index = aub_placement_find_endpoint(placement, id);
+	struct aub_endpoint *endpoint;
 	bool was_registered;
 
 	if (!record) {
 		if (index < 0)
 			return;
-		row = aub_placement_row(placement, (guint)index);
-		was_registered = row->registered;
-		row->registered = false;
-		row->gone_us = now_us;
-		aub_row_count_version(placement, row, NULL, was_registered,
-				      now_us);
+		endpoint = aub_placement_endpoint(placement, (guint)index);
+		was_registered = endpoint->registered;
+		endpoint->registered = false;
+		endpoint->departed_us = now_us;
+		aub_endpoint_count_version(placement, endpoint, NULL,
+					   was_registered, now_us);
 		return;
 	}
-	row = index >= 0 ? aub_placement_row(placement, (guint)index) :
-			   row_add(placement, id, now_us);
-	if (row->born_ms != record->born_ms ||
-	    g_strcmp0(row->address, record->address) != 0) {
-		row->state = AUB_ROW_UNKNOWN;
-		row->probe_us = now_us;
-		row->failures = 0;
-		row->slowness = 1.0;
-		row->load_us = 0;
-		row->evidence = (struct aub_judge_evidence){ 0 };
+	endpoint = index >= 0 ?
+			   aub_placement_endpoint(placement, (guint)index) :
+			   endpoint_add(placement, id, now_us);
+	if (endpoint->started_ms != record->born_ms ||
+	    g_strcmp0(endpoint->address, record->address) != 0) {
+		endpoint->state = AUB_ENDPOINT_UNKNOWN;
+		endpoint->next_probe_us = now_us;
+		endpoint->failures = 0;
+		endpoint->slowness = 1.0;
+		endpoint->load_us = 0;
+		endpoint->evidence = (struct aub_judge_evidence){ 0 };
 	}
-	text_set(&row->address, record->address);
-	text_set(&row->zone, record->zone);
-	row->slots = record->slots;
-	row->born_ms = record->born_ms;
-	row->draining = record->draining;
-	was_registered = row->registered;
-	row->registered = true;
-	aub_row_count_version(placement, row,
-			      record->version ? record->version : "",
-			      was_registered, now_us);
-	row->zone_out =
+	replace_string(&endpoint->address, record->address);
+	replace_string(&endpoint->zone, record->zone);
+	endpoint->slots = record->slots;
+	endpoint->started_ms = record->born_ms;
+	endpoint->draining = record->draining;
+	was_registered = endpoint->registered;
+	endpoint->registered = true;
+	aub_endpoint_count_version(placement, endpoint,
+				   record->version ? record->version : "",
+				   was_registered, now_us);
+	endpoint->zone_out =
 		g_hash_table_contains(placement->zones_out, record->zone);
 	if (record->warmup_left_ms)
-		row->cold_until_us =
-			MAX(row->cold_until_us,
-			    now_us + record->warmup_left_ms * AUB_PLACE_MS);
+		endpoint->cold_until_us =
+			MAX(endpoint->cold_until_us,
+			    now_us + record->warmup_left_ms * AUB_US_PER_MS);
 }
 
 /*
@@ -264,59 +270,62 @@
  * Symptom: its share of the load runs them down. Enough: each is unknown,
  * and so gets nothing, until a probe has told how cold it is.
  */
-void aub_placement_zone_out(struct aub_placement *placement, const char *zone,
-			    bool out, gint64 now_us)
+void aub_placement_set_zone_out(struct aub_placement *placement,
+				const char *zone, bool out, gint64 now_us)
 {
 	if (out)
 		g_hash_table_add(placement->zones_out, g_strdup(zone));
 	else
 		g_hash_table_remove(placement->zones_out, zone);
-	for (guint i = 0; i < placement->rows->len; i++) {
-		struct aub_row *row = aub_placement_row(placement, i);
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
 
-		if (g_strcmp0(row->zone, zone) != 0 || row->zone_out == out)
+		if (g_strcmp0(endpoint->zone, zone) != 0 ||
+		    endpoint->zone_out == out)
 			continue;
-		row->zone_out = out;
-		row->state = AUB_ROW_UNKNOWN;
-		row->probe_us = now_us;
-		row->cold_until_us =
-			MAX(row->cold_until_us,
-			    now_us + placement->warmup_ms * AUB_PLACE_MS);
+		endpoint->zone_out = out;
+		endpoint->state = AUB_ENDPOINT_UNKNOWN;
+		endpoint->next_probe_us = now_us;
+		endpoint->cold_until_us =
+			MAX(endpoint->cold_until_us,
+			    now_us + placement->warmup_ms * AUB_US_PER_MS);
 	}
 }
 
 bool aub_placement_may_send(const struct aub_placement *placement,
 			    const char *id)
 {
-	gint index = aub_placement_find(placement, id);
-	const struct aub_row *row;
+	gint index = aub_placement_find_endpoint(placement, id);
+	const struct aub_endpoint *endpoint;
 
 	if (index < 0)
 		return false;
-	row = aub_placement_row(placement, (guint)index);
-	return row->registered && !row->draining && !row->zone_out &&
-	       row->use != AUB_VERSION_HELD;
+	endpoint = aub_placement_endpoint(placement, (guint)index);
+	return endpoint->registered && !endpoint->draining &&
+	       !endpoint->zone_out && endpoint->traffic != AUB_VERSION_WITHHELD;
 }
 
 const char *aub_placement_health_name(const struct aub_placement *placement,
 				      const char *id)
 {
-	gint index = aub_placement_find(placement, id);
-	const struct aub_row *row;
+	gint index = aub_placement_find_endpoint(placement, id);
+	const struct aub_endpoint *endpoint;
 
 	if (index < 0)
 		return "gone";
-	row = aub_placement_row(placement, (guint)index);
-	if (row->state == AUB_ROW_UP)
-		return row->ill ? "ill" : "up";
-	return row->state == AUB_ROW_DOWN ? "down" : "unknown";
+	endpoint = aub_placement_endpoint(placement, (guint)index);
+	if (endpoint->state == AUB_ENDPOINT_UP)
+		return endpoint->unhealthy ? "ill" : "up";
+	return endpoint->state == AUB_ENDPOINT_DOWN ? "down" : "unknown";
 }
 
 /* Whatever is not told of is up, warm and as fast as the others. */
-static bool is_noteworthy(const struct aub_row *row, gint64 now_us)
+static bool is_reportable(const struct aub_endpoint *endpoint, gint64 now_us)
 {
-	return row->state != AUB_ROW_UP || aub_row_is_cold(row, now_us) ||
-	       row->slowness > AUB_NOTEWORTHY_SLOWNESS;
+	return endpoint->state != AUB_ENDPOINT_UP ||
+	       aub_endpoint_is_cold(endpoint, now_us) ||
+	       endpoint->slowness > AUB_SIGNIFICANT_SLOWNESS;
 }
 
 guint aub_placement_list_health(const struct aub_placement *placement,
@@ -325,21 +334,22 @@
 {
 	guint count = 0;
 
-	for (guint i = 0; i < placement->rows->len && count < limit; i++) {
-		const struct aub_row *row = aub_placement_row(placement, i);
+	for (guint i = 0; i < placement->endpoints->len && count < limit; i++) {
+		const struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
 
-		if (!row->registered || !is_noteworthy(row, now_us))
+		if (!endpoint->registered || !is_reportable(endpoint, now_us))
 			continue;
 		list[count++] = (struct aub_upstream_health){
-			.upstream = row->id,
-			.down = row->state == AUB_ROW_DOWN,
-			.unknown = row->state == AUB_ROW_UNKNOWN,
-			.cold_ms =
-				aub_row_is_cold(row, now_us) ?
-					(guint)((row->cold_until_us - now_us) /
-						AUB_PLACE_MS) :
-					0,
-			.slowdown = (guint)(100 * row->slowness),
+			.upstream = endpoint->id,
+			.down = endpoint->state == AUB_ENDPOINT_DOWN,
+			.unknown = endpoint->state == AUB_ENDPOINT_UNKNOWN,
+			.cold_ms = aub_endpoint_is_cold(endpoint, now_us) ?
+					   (guint)((endpoint->cold_until_us -
+						    now_us) /
+						   AUB_US_PER_MS) :
+					   0,
+			.slowdown = (guint)(100 * endpoint->slowness),
 		};
 	}
 	return count;
@@ -347,11 +357,12 @@
 
 void aub_placement_reset_health(struct aub_placement *placement)
 {
-	for (guint i = 0; i < placement->rows->len; i++) {
-		struct aub_row *row = aub_placement_row(placement, i);
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
 
-		row->state = AUB_ROW_UP;
-		row->slowness = 1.0;
+		endpoint->state = AUB_ENDPOINT_UP;
+		endpoint->slowness = 1.0;
 	}
 }
 
@@ -359,93 +370,104 @@
 			      const struct aub_upstream_health *health,
 			      gint64 now_us)
 {
-	gint index = aub_placement_find(placement, health->upstream);
-	struct aub_row *row;
+	gint index = aub_placement_find_endpoint(placement, health->upstream);
+	struct aub_endpoint *endpoint;
 
 	if (index < 0)
 		return;
-	row = aub_placement_row(placement, (guint)index);
-	row->state = health->down    ? AUB_ROW_DOWN :
-		     health->unknown ? AUB_ROW_UNKNOWN :
-				       AUB_ROW_UP;
-	row->cold_until_us = MAX(row->cold_until_us,
-				 now_us + health->cold_ms * AUB_PLACE_MS);
-	row->slowness = health->slowdown / 100.0;
+	endpoint = aub_placement_endpoint(placement, (guint)index);
+	endpoint->state = health->down	  ? AUB_ENDPOINT_DOWN :
+			  health->unknown ? AUB_ENDPOINT_UNKNOWN :
+					    AUB_ENDPOINT_UP;
+	endpoint->cold_until_us = MAX(endpoint->cold_until_us,
+				      now_us + health->cold_ms * AUB_US_PER_MS);
+	endpoint->slowness = health->slowdown / 100.0;
 }
 
 /* Of the first registered upstream; those of a service are mostly alike. */
-static guint full_percent(const struct aub_placement *placement)
+static guint concurrency_limit_percent(const struct aub_placement *placement)
 {
-	for (guint i = 0; i < placement->rows->len; i++) {
-		const struct aub_row *row = aub_placement_row(placement, i);
-
-		if (row->registered && row->slots)
-			return 100 * aub_row_limit(placement, row) / row->slots;
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		const struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
+
+		if (endpoint->registered && endpoint->slots)
+			return 100 *
+			       aub_endpoint_concurrency_limit(placement,
+							      endpoint) /
+			       endpoint->slots;
 	}
 	return 100;
 }
 
-void aub_placement_get_state(const struct aub_placement *placement,
-			     gint64 now_us, struct aub_placement_state *state)
+void aub_placement_get_stats(const struct aub_placement *placement,
+			     gint64 now_us, struct aub_placement_stats *stats)
 {
-	*state = (struct aub_placement_state){
+	*stats = (struct aub_placement_stats){
 		.granted = g_hash_table_size(placement->grants),
-		.queued = placement->waiting->len,
+		.queued = placement->queue->len,
 		.refused = placement->refused,
 		.cold_grants = placement->cold_grants,
-		.cold_per_s = aub_placement_cold_per_s(placement),
-		.full_percent = full_percent(placement),
+		.cold_rate_per_s = aub_placement_cold_rate_per_s(placement),
+		.concurrency_limit_percent =
+			concurrency_limit_percent(placement),
 		.slowdown_percent =
-			(guint)(100 * aub_load_trend_mean(&placement->trend)),
-		.burst_ms = (guint)aub_load_trend_holds_ms(&placement->trend),
+			(guint)(100 *
+				aub_load_trend_mean(&placement->interference)),
+		.interference_ms = (guint)aub_load_trend_correlation_ms(
+			&placement->interference),
 		.rollout = placement->rollout.state,
 		.exposed = placement->rollout.exposed,
-		.judged = placement->rollout.judge.answers,
-		.judged_bad = placement->rollout.judge.bad,
+		.judged_answers = placement->rollout.judge.answers,
+		.bad_answers = placement->rollout.judge.bad,
 	};
-	for (guint i = 0; i < placement->rows->len; i++) {
-		const struct aub_row *row = aub_placement_row(placement, i);
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		const struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
 
-		if (!row->registered)
+		if (!endpoint->registered)
 			continue;
-		if (row->draining || row->zone_out)
-			state->leaving++;
-		else if (row->use == AUB_VERSION_HELD)
-			state->held++;
-		else if (row->state == AUB_ROW_DOWN)
-			state->down++;
-		else if (row->state == AUB_ROW_UNKNOWN)
-			state->unknown++;
+		if (endpoint->draining || endpoint->zone_out)
+			stats->draining++;
+		else if (endpoint->traffic == AUB_VERSION_WITHHELD)
+			stats->withheld++;
+		else if (endpoint->state == AUB_ENDPOINT_DOWN)
+			stats->down++;
+		else if (endpoint->state == AUB_ENDPOINT_UNKNOWN)
+			stats->unknown++;
 		else
-			state->up++;
-		if (row->state == AUB_ROW_UP && aub_row_is_cold(row, now_us))
-			state->cold++;
+			stats->up++;
+		if (endpoint->state == AUB_ENDPOINT_UP &&
+		    aub_endpoint_is_cold(endpoint, now_us))
+			stats->cold++;
 	}
 }
 
-void aub_placement_check(const struct aub_placement *placement)
+void aub_placement_check_invariants(const struct aub_placement *placement)
 {
 	GHashTableIter iter;
 	void *value;
-	guint *counts = g_new0(guint, placement->rows->len + 1);
+	guint *counts = g_new0(guint, placement->endpoints->len + 1);
 	guint probing = 0;
 
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		counts[((struct aub_grant *)value)->row]++;
-	for (guint i = 0; i < placement->rows->len; i++) {
-		struct aub_row *row = aub_placement_row(placement, i);
-
-		g_assert(row->granted == counts[i]);
-		probing += row->probing;
-		g_assert(aub_placement_find(placement, row->id) == (gint)i);
+		counts[((struct aub_grant *)value)->endpoint_index]++;
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
+
+		g_assert(endpoint->granted == counts[i]);
+		probing += endpoint->probing;
+		g_assert(aub_placement_find_endpoint(placement, endpoint->id) ==
+			 (gint)i);
 	}
 	g_assert(placement->probing == probing);
-	for (guint i = 1; i < placement->waiting->len; i++) {
-		const struct aub_waiting *left =
-			g_ptr_array_index(placement->waiting, i - 1);
-		const struct aub_waiting *right =
-			g_ptr_array_index(placement->waiting, i);
+	for (guint i = 1; i < placement->queue->len; i++) {
+		const struct aub_queued_request *left =
+			g_ptr_array_index(placement->queue, i - 1);
+		const struct aub_queued_request *right =
+			g_ptr_array_index(placement->queue, i);
 
 		g_assert(left->priority <= right->priority);
 	}
@@ -465,18 +487,18 @@
 	return names[verdict];
 }
 
-const char *aub_attempt_end_name(enum aub_attempt_end end)
+const char *aub_grant_result_name(enum aub_grant_result end)
 {
 	static const char *const names[] = {
-		[AUB_END_OK] = "ok",
-		[AUB_END_FAILED] = "failed",
-		[AUB_END_REFUSED] = "refused",
-		[AUB_END_MISPLACED] = "misplaced",
-		[AUB_END_UNREACHABLE] = "unreachable",
-		[AUB_END_LOST] = "lost",
-		[AUB_END_TIMEOUT] = "timeout",
-		[AUB_END_ABANDONED] = "abandoned",
-		[AUB_END_UNUSED] = "unused",
+		[AUB_GRANT_OK] = "ok",
+		[AUB_GRANT_FAILED] = "failed",
+		[AUB_GRANT_REFUSED] = "refused",
+		[AUB_GRANT_WRONG_UPSTREAM] = "misplaced",
+		[AUB_GRANT_UNREACHABLE] = "unreachable",
+		[AUB_GRANT_LOST] = "lost",
+		[AUB_GRANT_TIMEOUT] = "timeout",
+		[AUB_GRANT_ABANDONED] = "abandoned",
+		[AUB_GRANT_UNUSED] = "unused",
 	};
 
 	return names[end];
--- a/src/state/placement_queue.c
+++ b/src/state/placement_queue.c
@@ -1,76 +1,81 @@
 /*
  * Who waits for a slot, in which order they get one, and who is refused.
  */
-#include <auburnstile/internal/placement_parts.h>
+#include <auburnstile/internal/placement_internal.h>
 
 #include <math.h>
 #include <string.h>
 
 /* Before a report has come: a usual time of work at these upstreams. */
-#define HELD_DEFAULT_US (250 * AUB_PLACE_MS)
+#define SLOT_TIME_DEFAULT_US (250 * AUB_US_PER_MS)
 
-#define RETRY_AFTER_LEAST_MS 700
-#define RETRY_AFTER_ROOM_MS 100 /* only the budget was in the way */
-#define ROOM_PERCENT 75 /* of the slots: below, nobody waits for one */
-#define RETRY_AFTER_MOST_MS 5000
-#define NO_UPSTREAM_MS 500 /* what is down is probed twice in it */
+#define RETRY_AFTER_MIN_MS 700
+#define RETRY_AFTER_BUDGET_MS 100 /* only the budget was in the way */
+#define LOW_UTILIZATION_PERCENT \
+	75 /* of the slots: below, nobody waits for one */
+#define RETRY_AFTER_MAX_MS 5000
+#define RETRY_AFTER_NO_UPSTREAM_MS 500 /* what is down is probed twice in it \
+					*/
 
 /* Of the time in which it can still be on time: then the newest goes first. */
-#define NEWEST_FIRST_SHARE 0.3
+#define NEWEST_FIRST_WAIT_SHARE 0.3
 
-static double held_us(const struct aub_placement *placement)
+static double slot_time_us(const struct aub_placement *placement)
 {
-	return placement->held_us > 0 ? placement->held_us : HELD_DEFAULT_US;
+	return placement->mean_slot_time_us > 0 ? placement->mean_slot_time_us :
+						  SLOT_TIME_DEFAULT_US;
 }
 
 /* How long whoever stands behind `ahead` others waits for a slot, ms. */
 static guint wait_ms(const struct aub_placement *placement, guint ahead,
 		     guint slots)
 {
-	double us = held_us(placement) * (ahead + 1) / MAX(slots, 1);
+	double us = slot_time_us(placement) * (ahead + 1) / MAX(slots, 1);
 
-	return (guint)(us / AUB_PLACE_MS);
+	return (guint)(us / AUB_US_PER_MS);
 }
 
 static void refuse(struct aub_placement *placement,
-		   struct aub_decision *decision, enum aub_verdict verdict,
-		   guint after_ms)
+		   struct aub_placement_decision *decision,
+		   enum aub_verdict verdict, guint after_ms)
 {
 	placement->refused++;
 	decision->verdict = verdict;
 	decision->retry_after_ms =
-		CLAMP(after_ms, RETRY_AFTER_LEAST_MS, RETRY_AFTER_MOST_MS);
+		CLAMP(after_ms, RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
 }
 
-static void queue(struct aub_placement *placement, const struct aub_ask *ask,
-		  gint64 now_us)
+static void enqueue(struct aub_placement *placement,
+		    const struct aub_placement_request *request, gint64 now_us)
 {
-	struct aub_waiting *waiting = g_new0(struct aub_waiting, 1);
-	guint at = placement->waiting->len;
-
-	waiting->ticket = ask->ticket;
-	waiting->holder = ask->holder;
-	waiting->zone = g_strdup(ask->zone);
-	waiting->priority = ask->priority;
-	waiting->target_ms = ask->target_ms;
-	waiting->route = ask->route;
-	waiting->retry = ask->retry;
-	waiting->alone = ask->alone;
-	waiting->since_us = now_us;
-	waiting->on_time_us = now_us + ask->on_time_ms * AUB_PLACE_MS;
-	waiting->until_us = now_us + ask->patience_ms * AUB_PLACE_MS;
-	waiting->avoid = g_ptr_array_new_with_free_func(g_free);
-	for (guint i = 0; i < ask->avoid_count; i++)
-		g_ptr_array_add(waiting->avoid, g_strdup(ask->avoid[i]));
-	while (at > 0) {
-		const struct aub_waiting *before =
-			g_ptr_array_index(placement->waiting, at - 1);
-
-		if (before->priority <= ask->priority)
+	struct aub_queued_request *queued =
+		g_new0(struct aub_queued_request, 1);
+	guint position = placement->queue->len;
+
+	queued->ticket = request->ticket;
+	queued->holder = request->holder;
+	queued->zone = g_strdup(request->zone);
+	queued->priority = request->priority;
+	queued->target_ms = request->target_ms;
+	queued->route = request->route;
+	queued->retry = request->retry;
+	queued->local_fallback = request->local_fallback;
+	queued->queued_us = now_us;
+	queued->on_time_until_us =
+		now_us + request->on_time_wait_ms * AUB_US_PER_MS;
+	queued->expires_us = now_us + request->max_wait_ms * AUB_US_PER_MS;
+	queued->avoid = g_ptr_array_new_with_free_func(g_free);
+	for (guint i = 0; i < request->avoid_count; i++)
+		g_ptr_array_add(queued->avoid, g_strdup(request->avoid[i]));
+	while (position > 0) {
+		const struct aub_queued_request *before =
+			g_ptr_array_index(placement->queue, position - 1);
+
+		if (before->priority <= request->priority)
 			break;
-		at--;
+		position--;
 	}
-	g_ptr_array_insert(placement->waiting, (gint)at, waiting);
+	g_ptr_array_insert(placement->queue, (gint)position, queued);
 }
 
 /*
@@ -84,103 +89,109 @@
  * are served. Enough: those served have hardly waited by their own measure;
  * the others take what is left over.
  */
-struct line {
-	gint first; /* index of who has used up most, or -1 */
-	gint last; /* of who has used up least */
-	bool stale; /* the first has used up a good part of its time */
+struct queue_ends {
+	gint longest_waiting; /* index of who has used up most, or -1 */
+	gint shortest_waiting; /* of who has used up least */
+	bool newest_first; /* the first has used up a good part of its time */
 };
 
 /* Of the time in which it can be on time, or of its patience, if late. */
-static double used_up(const struct aub_waiting *waiting, gint64 now_us)
+static double wait_share(const struct aub_queued_request *queued, gint64 now_us)
 {
-	gint64 end_us = waiting->on_time_us > now_us ? waiting->on_time_us :
-						       waiting->until_us;
+	gint64 end_us = queued->on_time_until_us > now_us ?
+				queued->on_time_until_us :
+				queued->expires_us;
 
-	return (double)(now_us - waiting->since_us) /
-	       (double)MAX(end_us - waiting->since_us, 1);
+	return (double)(now_us - queued->queued_us) /
+	       (double)MAX(end_us - queued->queued_us, 1);
 }
 
-static void line_find(const struct aub_placement *placement, bool late,
-		      gint64 now_us, struct line *line)
+static void find_queue_ends(const struct aub_placement *placement, bool late,
+			    gint64 now_us, struct queue_ends *ends)
 {
-	double most = -1;
-	double least = INFINITY;
+	double max_share = -1;
+	double min_share = INFINITY;
 	guint priority = 0;
 
-	*line = (struct line){ .first = -1, .last = -1 };
-	for (guint i = 0; i < placement->waiting->len; i++) {
-		const struct aub_waiting *waiting =
-			g_ptr_array_index(placement->waiting, i);
-		double used;
+	*ends = (struct queue_ends){ .longest_waiting = -1,
+				     .shortest_waiting = -1 };
+	for (guint i = 0; i < placement->queue->len; i++) {
+		const struct aub_queued_request *queued =
+			g_ptr_array_index(placement->queue, i);
+		double share;
 
-		if ((waiting->on_time_us <= now_us) != late)
+		if ((queued->on_time_until_us <= now_us) != late)
 			continue;
-		if (line->first >= 0 && waiting->priority != priority)
+		if (ends->longest_waiting >= 0 && queued->priority != priority)
 			break;
-		priority = waiting->priority;
-		used = used_up(waiting, now_us);
-		if (used > most) {
-			most = used;
-			line->first = (gint)i;
+		priority = queued->priority;
+		share = wait_share(queued, now_us);
+		if (share > max_share) {
+			max_share = share;
+			ends->longest_waiting = (gint)i;
 		}
-		if (used <= least) {
-			least = used;
-			line->last = (gint)i;
+		if (share <= min_share) {
+			min_share = share;
+			ends->shortest_waiting = (gint)i;
 		}
 	}
-	line->stale = most > NEWEST_FIRST_SHARE;
+	ends->newest_first = max_share > NEWEST_FIRST_WAIT_SHARE;
 }
 
 /* Those that would be served before a newcomer. */
-static guint ahead_of(const struct aub_placement *placement, guint priority,
-		      bool late, gint64 now_us)
+static guint count_ahead(const struct aub_placement *placement, guint priority,
+			 bool late, gint64 now_us)
 {
-	struct line line;
+	struct queue_ends ends;
 	guint ahead = 0;
 
-	line_find(placement, false, now_us, &line);
-	for (guint i = 0; i < placement->waiting->len; i++) {
-		const struct aub_waiting *waiting =
-			g_ptr_array_index(placement->waiting, i);
-		bool other_late = waiting->on_time_us <= now_us;
+	find_queue_ends(placement, false, now_us, &ends);
+	for (guint i = 0; i < placement->queue->len; i++) {
+		const struct aub_queued_request *queued =
+			g_ptr_array_index(placement->queue, i);
+		bool other_late = queued->on_time_until_us <= now_us;
 
 		if (other_late != late)
 			ahead += late;
-		else if (line.stale && !late)
-			ahead += waiting->priority < priority;
+		else if (ends.newest_first && !late)
+			ahead += queued->priority < priority;
 		else
-			ahead += waiting->priority <= priority;
+			ahead += queued->priority <= priority;
 	}
 	return ahead;
 }
 
-gint aub_waiting_find(const struct aub_placement *placement, guint64 ticket)
+gint aub_placement_find_queued(const struct aub_placement *placement,
+			       guint64 ticket)
 {
-	for (guint i = 0; i < placement->waiting->len; i++) {
-		const struct aub_waiting *waiting =
-			g_ptr_array_index(placement->waiting, i);
+	for (guint i = 0; i < placement->queue->len; i++) {
+		const struct aub_queued_request *queued =
+			g_ptr_array_index(placement->queue, i);
 
-		if (waiting->ticket == ticket)
+		if (queued->ticket == ticket)
 			return (gint)i;
 	}
 	return -1;
 }
 
-static bool is_known(const struct aub_placement *placement,
-		     const struct aub_ask *ask, struct aub_decision *decision)
+static bool find_decided(const struct aub_placement *placement,
+			 const struct aub_placement_request *request,
+			 struct aub_placement_decision *decision)
 {
-	struct aub_grant *made =
-		g_hash_table_lookup(placement->grants, &ask->ticket);
+	struct aub_grant *grant =
+		g_hash_table_lookup(placement->grants, &request->ticket);
 
-	if (made) {
-		struct aub_row *row = aub_placement_row(placement, made->row);
+	if (grant) {
+		struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement,
+					       grant->endpoint_index);
 
 		decision->verdict = AUB_VERDICT_GRANTED;
-		decision->upstream = row->id;
-		decision->address = row->address;
+		decision->upstream = endpoint->id;
+		decision->address = endpoint->address;
 		return true;
 	}
-	if (aub_waiting_find(placement, ask->ticket) < 0)
+	if (aub_placement_find_queued(placement, request->ticket) < 0)
 		return false;
 	decision->verdict = AUB_VERDICT_QUEUED;
 	return true;
@@ -196,181 +207,187 @@
  * of its own then.
  */
 static void refuse_retry(struct aub_placement *placement,
-			 const struct aub_ask *ask, gint64 now_us,
-			 struct aub_decision *decision)
+			 const struct aub_placement_request *request,
+			 gint64 now_us, struct aub_placement_decision *decision)
 {
 	guint granted = g_hash_table_size(placement->grants);
 	guint slots;
 
-	(void)aub_placement_choose(placement, ask, now_us, &slots);
-	refuse(placement, decision, AUB_VERDICT_NO_BUDGET, NO_UPSTREAM_MS);
-	if (100 * granted < ROOM_PERCENT * slots)
-		decision->retry_after_ms = RETRY_AFTER_ROOM_MS;
+	(void)aub_placement_choose(placement, request, now_us, &slots);
+	refuse(placement, decision, AUB_VERDICT_NO_BUDGET,
+	       RETRY_AFTER_NO_UPSTREAM_MS);
+	if (100 * granted < LOW_UTILIZATION_PERCENT * slots)
+		decision->retry_after_ms = RETRY_AFTER_BUDGET_MS;
 }
 
 /* A probe is under way that may find an upstream for those who wait. */
 static bool is_any_unknown(const struct aub_placement *placement)
 {
-	for (guint i = 0; i < placement->rows->len; i++) {
-		const struct aub_row *row = aub_placement_row(placement, i);
-
-		if (row->registered && !row->draining && !row->zone_out &&
-		    row->use == AUB_VERSION_FREE &&
-		    row->state == AUB_ROW_UNKNOWN)
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		const struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
+
+		if (endpoint->registered && !endpoint->draining &&
+		    !endpoint->zone_out &&
+		    endpoint->traffic == AUB_VERSION_ACTIVE &&
+		    endpoint->state == AUB_ENDPOINT_UNKNOWN)
 			return true;
 	}
 	return false;
 }
 
-static void grant(struct aub_placement *placement, guint index,
-		  const struct aub_ask *ask, gint64 now_us,
-		  struct aub_decision *decision)
+static void grant_slot(struct aub_placement *placement, guint index,
+		       const struct aub_placement_request *request,
+		       gint64 now_us, struct aub_placement_decision *decision)
 {
-	aub_placement_grant(placement, index, ask, now_us, decision);
+	aub_placement_grant(placement, index, request, now_us, decision);
 	aub_grant_count_canary(placement,
 			       g_hash_table_lookup(placement->grants,
-						   &ask->ticket),
-			       aub_placement_row(placement, index));
+						   &request->ticket),
+			       aub_placement_endpoint(placement, index));
 }
 
-void aub_placement_ask(struct aub_placement *placement,
-		       const struct aub_ask *ask, gint64 now_us,
-		       struct aub_decision *decision)
+void aub_placement_submit(struct aub_placement *placement,
+			  const struct aub_placement_request *request,
+			  gint64 now_us,
+			  struct aub_placement_decision *decision)
 {
 	guint ahead;
 	guint slots;
 	gint index;
 
-	*decision = (struct aub_decision){
-		.ticket = ask->ticket,
-		.holder = ask->holder,
+	*decision = (struct aub_placement_decision){
+		.ticket = request->ticket,
+		.holder = request->holder,
 	};
-	if (is_known(placement, ask, decision))
+	if (find_decided(placement, request, decision))
 		return;
-	if (!ask->retry) {
-		aub_retry_budget_first(&placement->budget, now_us);
-	} else if (!aub_retry_budget_take(&placement->budget,
-					  placement->limits.retry_ratio,
-					  placement->limits.retry_slack,
-					  now_us)) {
-		refuse_retry(placement, ask, now_us, decision);
+	if (!request->retry) {
+		aub_retry_budget_add_request(&placement->budget, now_us);
+	} else if (!aub_retry_budget_take_retry(&placement->budget,
+						placement->limits.retry_ratio,
+						placement->limits.retry_slack,
+						now_us)) {
+		refuse_retry(placement, request, now_us, decision);
 		return;
 	}
-	ahead = ahead_of(placement, ask->priority, !ask->on_time_ms, now_us);
-	index = aub_placement_choose(placement, ask, now_us, &slots);
+	ahead = count_ahead(placement, request->priority,
+			    !request->on_time_wait_ms, now_us);
+	index = aub_placement_choose(placement, request, now_us, &slots);
 	if (index >= 0 && !ahead) {
-		grant(placement, (guint)index, ask, now_us, decision);
+		grant_slot(placement, (guint)index, request, now_us, decision);
 		return;
 	}
-	if (!slots &&
-	    (ask->retry || ask->alone || !is_any_unknown(placement))) {
+	if (!slots && (request->retry || request->local_fallback ||
+		       !is_any_unknown(placement))) {
 		refuse(placement, decision, AUB_VERDICT_NO_UPSTREAM,
-		       NO_UPSTREAM_MS);
+		       RETRY_AFTER_NO_UPSTREAM_MS);
 		return;
 	}
 	/* Refused on arrival, not after a wait that would have been in vain. */
-	if (slots && wait_ms(placement, ahead, slots) > ask->patience_ms) {
+	if (slots && wait_ms(placement, ahead, slots) > request->max_wait_ms) {
 		refuse(placement, decision, AUB_VERDICT_OVERLOAD,
 		       wait_ms(placement, ahead, slots));
 		return;
 	}
-	queue(placement, ask, now_us);
+	enqueue(placement, request, now_us);
 	decision->verdict = AUB_VERDICT_QUEUED;
 }
 
-static void ask_of(const struct aub_waiting *waiting, gint64 now_us,
-		   struct aub_ask *ask)
+static void to_request(const struct aub_queued_request *queued, gint64 now_us,
+		       struct aub_placement_request *request)
 {
-	gint64 on_time_us = MAX(waiting->on_time_us - now_us, 0);
-
-	*ask = (struct aub_ask){
-		.ticket = waiting->ticket,
-		.holder = waiting->holder,
-		.zone = waiting->zone,
-		.priority = waiting->priority,
-		.target_ms = waiting->target_ms,
-		.route = waiting->route,
-		.retry = waiting->retry,
-		.alone = waiting->alone,
-		.on_time_ms =
-			(guint)((on_time_us + AUB_PLACE_MS - 1) / AUB_PLACE_MS),
-		.avoid = (const char *const *)waiting->avoid->pdata,
-		.avoid_count = waiting->avoid->len,
+	gint64 on_time_us = MAX(queued->on_time_until_us - now_us, 0);
+
+	*request = (struct aub_placement_request){
+		.ticket = queued->ticket,
+		.holder = queued->holder,
+		.zone = queued->zone,
+		.priority = queued->priority,
+		.target_ms = queued->target_ms,
+		.route = queued->route,
+		.retry = queued->retry,
+		.local_fallback = queued->local_fallback,
+		.on_time_wait_ms = (guint)((on_time_us + AUB_US_PER_MS - 1) /
+					   AUB_US_PER_MS),
+		.avoid = (const char *const *)queued->avoid->pdata,
+		.avoid_count = queued->avoid->len,
 	};
 }
 
-static bool waiting_grant(struct aub_placement *placement, gint i,
-			  gint64 now_us, struct aub_decision *decision)
+static bool grant_queued(struct aub_placement *placement, gint i, gint64 now_us,
+			 struct aub_placement_decision *decision)
 {
-	struct aub_waiting *waiting;
-	struct aub_ask ask;
+	struct aub_queued_request *queued;
+	struct aub_placement_request request;
 	guint slots;
 	gint index;
 
 	if (i < 0)
 		return false;
-	waiting = g_ptr_array_index(placement->waiting, (guint)i);
-	ask_of(waiting, now_us, &ask);
-	index = aub_placement_choose(placement, &ask, now_us, &slots);
+	queued = g_ptr_array_index(placement->queue, (guint)i);
+	to_request(queued, now_us, &request);
+	index = aub_placement_choose(placement, &request, now_us, &slots);
 	if (index < 0)
 		return false;
-	*decision = (struct aub_decision){
-		.ticket = ask.ticket,
-		.holder = ask.holder,
+	*decision = (struct aub_placement_decision){
+		.ticket = request.ticket,
+		.holder = request.holder,
 	};
-	grant(placement, (guint)index, &ask, now_us, decision);
-	g_ptr_array_remove_index(placement->waiting, (guint)i);
+	grant_slot(placement, (guint)index, &request, now_us, decision);
+	g_ptr_array_remove_index(placement->queue, (guint)i);
 	return true;
 }
 
 /* The first whose patience has ended is told to come back. */
-static bool waiting_expire(struct aub_placement *placement, gint64 now_us,
-			   struct aub_decision *decision)
+static bool expire_queued(struct aub_placement *placement, gint64 now_us,
+			  struct aub_placement_decision *decision)
 {
-	for (guint i = 0; i < placement->waiting->len; i++) {
-		struct aub_waiting *waiting =
-			g_ptr_array_index(placement->waiting, i);
-		struct aub_ask ask;
+	for (guint i = 0; i < placement->queue->len; i++) {
+		struct aub_queued_request *queued =
+			g_ptr_array_index(placement->queue, i);
+		struct aub_placement_request request;
 		guint slots;
 
-		if (waiting->until_us > now_us)
+		if (queued->expires_us > now_us)
 			continue;
-		ask_of(waiting, now_us, &ask);
-		*decision = (struct aub_decision){
-			.ticket = ask.ticket,
-			.holder = ask.holder,
+		to_request(queued, now_us, &request);
+		*decision = (struct aub_placement_decision){
+			.ticket = request.ticket,
+			.holder = request.holder,
 		};
-		(void)aub_placement_choose(placement, &ask, now_us, &slots);
+		(void)aub_placement_choose(placement, &request, now_us, &slots);
 		if (slots)
 			refuse(placement, decision, AUB_VERDICT_OVERLOAD,
-			       wait_ms(placement, placement->waiting->len,
+			       wait_ms(placement, placement->queue->len,
 				       slots));
 		else
 			refuse(placement, decision, AUB_VERDICT_NO_UPSTREAM,
-			       NO_UPSTREAM_MS);
-		g_ptr_array_remove_index(placement->waiting, i);
+			       RETRY_AFTER_NO_UPSTREAM_MS);
+		g_ptr_array_remove_index(placement->queue, i);
 		return true;
 	}
 	return false;
 }
 
-bool aub_placement_next(struct aub_placement *placement, gint64 now_us,
-			struct aub_decision *decision)
+bool aub_placement_next_decision(struct aub_placement *placement, gint64 now_us,
+				 struct aub_placement_decision *decision)
 {
-	struct line line;
+	struct queue_ends ends;
 
-	line_find(placement, false, now_us, &line);
-	if (line.stale && waiting_grant(placement, line.last, now_us, decision))
+	find_queue_ends(placement, false, now_us, &ends);
+	if (ends.newest_first &&
+	    grant_queued(placement, ends.shortest_waiting, now_us, decision))
 		return true;
-	if (waiting_grant(placement, line.first, now_us, decision))
+	if (grant_queued(placement, ends.longest_waiting, now_us, decision))
 		return true;
-	line_find(placement, true, now_us, &line);
-	if (waiting_grant(placement, line.first, now_us, decision))
+	find_queue_ends(placement, true, now_us, &ends);
+	if (grant_queued(placement, ends.longest_waiting, now_us, decision))
 		return true;
-	return waiting_expire(placement, now_us, decision);
+	return expire_queued(placement, now_us, decision);
 }
 
-guint aub_placement_queued(const struct aub_placement *placement)
+guint aub_placement_queue_length(const struct aub_placement *placement)
 {
-	return placement->waiting->len;
+	return placement->queue->len;
 }
--- a/src/state/placement_rollout.c
+++ b/src/state/placement_rollout.c
@@ -2,42 +2,47 @@
  * Versions in a placement: what each upstream's allows, what a new one gets
  * while it is judged, and what its answers say of it.
  */
-#include <auburnstile/internal/placement_parts.h>
+#include <auburnstile/internal/placement_internal.h>
 
 #include <string.h>
 
-#define FULL_SHARE 0.7 /* of its slots: an upstream counts as full */
-#define ROOM_FACTOR 1.2 /* slots over what runs, to take all requests */
+#define FULL_UTILIZATION_SHARE \
+	0.7 /* of its slots: an upstream counts as full */
+#define SWITCH_HEADROOM_FACTOR \
+	1.2 /* slots over what runs, to take all requests */
 
-static enum aub_version_use use_of(const struct aub_placement *placement,
-				   const struct aub_row *row)
+static enum aub_version_traffic traffic_of(
+	const struct aub_placement *placement,
+	const struct aub_endpoint *endpoint)
 {
 	const struct aub_service_versions *versions = &placement->versions;
 
-	if (!placement->takes_orders)
-		return AUB_VERSION_FREE;
-	if (!placement->orders_known)
-		return AUB_VERSION_HELD;
-	if (aub_service_versions_is_free(versions, row->version))
-		return AUB_VERSION_FREE;
-	if (row->version != AUB_VERSION_NONE &&
-	    row->version == versions->target &&
-	    aub_rollout_is_open(&placement->rollout))
+	if (!placement->rollouts_enabled)
+		return AUB_VERSION_ACTIVE;
+	if (!placement->rollouts_loaded)
+		return AUB_VERSION_WITHHELD;
+	if (aub_service_versions_is_active(versions, endpoint->version))
+		return AUB_VERSION_ACTIVE;
+	if (endpoint->version != AUB_VERSION_NONE &&
+	    endpoint->version == versions->target &&
+	    aub_rollout_is_in_progress(&placement->rollout))
 		return AUB_VERSION_CANARY;
-	return AUB_VERSION_HELD;
+	return AUB_VERSION_WITHHELD;
 }
 
-static void set_uses(struct aub_placement *placement)
+static void update_traffic(struct aub_placement *placement)
 {
 	guint canaries = 0;
 
-	for (guint i = 0; i < placement->rows->len; i++) {
-		struct aub_row *row = aub_placement_row(placement, i);
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
 
-		row->use = use_of(placement, row);
-		canaries += row->registered && row->use == AUB_VERSION_CANARY;
+		endpoint->traffic = traffic_of(placement, endpoint);
+		canaries += endpoint->registered &&
+			    endpoint->traffic == AUB_VERSION_CANARY;
 	}
-	placement->rollout.upstreams = canaries;
+	placement->rollout.canary_upstreams = canaries;
 }
 
 /* Counts all upstreams anew and finds what each may get. */
@@ -45,23 +50,26 @@
 {
 	struct aub_service_versions *versions = &placement->versions;
 
-	aub_service_versions_recount(versions);
-	for (guint i = 0; i < placement->rows->len; i++) {
-		const struct aub_row *row = aub_placement_row(placement, i);
+	aub_service_versions_begin_count(versions);
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		const struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
 
-		if (row->registered)
-			aub_service_versions_count(versions, row->version,
-						   row->born_ms);
+		if (endpoint->registered)
+			aub_service_versions_add(versions, endpoint->version,
+						 endpoint->started_ms);
 	}
-	aub_service_versions_counted(versions, now_us);
-	set_uses(placement);
+	aub_service_versions_finish_count(versions, now_us);
+	update_traffic(placement);
 }
 
 static bool has_version(const struct aub_placement *placement,
-			const struct aub_row *row, const char *version)
+			const struct aub_endpoint *endpoint,
+			const char *version)
 {
-	return row->version != AUB_VERSION_NONE &&
-	       !strcmp(placement->versions.list[row->version].name, version);
+	return endpoint->version != AUB_VERSION_NONE &&
+	       !strcmp(placement->versions.list[endpoint->version].name,
+		       version);
 }
 
 /*
@@ -72,48 +80,52 @@
  * time by the square of their number. Enough: while there is one version only,
  * nothing but the upstream's own count changes.
  */
-void aub_row_count_version(struct aub_placement *placement, struct aub_row *row,
-			   const char *version, bool was_registered,
-			   gint64 now_us)
+void aub_endpoint_count_version(struct aub_placement *placement,
+				struct aub_endpoint *endpoint,
+				const char *version, bool was_registered,
+				gint64 now_us)
 {
 	struct aub_service_versions *versions = &placement->versions;
 
-	if (!placement->takes_orders) {
-		row->use = AUB_VERSION_FREE;
+	if (!placement->rollouts_enabled) {
+		endpoint->traffic = AUB_VERSION_ACTIVE;
 		return;
 	}
-	if (version && was_registered && has_version(placement, row, version))
+	if (version && was_registered &&
+	    has_version(placement, endpoint, version))
 		return;
 	if (version) {
-		row->version = aub_service_versions_index(versions, version);
-		row->evidence = (struct aub_judge_evidence){ 0 };
+		endpoint->version =
+			aub_service_versions_index(versions, version);
+		endpoint->evidence = (struct aub_judge_evidence){ 0 };
 	}
 	if (versions->count > 1 || (version && was_registered)) {
 		recount_versions(placement, now_us);
 		return;
 	}
 	if (version)
-		aub_service_versions_count(versions, row->version,
-					   row->born_ms);
+		aub_service_versions_add(versions, endpoint->version,
+					 endpoint->started_ms);
 	else if (was_registered)
-		aub_service_versions_discount(versions, row->version);
-	aub_service_versions_counted(versions, now_us);
-	row->use = use_of(placement, row);
+		aub_service_versions_remove(versions, endpoint->version);
+	aub_service_versions_finish_count(versions, now_us);
+	endpoint->traffic = traffic_of(placement, endpoint);
 }
 
-void aub_placement_take_orders(struct aub_placement *placement,
-			       const struct aub_rollout_limits *limits)
+void aub_placement_enable_rollouts(struct aub_placement *placement,
+				   const struct aub_rollout_limits *limits)
 {
-	placement->takes_orders = limits->share > 0;
+	placement->rollouts_enabled = limits->share > 0;
 	placement->rollout.limits = *limits;
-	set_uses(placement);
+	update_traffic(placement);
 }
 
-void aub_placement_orders_known(struct aub_placement *placement, gint64 now_us)
+void aub_placement_set_rollouts_loaded(struct aub_placement *placement,
+				       gint64 now_us)
 {
-	if (placement->orders_known)
+	if (placement->rollouts_loaded)
 		return;
-	placement->orders_known = true;
+	placement->rollouts_loaded = true;
 	recount_versions(placement, now_us);
 }
 
@@ -135,51 +147,51 @@
 	recount_versions(placement, now_us);
 }
 
-static void forget_evidence(struct aub_placement *placement)
+static void reset_evidence(struct aub_placement *placement)
 {
 	GHashTableIter iter;
 	void *value;
 
-	for (guint i = 0; i < placement->rows->len; i++)
-		aub_placement_row(placement, i)->evidence =
+	for (guint i = 0; i < placement->endpoints->len; i++)
+		aub_placement_endpoint(placement, i)->evidence =
 			(struct aub_judge_evidence){ 0 };
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		((struct aub_grant *)value)->canary = false;
 }
 
-void aub_placement_order(struct aub_placement *placement,
-			 const struct aub_rollout_record *record,
-			 bool unreadable, gint64 now_us)
+void aub_placement_set_rollout(struct aub_placement *placement,
+			       const struct aub_rollout_record *record,
+			       bool unreadable, gint64 now_us)
 {
 	struct aub_rollout *rollout = &placement->rollout;
 
-	placement->order_unreadable = unreadable;
+	placement->rollout_unreadable = unreadable;
 	if (!record) {
 		aub_rollout_clear(rollout);
 	} else {
 		if (rollout->state == AUB_ROLLOUT_NONE ||
 		    !aub_rollout_order_equal(&rollout->order, &record->order)) {
 			aub_rollout_begin(rollout, &record->order, now_us);
-			forget_evidence(placement);
+			reset_evidence(placement);
 		}
-		aub_rollout_learn_state(rollout, record->state, true);
+		aub_rollout_merge_state(rollout, record->state, true);
 	}
 	apply_state(placement, now_us);
 }
 
-bool aub_placement_order_told(struct aub_placement *placement,
-			      const struct aub_rollout_order *order,
-			      enum aub_rollout_state state, gint64 age_us,
-			      gint64 now_us)
+bool aub_placement_merge_rollout(struct aub_placement *placement,
+				 const struct aub_rollout_order *order,
+				 enum aub_rollout_state state, gint64 age_us,
+				 gint64 now_us)
 {
 	struct aub_rollout *rollout = &placement->rollout;
 
 	if (rollout->state == AUB_ROLLOUT_NONE ||
 	    !aub_rollout_order_equal(&rollout->order, order))
 		return false;
-	aub_rollout_learn_age(rollout, age_us, now_us);
-	if (aub_rollout_learn_state(rollout, state,
+	aub_rollout_merge_age(rollout, age_us, now_us);
+	if (aub_rollout_merge_state(rollout, state,
 				    state == AUB_ROLLOUT_COMPLETED))
 		apply_state(placement, now_us);
 	return true;
@@ -194,16 +206,17 @@
 }
 
 /* What the old version answers is soon known anew. */
-void aub_placement_inherit(struct aub_placement *placement,
-			   const struct aub_judge_route *routes, guint count,
-			   guint64 reached, guint64 exposed, double allowance)
+void aub_placement_import_evidence(struct aub_placement *placement,
+				   const struct aub_judge_route *routes,
+				   guint count, guint64 reached,
+				   guint64 exposed, double allowance)
 {
 	/* Older than what is known. */
 	if (reached < aub_rollout_total_reached(&placement->rollout))
 		return;
-	aub_rollout_learn_exposure(&placement->rollout, reached, exposed,
-				   allowance);
-	aub_judge_inherit(&placement->rollout.judge, routes, count);
+	aub_rollout_import_exposure(&placement->rollout, reached, exposed,
+				    allowance);
+	aub_judge_import(&placement->rollout.judge, routes, count);
 }
 
 void aub_placement_grant_slack(struct aub_placement *placement)
@@ -211,58 +224,62 @@
 	aub_rollout_grant_slack(&placement->rollout);
 }
 
-enum aub_canary_choice aub_placement_canary(
-	const struct aub_placement *placement, const struct aub_ask *ask,
-	gint64 now_us)
+enum aub_canary_choice aub_placement_canary_choice(
+	const struct aub_placement *placement,
+	const struct aub_placement_request *request, gint64 now_us)
 {
 	const struct aub_rollout *rollout = &placement->rollout;
 
-	if (!placement->takes_orders || !aub_rollout_is_open(rollout))
+	if (!placement->rollouts_enabled ||
+	    !aub_rollout_is_in_progress(rollout))
 		return AUB_CANARY_NONE;
-	if (aub_rollout_has_switched(rollout,
-				     aub_work_times_usual(&placement->work,
-							  ask->target_ms),
-				     now_us))
+	if (aub_rollout_has_switched(
+		    rollout,
+		    aub_service_times_mean_ms(&placement->service_times,
+					      request->target_ms),
+		    now_us))
 		return AUB_CANARY_ONLY;
 	/* A caller meets a version that may be bad once, not again. */
-	if (ask->alone || ask->retry ||
-	    !aub_rollout_may_expose(rollout, now_us))
+	if (request->local_fallback || request->retry ||
+	    !aub_rollout_may_send_canary(rollout, now_us))
 		return AUB_CANARY_NONE;
 	return AUB_CANARY_FIRST;
 }
 
 void aub_grant_count_canary(struct aub_placement *placement,
-			    struct aub_grant *made, const struct aub_row *row)
+			    struct aub_grant *grant,
+			    const struct aub_endpoint *endpoint)
 {
-	if (row->use != AUB_VERSION_CANARY)
+	if (endpoint->traffic != AUB_VERSION_CANARY)
 		return;
-	made->canary = true;
+	grant->canary = true;
 	placement->rollout.exposed++;
-	placement->rollout.exposed_us = made->since_us;
+	placement->rollout.last_exposed_us = grant->granted_us;
 }
 
 /* Did the request reach the upstream? */
-static bool has_reached(enum aub_attempt_end end)
+static bool reached_upstream(enum aub_grant_result end)
 {
 	switch (end) {
-	case AUB_END_OK:
-	case AUB_END_FAILED:
-	case AUB_END_REFUSED:
-	case AUB_END_LOST:
-	case AUB_END_TIMEOUT:
-	case AUB_END_ABANDONED:
+	case AUB_GRANT_OK:
+	case AUB_GRANT_FAILED:
+	case AUB_GRANT_REFUSED:
+	case AUB_GRANT_LOST:
+	case AUB_GRANT_TIMEOUT:
+	case AUB_GRANT_ABANDONED:
 		return true;
-	case AUB_END_MISPLACED:
-	case AUB_END_UNREACHABLE:
-	case AUB_END_UNUSED:
+	case AUB_GRANT_WRONG_UPSTREAM:
+	case AUB_GRANT_UNREACHABLE:
+	case AUB_GRANT_UNUSED:
 		break;
 	}
 	return false;
 }
 
-static bool is_full(const struct aub_grant *made, const struct aub_row *row)
+static bool is_nearly_full(const struct aub_grant *grant,
+			   const struct aub_endpoint *endpoint)
 {
-	return made->running >= FULL_SHARE * row->slots;
+	return grant->concurrency >= FULL_UTILIZATION_SHARE * endpoint->slots;
 }
 
 /*
@@ -270,76 +287,81 @@
  * is whole answers, and how long they took.
  */
 static void fill_answer(const struct aub_placement *placement,
-			const struct aub_row *row, const struct aub_grant *made,
-			gint64 elapsed_us, struct aub_judge_answer *answer)
+			const struct aub_endpoint *endpoint,
+			const struct aub_grant *grant, gint64 elapsed_us,
+			struct aub_judge_answer *answer)
 {
-	double knee =
-		aub_knee_factor(&placement->knee, made->running, row->slots);
+	double saturation =
+		aub_saturation_slowdown(&placement->saturation,
+					grant->concurrency, endpoint->slots);
 
 	*answer = (struct aub_judge_answer){
-		.route = made->route,
-		.full = is_full(made, row),
-		.ms = made->cold || made->judged ?
+		.route = grant->route,
+		.full = is_nearly_full(grant, endpoint),
+		.ms = grant->cold || grant->judged_early ?
 			      0 :
-			      (double)elapsed_us / AUB_PLACE_MS /
-				      made->slowdown / knee,
+			      (double)elapsed_us / AUB_US_PER_MS /
+				      grant->slowdown / saturation,
 	};
 }
 
-double aub_row_evidence(const struct aub_placement *placement,
-			const struct aub_row *row)
+double aub_endpoint_evidence_share(const struct aub_placement *placement,
+				   const struct aub_endpoint *endpoint)
 {
-	const double *brought = row->evidence.brought;
+	const double *contributed = endpoint->evidence.contributed;
 
-	return MAX(brought[AUB_JUDGE_FAILURES], brought[AUB_JUDGE_SLOWNESS]) /
-	       aub_judge_evidence_most(placement->rollout.upstreams);
+	return MAX(contributed[AUB_JUDGE_FAILURES],
+		   contributed[AUB_JUDGE_SLOWNESS]) /
+	       aub_judge_evidence_max(placement->rollout.canary_upstreams);
 }
 
-static void judge_new(struct aub_placement *placement, struct aub_row *row,
-		      const struct aub_judge_answer *answer)
+static void judge_canary_answer(struct aub_placement *placement,
+				struct aub_endpoint *endpoint,
+				const struct aub_judge_answer *answer)
 {
 	struct aub_rollout *rollout = &placement->rollout;
 
-	aub_judge_take_new(&rollout->judge, answer, &row->evidence,
-			   aub_judge_evidence_most(rollout->upstreams));
+	aub_judge_add_canary(&rollout->judge, answer, &endpoint->evidence,
+			     aub_judge_evidence_max(rollout->canary_upstreams));
 }
 
-static bool is_answer(enum aub_attempt_end end)
+static bool is_answer(enum aub_grant_result end)
 {
-	return end == AUB_END_OK || end == AUB_END_FAILED;
+	return end == AUB_GRANT_OK || end == AUB_GRANT_FAILED;
 }
 
 static void count_exposure(struct aub_rollout *rollout,
-			   const struct aub_grant *made,
-			   enum aub_attempt_end end)
+			   const struct aub_grant *grant,
+			   enum aub_grant_result end)
 {
-	if (has_reached(end))
+	if (reached_upstream(end))
 		rollout->reached++;
-	else if (made->canary && rollout->exposed)
+	else if (grant->canary && rollout->exposed)
 		rollout->exposed--;
 }
 
-void aub_grant_judge(struct aub_placement *placement, struct aub_row *row,
-		     const struct aub_grant *made,
-		     const struct aub_attempt_report *report)
+void aub_grant_judge(struct aub_placement *placement,
+		     struct aub_endpoint *endpoint,
+		     const struct aub_grant *grant,
+		     const struct aub_grant_report *report)
 {
 	struct aub_rollout *rollout = &placement->rollout;
 	struct aub_judge_answer answer;
 
-	if (!placement->takes_orders)
+	if (!placement->rollouts_enabled)
 		return;
-	if (aub_rollout_is_open(rollout))
-		count_exposure(rollout, made, report->end);
+	if (aub_rollout_is_in_progress(rollout))
+		count_exposure(rollout, grant, report->end);
 	if (!is_answer(report->end))
 		return;
-	fill_answer(placement, row, made, report->elapsed_us, &answer);
-	answer.failed = report->end == AUB_END_FAILED;
+	fill_answer(placement, endpoint, grant, report->elapsed_us, &answer);
+	answer.failed = report->end == AUB_GRANT_FAILED;
 	/* Also while there is no order, so that the next one has its measure.
 	 */
-	if (row->use == AUB_VERSION_FREE)
-		aub_judge_take_base(&rollout->judge, &answer);
-	else if (row->use == AUB_VERSION_CANARY && made->canary)
-		judge_new(placement, row, &answer);
+	if (endpoint->traffic == AUB_VERSION_ACTIVE)
+		aub_judge_add_baseline(&rollout->judge, &answer);
+	else if (endpoint->traffic == AUB_VERSION_CANARY && grant->canary)
+		judge_canary_answer(placement, endpoint, &answer);
 }
 
 /*
@@ -349,7 +371,7 @@
  * of requests are sent to it meanwhile. Enough: an answer that is out for
  * longer than good ones take is judged at once.
  */
-static void judge_overdue(struct aub_placement *placement, gint64 now_us)
+static void judge_overdue_grants(struct aub_placement *placement, gint64 now_us)
 {
 	struct aub_rollout *rollout = &placement->rollout;
 	GHashTableIter iter;
@@ -357,26 +379,28 @@
 
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct aub_grant *made = value;
-		struct aub_row *row = aub_placement_row(placement, made->row);
+		struct aub_grant *grant = value;
+		struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement,
+					       grant->endpoint_index);
 		struct aub_judge_answer answer;
 		double slow_ms;
 
-		if (!made->canary || made->judged || made->cold)
+		if (!grant->canary || grant->judged_early || grant->cold)
 			continue;
-		slow_ms = aub_judge_slow_ms(&rollout->judge, made->route,
-					    is_full(made, row));
-		fill_answer(placement, row, made, now_us - made->since_us,
-			    &answer);
+		slow_ms = aub_judge_slow_ms(&rollout->judge, grant->route,
+					    is_nearly_full(grant, endpoint));
+		fill_answer(placement, endpoint, grant,
+			    now_us - grant->granted_us, &answer);
 		if (slow_ms <= 0 || answer.ms <= slow_ms)
 			continue;
-		judge_new(placement, row, &answer);
-		made->judged = true;
+		judge_canary_answer(placement, endpoint, &answer);
+		grant->judged_early = true;
 	}
 }
 
-static void view_grants(const struct aub_placement *placement,
-			struct aub_rollout_view *view)
+static void add_grant_load(const struct aub_placement *placement,
+			   struct aub_rollout_load *load)
 {
 	guint count = g_hash_table_size(placement->grants);
 	GHashTableIter iter;
@@ -384,68 +408,75 @@
 
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct aub_grant *made = value;
-		const struct aub_row *row =
-			aub_placement_row(placement, made->row);
-		double usual_ms =
-			aub_work_times_usual(&placement->work, made->target_ms);
-
-		view->longest_ms = MAX(view->longest_ms, usual_ms);
-		view->mean_ms += usual_ms / count;
-		view->base_running += row->use != AUB_VERSION_CANARY;
+		const struct aub_grant *grant = value;
+		const struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement,
+					       grant->endpoint_index);
+		double mean_ms =
+			aub_service_times_mean_ms(&placement->service_times,
+						  grant->target_ms);
+
+		load->max_service_time_ms =
+			MAX(load->max_service_time_ms, mean_ms);
+		load->mean_service_time_ms += mean_ms / count;
+		load->baseline_running +=
+			endpoint->traffic != AUB_VERSION_CANARY;
 	}
 }
 
-static void view_upstream(const struct aub_placement *placement,
-			  const struct aub_row *row,
-			  struct aub_rollout_view *view)
+static void add_endpoint_load(const struct aub_placement *placement,
+			      const struct aub_endpoint *endpoint,
+			      struct aub_rollout_load *load)
 {
-	guint limit = aub_row_limit(placement, row);
+	guint limit = aub_endpoint_concurrency_limit(placement, endpoint);
 
-	view->slots += limit;
-	view->batch = MAX(view->batch, limit);
+	load->slots += limit;
+	load->batch_size = MAX(load->batch_size, limit);
 }
 
-static void view_fill(const struct aub_placement *placement, gint64 now_us,
-		      struct aub_rollout_view *view)
+static void measure_load(const struct aub_placement *placement, gint64 now_us,
+			 struct aub_rollout_load *load)
 {
-	*view = (struct aub_rollout_view){
-		.slots_needed = (guint)(ROOM_FACTOR *
+	*load = (struct aub_rollout_load){
+		.slots_needed = (guint)(SWITCH_HEADROOM_FACTOR *
 					g_hash_table_size(placement->grants)),
 	};
-	view_grants(placement, view);
-	for (guint i = 0; i < placement->rows->len; i++) {
-		const struct aub_row *row = aub_placement_row(placement, i);
-
-		if (row->use == AUB_VERSION_CANARY && row->registered &&
-		    !row->draining && !row->zone_out &&
-		    row->state == AUB_ROW_UP && !aub_row_is_cold(row, now_us))
-			view_upstream(placement, row, view);
+	add_grant_load(placement, load);
+	for (guint i = 0; i < placement->endpoints->len; i++) {
+		const struct aub_endpoint *endpoint =
+			aub_placement_endpoint(placement, i);
+
+		if (endpoint->traffic == AUB_VERSION_CANARY &&
+		    endpoint->registered && !endpoint->draining &&
+		    !endpoint->zone_out && endpoint->state == AUB_ENDPOINT_UP &&
+		    !aub_endpoint_is_cold(endpoint, now_us))
+			add_endpoint_load(placement, endpoint, load);
 	}
 }
 
-void aub_placement_admit(struct aub_placement *placement, gint64 now_us)
+void aub_placement_admit_versions(struct aub_placement *placement,
+				  gint64 now_us)
 {
-	if (placement->takes_orders && placement->orders_known &&
-	    !placement->order_unreadable &&
+	if (placement->rollouts_enabled && placement->rollouts_loaded &&
+	    !placement->rollout_unreadable &&
 	    aub_service_versions_admit(&placement->versions, now_us))
-		set_uses(placement);
+		update_traffic(placement);
 }
 
 enum aub_rollout_state aub_placement_rollout_step(
 	struct aub_placement *placement, gint64 now_us)
 {
 	struct aub_rollout *rollout = &placement->rollout;
-	struct aub_rollout_view view;
+	struct aub_rollout_load load;
 
-	if (!placement->takes_orders)
+	if (!placement->rollouts_enabled)
 		return AUB_ROLLOUT_NONE;
 	if (rollout->state == AUB_ROLLOUT_NONE)
 		return AUB_ROLLOUT_NONE;
-	if (aub_rollout_is_open(rollout))
-		judge_overdue(placement, now_us);
-	view_fill(placement, now_us, &view);
-	if (aub_rollout_step(rollout, &view, now_us))
+	if (aub_rollout_is_in_progress(rollout))
+		judge_overdue_grants(placement, now_us);
+	measure_load(placement, now_us, &load);
+	if (aub_rollout_step(rollout, &load, now_us))
 		apply_state(placement, now_us);
-	return aub_rollout_wanted(rollout, &view, now_us);
+	return aub_rollout_state_to_store(rollout, &load, now_us);
 }
--- a/src/state/request_path.c
+++ b/src/state/request_path.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* Percent signs decoded once; a broken one stays as it is. */
-static char *decode(const char *path, gsize length)
+static char *percent_decode(const char *path, gsize length)
 {
 	char *text = g_malloc(length + 1);
 	gsize size = 0;
@@ -32,16 +32,16 @@
 }
 
 /* Take the last segment off, keeping the string within its root. */
-static void segment_drop(GString *path)
+static void remove_last_segment(GString *path)
 {
 	const char *slash = strrchr(path->str, '/');
 
 	g_string_truncate(path, slash ? (gsize)(slash - path->str) : 0);
 }
 
-char *aub_path_canonical(const char *path)
+char *aub_path_canonicalize(const char *path)
 {
-	char *text = decode(path, strcspn(path, "?#"));
+	char *text = percent_decode(path, strcspn(path, "?#"));
 	char **segments = g_strsplit(text, "/", -1);
 	GString *result = g_string_sized_new(strlen(text) + 1);
 
@@ -50,7 +50,7 @@
 		if (!*segments[i] || strcmp(segments[i], ".") == 0)
 			continue;
 		if (strcmp(segments[i], "..") == 0) {
-			segment_drop(result);
+			remove_last_segment(result);
 			continue;
 		}
 		g_string_append_c(result, '/');
@@ -63,7 +63,7 @@
 	return g_string_free(result, FALSE);
 }
 
-bool aub_path_below(const char *path, const char *prefix)
+bool aub_path_has_prefix(const char *path, const char *prefix)
 {
 	gsize length = strlen(prefix);
 
--- a/src/state/retry_budget.c
+++ b/src/state/retry_budget.c
@@ -9,42 +9,45 @@
 void aub_retry_budget_init(struct aub_retry_budget *budget, gint64 window_us)
 {
 	memset(budget, 0, sizeof(*budget));
-	budget->bucket_us = MAX(window_us / (AUB_BUDGET_BUCKETS - 1), 1);
+	budget->bucket_us = MAX(window_us / (AUB_RETRY_BUDGET_BUCKETS - 1), 1);
 }
 
 static void advance(struct aub_retry_budget *budget, gint64 now_us)
 {
-	gint64 number = now_us / budget->bucket_us;
+	gint64 bucket_number = now_us / budget->bucket_us;
 
-	if (number - budget->newest >= AUB_BUDGET_BUCKETS)
-		budget->newest = number - AUB_BUDGET_BUCKETS;
-	while (budget->newest < number) {
-		guint i = (guint)(++budget->newest % AUB_BUDGET_BUCKETS);
+	if (bucket_number - budget->newest_bucket >= AUB_RETRY_BUDGET_BUCKETS)
+		budget->newest_bucket =
+			bucket_number - AUB_RETRY_BUDGET_BUCKETS;
+	while (budget->newest_bucket < bucket_number) {
+		guint i = (guint)(++budget->newest_bucket %
+				  AUB_RETRY_BUDGET_BUCKETS);
 
-		budget->first[i] = 0;
-		budget->again[i] = 0;
+		budget->requests[i] = 0;
+		budget->retries[i] = 0;
 	}
 }
 
-void aub_retry_budget_first(struct aub_retry_budget *budget, gint64 now_us)
+void aub_retry_budget_add_request(struct aub_retry_budget *budget,
+				  gint64 now_us)
 {
 	advance(budget, now_us);
-	budget->first[budget->newest % AUB_BUDGET_BUCKETS]++;
+	budget->requests[budget->newest_bucket % AUB_RETRY_BUDGET_BUCKETS]++;
 }
 
-bool aub_retry_budget_take(struct aub_retry_budget *budget, double ratio,
-			   guint slack, gint64 now_us)
+bool aub_retry_budget_take_retry(struct aub_retry_budget *budget, double ratio,
+				 guint slack, gint64 now_us)
 {
-	guint first = 0;
-	guint again = 0;
+	guint requests = 0;
+	guint retries = 0;
 
 	advance(budget, now_us);
-	for (guint i = 0; i < AUB_BUDGET_BUCKETS; i++) {
-		first += budget->first[i];
-		again += budget->again[i];
+	for (guint i = 0; i < AUB_RETRY_BUDGET_BUCKETS; i++) {
+		requests += budget->requests[i];
+		retries += budget->retries[i];
 	}
-	if (again + 1 > ratio * first + slack)
+	if (retries + 1 > ratio * requests + slack)
 		return false;
-	budget->again[budget->newest % AUB_BUDGET_BUCKETS]++;
+	budget->retries[budget->newest_bucket % AUB_RETRY_BUDGET_BUCKETS]++;
 	return true;
 }
--- a/src/state/rollout.c
+++ b/src/state/rollout.c
@@ -5,40 +5,43 @@
 
 #include <math.h>
 
-#define MS ((gint64)1000)
+#define US_PER_MS ((gint64)1000)
 
 /* Parts of the operators' share and slack that are used. */
-#define SHARE_MOST 0.98 /* of the share, by all means */
-#define SHARE_PLANNED 0.96
-#define SHARE_PLANNED_INHERITED 0.92 /* what was told is a moment old */
-#define SLACK_USED 0.85
-#define ALLOWANCE_INHERITED 0.5
-#define RESERVE_SIGMAS 1.5 /* arrivals come at random */
+#define SHARE_USED_MAX 0.98 /* of the share, by all means */
+#define SHARE_USED_PLANNED 0.96
+#define SHARE_USED_INHERITED 0.92 /* what was told is a moment old */
+#define SLACK_USED_SHARE 0.85
+#define ALLOWANCE_INHERITED_SHARE 0.5
+#define ARRIVAL_RESERVE_SIGMAS 1.5 /* arrivals come at random */
 
 /* Parts of what is planned for judging; the rest is for the move. */
-#define CANARY_MOST 0.7
-#define CANARY_LEAST 0.18
-#define ALLOWANCE_PACE 0.6 /* of the whole time, to spend the allowance in */
-#define SPREAD_US (1500.0 * MS) /* in which what may be sent is sent */
+#define CANARY_SHARE_MAX 0.7
+#define CANARY_SHARE_MIN 0.18
+#define ALLOWANCE_DURATION_SHARE \
+	0.6 /* of the whole time, to spend the allowance in */
+#define CANARY_SPREAD_US \
+	(1500.0 * US_PER_MS) /* in which what may be sent is sent */
 
 /* An order is heard of a little late, and completing it takes a call. */
-#define MARGIN_SHARE 0.01
-#define MARGIN_LEAST_MS 200.0
-#define MARGIN_MOST_MS 1500.0
+#define MARGIN_DURATION_SHARE 0.01
+#define MARGIN_MIN_MS 200.0
+#define MARGIN_MAX_MS 1500.0
 
 /* Usual times of work until the last answers of the old version are in. */
-#define DRAIN_TIMES 7.0
-#define DRAIN_TIMES_LEAST 0.5
-#define DRAIN_SHARE 0.25 /* of the whole time, at most */
-#define RATE_MS 1000.0 /* over which the rate of requests is taken */
+#define DRAIN_FACTOR_MAX 7.0
+#define DRAIN_FACTOR_MIN 0.5
+#define DRAIN_DURATION_SHARE 0.25 /* of the whole time, at most */
+#define RATE_INTERVAL_MS 1000.0 /* over which the rate of requests is taken */
 
 /* Answers whose time could be judged, before a version can be good ... */
-#define ANSWERS_LEAST 8
-#define REACHED_LEAST 40 /* ... where as many requests reached the service */
+#define TIMED_ANSWERS_MIN 8
+#define REACHED_REQUESTS_MIN \
+	40 /* ... where as many requests reached the service */
 
 /* So many bad answers, if they are so much of all, make a bad version. */
-#define BAD_MANY 20
-#define BAD_SHARE 0.4
+#define BAD_ANSWERS_MIN 20
+#define BAD_ANSWERS_SHARE 0.4
 
 bool aub_rollout_order_equal(const struct aub_rollout_order *left,
 			     const struct aub_rollout_order *right)
@@ -75,7 +78,7 @@
 		.judge = rollout->judge,
 		.reason = "",
 	};
-	aub_judge_restart(&rollout->judge);
+	aub_judge_reset_canary(&rollout->judge);
 }
 
 void aub_rollout_begin(struct aub_rollout *rollout,
@@ -85,20 +88,20 @@
 	rollout->order = *order;
 	rollout->order.version = g_strdup(order->version);
 	rollout->state = AUB_ROLLOUT_RUNNING;
-	rollout->began_us = now_us;
-	rollout->batch = 1;
-	rollout->canary_share = CANARY_LEAST * rollout->limits.share;
-	rollout->drain_times = DRAIN_TIMES;
+	rollout->started_us = now_us;
+	rollout->batch_size = 1;
+	rollout->canary_share = CANARY_SHARE_MIN * rollout->limits.share;
+	rollout->drain_factor = DRAIN_FACTOR_MAX;
 }
 
 guint64 aub_rollout_total_reached(const struct aub_rollout *rollout)
 {
-	return rollout->reached + rollout->others_reached;
+	return rollout->reached + rollout->inherited_reached;
 }
 
 guint64 aub_rollout_total_exposed(const struct aub_rollout *rollout)
 {
-	return rollout->exposed + rollout->others_exposed;
+	return rollout->exposed + rollout->inherited_exposed;
 }
 
 /*
@@ -106,23 +109,23 @@
  * spends the whole allowance. Enough: each gets half of what the one before it
  * had, and all together no more than twice the first one's part.
  */
-void aub_rollout_learn_exposure(struct aub_rollout *rollout, guint64 reached,
-				guint64 exposed, double allowance)
+void aub_rollout_import_exposure(struct aub_rollout *rollout, guint64 reached,
+				 guint64 exposed, double allowance)
 {
-	rollout->others_reached =
+	rollout->inherited_reached =
 		MAX(aub_rollout_total_reached(rollout), reached);
-	rollout->others_exposed =
+	rollout->inherited_exposed =
 		MAX(aub_rollout_total_exposed(rollout), exposed);
 	rollout->reached = 0;
 	rollout->exposed = 0;
 	rollout->allowance =
-		MAX(rollout->allowance, ALLOWANCE_INHERITED * allowance);
+		MAX(rollout->allowance, ALLOWANCE_INHERITED_SHARE * allowance);
 }
 
-void aub_rollout_learn_age(struct aub_rollout *rollout, gint64 age_us,
+void aub_rollout_merge_age(struct aub_rollout *rollout, gint64 age_us,
 			   gint64 now_us)
 {
-	rollout->began_us = MIN(rollout->began_us, now_us - age_us);
+	rollout->started_us = MIN(rollout->started_us, now_us - age_us);
 }
 
 static bool set_state(struct aub_rollout *rollout, enum aub_rollout_state state,
@@ -135,19 +138,19 @@
 	return true;
 }
 
-bool aub_rollout_is_open(const struct aub_rollout *rollout)
+bool aub_rollout_is_in_progress(const struct aub_rollout *rollout)
 {
 	return rollout->state == AUB_ROLLOUT_RUNNING ||
 	       rollout->state == AUB_ROLLOUT_SWITCHING;
 }
 
-bool aub_rollout_learn_state(struct aub_rollout *rollout,
+bool aub_rollout_merge_state(struct aub_rollout *rollout,
 			     enum aub_rollout_state state, bool stored)
 {
 	if (stored && (state == AUB_ROLLOUT_COMPLETED ||
 		       state == AUB_ROLLOUT_ROLLED_BACK))
 		return set_state(rollout, state, "stored");
-	if (!aub_rollout_is_open(rollout) || state <= rollout->state ||
+	if (!aub_rollout_is_in_progress(rollout) || state <= rollout->state ||
 	    state == AUB_ROLLOUT_COMPLETED)
 		return false;
 	return set_state(rollout, state, "told");
@@ -155,65 +158,70 @@
 
 static double age_ms(const struct aub_rollout *rollout, gint64 now_us)
 {
-	return (double)(now_us - rollout->began_us) / MS;
+	return (double)(now_us - rollout->started_us) / US_PER_MS;
 }
 
 static double margin_ms(const struct aub_rollout *rollout)
 {
-	return CLAMP(MARGIN_SHARE * rollout->order.duration_ms, MARGIN_LEAST_MS,
-		     MARGIN_MOST_MS);
+	return CLAMP(MARGIN_DURATION_SHARE * rollout->order.duration_ms,
+		     MARGIN_MIN_MS, MARGIN_MAX_MS);
 }
 
 /*
  * As late as the old version's answers allow: a version that turns bad late is
  * then still judged by a small share of the requests.
  */
-static double switch_ms(const struct aub_rollout *rollout, double usual_ms)
+static double switch_ms(const struct aub_rollout *rollout,
+			double service_time_ms)
 {
-	double most = DRAIN_SHARE * rollout->order.duration_ms;
+	double limit = DRAIN_DURATION_SHARE * rollout->order.duration_ms;
 
 	return rollout->order.duration_ms - margin_ms(rollout) -
-	       MIN(rollout->drain_times * usual_ms, most);
+	       MIN(rollout->drain_factor * service_time_ms, limit);
 }
 
-static bool is_over(const struct aub_rollout *rollout, gint64 now_us)
+static bool is_expired(const struct aub_rollout *rollout, gint64 now_us)
 {
 	return age_ms(rollout, now_us) >= rollout->order.duration_ms;
 }
 
 /* Whatever the version turns out to be, it may get `requests` more. */
-static bool may_expose_more(const struct aub_rollout *rollout, double requests)
+static bool is_within_exposure(const struct aub_rollout *rollout,
+			       double requests)
 {
-	double most = SHARE_MOST * rollout->limits.share *
-			      (double)aub_rollout_total_reached(rollout) +
-		      rollout->allowance;
+	double limit = SHARE_USED_MAX * rollout->limits.share *
+			       (double)aub_rollout_total_reached(rollout) +
+		       rollout->allowance;
 
-	return (double)aub_rollout_total_exposed(rollout) + requests <= most;
+	return (double)aub_rollout_total_exposed(rollout) + requests <= limit;
 }
 
 bool aub_rollout_has_switched(const struct aub_rollout *rollout,
-			      double usual_ms, gint64 now_us)
+			      double service_time_ms, gint64 now_us)
 {
 	return rollout->state == AUB_ROLLOUT_SWITCHING &&
-	       age_ms(rollout, now_us) >= switch_ms(rollout, usual_ms) &&
-	       (is_over(rollout, now_us) || may_expose_more(rollout, 1));
+	       age_ms(rollout, now_us) >= switch_ms(rollout, service_time_ms) &&
+	       (is_expired(rollout, now_us) || is_within_exposure(rollout, 1));
 }
 
 /* Requests that may still be sent to the new version, to judge it. */
-static double available(const struct aub_rollout *rollout, gint64 now_us)
+static double canary_requests_left(const struct aub_rollout *rollout,
+				   gint64 now_us)
 {
-	double pace = age_ms(rollout, now_us) /
-		      (ALLOWANCE_PACE * rollout->order.duration_ms);
-	double most = rollout->canary_share *
-			      (double)aub_rollout_total_reached(rollout) +
-		      rollout->canary_allowance * MIN(pace, 1);
+	double elapsed_share =
+		age_ms(rollout, now_us) /
+		(ALLOWANCE_DURATION_SHARE * rollout->order.duration_ms);
+	double limit = rollout->canary_share *
+			       (double)aub_rollout_total_reached(rollout) +
+		       rollout->canary_allowance * MIN(elapsed_share, 1);
 
-	return most - (double)aub_rollout_total_exposed(rollout);
+	return limit - (double)aub_rollout_total_exposed(rollout);
 }
 
-bool aub_rollout_fills(const struct aub_rollout *rollout)
+bool aub_rollout_is_filling(const struct aub_rollout *rollout)
 {
-	return aub_rollout_total_exposed(rollout) / rollout->batch % 2 == 0;
+	return aub_rollout_total_exposed(rollout) / rollout->batch_size % 2 ==
+	       0;
 }
 
 /*
@@ -222,41 +230,43 @@
  * all short ones, and look like a version that has turned slow. Enough: what
  * there is is spread over a while, but for as much as one upstream takes.
  */
-static bool is_its_turn(const struct aub_rollout *rollout, double left,
-			gint64 now_us)
+static bool may_send_now(const struct aub_rollout *rollout, double left,
+			 gint64 now_us)
 {
-	if (!aub_rollout_fills(rollout))
-		return now_us - rollout->exposed_us >=
-		       (gint64)(SPREAD_US / left);
-	return aub_rollout_total_exposed(rollout) % rollout->batch ||
-	       left >= rollout->batch;
+	if (!aub_rollout_is_filling(rollout))
+		return now_us - rollout->last_exposed_us >=
+		       (gint64)(CANARY_SPREAD_US / left);
+	return aub_rollout_total_exposed(rollout) % rollout->batch_size ||
+	       left >= rollout->batch_size;
 }
 
 /*
  * What was placed here counts, and what was told: so the parts of processes
  * that place one after the other, or at once, stay below the share of the sum.
  */
-bool aub_rollout_may_expose(const struct aub_rollout *rollout, gint64 now_us)
+bool aub_rollout_may_send_canary(const struct aub_rollout *rollout,
+				 gint64 now_us)
 {
-	double left = available(rollout, now_us);
+	double left = canary_requests_left(rollout, now_us);
 
-	return aub_rollout_is_open(rollout) && !is_over(rollout, now_us) &&
-	       left >= 1 && is_its_turn(rollout, left, now_us);
+	return aub_rollout_is_in_progress(rollout) &&
+	       !is_expired(rollout, now_us) && left >= 1 &&
+	       may_send_now(rollout, left, now_us);
 }
 
 /* Of late, so that a burst that has just begun counts. */
-static void note_rate(struct aub_rollout *rollout, gint64 now_us)
+static void update_request_rate(struct aub_rollout *rollout, gint64 now_us)
 {
-	double ms = (double)(now_us - rollout->rate_us) / MS;
+	double ms = (double)(now_us - rollout->rate_sampled_us) / US_PER_MS;
 	guint64 reached = aub_rollout_total_reached(rollout);
 
-	if (ms < RATE_MS)
+	if (ms < RATE_INTERVAL_MS)
 		return;
-	if (rollout->rate_us && reached > rollout->rate_reached)
-		rollout->per_ms =
-			(double)(reached - rollout->rate_reached) / ms;
-	rollout->rate_us = now_us;
-	rollout->rate_reached = reached;
+	if (rollout->rate_sampled_us && reached > rollout->rate_requests)
+		rollout->requests_per_ms =
+			(double)(reached - rollout->rate_requests) / ms;
+	rollout->rate_sampled_us = now_us;
+	rollout->rate_requests = reached;
 }
 
 /*
@@ -265,69 +275,69 @@
  * operators allow. Enough: the move takes no more requests than are left of
  * what it may get until the end of the order, whatever it turns out to be.
  */
-static void plan_move(struct aub_rollout *rollout,
-		      const struct aub_rollout_view *view, gint64 now_us)
+static void plan_switch(struct aub_rollout *rollout,
+			const struct aub_rollout_load *load, gint64 now_us)
 {
 	const struct aub_rollout_limits *limits = &rollout->limits;
 	double age = MAX(age_ms(rollout, now_us), 1);
-	double whole = rollout->order.duration_ms;
-	double left_ms = MAX(whole - age, 0);
+	double duration_ms = rollout->order.duration_ms;
+	double left_ms = MAX(duration_ms - age, 0);
 	double reached = (double)aub_rollout_total_reached(rollout);
 	double exposed = (double)aub_rollout_total_exposed(rollout);
-	double per_ms = MAX(reached / age, rollout->per_ms);
-	double used = rollout->others_reached ? SHARE_PLANNED_INHERITED :
-						SHARE_PLANNED;
+	double per_ms = MAX(reached / age, rollout->requests_per_ms);
+	double used = rollout->inherited_reached ? SHARE_USED_INHERITED :
+						   SHARE_USED_PLANNED;
 	double total = used * limits->share * (reached + per_ms * left_ms) +
 		       rollout->allowance;
-	double after = per_ms * margin_ms(rollout) +
-		       RESERVE_SIGMAS * sqrt(MAX(total, 0));
+	double reserve = per_ms * margin_ms(rollout) +
+			 ARRIVAL_RESERVE_SIGMAS * sqrt(MAX(total, 0));
 	double drain; /* requests in one usual time of work */
 	double canary;
 
-	note_rate(rollout, now_us);
-	drain = MAX(per_ms * view->mean_ms, 1);
-	canary = CLAMP(total - after - DRAIN_TIMES * drain,
-		       CANARY_LEAST * total, CANARY_MOST * total);
-	rollout->canary_share = MIN(canary / MAX(per_ms * whole, 1),
-				    CANARY_MOST * limits->share);
+	update_request_rate(rollout, now_us);
+	drain = MAX(per_ms * load->mean_service_time_ms, 1);
+	canary = CLAMP(total - reserve - DRAIN_FACTOR_MAX * drain,
+		       CANARY_SHARE_MIN * total, CANARY_SHARE_MAX * total);
+	rollout->canary_share = MIN(canary / MAX(per_ms * duration_ms, 1),
+				    CANARY_SHARE_MAX * limits->share);
 	rollout->canary_allowance =
-		CLAMP(canary - rollout->canary_share * per_ms * whole, 0,
-		      CANARY_MOST * rollout->allowance);
-	rollout->drain_times = CLAMP((total - exposed - after) / drain,
-				     DRAIN_TIMES_LEAST, DRAIN_TIMES);
+		CLAMP(canary - rollout->canary_share * per_ms * duration_ms, 0,
+		      CANARY_SHARE_MAX * rollout->allowance);
+	rollout->drain_factor = CLAMP((total - exposed - reserve) / drain,
+				      DRAIN_FACTOR_MIN, DRAIN_FACTOR_MAX);
 }
 
 void aub_rollout_grant_slack(struct aub_rollout *rollout)
 {
-	rollout->allowance = SLACK_USED * rollout->limits.slack;
+	rollout->allowance = SLACK_USED_SHARE * rollout->limits.slack;
 }
 
 /* Too few answers to say that it is good, though there were requests. */
-static bool is_unproved(const struct aub_rollout *rollout)
+static bool lacks_answers(const struct aub_rollout *rollout)
 {
-	return rollout->judge.timed < ANSWERS_LEAST &&
-	       aub_rollout_total_reached(rollout) >= REACHED_LEAST;
+	return rollout->judge.timed < TIMED_ANSWERS_MIN &&
+	       aub_rollout_total_reached(rollout) >= REACHED_REQUESTS_MIN;
 }
 
 /* Why an order's time went by without a move. */
-static const char *why_not(const struct aub_rollout *rollout,
-			   const struct aub_rollout_view *view)
+static const char *failure_reason(const struct aub_rollout *rollout,
+				  const struct aub_rollout_load *load)
 {
-	if (!view->slots)
+	if (!load->slots)
 		return "no-upstreams";
-	if (is_unproved(rollout))
+	if (lacks_answers(rollout))
 		return "unproved";
 	if (aub_judge_is_suspicious(&rollout->judge))
 		return "suspicious";
-	return view->slots < view->slots_needed ? "no-room" : "too-late";
+	return load->slots < load->slots_needed ? "no-room" : "too-late";
 }
 
 static bool may_switch(const struct aub_rollout *rollout,
-		       const struct aub_rollout_view *view)
+		       const struct aub_rollout_load *load)
 {
-	return !is_unproved(rollout) &&
-	       !aub_judge_is_suspicious(&rollout->judge) && view->slots &&
-	       view->slots >= view->slots_needed;
+	return !lacks_answers(rollout) &&
+	       !aub_judge_is_suspicious(&rollout->judge) && load->slots &&
+	       load->slots >= load->slots_needed;
 }
 
 /* A test may take long to be sure of what is only a little worse. */
@@ -335,15 +345,16 @@
 {
 	const struct aub_judge *judge = &rollout->judge;
 
-	return judge->bad >= BAD_MANY && judge->bad > BAD_SHARE * judge->timed;
+	return judge->bad >= BAD_ANSWERS_MIN &&
+	       judge->bad > BAD_ANSWERS_SHARE * judge->timed;
 }
 
 bool aub_rollout_step(struct aub_rollout *rollout,
-		      const struct aub_rollout_view *view, gint64 now_us)
+		      const struct aub_rollout_load *load, gint64 now_us)
 {
 	double age = age_ms(rollout, now_us);
 
-	if (!aub_rollout_is_open(rollout))
+	if (!aub_rollout_is_in_progress(rollout))
 		return false;
 	if (rollout->judge.alarmed)
 		return set_state(rollout, AUB_ROLLOUT_ROLLED_BACK,
@@ -353,38 +364,38 @@
 				 "bad-answers");
 	if (rollout->state == AUB_ROLLOUT_SWITCHING)
 		return false;
-	rollout->batch = MAX(view->batch, 1);
-	plan_move(rollout, view, now_us);
+	rollout->batch_size = MAX(load->batch_size, 1);
+	plan_switch(rollout, load, now_us);
 	/* In time to be stored before the order's end. */
 	if (age >= rollout->order.duration_ms - margin_ms(rollout) / 2)
 		return set_state(rollout, AUB_ROLLOUT_ROLLED_BACK,
-				 why_not(rollout, view));
-	if (age < switch_ms(rollout, view->longest_ms) ||
-	    !may_switch(rollout, view))
+				 failure_reason(rollout, load));
+	if (age < switch_ms(rollout, load->max_service_time_ms) ||
+	    !may_switch(rollout, load))
 		return false;
 	return set_state(rollout, AUB_ROLLOUT_SWITCHING, "good");
 }
 
 /* Everything goes to the new version, and the old one has nothing left. */
 static bool is_drained(const struct aub_rollout *rollout,
-		       const struct aub_rollout_view *view, gint64 now_us)
+		       const struct aub_rollout_load *load, gint64 now_us)
 {
 	double age = age_ms(rollout, now_us);
 	double left_ms = MAX(rollout->order.duration_ms - age, 0);
 
-	return age >= switch_ms(rollout, 0) && !view->base_running &&
-	       may_expose_more(rollout, rollout->per_ms * left_ms);
+	return age >= switch_ms(rollout, 0) && !load->baseline_running &&
+	       is_within_exposure(rollout, rollout->requests_per_ms * left_ms);
 }
 
-enum aub_rollout_state aub_rollout_wanted(const struct aub_rollout *rollout,
-					  const struct aub_rollout_view *view,
-					  gint64 now_us)
+enum aub_rollout_state aub_rollout_state_to_store(
+	const struct aub_rollout *rollout, const struct aub_rollout_load *load,
+	gint64 now_us)
 {
 	switch (rollout->state) {
 	case AUB_ROLLOUT_RUNNING:
 		return AUB_ROLLOUT_RUNNING;
 	case AUB_ROLLOUT_SWITCHING:
-		return is_drained(rollout, view, now_us) ?
+		return is_drained(rollout, load, now_us) ?
 			       AUB_ROLLOUT_COMPLETED :
 			       AUB_ROLLOUT_RUNNING;
 	case AUB_ROLLOUT_ROLLED_BACK:
--- a/src/state/rollout_judge.c
+++ b/src/state/rollout_judge.c
@@ -9,43 +9,49 @@
 /* In nats. */
 const double aub_judge_threshold = 9.0;
 
-#define SUSPICION 5.5 /* evidence with which a version isn't trusted */
-#define BUCKETS_AN_OCTAVE 4.0
-#define BASE_MOST 4000.0 /* answers of the old version that are remembered */
-#define BASE_LEAST 20.0 /* before the old version tells what is slow */
+#define SUSPICION_THRESHOLD_NATS \
+	5.5 /* evidence with which a version isn't trusted */
+#define BUCKETS_PER_OCTAVE 4.0
+#define BASELINE_ANSWERS_MAX \
+	4000.0 /* answers of the old version that are remembered */
+#define BASELINE_ANSWERS_MIN \
+	20.0 /* before the old version tells what is slow */
 
 /* The old version's share of failures is taken to be at least this much. */
-#define FAILURES_LEAST 0.008
-#define FAILURES_MARGIN 1.5
-#define FAILURES_PRIOR 100.0 /* answers without a failure */
+#define FAILURE_SHARE_MIN 0.008
+#define FAILURE_SHARE_MARGIN 1.5
+#define FAILURE_PRIOR_ANSWERS 100.0 /* answers without a failure */
 
 #define SLOW_QUANTILE 0.85 /* of the old version's times; beyond is slow */
 #define SLOW_FACTOR 1.1 /* and this many times as long */
-#define FULL_TOLERANCE 1.8 /* full upstreams are slower, whichever version */
-#define SLOW_SHARE_LEAST 0.25
-#define SLOW_MARGIN 1.4
-#define RATE_GAP 1.5 /* an alternative below so many times the base is none */
+#define FULL_SLOW_FACTOR 1.8 /* full upstreams are slower, whichever version \
+			      */
+#define SLOW_SHARE_MIN 0.25
+#define SLOW_SHARE_MARGIN 1.4
+#define ALTERNATIVE_RATIO_MIN \
+	1.5 /* an alternative below so many times the base is none */
 
 /* Upstreams whose evidence convicts a version: a share of its own. */
-#define CONVICTING_SHARE 0.3
-#define CONVICTING_LEAST 1.5
-#define CONVICTING_MOST 5.0
-#define CONVICTING_FACTOR                                  \
+#define REJECTING_UPSTREAM_SHARE 0.3
+#define REJECTING_UPSTREAMS_MIN 1.5
+#define REJECTING_UPSTREAMS_MAX 5.0
+#define REJECTING_EVIDENCE_FACTOR                          \
 	1.2 /* the last of these need not bring all of its \
 	     */
 
-static const double rates[AUB_JUDGE_FAULTS][AUB_JUDGE_ALTERNATIVES] = {
-	[AUB_JUDGE_FAILURES] = { 0.03, 0.1, 0.3, 0.8 },
-	[AUB_JUDGE_SLOWNESS] = { 0.4, 0.55, 0.75, 0.95 },
-};
+static const double
+	alternative_rates[AUB_JUDGE_FAULT_COUNT][AUB_JUDGE_ALTERNATIVES] = {
+		[AUB_JUDGE_FAILURES] = { 0.03, 0.1, 0.3, 0.8 },
+		[AUB_JUDGE_SLOWNESS] = { 0.4, 0.55, 0.75, 0.95 },
+	};
 
 /* What an upstream's evidence loses with each of its good answers, nats. */
-static const double fades[AUB_JUDGE_FAULTS] = {
+static const double evidence_decay[AUB_JUDGE_FAULT_COUNT] = {
 	[AUB_JUDGE_FAILURES] = 0.1,
 	[AUB_JUDGE_SLOWNESS] = 0.5,
 };
 
-void aub_judge_restart(struct aub_judge *judge)
+void aub_judge_reset_canary(struct aub_judge *judge)
 {
 	judge->answers = 0;
 	judge->timed = 0;
@@ -62,19 +68,19 @@
 	}
 }
 
-double aub_judge_evidence_most(guint upstreams)
+double aub_judge_evidence_max(guint upstreams)
 {
-	double needed = CLAMP(CONVICTING_SHARE * upstreams, CONVICTING_LEAST,
-			      CONVICTING_MOST);
+	double needed = CLAMP(REJECTING_UPSTREAM_SHARE * upstreams,
+			      REJECTING_UPSTREAMS_MIN, REJECTING_UPSTREAMS_MAX);
 
 	if (upstreams <= 1)
 		return 2 * aub_judge_threshold;
-	return CONVICTING_FACTOR * aub_judge_threshold / needed;
+	return REJECTING_EVIDENCE_FACTOR * aub_judge_threshold / needed;
 }
 
 const char *aub_judge_fault_name(enum aub_judge_fault fault)
 {
-	static const char *const names[AUB_JUDGE_FAULTS] = {
+	static const char *const names[AUB_JUDGE_FAULT_COUNT] = {
 		[AUB_JUDGE_FAILURES] = "failures",
 		[AUB_JUDGE_SLOWNESS] = "slowness",
 	};
@@ -82,15 +88,16 @@
 	return names[fault];
 }
 
-static struct aub_judge_route *route_of(struct aub_judge *judge, guint32 key)
+static struct aub_judge_route *find_or_add_route(struct aub_judge *judge,
+						 guint32 key)
 {
 	struct aub_judge_route *route;
 
 	for (guint i = 0; i < judge->count; i++)
 		if (judge->routes[i].key == key)
 			return &judge->routes[i];
-	if (judge->count == AUB_JUDGE_ROUTES)
-		return &judge->routes[AUB_JUDGE_ROUTES - 1];
+	if (judge->count == AUB_JUDGE_ROUTES_MAX)
+		return &judge->routes[AUB_JUDGE_ROUTES_MAX - 1];
 	route = &judge->routes[judge->count++];
 	route->key = key;
 	return route;
@@ -98,56 +105,58 @@
 
 static guint bucket_of(double ms)
 {
-	double bucket = BUCKETS_AN_OCTAVE * log2(MAX(ms, 1));
+	double bucket = BUCKETS_PER_OCTAVE * log2(MAX(ms, 1));
 
-	return (guint)CLAMP(bucket, 0, AUB_JUDGE_BUCKETS - 1);
+	return (guint)CLAMP(bucket, 0, AUB_JUDGE_LATENCY_BUCKETS - 1);
 }
 
 /* The lower end of a bucket. */
 static double bucket_ms(guint bucket)
 {
-	return exp2(bucket / BUCKETS_AN_OCTAVE);
+	return exp2(bucket / BUCKETS_PER_OCTAVE);
 }
 
-static void halve(struct aub_judge_route *route)
+static void halve_baseline(struct aub_judge_route *route)
 {
-	route->base_answers /= 2;
-	route->base_failures /= 2;
-	for (guint i = 0; i < AUB_JUDGE_BUCKETS; i++)
-		route->base_times[i] /= 2;
+	route->baseline_answers /= 2;
+	route->baseline_failures /= 2;
+	for (guint i = 0; i < AUB_JUDGE_LATENCY_BUCKETS; i++)
+		route->baseline_times[i] /= 2;
 }
 
-void aub_judge_take_base(struct aub_judge *judge,
-			 const struct aub_judge_answer *answer)
+void aub_judge_add_baseline(struct aub_judge *judge,
+			    const struct aub_judge_answer *answer)
 {
-	struct aub_judge_route *route = route_of(judge, answer->route);
+	struct aub_judge_route *route = find_or_add_route(judge, answer->route);
 
-	route->base_answers++;
-	route->base_failures += answer->failed;
+	route->baseline_answers++;
+	route->baseline_failures += answer->failed;
 	if (!answer->failed && answer->ms > 0)
-		route->base_times[bucket_of(answer->ms)]++;
-	if (route->base_answers >= BASE_MOST)
-		halve(route);
+		route->baseline_times[bucket_of(answer->ms)]++;
+	if (route->baseline_answers >= BASELINE_ANSWERS_MAX)
+		halve_baseline(route);
 }
 
-/* Bucket from which on an answer is slow; AUB_JUDGE_BUCKETS: not known. */
+/* Bucket from which on an answer is slow; AUB_JUDGE_LATENCY_BUCKETS: not known.
+ */
 static guint slow_bucket(const struct aub_judge_route *route, double *share)
 {
 	double total = 0;
 	double below = 0;
 	guint bucket;
 
-	for (guint i = 0; i < AUB_JUDGE_BUCKETS; i++)
-		total += route->base_times[i];
-	*share = SLOW_SHARE_LEAST;
-	if (total < BASE_LEAST)
-		return AUB_JUDGE_BUCKETS;
-	for (bucket = 0; bucket < AUB_JUDGE_BUCKETS - 1; bucket++) {
-		below += route->base_times[bucket];
+	for (guint i = 0; i < AUB_JUDGE_LATENCY_BUCKETS; i++)
+		total += route->baseline_times[i];
+	*share = SLOW_SHARE_MIN;
+	if (total < BASELINE_ANSWERS_MIN)
+		return AUB_JUDGE_LATENCY_BUCKETS;
+	for (bucket = 0; bucket < AUB_JUDGE_LATENCY_BUCKETS - 1; bucket++) {
+		below += route->baseline_times[bucket];
 		if (below >= SLOW_QUANTILE * total)
 			break;
 	}
-	*share = MAX((total - below) / total * SLOW_MARGIN, SLOW_SHARE_LEAST);
+	*share = MAX((total - below) / total * SLOW_SHARE_MARGIN,
+		     SLOW_SHARE_MIN);
 	return bucket + 1;
 }
 
@@ -155,11 +164,11 @@
 		      double *share)
 {
 	guint bucket = slow_bucket(route, share);
-	double ms = route->told_slow_ms;
+	double ms = route->reported_slow_ms;
 
-	if (bucket < AUB_JUDGE_BUCKETS)
+	if (bucket < AUB_JUDGE_LATENCY_BUCKETS)
 		ms = bucket_ms(bucket) * SLOW_FACTOR;
-	return ms * (full ? FULL_TOLERANCE : 1);
+	return ms * (full ? FULL_SLOW_FACTOR : 1);
 }
 
 guint aub_judge_export(const struct aub_judge *judge,
@@ -169,18 +178,18 @@
 		double share;
 
 		routes[i] = judge->routes[i];
-		routes[i].told_slow_ms =
+		routes[i].reported_slow_ms =
 			slow_ms(&judge->routes[i], false, &share);
 	}
 	routes[judge->count] =
 		(struct aub_judge_route){ .key = AUB_JUDGE_POOLED };
-	for (guint j = 0; j < AUB_JUDGE_FAULTS; j++)
+	for (guint j = 0; j < AUB_JUDGE_FAULT_COUNT; j++)
 		routes[judge->count].tests[j][0] = judge->pooled[j];
 	return judge->count + 1;
 }
 
-void aub_judge_inherit(struct aub_judge *judge,
-		       const struct aub_judge_route *routes, guint count)
+void aub_judge_import(struct aub_judge *judge,
+		      const struct aub_judge_route *routes, guint count)
 {
 	judge->answers = 0;
 	judge->timed = 0;
@@ -189,19 +198,19 @@
 		struct aub_judge_route *route;
 
 		if (routes[i].key == AUB_JUDGE_POOLED) {
-			for (guint j = 0; j < AUB_JUDGE_FAULTS; j++)
+			for (guint j = 0; j < AUB_JUDGE_FAULT_COUNT; j++)
 				judge->pooled[j] = routes[i].tests[j][0];
 			continue;
 		}
-		route = route_of(judge, routes[i].key);
+		route = find_or_add_route(judge, routes[i].key);
 		route->answers = routes[i].answers;
 		route->timed = routes[i].timed;
-		route->told_slow_ms = routes[i].told_slow_ms;
+		route->reported_slow_ms = routes[i].reported_slow_ms;
 		memcpy(route->bad, routes[i].bad, sizeof(route->bad));
 		memcpy(route->tests, routes[i].tests, sizeof(route->tests));
 		judge->answers += route->answers;
 		judge->timed += route->timed;
-		for (guint j = 0; j < AUB_JUDGE_FAULTS; j++)
+		for (guint j = 0; j < AUB_JUDGE_FAULT_COUNT; j++)
 			judge->bad += route->bad[j];
 	}
 }
@@ -218,10 +227,10 @@
 
 static double failure_share(const struct aub_judge_route *route)
 {
-	double share = FAILURES_MARGIN * route->base_failures /
-		       (route->base_answers + FAILURES_PRIOR);
+	double share = FAILURE_SHARE_MARGIN * route->baseline_failures /
+		       (route->baseline_answers + FAILURE_PRIOR_ANSWERS);
 
-	return CLAMP(share, FAILURES_LEAST, 0.9);
+	return CLAMP(share, FAILURE_SHARE_MIN, 0.9);
 }
 
 /* One step of a test; what the strongest alternative gained by it. */
@@ -231,10 +240,10 @@
 	double gained = 0;
 
 	for (guint i = 0; i < AUB_JUDGE_ALTERNATIVES; i++) {
-		double rate = rates[fault][i];
+		double rate = alternative_rates[fault][i];
 		double step;
 
-		if (rate < RATE_GAP * base)
+		if (rate < ALTERNATIVE_RATIO_MIN * base)
 			continue;
 		step = weight *
 		       (bad ? log(rate / base) : log((1 - rate) / (1 - base)));
@@ -254,14 +263,14 @@
 
 bool aub_judge_is_suspicious(const struct aub_judge *judge)
 {
-	for (guint fault = 0; fault < AUB_JUDGE_FAULTS; fault++) {
-		if (reaches(&judge->pooled[fault], SUSPICION))
+	for (guint fault = 0; fault < AUB_JUDGE_FAULT_COUNT; fault++) {
+		if (reaches(&judge->pooled[fault], SUSPICION_THRESHOLD_NATS))
 			return true;
 		for (guint i = 0; i < judge->count; i++)
 			if (reaches(&judge->routes[i].tests[fault][0],
-				    SUSPICION) ||
+				    SUSPICION_THRESHOLD_NATS) ||
 			    reaches(&judge->routes[i].tests[fault][1],
-				    SUSPICION))
+				    SUSPICION_THRESHOLD_NATS))
 				return true;
 	}
 	return false;
@@ -271,25 +280,27 @@
  * One answer, good or bad, where the old version's share is `base`. The more
  * its upstream has brought forward, the less it counts, for and against.
  */
-static void take(struct aub_judge *judge, struct aub_judge_route *route,
-		 enum aub_judge_fault fault, bool full, bool bad, double base,
-		 struct aub_judge_evidence *evidence, double most)
+static void add_result(struct aub_judge *judge, struct aub_judge_route *route,
+		       enum aub_judge_fault fault, bool full, bool bad,
+		       double base, struct aub_judge_evidence *evidence,
+		       double evidence_max)
 {
-	double *brought = &evidence->brought[fault];
+	double *contributed = &evidence->contributed[fault];
 	struct aub_judge_test *test = &route->tests[fault][full];
 	struct aub_judge_test *pooled = &judge->pooled[fault];
-	double strongest = log(rates[fault][AUB_JUDGE_ALTERNATIVES - 1] / base);
-	double weight = CLAMP(1 - *brought / most, 0, 1) *
-			MIN(most / MAX(strongest, 1), 1);
+	double strongest = log(
+		alternative_rates[fault][AUB_JUDGE_ALTERNATIVES - 1] / base);
+	double weight = CLAMP(1 - *contributed / evidence_max, 0, 1) *
+			MIN(evidence_max / MAX(strongest, 1), 1);
 	double gained = test_step(test, fault, bad, base, weight);
 
 	/* Whether a full one is slow is hard to tell: that stays apart. */
 	if (!full || fault != AUB_JUDGE_SLOWNESS)
 		(void)test_step(pooled, fault, bad, base, weight);
 	if (bad)
-		*brought += gained;
+		*contributed += gained;
 	else
-		*brought = MAX(*brought - fades[fault], 0);
+		*contributed = MAX(*contributed - evidence_decay[fault], 0);
 	if (judge->alarmed || (!reaches(test, aub_judge_threshold) &&
 			       !reaches(pooled, aub_judge_threshold)))
 		return;
@@ -298,11 +309,12 @@
 	judge->route = route->key;
 }
 
-void aub_judge_take_new(struct aub_judge *judge,
-			const struct aub_judge_answer *answer,
-			struct aub_judge_evidence *evidence, double most)
+void aub_judge_add_canary(struct aub_judge *judge,
+			  const struct aub_judge_answer *answer,
+			  struct aub_judge_evidence *evidence,
+			  double evidence_max)
 {
-	struct aub_judge_route *route = route_of(judge, answer->route);
+	struct aub_judge_route *route = find_or_add_route(judge, answer->route);
 	double slow_share = 0;
 	double limit_ms = slow_ms(route, answer->full, &slow_share);
 	bool slow = limit_ms > 0 && answer->ms > limit_ms;
@@ -310,14 +322,15 @@
 	judge->answers++;
 	route->answers++;
 	route->bad[AUB_JUDGE_FAILURES] += answer->failed;
-	take(judge, route, AUB_JUDGE_FAILURES, answer->full, answer->failed,
-	     failure_share(route), evidence, most);
+	add_result(judge, route, AUB_JUDGE_FAILURES, answer->full,
+		   answer->failed, failure_share(route), evidence,
+		   evidence_max);
 	if (answer->ms > 0 && limit_ms > 0 && !answer->failed) {
 		judge->timed++;
 		route->timed++;
 		route->bad[AUB_JUDGE_SLOWNESS] += slow;
-		take(judge, route, AUB_JUDGE_SLOWNESS, answer->full, slow,
-		     slow_share, evidence, most);
+		add_result(judge, route, AUB_JUDGE_SLOWNESS, answer->full, slow,
+			   slow_share, evidence, evidence_max);
 	}
 	judge->bad += answer->failed || slow;
 }
--- a/src/state/routing.c
+++ b/src/state/routing.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* Steps of the golden ratio spread any number of picks evenly. */
-#define GOLDEN_STEP 0.6180339887498949
+#define GOLDEN_RATIO_STEP 0.6180339887498949
 
 struct aub_routing *aub_routing_new(void)
 {
@@ -52,7 +52,7 @@
 
 	route->splits = g_array_new(FALSE, FALSE, sizeof(struct aub_split));
 	g_array_set_clear_func(route->splits, split_clear);
-	route->phase = g_random_double();
+	route->split_phase = g_random_double();
 	return route;
 }
 
@@ -88,7 +88,7 @@
 	g_free(spec);
 }
 
-static gint by_prefix_length(gconstpointer a, gconstpointer b)
+static gint compare_prefix_length(gconstpointer a, gconstpointer b)
 {
 	const struct aub_route *left = *(struct aub_route *const *)a;
 	const struct aub_route *right = *(struct aub_route *const *)b;
@@ -98,7 +98,7 @@
 	return l < r ? 1 : l > r ? -1 : 0;
 }
 
-static bool route_check(const struct aub_routing *routing,
+static bool check_route(const struct aub_routing *routing,
 			const struct aub_route *route, GError **error)
 {
 	if (!route->splits->len || route->total_weight <= 0) {
@@ -126,7 +126,7 @@
 	return false;
 }
 
-bool aub_routing_seal(struct aub_routing *routing, GError **error)
+bool aub_routing_build_index(struct aub_routing *routing, GError **error)
 {
 	GHashTableIter iter;
 	void *list;
@@ -136,7 +136,7 @@
 		GPtrArray *routes =
 			g_hash_table_lookup(routing->hosts, route->host);
 
-		if (!route_check(routing, route, error))
+		if (!check_route(routing, route, error))
 			return false;
 		route->key = g_str_hash(route->name);
 		if (!routes) {
@@ -148,12 +148,12 @@
 	}
 	g_hash_table_iter_init(&iter, routing->hosts);
 	while (g_hash_table_iter_next(&iter, NULL, &list))
-		g_ptr_array_sort(list, by_prefix_length);
+		g_ptr_array_sort(list, compare_prefix_length);
 	return true;
 }
 
 /* `prefix` begins the path; the query is not part of it. */
-static bool begins(const char *target, const char *prefix)
+static bool has_path_prefix(const char *target, const char *prefix)
 {
 	gsize length = strlen(prefix);
 
@@ -170,14 +170,14 @@
 	for (guint i = 0; routes && i < routes->len; i++) {
 		struct aub_route *route = g_ptr_array_index(routes, i);
 
-		if (begins(target, route->prefix))
+		if (has_path_prefix(target, route->prefix))
 			return route;
 	}
 	return NULL;
 }
 
-static struct aub_route *find_same(const struct aub_routing *routing,
-				   const struct aub_route *like)
+static struct aub_route *find_matching(const struct aub_routing *routing,
+				       const struct aub_route *like)
 {
 	GPtrArray *routes = g_hash_table_lookup(routing->hosts, like->host);
 
@@ -190,30 +190,31 @@
 	return NULL;
 }
 
-void aub_routing_inherit(struct aub_routing *routing,
-			 const struct aub_routing *old)
+void aub_routing_copy_caller_waits(struct aub_routing *routing,
+				   const struct aub_routing *old)
 {
 	for (guint i = 0; old && i < routing->routes->len; i++) {
 		struct aub_route *route = g_ptr_array_index(routing->routes, i);
-		const struct aub_route *before = find_same(old, route);
+		const struct aub_route *previous = find_matching(old, route);
 
-		if (before)
-			route->age = before->age;
+		if (previous)
+			route->caller_wait = previous->caller_wait;
 	}
 }
 
-const char *aub_route_pick(struct aub_route *route)
+const char *aub_route_pick_service(struct aub_route *route)
 {
-	double at;
+	double position;
 	guint i = 0;
 
-	route->phase += GOLDEN_STEP;
-	if (route->phase >= 1.0)
-		route->phase -= 1.0;
-	at = route->phase * route->total_weight;
+	route->split_phase += GOLDEN_RATIO_STEP;
+	if (route->split_phase >= 1.0)
+		route->split_phase -= 1.0;
+	position = route->split_phase * route->total_weight;
 	for (; i + 1 < route->splits->len; i++) {
-		at -= g_array_index(route->splits, struct aub_split, i).weight;
-		if (at < 0)
+		position -= g_array_index(route->splits, struct aub_split, i)
+				    .weight;
+		if (position < 0)
 			break;
 	}
 	return g_array_index(route->splits, struct aub_split, i).service;
