--- a/src/state/service_versions.c
+++ b/src/state/service_versions.c
@@ -9,12 +9,12 @@
  * An order is given before or while its upstreams start; this is longer than
  * it takes to hear of it while the store is disturbed.
  */
-#define ADMIT_AFTER_US ((gint64)10 * G_USEC_PER_SEC)
+#define ADMISSION_DELAY_US ((gint64)10 * G_USEC_PER_SEC)
 
 void aub_service_versions_init(struct aub_service_versions *versions)
 {
 	memset(versions, 0, sizeof(*versions));
-	versions->in_force = AUB_VERSION_NONE;
+	versions->current = AUB_VERSION_NONE;
 	versions->target = AUB_VERSION_NONE;
 }
 
@@ -26,12 +26,12 @@
 }
 
 /* A place for one more: one that is of no use any more, if the list is full. */
-static gint find_place(struct aub_service_versions *versions)
+static gint find_slot(struct aub_service_versions *versions)
 {
-	if (versions->count < AUB_VERSIONS_MOST)
+	if (versions->count < AUB_VERSIONS_MAX)
 		return (gint)versions->count++;
-	for (gint i = 0; i < AUB_VERSIONS_MOST; i++)
-		if (!versions->list[i].upstreams && i != versions->in_force &&
+	for (gint i = 0; i < AUB_VERSIONS_MAX; i++)
+		if (!versions->list[i].upstreams && i != versions->current &&
 		    i != versions->target)
 			return i;
 	return AUB_VERSION_NONE;
@@ -40,50 +40,50 @@
 gint aub_service_versions_index(struct aub_service_versions *versions,
 				const char *name)
 {
-	gint place;
+	gint slot;
 
 	for (guint i = 0; i < versions->count; i++)
 		if (!strcmp(versions->list[i].name, name))
 			return (gint)i;
-	place = find_place(versions);
-	if (place == AUB_VERSION_NONE)
-		return place;
-	g_free(versions->list[place].name);
-	versions->list[place] = (struct aub_version){
+	slot = find_slot(versions);
+	if (slot == AUB_VERSION_NONE)
+		return slot;
+	g_free(versions->list[slot].name);
+	versions->list[slot] = (struct aub_version){
 		.name = g_strdup(name),
 	};
-	return place;
+	return slot;
 }
 
-void aub_service_versions_recount(struct aub_service_versions *versions)
+void aub_service_versions_begin_count(struct aub_service_versions *versions)
 {
 	for (guint i = 0; i < versions->count; i++)
 		versions->list[i].upstreams = 0;
 }
 
-void aub_service_versions_count(struct aub_service_versions *versions,
-				gint index, gint64 born_ms)
+void aub_service_versions_add(struct aub_service_versions *versions, gint index,
+			      gint64 oldest_start_ms)
 {
 	struct aub_version *version;
 
 	if (index == AUB_VERSION_NONE)
 		return;
 	version = &versions->list[index];
-	if (!version->upstreams++ || born_ms < version->born_ms)
-		version->born_ms = born_ms;
+	if (!version->upstreams++ || oldest_start_ms < version->oldest_start_ms)
+		version->oldest_start_ms = oldest_start_ms;
 }
 
-void aub_service_versions_discount(struct aub_service_versions *versions,
-				   gint index)
+void aub_service_versions_remove(struct aub_service_versions *versions,
+				 gint index)
 {
 	if (index != AUB_VERSION_NONE && versions->list[index].upstreams)
 		versions->list[index].upstreams--;
 }
 
-static bool may_be_in_force(const struct aub_service_versions *versions, gint i)
+static bool may_be_current(const struct aub_service_versions *versions, gint i)
 {
-	return versions->list[i].upstreams && !versions->list[i].barred &&
-	       i != versions->target;
+	return versions->list[i].upstreams &&
+	       !versions->list[i].requires_order && i != versions->target;
 }
 
 /*
@@ -92,39 +92,40 @@
  * Enough: upstreams of a new version are started beside the old ones, so the
  * version of the oldest upstream is the one in force.
  */
-static void find_in_force(struct aub_service_versions *versions, gint64 now_us)
+static void find_current(struct aub_service_versions *versions, gint64 now_us)
 {
 	gint best = AUB_VERSION_NONE;
 
 	/* Upstreams restart, so age tells only until the first listing is in.
 	 */
-	if (versions->in_force != AUB_VERSION_NONE &&
-	    may_be_in_force(versions, versions->in_force) &&
-	    now_us - versions->in_force_us >= ADMIT_AFTER_US)
+	if (versions->current != AUB_VERSION_NONE &&
+	    may_be_current(versions, versions->current) &&
+	    now_us - versions->current_since_us >= ADMISSION_DELAY_US)
 		return;
 	for (gint i = 0; i < (gint)versions->count; i++)
-		if (may_be_in_force(versions, i) &&
+		if (may_be_current(versions, i) &&
 		    (best == AUB_VERSION_NONE ||
-		     versions->list[i].born_ms < versions->list[best].born_ms))
+		     versions->list[i].oldest_start_ms <
+			     versions->list[best].oldest_start_ms))
 			best = i;
-	if (best == AUB_VERSION_NONE || best == versions->in_force)
+	if (best == AUB_VERSION_NONE || best == versions->current)
 		return;
-	versions->in_force = best;
-	versions->in_force_us = now_us;
+	versions->current = best;
+	versions->current_since_us = now_us;
 }
 
-void aub_service_versions_counted(struct aub_service_versions *versions,
-				  gint64 now_us)
+void aub_service_versions_finish_count(struct aub_service_versions *versions,
+				       gint64 now_us)
 {
 	for (guint i = 0; i < versions->count; i++) {
 		struct aub_version *version = &versions->list[i];
 
 		if (!version->upstreams)
-			version->since_us = 0;
-		else if (!version->since_us)
-			version->since_us = now_us;
+			version->present_since_us = 0;
+		else if (!version->present_since_us)
+			version->present_since_us = now_us;
 	}
-	find_in_force(versions, now_us);
+	find_current(versions, now_us);
 }
 
 /* What an order was for needs another one once that is gone. */
@@ -136,9 +137,9 @@
 	versions->target = index;
 	if (index != AUB_VERSION_NONE) {
 		versions->list[index].admitted = false;
-		versions->list[index].barred = true;
+		versions->list[index].requires_order = true;
 	}
-	find_in_force(versions, now_us);
+	find_current(versions, now_us);
 }
 
 void aub_service_versions_complete(struct aub_service_versions *versions,
@@ -148,12 +149,12 @@
 		return;
 	for (guint i = 0; i < versions->count; i++) {
 		versions->list[i].admitted = false;
-		versions->list[i].since_us = now_us;
+		versions->list[i].present_since_us = now_us;
 	}
-	versions->list[index].barred = false;
-	versions->in_force = index;
+	versions->list[index].requires_order = false;
+	versions->current = index;
 	/* Older upstreams that are still listed don't come before it. */
-	versions->in_force_us = now_us - ADMIT_AFTER_US;
+	versions->current_since_us = now_us - ADMISSION_DELAY_US;
 	versions->target = AUB_VERSION_NONE;
 }
 
@@ -165,9 +166,9 @@
 	for (gint i = 0; i < (gint)versions->count; i++) {
 		struct aub_version *version = &versions->list[i];
 
-		if (version->admitted || !may_be_in_force(versions, i) ||
-		    i == versions->in_force ||
-		    now_us - version->since_us < ADMIT_AFTER_US)
+		if (version->admitted || !may_be_current(versions, i) ||
+		    i == versions->current ||
+		    now_us - version->present_since_us < ADMISSION_DELAY_US)
 			continue;
 		version->admitted = true;
 		changed = true;
@@ -175,9 +176,9 @@
 	return changed;
 }
 
-bool aub_service_versions_is_free(const struct aub_service_versions *versions,
-				  gint index)
+bool aub_service_versions_is_active(const struct aub_service_versions *versions,
+				    gint index)
 {
 	return index != AUB_VERSION_NONE && index != versions->target &&
-	       (index == versions->in_force || versions->list[index].admitted);
+	       (index == versions->current || versions->list[index].admitted);
 }
--- a/tests/placement_load.h
+++ b/tests/placement_load.h
@@ -6,7 +6,7 @@
 #ifndef TESTS_PLACEMENT_LOAD_H
 #define TESTS_PLACEMENT_LOAD_H
 
-#include "placement_rig.h"
+#include "placement_fixture.h"
 
 #include <deque>
 #include <map>
@@ -16,14 +16,16 @@
 	guint upstreams = 13;
 	guint slots = 6;
 	double work_ms = 120;
-	double work_spread = 0.3; /* sigma of its logarithm */
-	double slow_share = 0.25; /* of the time that neighbours are busy */
-	double slow_factor = 4;
-	guint slow_ms = 300; /* how long they stay as they are */
-	double knee_at = 0.8; /* of the slots; what begins there or beyond */
-	double knee_factor = 1.7; /* takes so many times as long */
-	bool reports = true; /* answers and probes tell the load */
-	double per_s = 70; /* callers that arrive */
+	double work_sigma = 0.3; /* sigma of its logarithm */
+	double interference_share =
+		0.25; /* of the time that neighbours are busy */
+	double interference_factor = 4;
+	guint interference_ms = 300; /* how long they stay as they are */
+	double saturation_share =
+		0.8; /* of the slots; what begins there or beyond */
+	double saturated_slowdown = 1.7; /* takes so many times as long */
+	bool reports_load = true; /* answers and probes tell the load */
+	double requests_per_s = 70; /* callers that arrive */
 	guint target_ms = 300;
 	guint seconds = 60;
 	guint seed = 1;
@@ -43,7 +45,7 @@
 		refused += other.refused;
 	}
 	/* Of those whose answer is known. */
-	double share() const
+	double on_time_share() const
 	{
 		return (double)on_time / MAX(on_time + late + refused, 1);
 	}
@@ -59,17 +61,18 @@
 			Upstream upstream;
 
 			upstream.id = "u" + std::to_string(i);
-			upstream.turn_ms = random() % MAX(spec.slow_ms, 1);
+			upstream.phase_ms =
+				random() % MAX(spec.interference_ms, 1);
 			upstreams.push_back(upstream);
-			placement.enter(upstream.id, spec.slots);
-			placement.row(upstream.id)->probe_us +=
-				(random() % 100) * MS;
+			fixture.register_upstream(upstream.id, spec.slots);
+			fixture.endpoint(upstream.id)->next_probe_us +=
+				(random() % 100) * US_PER_MS;
 			index[upstream.id] = i;
 		}
 	}
-	LoadResult play()
+	LoadResult run()
 	{
-		next_arrival = 1000;
+		next_arrival_ms = 1000;
 		for (gint64 ms = 0; ms < spec.seconds * 1000; ms++)
 			step(ms);
 		return result;
@@ -78,8 +81,8 @@
       protected:
 	struct Upstream {
 		std::string id;
-		guint turn_ms;
-		double slow = 1;
+		guint phase_ms;
+		double slowdown = 1;
 		guint running = 0;
 	};
 	struct Run {
@@ -91,12 +94,12 @@
 
 	const LoadSpec spec;
 	std::mt19937 random;
-	Placement placement;
+	PlacementFixture fixture;
 	std::vector<Upstream> upstreams;
 	std::map<std::string, guint> index;
 	std::multimap<gint64, Run> runs; /* by when they end, ms */
 	std::map<guint64, gint64> asked; /* ticket -> ms */
-	double next_arrival = 0;
+	double next_arrival_ms = 0;
 	LoadResult result;
 
 	double uniform()
@@ -105,91 +108,99 @@
 	}
 	struct aub_load load_of(const Upstream &upstream) const
 	{
-		if (!spec.reports)
+		if (!spec.reports_load)
 			return { -1, -1, -1, -1, -1 };
 		return { (gint)upstream.running, 0, (gint)spec.slots,
-			 (gint)(upstream.slow * 100), -1 };
+			 (gint)(upstream.slowdown * 100), -1 };
 	}
-	double knee(const Upstream &upstream) const
+	double saturation(const Upstream &upstream) const
 	{
 		double share = (double)upstream.running / spec.slots;
 
-		return share >= spec.knee_at ? spec.knee_factor : 1;
+		return share >= spec.saturation_share ?
+			       spec.saturated_slowdown :
+			       1;
 	}
-	void neighbours(gint64 ms)
+	void update_interference(gint64 ms)
 	{
 		for (Upstream &upstream : upstreams)
-			if (spec.slow_ms &&
-			    (ms + upstream.turn_ms) % spec.slow_ms == 0)
-				upstream.slow = uniform() < spec.slow_share ?
-							spec.slow_factor :
-							1;
+			if (spec.interference_ms &&
+			    (ms + upstream.phase_ms) % spec.interference_ms ==
+				    0)
+				upstream.slowdown =
+					uniform() < spec.interference_share ?
+						spec.interference_factor :
+						1;
 	}
-	void probes()
+	void run_probes()
 	{
 		struct aub_probe probe;
 
-		while (aub_placement_probe_next(placement.it, NULL,
-						placement.now, &probe)) {
+		while (aub_placement_probe_next(fixture.placement, NULL,
+						fixture.now_us, &probe)) {
 			struct aub_load load =
 				load_of(upstreams[index[probe.upstream]]);
 
-			aub_placement_probe_ended(placement.it, probe.upstream,
-						  AUB_PROBE_WELL, &load,
-						  placement.now);
+			aub_placement_probe_finished(fixture.placement,
+						     probe.upstream,
+						     AUB_PROBE_HEALTHY, &load,
+						     fixture.now_us);
 		}
 	}
-	void start(const struct aub_decision &decision, gint64 ms)
+	void start(const struct aub_placement_decision &decision, gint64 ms)
 	{
 		guint at = index[decision.upstream];
 		Upstream &upstream = upstreams[at];
 		double work = spec.work_ms *
 			      std::lognormal_distribution<double>(
-				      -spec.work_spread * spec.work_spread / 2,
-				      spec.work_spread)(random);
+				      -spec.work_sigma * spec.work_sigma / 2,
+				      spec.work_sigma)(random);
 
 		upstream.running++;
-		work *= upstream.slow * knee(upstream);
+		work *= upstream.slowdown * saturation(upstream);
 		runs.insert({ ms + (gint64)work + 2,
 			      { decision.ticket, at, ms,
 				asked[decision.ticket] } });
 	}
-	void decided(const struct aub_decision &decision, gint64 ms)
+	void handle_decision(const struct aub_placement_decision &decision,
+			     gint64 ms)
 	{
 		if (decision.verdict == AUB_VERDICT_GRANTED)
 			start(decision, ms);
 		else if (decision.verdict != AUB_VERDICT_QUEUED)
 			result.refused++;
 	}
-	void arrivals(gint64 ms)
+	void submit_arrivals(gint64 ms)
 	{
-		while (next_arrival <= (double)ms) {
-			struct aub_ask ask = placement.ask_of();
-
-			next_arrival += std::exponential_distribution<double>(
-				spec.per_s / 1000)(random);
-			ask.target_ms = spec.target_ms;
-			ask.on_time_ms = spec.target_ms * 6 / 10;
-			ask.patience_ms = spec.target_ms;
-			asked[ask.ticket] = ms;
+		while (next_arrival_ms <= (double)ms) {
+			struct aub_placement_request request =
+				fixture.new_request();
+
+			next_arrival_ms +=
+				std::exponential_distribution<double>(
+					spec.requests_per_s / 1000)(random);
+			request.target_ms = spec.target_ms;
+			request.on_time_wait_ms = spec.target_ms * 6 / 10;
+			request.max_wait_ms = spec.target_ms;
+			asked[request.ticket] = ms;
 			result.asked++;
-			decided(placement.ask(ask), ms);
+			handle_decision(fixture.submit(request), ms);
 		}
 	}
-	void ends(gint64 ms)
+	void finish_runs(gint64 ms)
 	{
 		while (!runs.empty() && runs.begin()->first <= ms) {
 			Run run = runs.begin()->second;
-			struct aub_attempt_report report = {};
+			struct aub_grant_report report = {};
 
 			runs.erase(runs.begin());
 			upstreams[run.upstream].running--;
 			report.ticket = run.ticket;
-			report.end = AUB_END_OK;
-			report.elapsed_us = (ms - run.sent_ms) * MS;
+			report.end = AUB_GRANT_OK;
+			report.elapsed_us = (ms - run.sent_ms) * US_PER_MS;
 			report.load = load_of(upstreams[run.upstream]);
-			aub_placement_report(placement.it, &report,
-					     placement.now);
+			aub_placement_report(fixture.placement, &report,
+					     fixture.now_us);
 			if (ms - run.asked_ms <= spec.target_ms)
 				result.on_time++;
 			else
@@ -198,15 +209,15 @@
 	}
 	void step(gint64 ms)
 	{
-		struct aub_decision decision;
-
-		placement.now += MS;
-		neighbours(ms);
-		probes();
-		ends(ms);
-		arrivals(ms);
-		while (placement.next(&decision))
-			decided(decision, ms);
+		struct aub_placement_decision decision;
+
+		fixture.now_us += US_PER_MS;
+		update_interference(ms);
+		run_probes();
+		finish_runs(ms);
+		submit_arrivals(ms);
+		while (fixture.next_decision(&decision))
+			handle_decision(decision, ms);
 	}
 };
 
--- a/tests/placer_rig.h
+++ b/tests/placer_rig.h
@@ -233,11 +233,11 @@
 	}
 	void ask(Gate &gate, Placed *result, guint patience_ms = 500)
 	{
-		struct aub_ask ask = {};
+		struct aub_placement_request ask = {};
 
 		ask.target_ms = 600;
-		ask.on_time_ms = patience_ms;
-		ask.patience_ms = patience_ms;
+		ask.on_time_wait_ms = patience_ms;
+		ask.max_wait_ms = patience_ms;
 		*result = Placed();
 		result->ticket = aub_placer_ticket(gate.placer);
 		aub_placer_ask(gate.placer, "svc", &ask, result->ticket,
@@ -256,7 +256,7 @@
 			EXPECT_EQ(result.verdict, AUB_VERDICT_GRANTED);
 			EXPECT_EQ(result.upstream, upstream);
 			aub_placer_report(asking.placer, result.ticket,
-					  AUB_END_OK, 1000, NULL);
+					  AUB_GRANT_OK, 1000, NULL);
 		}
 	}
 };
--- a/tests/test_load_trend.cc
+++ b/tests/test_load_trend.cc
@@ -35,8 +35,8 @@
 	struct aub_load_trend trend;
 
 	aub_load_trend_init(&trend);
-	EXPECT_NEAR(aub_load_trend_expect(&trend, 4, 0), 4, 0.01);
-	EXPECT_NEAR(aub_load_trend_expect(&trend, 1, 0), 1, 0.01);
+	EXPECT_NEAR(aub_load_trend_predict(&trend, 4, 0), 4, 0.01);
+	EXPECT_NEAR(aub_load_trend_predict(&trend, 1, 0), 1, 0.01);
 }
 
 TEST(LoadTrend, LearnsHowLongABurstLasts)
@@ -44,8 +44,8 @@
 	struct aub_load_trend brief = learned(0.25, 4, 300, 60);
 	struct aub_load_trend lasting = learned(0.25, 4, 2000, 60);
 
-	EXPECT_NEAR(aub_load_trend_holds_ms(&brief), 300, 100);
-	EXPECT_NEAR(aub_load_trend_holds_ms(&lasting), 2000, 700);
+	EXPECT_NEAR(aub_load_trend_correlation_ms(&brief), 300, 100);
+	EXPECT_NEAR(aub_load_trend_correlation_ms(&lasting), 2000, 700);
 }
 
 TEST(LoadTrend, FadesTowardsTheMean)
@@ -54,9 +54,9 @@
 	double mean = aub_load_trend_mean(&trend);
 
 	EXPECT_NEAR(mean, 1.75, 0.3);
-	EXPECT_LT(aub_load_trend_expect(&trend, 4, 300 * MS), 3);
-	EXPECT_GT(aub_load_trend_expect(&trend, 1, 300 * MS), 1.3);
-	EXPECT_NEAR(aub_load_trend_expect(&trend, 4, 10000 * MS), mean, 0.01);
+	EXPECT_LT(aub_load_trend_predict(&trend, 4, 300 * MS), 3);
+	EXPECT_GT(aub_load_trend_predict(&trend, 1, 300 * MS), 1.3);
+	EXPECT_NEAR(aub_load_trend_predict(&trend, 4, 10000 * MS), mean, 0.01);
 }
 
 TEST(LoadTrend, KeepsWhatNeverChanges)
@@ -67,7 +67,7 @@
 	for (int i = 0; i < 20000; i++)
 		aub_load_trend_observe(&trend, 1, 1, 100 * MS);
 	EXPECT_NEAR(aub_load_trend_mean(&trend), 1, 0.01);
-	EXPECT_NEAR(aub_load_trend_expect(&trend, 1, 1000 * MS), 1, 0.01);
+	EXPECT_NEAR(aub_load_trend_predict(&trend, 1, 1000 * MS), 1, 0.01);
 }
 
 TEST(LoadTrend, IsNotLedAstrayByNonsense)
@@ -79,5 +79,5 @@
 	aub_load_trend_observe(&trend, 1, 4, -5 * MS);
 	aub_load_trend_observe(&trend, 1, 4, 3600 * 1000 * MS);
 	EXPECT_LT(aub_load_trend_mean(&trend), 2);
-	EXPECT_GT(aub_load_trend_holds_ms(&trend), 0);
+	EXPECT_GT(aub_load_trend_correlation_ms(&trend), 0);
 }
--- a/tests/test_placement.cc
+++ b/tests/test_placement.cc
@@ -1,59 +1,59 @@
 /*
  * Which upstream gets the next request: slots, cold starts, signs of trouble.
  */
-#include "placement_rig.h"
+#include "placement_fixture.h"
 
 #include <map>
 #include <set>
 
 TEST(Placement, PromisesNoSlotTwice)
 {
-	Placement p;
+	PlacementFixture fixture;
 	std::map<std::string, int> granted;
 
-	p.add("u1");
-	p.add("u2");
+	fixture.add_healthy("u1");
+	fixture.add_healthy("u2");
 	for (int i = 0; i < 4; i++) {
-		struct aub_decision decision = p.ask();
+		struct aub_placement_decision decision = fixture.submit();
 
 		ASSERT_EQ(decision.verdict, AUB_VERDICT_GRANTED);
 		granted[decision.upstream]++;
 	}
 	EXPECT_EQ(granted["u1"], 2);
 	EXPECT_EQ(granted["u2"], 2);
-	EXPECT_EQ(p.ask().verdict, AUB_VERDICT_QUEUED);
+	EXPECT_EQ(fixture.submit().verdict, AUB_VERDICT_QUEUED);
 }
 
 TEST(Placement, AnswersARepeatedAskAlike)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.add("u1");
-	struct aub_ask ask = p.ask_of();
-	std::string first = p.ask(ask).upstream;
-	EXPECT_EQ(p.ask(ask).upstream, first);
-	EXPECT_EQ(p.row("u1")->granted, 1u);
+	fixture.add_healthy("u1");
+	struct aub_placement_request request = fixture.new_request();
+	std::string first = fixture.submit(request).upstream;
+	EXPECT_EQ(fixture.submit(request).upstream, first);
+	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
 }
 
 TEST(Placement, PrefersItsOwnZone)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.add("far", 6, "z2");
-	p.add("near", 6, "z1");
+	fixture.add_healthy("far", 6, "z2");
+	fixture.add_healthy("near", 6, "z1");
 	for (int i = 0; i < 4; i++)
-		EXPECT_STREQ(p.ask().upstream, "near");
+		EXPECT_STREQ(fixture.submit().upstream, "near");
 }
 
 TEST(Placement, AvoidsANeighboursBurst)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.add("u1", 6);
-	p.add("u2", 6);
-	p.probed("u1", -1, 400);
+	fixture.add_healthy("u1", 6);
+	fixture.add_healthy("u2", 6);
+	fixture.finish_probe("u1", -1, 400);
 	for (int i = 0; i < 4; i++)
-		EXPECT_STREQ(p.ask().upstream, "u2");
+		EXPECT_STREQ(fixture.submit().upstream, "u2");
 }
 
 TEST(Placement, WaitsForOneWithoutABurstWhileItCanBeOnTime)
@@ -63,32 +63,32 @@
 	 * the only free upstream takes four times as long, and another one
 	 * frees a slot within some ms.
 	 */
-	Placement p;
-	struct aub_decision decision;
-
-	p.add("slow");
-	p.add("fast");
-	p.probed("slow", -1, 400);
-	guint64 held = p.ask().ticket;
-	p.ask();
-	struct aub_decision waiting = p.ask();
+	PlacementFixture fixture;
+	struct aub_placement_decision decision;
+
+	fixture.add_healthy("slow");
+	fixture.add_healthy("fast");
+	fixture.finish_probe("slow", -1, 400);
+	guint64 outstanding = fixture.submit().ticket;
+	fixture.submit();
+	struct aub_placement_decision waiting = fixture.submit();
 	EXPECT_EQ(waiting.verdict, AUB_VERDICT_QUEUED);
-	p.now += 10 * MS;
-	p.report(held);
-	ASSERT_TRUE(p.next(&decision));
+	fixture.now_us += 10 * US_PER_MS;
+	fixture.report(outstanding);
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.ticket, waiting.ticket);
 	EXPECT_STREQ(decision.upstream, "fast");
 }
 
 /* Bursts that last for seconds, as all upstreams tell. */
-static void tell_long_bursts(Placement &p)
+static void report_long_bursts(PlacementFixture &fixture)
 {
 	for (int i = 0; i < 600; i++) {
-		p.now += 100 * MS;
-		p.probed("slow", -1, i / 100 % 2 ? 100 : 400);
-		p.probed("fast", -1, 100);
+		fixture.now_us += 100 * US_PER_MS;
+		fixture.finish_probe("slow", -1, i / 100 % 2 ? 100 : 400);
+		fixture.finish_probe("fast", -1, 100);
 	}
-	p.probed("slow", -1, 400);
+	fixture.finish_probe("slow", -1, 400);
 }
 
 TEST(Placement, BeginsWorkInABurstOnlyIfThatOutlastsIt)
@@ -98,53 +98,53 @@
 	 * four times as long and keeps its slot for all of it; a burst of some
 	 * hundred ms is waited for, one of seconds is not.
 	 */
-	Placement brief;
-	Placement lasting;
-	struct aub_ask late = brief.ask_of();
-
-	late.on_time_ms = 0;
-	late.patience_ms = 5000;
-	brief.add("slow");
-	brief.probed("slow", -1, 400);
-	EXPECT_EQ(brief.ask(late).verdict, AUB_VERDICT_QUEUED);
-
-	lasting.add("slow");
-	lasting.add("fast");
-	tell_long_bursts(lasting);
-	while (lasting.ask().verdict == AUB_VERDICT_GRANTED)
+	PlacementFixture brief;
+	PlacementFixture lasting;
+	struct aub_placement_request late = brief.new_request();
+
+	late.on_time_wait_ms = 0;
+	late.max_wait_ms = 5000;
+	brief.add_healthy("slow");
+	brief.finish_probe("slow", -1, 400);
+	EXPECT_EQ(brief.submit(late).verdict, AUB_VERDICT_QUEUED);
+
+	lasting.add_healthy("slow");
+	lasting.add_healthy("fast");
+	report_long_bursts(lasting);
+	while (lasting.submit().verdict == AUB_VERDICT_GRANTED)
 		;
-	late.ticket = ++lasting.serial;
-	lasting.ask(late);
-	struct aub_decision decision;
-	ASSERT_TRUE(lasting.next(&decision));
+	late.ticket = ++lasting.last_ticket;
+	lasting.submit(late);
+	struct aub_placement_decision decision;
+	ASSERT_TRUE(lasting.next_decision(&decision));
 	EXPECT_EQ(decision.ticket, late.ticket);
 	EXPECT_STREQ(decision.upstream, "slow");
 }
 
 TEST(Placement, NeverFillsAnUpstreamPastItsKnee)
 {
-	Placement p;
+	PlacementFixture fixture;
 	int granted = 0;
 
-	p.add("u1", 6);
-	while (p.ask().verdict == AUB_VERDICT_GRANTED)
+	fixture.add_healthy("u1", 6);
+	while (fixture.submit().verdict == AUB_VERDICT_GRANTED)
 		granted++;
 	EXPECT_EQ(granted, 5);
 }
 
 TEST(Placement, SendsNothingToWhatIsUnknownOrDown)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.enter("u1");
-	struct aub_decision waiting = p.ask();
-	struct aub_decision decision;
+	fixture.register_upstream("u1");
+	struct aub_placement_decision waiting = fixture.submit();
+	struct aub_placement_decision decision;
 	EXPECT_EQ(waiting.verdict, AUB_VERDICT_QUEUED);
-	p.probed("u1");
-	ASSERT_TRUE(p.next(&decision));
+	fixture.finish_probe("u1");
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_GRANTED);
-	p.report(waiting.ticket, AUB_END_LOST);
-	EXPECT_NE(p.ask().verdict, AUB_VERDICT_GRANTED);
+	fixture.report(waiting.ticket, AUB_GRANT_LOST);
+	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
 TEST(Placement, RefusesAtOnceWhereEverythingIsDown)
@@ -153,92 +153,96 @@
 	 * The caller is told at once when to come back. All upstreams have
 	 * died; waiting for a slot would use up its time for nothing.
 	 */
-	Placement p;
+	PlacementFixture fixture;
 
-	p.add("u1");
-	p.report(p.ask().ticket, AUB_END_UNREACHABLE);
-	struct aub_decision decision = p.ask();
+	fixture.add_healthy("u1");
+	fixture.report(fixture.submit().ticket, AUB_GRANT_UNREACHABLE);
+	struct aub_placement_decision decision = fixture.submit();
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_NO_UPSTREAM);
 	EXPECT_GT(decision.retry_after_ms, 0u);
 }
 
 TEST(Placement, SendsNothingNewToWhatLeaves)
 {
-	Placement p;
-
-	p.add("u1");
-	p.enter("u1", 2, "z1", true);
-	EXPECT_NE(p.ask().verdict, AUB_VERDICT_GRANTED);
-	EXPECT_FALSE(aub_placement_may_send(p.it, "u1"));
-	EXPECT_FALSE(aub_placement_may_send(p.it, "never-heard-of"));
-	p.add("u2");
-	p.leave("u2");
-	EXPECT_NE(p.ask().verdict, AUB_VERDICT_GRANTED);
+	PlacementFixture fixture;
+
+	fixture.add_healthy("u1");
+	fixture.register_upstream("u1", 2, "z1", true);
+	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
+	EXPECT_FALSE(aub_placement_may_send(fixture.placement, "u1"));
+	EXPECT_FALSE(
+		aub_placement_may_send(fixture.placement, "never-heard-of"));
+	fixture.add_healthy("u2");
+	fixture.unregister_upstream("u2");
+	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
 TEST(Placement, SendsNothingToAZoneThatIsOut)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.add("u1");
-	aub_placement_zone_out(p.it, "z1", true, p.now);
-	EXPECT_NE(p.ask().verdict, AUB_VERDICT_GRANTED);
+	fixture.add_healthy("u1");
+	aub_placement_set_zone_out(fixture.placement, "z1", true,
+				   fixture.now_us);
+	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 	/* Back: nothing before a probe has told how cold it is. */
-	aub_placement_zone_out(p.it, "z1", false, p.now);
-	EXPECT_NE(p.ask().verdict, AUB_VERDICT_GRANTED);
-	p.probed("u1", 0);
-	struct aub_decision decision;
-	ASSERT_TRUE(p.next(&decision));
+	aub_placement_set_zone_out(fixture.placement, "z1", false,
+				   fixture.now_us);
+	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
+	fixture.finish_probe("u1", 0);
+	struct aub_placement_decision decision;
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_GRANTED);
 }
 
 /* Requests that a cold upstream gets in each of `seconds`. */
-static std::vector<int> cold_grants(std::vector<Placement *> placers,
+static std::vector<int> cold_grants(std::vector<PlacementFixture *> placers,
 				    int seconds)
 {
 	std::vector<int> counts(seconds * 1000 / 50);
 
 	for (size_t step = 0; step < counts.size(); step++)
-		for (Placement *p : placers) {
-			struct aub_ask ask = p->ask_of();
-			struct aub_decision decision;
+		for (PlacementFixture *fixture : placers) {
+			struct aub_placement_request request =
+				fixture->new_request();
+			struct aub_placement_decision decision;
 
-			ask.patience_ms = 5000;
-			decision = p->ask(ask);
+			request.max_wait_ms = 5000;
+			decision = fixture->submit(request);
 			do {
 				if (decision.verdict != AUB_VERDICT_GRANTED)
 					continue;
 				counts[step]++;
-				p->report(decision.ticket);
-			} while (p->next(&decision));
-			p->now += 50 * MS;
+				fixture->report(decision.ticket);
+			} while (fixture->next_decision(&decision));
+			fixture->now_us += 50 * US_PER_MS;
 		}
 	return counts;
 }
 
-static int most_in_a_second(const std::vector<int> &counts)
+static int max_per_second(const std::vector<int> &counts)
 {
-	int most = 0;
+	int max = 0;
 
 	for (size_t i = 0; i + 20 <= counts.size(); i++) {
 		int sum = 0;
 
 		for (size_t k = i; k < i + 20; k++)
 			sum += counts[k];
-		most = std::max(most, sum);
+		max = std::max(max, sum);
 	}
-	return most;
+	return max;
 }
 
 TEST(Placement, KeepsAColdUpstreamWithinItsRate)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.enter("u1", 2, "z1", false, 1, 60000);
-	p.probed("u1", 60000);
-	int most = most_in_a_second(cold_grants({ &p }, 10));
-	EXPECT_LE(most, 2);
-	EXPECT_GE(most, 1);
+	fixture.register_upstream("u1", 2, "z1", false, 1, 60000);
+	fixture.finish_probe("u1", 60000);
+	int max = max_per_second(cold_grants({ &fixture }, 10));
+	EXPECT_LE(max, 2);
+	EXPECT_GE(max, 1);
 }
 
 TEST(Placement, TwoPlacersKeepAColdUpstreamWithinItsBound)
@@ -247,58 +251,58 @@
 	 * A cold upstream falls over when two gateways believe that they place
 	 * for it, as after a cut. Its bound is 2 a second, times 1.5, and 5.
 	 */
-	Placement one;
-	Placement two;
+	PlacementFixture one;
+	PlacementFixture two;
 
-	for (Placement *p : { &one, &two }) {
-		p->enter("u1", 2, "z1", false, 1, 60000);
-		p->probed("u1", 60000);
+	for (PlacementFixture *fixture : { &one, &two }) {
+		fixture->register_upstream("u1", 2, "z1", false, 1, 60000);
+		fixture->finish_probe("u1", 60000);
 	}
-	EXPECT_LE(most_in_a_second(cold_grants({ &one, &two }, 10)), 4);
+	EXPECT_LE(max_per_second(cold_grants({ &one, &two }, 10)), 4);
 }
 
 TEST(Placement, APlacerOfNecessitySendsNothingCold)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.enter("u1", 2, "z1", false, 1, 3000);
-	p.probed("u1", 3000);
-	struct aub_ask ask = p.ask_of();
-	ask.alone = true;
-	EXPECT_EQ(p.ask(ask).verdict, AUB_VERDICT_NO_UPSTREAM);
+	fixture.register_upstream("u1", 2, "z1", false, 1, 3000);
+	fixture.finish_probe("u1", 3000);
+	struct aub_placement_request request = fixture.new_request();
+	request.local_fallback = true;
+	EXPECT_EQ(fixture.submit(request).verdict, AUB_VERDICT_NO_UPSTREAM);
 }
 
 TEST(Placement, ANewIncarnationIsUnknownAgain)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.add("u1");
-	p.enter("u1", 2, "z1", false, 2, 3000);
-	EXPECT_NE(p.ask().verdict, AUB_VERDICT_GRANTED);
+	fixture.add_healthy("u1");
+	fixture.register_upstream("u1", 2, "z1", false, 2, 3000);
+	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
 TEST(Placement, AvoidsWhatFails)
 {
-	Placement p;
+	PlacementFixture fixture;
 
-	p.add("bad", 6);
-	p.add("good", 6);
+	fixture.add_healthy("bad", 6);
+	fixture.add_healthy("good", 6);
 	for (int i = 0; i < 30; i++) {
-		struct aub_decision decision = p.ask();
+		struct aub_placement_decision decision = fixture.submit();
 
-		p.report(decision.ticket,
-			 std::string(decision.upstream) == "bad" ?
-				 AUB_END_FAILED :
-				 AUB_END_OK);
-		p.now += 20 * MS;
+		fixture.report(decision.ticket,
+			       std::string(decision.upstream) == "bad" ?
+				       AUB_GRANT_FAILED :
+				       AUB_GRANT_OK);
+		fixture.now_us += 20 * US_PER_MS;
 	}
 	for (int i = 0; i < 4; i++)
-		EXPECT_STREQ(p.ask().upstream, "good");
+		EXPECT_STREQ(fixture.submit().upstream, "good");
 	/* It is tried again after a while. */
 	std::set<std::string> seen;
-	p.now += 20000 * MS;
+	fixture.now_us += 20000 * US_PER_MS;
 	for (int i = 0; i < 4; i++)
-		seen.insert(p.ask().upstream ? "granted" : "");
+		seen.insert(fixture.submit().upstream ? "granted" : "");
 	EXPECT_TRUE(seen.count("granted"));
 }
 
@@ -308,22 +312,22 @@
 	 * Callers meet a silent upstream at most as often as it has slots.
 	 * It accepts requests and answers none, while its probes are well.
 	 */
-	Placement p;
+	PlacementFixture fixture;
 	std::map<std::string, int> granted;
 
-	p.add("mute", 6);
-	p.add("well", 6);
+	fixture.add_healthy("mute", 6);
+	fixture.add_healthy("well", 6);
 	for (int i = 0; i < 200; i++) {
-		struct aub_decision decision = p.ask();
+		struct aub_placement_decision decision = fixture.submit();
 
-		p.now += 20 * MS;
-		p.probed("mute");
-		p.probed("well");
+		fixture.now_us += 20 * US_PER_MS;
+		fixture.finish_probe("mute");
+		fixture.finish_probe("well");
 		if (decision.verdict != AUB_VERDICT_GRANTED)
 			continue;
 		granted[decision.upstream]++;
 		if (std::string(decision.upstream) == "well")
-			p.report(decision.ticket);
+			fixture.report(decision.ticket);
 	}
 	EXPECT_LE(granted["mute"], 5);
 	EXPECT_GE(granted["well"], 150);
@@ -331,19 +335,19 @@
 
 TEST(Placement, LearnsWhoIsSlow)
 {
-	Placement p;
+	PlacementFixture fixture;
 	int slow = 0;
 
-	p.add("slow", 6);
-	p.add("fast", 6);
+	fixture.add_healthy("slow", 6);
+	fixture.add_healthy("fast", 6);
 	for (int i = 0; i < 100; i++) {
-		struct aub_decision decision = p.ask();
+		struct aub_placement_decision decision = fixture.submit();
 		bool is_slow = std::string(decision.upstream) == "slow";
 
 		slow += is_slow;
-		p.report(decision.ticket, AUB_END_OK,
-			 (is_slow ? 1000 : 200) * MS);
-		p.now += 50 * MS;
+		fixture.report(decision.ticket, AUB_GRANT_OK,
+			       (is_slow ? 1000 : 200) * US_PER_MS);
+		fixture.now_us += 50 * US_PER_MS;
 	}
 	EXPECT_LT(slow, 15);
 }
@@ -355,41 +359,41 @@
 	 * request to request, and three long answers in a row don't make an
 	 * upstream slow.
 	 */
-	Placement p;
+	PlacementFixture fixture;
 
-	p.add("far", 6, "z2");
-	p.add("near", 6, "z1");
+	fixture.add_healthy("far", 6, "z2");
+	fixture.add_healthy("near", 6, "z1");
 	for (int i = 0; i < 20; i++) {
-		struct aub_decision decision = p.ask();
+		struct aub_placement_decision decision = fixture.submit();
 
 		EXPECT_STREQ(decision.upstream, "near") << i;
-		p.report(decision.ticket, AUB_END_OK,
-			 (i > 12 && i < 16 ? 280 : 200) * MS);
-		p.now += 50 * MS;
-		p.probed("far");
-		p.probed("near");
+		fixture.report(decision.ticket, AUB_GRANT_OK,
+			       (i > 12 && i < 16 ? 280 : 200) * US_PER_MS);
+		fixture.now_us += 50 * US_PER_MS;
+		fixture.finish_probe("far");
+		fixture.finish_probe("near");
 	}
 }
 
 TEST(Placement, KeepsRetriesWithinTheFleetsBudget)
 {
-	Placement p(0.2, 3);
+	PlacementFixture fixture(0.2, 3);
 	int granted = 0;
 
-	p.add("u1", 6);
+	fixture.add_healthy("u1", 6);
 	for (int i = 0; i < 100; i++) {
-		p.report(p.ask().ticket);
-		struct aub_ask again = p.ask_of();
+		fixture.report(fixture.submit().ticket);
+		struct aub_placement_request again = fixture.new_request();
 
 		again.retry = true;
-		struct aub_decision decision = p.ask(again);
+		struct aub_placement_decision decision = fixture.submit(again);
 		if (decision.verdict == AUB_VERDICT_GRANTED) {
 			granted++;
-			p.report(decision.ticket);
+			fixture.report(decision.ticket);
 		} else {
 			EXPECT_EQ(decision.verdict, AUB_VERDICT_NO_BUDGET);
 		}
-		p.now += 20 * MS;
+		fixture.now_us += 20 * US_PER_MS;
 	}
 	EXPECT_LE(granted, 23);
 	EXPECT_GE(granted, 20);
@@ -397,33 +401,37 @@
 
 TEST(Placement, ReleasesGrantsWhoseReportsWereLost)
 {
-	Placement p;
+	PlacementFixture fixture;
 	guint64 tickets[2];
 
-	p.add("u1");
-	tickets[0] = p.ask().ticket;
-	tickets[1] = p.ask().ticket;
-	p.now += 2000 * MS;
-	aub_placement_reconcile(p.it, 7, &tickets[1], 1, p.now);
-	aub_placement_check(p.it);
-	EXPECT_EQ(p.row("u1")->granted, 1u);
-	aub_placement_forget(p.it, 7, p.now);
-	aub_placement_check(p.it);
-	EXPECT_EQ(p.row("u1")->granted, 0u);
+	fixture.add_healthy("u1");
+	tickets[0] = fixture.submit().ticket;
+	tickets[1] = fixture.submit().ticket;
+	fixture.now_us += 2000 * US_PER_MS;
+	aub_placement_reconcile(fixture.placement, 7, &tickets[1], 1,
+				fixture.now_us);
+	aub_placement_check_invariants(fixture.placement);
+	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
+	aub_placement_drop_holder(fixture.placement, 7, fixture.now_us);
+	aub_placement_check_invariants(fixture.placement);
+	EXPECT_EQ(fixture.endpoint("u1")->granted, 0u);
 }
 
 TEST(Placement, AdoptsWhatAnotherPlacerGranted)
 {
-	Placement p;
-
-	p.add("u1");
-	aub_placement_adopt(p.it, 9, 77, "u1", 600, p.now);
-	aub_placement_adopt(p.it, 9, 77, "u1", 600, p.now);
-	aub_placement_adopt(p.it, 9, 78, "unheard-of", 600, p.now);
-	aub_placement_check(p.it);
-	EXPECT_EQ(p.row("u1")->granted, 1u);
-	p.report(77);
-	EXPECT_EQ(p.row("u1")->granted, 0u);
+	PlacementFixture fixture;
+
+	fixture.add_healthy("u1");
+	aub_placement_adopt(fixture.placement, 9, 77, "u1", 600,
+			    fixture.now_us);
+	aub_placement_adopt(fixture.placement, 9, 77, "u1", 600,
+			    fixture.now_us);
+	aub_placement_adopt(fixture.placement, 9, 78, "unheard-of", 600,
+			    fixture.now_us);
+	aub_placement_check_invariants(fixture.placement);
+	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
+	fixture.report(77);
+	EXPECT_EQ(fixture.endpoint("u1")->granted, 0u);
 }
 
 /* Random operations; the invariants hold after each. */
@@ -434,9 +442,9 @@
 TEST_P(PlacementSequences, KeepTheInvariants)
 {
 	GRand *random = g_rand_new_with_seed(GetParam());
-	Placement p;
+	PlacementFixture fixture;
 	std::vector<guint64> open;
-	struct aub_decision decision;
+	struct aub_placement_decision decision;
 
 	for (int step = 0; step < 3000; step++) {
 		std::string id =
@@ -446,60 +454,67 @@
 				   (guint)g_rand_int_range(random, 0,
 							   (gint)open.size());
 
-		p.now += g_rand_int_range(random, 0, 20) * MS;
+		fixture.now_us += g_rand_int_range(random, 0, 20) * US_PER_MS;
 		switch (g_rand_int_range(random, 0, 10)) {
 		case 0:
-			p.enter(id, (guint)g_rand_int_range(random, 1, 7),
+			fixture.register_upstream(
+				id, (guint)g_rand_int_range(random, 1, 7),
 				g_rand_boolean(random) ? "z1" : "z2",
 				g_rand_int_range(random, 0, 5) == 0,
 				g_rand_int_range(random, 1, 3),
 				(guint)g_rand_int_range(random, 0, 2000));
 			break;
 		case 1:
-			p.leave(id);
+			fixture.unregister_upstream(id);
 			break;
 		case 2:
-			p.probed(id, g_rand_int_range(random, -1, 1000),
-				 g_rand_int_range(random, 50, 500),
-				 (enum aub_probe_end)g_rand_int_range(random, 0,
-								      4));
+			fixture.finish_probe(
+				id, g_rand_int_range(random, -1, 1000),
+				g_rand_int_range(random, 50, 500),
+				(enum aub_probe_result)g_rand_int_range(random,
+									0, 4));
 			break;
 		case 3:
-			aub_placement_zone_out(p.it, "z2",
-					       g_rand_boolean(random), p.now);
+			aub_placement_set_zone_out(fixture.placement, "z2",
+						   g_rand_boolean(random),
+						   fixture.now_us);
 			break;
 		case 4:
 			if (!open.empty())
-				p.report(open[at],
-					 (enum aub_attempt_end)g_rand_int_range(
-						 random, 0, 9));
+				fixture.report(open[at],
+					       (enum aub_grant_result)
+						       g_rand_int_range(random,
+									0, 9));
 			break;
 		case 5:
-			aub_placement_reconcile(p.it, 7, open.data(),
-						(guint)open.size() / 2, p.now);
+			aub_placement_reconcile(fixture.placement, 7,
+						open.data(),
+						(guint)open.size() / 2,
+						fixture.now_us);
 			break;
 		default: {
-			struct aub_ask ask =
-				p.ask_of((guint)g_rand_int_range(random, 0, 3));
+			struct aub_placement_request request =
+				fixture.new_request(
+					(guint)g_rand_int_range(random, 0, 3));
 
-			ask.retry = g_rand_int_range(random, 0, 5) == 0;
-			ask.on_time_ms =
+			request.retry = g_rand_int_range(random, 0, 5) == 0;
+			request.on_time_wait_ms =
 				(guint)g_rand_int_range(random, 0, 300);
-			decision = p.ask(ask);
-			open.push_back(ask.ticket);
+			decision = fixture.submit(request);
+			open.push_back(request.ticket);
 			if (decision.verdict == AUB_VERDICT_GRANTED) {
-				const struct aub_row *row =
-					p.row(decision.upstream);
+				const struct aub_endpoint *endpoint =
+					fixture.endpoint(decision.upstream);
 
-				ASSERT_TRUE(row->registered);
-				ASSERT_FALSE(row->draining);
-				ASSERT_FALSE(row->zone_out);
-				ASSERT_EQ(row->state, AUB_ROW_UP);
+				ASSERT_TRUE(endpoint->registered);
+				ASSERT_FALSE(endpoint->draining);
+				ASSERT_FALSE(endpoint->zone_out);
+				ASSERT_EQ(endpoint->state, AUB_ENDPOINT_UP);
 			}
 			break;
 		}
 		}
-		while (p.next(&decision))
+		while (fixture.next_decision(&decision))
 			;
 	}
 	g_rand_free(random);
@@ -515,21 +530,21 @@
 	 * sends it something. The request waits here for a slot of a warm
 	 * upstream; the cold one is free all the while.
 	 */
-	Placement p;
-	struct aub_decision decision;
+	PlacementFixture fixture;
+	struct aub_placement_decision decision;
 
-	p.add("warm");
-	p.enter("cold", 2, "z1", false, 1, 60000);
-	p.probed("cold", 60000);
+	fixture.add_healthy("warm");
+	fixture.register_upstream("cold", 2, "z1", false, 1, 60000);
+	fixture.finish_probe("cold", 60000);
 	for (int i = 0; i < 3; i++) {
-		struct aub_ask ask = p.ask_of();
+		struct aub_placement_request request = fixture.new_request();
 
-		ask.alone = true;
-		p.ask(ask);
+		request.local_fallback = true;
+		fixture.submit(request);
 	}
-	p.now += 50 * MS;
-	EXPECT_FALSE(p.next(&decision));
-	EXPECT_EQ(p.row("cold")->granted, 0u);
+	fixture.now_us += 50 * US_PER_MS;
+	EXPECT_FALSE(fixture.next_decision(&decision));
+	EXPECT_EQ(fixture.endpoint("cold")->granted, 0u);
 }
 
 TEST(Placement, UsesTheRowsOfThoseThatLeft)
@@ -539,26 +554,26 @@
 	 * the other, each with a new id; one that left keeps its row for as
 	 * long as a request is out there.
 	 */
-	Placement place;
+	PlacementFixture fixture;
 
-	place.add("held");
-	struct aub_decision decision = place.ask();
+	fixture.add_healthy("held");
+	struct aub_placement_decision decision = fixture.submit();
 	ASSERT_EQ(decision.verdict, AUB_VERDICT_GRANTED);
-	place.leave("held");
+	fixture.unregister_upstream("held");
 	for (int i = 0; i < 300; i++) {
 		std::string id = "u" + std::to_string(i);
 
-		place.add(id);
-		place.leave(id);
-		place.now += 1000 * MS;
+		fixture.add_healthy(id);
+		fixture.unregister_upstream(id);
+		fixture.now_us += 1000 * US_PER_MS;
 	}
-	aub_placement_check(place.it);
+	aub_placement_check_invariants(fixture.placement);
 	/* A minute's worth, and the one that is held. */
-	EXPECT_LE(place.it->rows->len, 63u);
-	EXPECT_EQ(aub_placement_find(place.it, "u0"), -1);
-	EXPECT_EQ(aub_placement_find(place.it, "held"), 0);
-	place.report(decision.ticket, AUB_END_OK);
-	place.add("last");
-	aub_placement_check(place.it);
-	EXPECT_EQ(aub_placement_find(place.it, "held"), -1);
+	EXPECT_LE(fixture.placement->endpoints->len, 63u);
+	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "u0"), -1);
+	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "held"), 0);
+	fixture.report(decision.ticket, AUB_GRANT_OK);
+	fixture.add_healthy("last");
+	aub_placement_check_invariants(fixture.placement);
+	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "held"), -1);
 }
--- a/tests/test_placement_load.cc
+++ b/tests/test_placement_load.cc
@@ -5,12 +5,12 @@
 
 #include <map>
 
-static LoadResult play(LoadSpec spec, guint seeds = 3)
+static LoadResult run_seeds(LoadSpec spec, guint seeds = 3)
 {
 	LoadResult all;
 
 	for (spec.seed = 1; spec.seed <= seeds; spec.seed++)
-		all.add(PlacementLoad(spec).play());
+		all.add(PlacementLoad(spec).run());
 	return all;
 }
 
@@ -25,11 +25,11 @@
 	LoadSpec spec;
 
 	spec.upstreams = 40;
-	spec.per_s = 100;
-	spec.knee_factor = 1;
-	LoadResult got = play(spec);
-	EXPECT_GT(got.share(), 0.99);
-	EXPECT_EQ(got.refused, 0u);
+	spec.requests_per_s = 100;
+	spec.saturated_slowdown = 1;
+	LoadResult result = run_seeds(spec);
+	EXPECT_GT(result.on_time_share(), 0.99);
+	EXPECT_EQ(result.refused, 0u);
 }
 
 TEST(PlacementLoad, LearnsHowFullUpstreamsAreBestKept)
@@ -43,8 +43,8 @@
 	 */
 	LoadSpec spec;
 
-	spec.per_s = 260;
-	EXPECT_GT(play(spec).share(), 0.9);
+	spec.requests_per_s = 260;
+	EXPECT_GT(run_seeds(spec).on_time_share(), 0.9);
 }
 
 TEST(PlacementLoad, KeepsItsSlotsOutOfBursts)
@@ -60,8 +60,8 @@
 
 	spec.work_ms = 400;
 	spec.target_ms = 1000;
-	spec.per_s = 87;
-	EXPECT_GT(play(spec).share(), 0.9);
+	spec.requests_per_s = 87;
+	EXPECT_GT(run_seeds(spec).on_time_share(), 0.9);
 }
 
 /*
@@ -72,18 +72,18 @@
 struct Deployment {
 	const char *name;
 	LoadSpec spec;
-	double least;
+	double min_on_time_share;
 };
 
 static LoadSpec deployment(guint upstreams, double work_ms, guint target_ms,
-			   double per_s)
+			   double requests_per_s)
 {
 	LoadSpec spec;
 
 	spec.upstreams = upstreams;
 	spec.work_ms = work_ms;
 	spec.target_ms = target_ms;
-	spec.per_s = per_s;
+	spec.requests_per_s = requests_per_s;
 	spec.seconds = 20;
 	return spec;
 }
@@ -101,15 +101,16 @@
 		{ "two slots", deployment(12, 220, 600, 50), 0.54 },
 	};
 
-	deployments[2].spec.slow_ms = 3000;
-	deployments[4].spec.reports = false;
-	deployments[5].spec.slow_share = 0;
-	deployments[5].spec.knee_factor = 1;
+	deployments[2].spec.interference_ms = 3000;
+	deployments[4].spec.reports_load = false;
+	deployments[5].spec.interference_share = 0;
+	deployments[5].spec.saturated_slowdown = 1;
 	deployments[6].spec.slots = 2;
 	for (const Deployment &each : deployments) {
-		LoadResult got = play(each.spec);
+		LoadResult result = run_seeds(each.spec);
 
-		EXPECT_GT(got.share(), each.least) << each.name;
+		EXPECT_GT(result.on_time_share(), each.min_on_time_share)
+			<< each.name;
 	}
 }
 
@@ -118,10 +119,10 @@
 {
       public:
 	static constexpr int UPSTREAMS = 40;
-	static constexpr double SHED = 0.55;
+	static constexpr double SHED_SHARE = 0.55;
 	static constexpr gint64 WORK_MS = 220;
 	static constexpr gint64 TARGET_MS = 600;
-	static constexpr int RETURNS = 2; /* of a caller after a refusal */
+	static constexpr int RETRIES_MAX = 2; /* of a caller after a refusal */
 	static constexpr guint32 SEED = 3;
 
 	~SheddingLoad()
@@ -129,14 +130,14 @@
 		g_rand_free(random);
 	}
 	/* Share of the callers that are answered within their target. */
-	double play()
+	double run()
 	{
 		for (int i = 0; i < UPSTREAMS; i++)
-			p.add("u" + std::to_string(i));
+			fixture.add_healthy("u" + std::to_string(i));
 		for (gint64 ms = 0; ms < 10000; ms++) {
 			if (ms % 10 == 0 && ms < 9000)
-				arrive({ ms, 0 }, ms);
-			run(ms);
+				submit({ ms, 0 }, ms);
+			step(ms);
 		}
 		return (double)on_time / callers;
 	}
@@ -144,73 +145,76 @@
       private:
 	struct Caller {
 		gint64 since_ms;
-		int returns;
+		int retries;
 	};
 	struct Running {
 		guint64 ticket;
 		Caller caller;
 	};
-	Placement p;
+	PlacementFixture fixture;
 	GRand *random = g_rand_new_with_seed(SEED);
-	std::multimap<gint64, Running> ends;
-	std::multimap<gint64, Caller> returns;
+	std::multimap<gint64, Running> finish_times;
+	std::multimap<gint64, Caller> retries;
 	std::map<guint64, Caller> queued;
 	int callers = 0;
 	int on_time = 0;
 
 	void attempt(const Caller &caller, bool retry, gint64 ms)
 	{
-		struct aub_ask ask = p.ask_of();
+		struct aub_placement_request request = fixture.new_request();
 
-		ask.retry = retry;
-		decided(p.ask(ask), caller, ms);
+		request.retry = retry;
+		handle_decision(fixture.submit(request), caller, ms);
 	}
-	void decided(const struct aub_decision &decision, const Caller &caller,
-		     gint64 ms)
+	void handle_decision(const struct aub_placement_decision &decision,
+			     const Caller &caller, gint64 ms)
 	{
 		if (decision.verdict == AUB_VERDICT_QUEUED) {
 			queued[decision.ticket] = caller;
 		} else if (decision.verdict != AUB_VERDICT_GRANTED) {
-			if (caller.returns < RETURNS)
-				returns.insert({ ms + decision.retry_after_ms,
+			if (caller.retries < RETRIES_MAX)
+				retries.insert({ ms + decision.retry_after_ms,
 						 { caller.since_ms,
-						   caller.returns + 1 } });
-		} else if (g_rand_double(random) >= SHED) {
-			ends.insert(
+						   caller.retries + 1 } });
+		} else if (g_rand_double(random) >= SHED_SHARE) {
+			finish_times.insert(
 				{ ms + WORK_MS, { decision.ticket, caller } });
 		} else {
-			p.report(decision.ticket, AUB_END_REFUSED, 3 * MS);
+			fixture.report(decision.ticket, AUB_GRANT_REFUSED,
+				       3 * US_PER_MS);
 			attempt(caller, true, ms);
 		}
 	}
-	void arrive(const Caller &caller, gint64 ms)
+	void submit(const Caller &caller, gint64 ms)
 	{
 		callers++;
-		p.now = 1000 * MS + ms * MS;
+		fixture.now_us = 1000 * US_PER_MS + ms * US_PER_MS;
 		attempt(caller, false, ms);
 	}
-	void run(gint64 ms)
+	void step(gint64 ms)
 	{
-		p.now = 1000 * MS + ms * MS;
-		while (!ends.empty() && ends.begin()->first <= ms) {
-			Running done = ends.begin()->second;
-
-			ends.erase(ends.begin());
-			p.report(done.ticket, AUB_END_OK, WORK_MS * MS);
+		fixture.now_us = 1000 * US_PER_MS + ms * US_PER_MS;
+		while (!finish_times.empty() &&
+		       finish_times.begin()->first <= ms) {
+			Running done = finish_times.begin()->second;
+
+			finish_times.erase(finish_times.begin());
+			fixture.report(done.ticket, AUB_GRANT_OK,
+				       WORK_MS * US_PER_MS);
 			on_time += ms - done.caller.since_ms <= TARGET_MS;
 		}
-		while (!returns.empty() && returns.begin()->first <= ms) {
-			Caller back = returns.begin()->second;
+		while (!retries.empty() && retries.begin()->first <= ms) {
+			Caller back = retries.begin()->second;
 
-			returns.erase(returns.begin());
+			retries.erase(retries.begin());
 			attempt(back, false, ms);
 		}
-		struct aub_decision decision;
-		while (p.next(&decision)) {
+		struct aub_placement_decision decision;
+		while (fixture.next_decision(&decision)) {
 			Caller caller = queued[decision.ticket];
 
 			queued.erase(decision.ticket);
-			decided(decision, caller, ms);
+			handle_decision(decision, caller, ms);
 		}
 	}
 };
@@ -221,6 +225,6 @@
  */
 TEST(PlacementLoad, IsOnTimeWhereUpstreamsShedWithRoom)
 {
-	EXPECT_GT(SheddingLoad().play(),
-		  1 - SheddingLoad::SHED * SheddingLoad::SHED);
+	EXPECT_GT(SheddingLoad().run(),
+		  1 - SheddingLoad::SHED_SHARE * SheddingLoad::SHED_SHARE);
 }
--- a/tests/test_placement_probe.cc
+++ b/tests/test_placement_probe.cc
@@ -1,60 +1,69 @@
 /* When upstreams are probed, and what the end of a probe says of them. */
-#include "placement_rig.h"
+#include "placement_fixture.h"
 
 #include <set>
 
 TEST(PlacementProbe, ProbesEachUpstreamInTurnAndNoneTwiceAtOnce)
 {
-	Placement p;
+	PlacementFixture fixture;
 	struct aub_probe probe;
 	std::set<std::string> seen;
 
 	for (int i = 0; i < 5; i++)
-		p.enter("u" + std::to_string(i));
-	while (aub_placement_probe_next(p.it, NULL, p.now, &probe))
+		fixture.register_upstream("u" + std::to_string(i));
+	while (aub_placement_probe_next(fixture.placement, NULL, fixture.now_us,
+					&probe))
 		EXPECT_TRUE(seen.insert(probe.upstream).second);
 	EXPECT_EQ(seen.size(), 5u);
-	p.now += 1000 * MS;
-	EXPECT_FALSE(aub_placement_probe_next(p.it, NULL, p.now, &probe));
+	fixture.now_us += 1000 * US_PER_MS;
+	EXPECT_FALSE(aub_placement_probe_next(fixture.placement, NULL,
+					      fixture.now_us, &probe));
 	for (int i = 0; i < 5; i++)
-		p.probed("u" + std::to_string(i));
-	EXPECT_TRUE(aub_placement_probe_next(p.it, NULL, p.now, &probe));
+		fixture.finish_probe("u" + std::to_string(i));
+	EXPECT_TRUE(aub_placement_probe_next(fixture.placement, NULL,
+					     fixture.now_us, &probe));
 }
 
 TEST(PlacementProbe, LeavesAZonesProbesToItsProber)
 {
-	Placement p;
+	PlacementFixture fixture;
 	struct aub_probe probe;
 	struct aub_load load = { 0, 0, 2, 100, -1 };
 
-	p.enter("far", 2, "z2");
-	p.enter("near", 2, "z1");
-	ASSERT_TRUE(aub_placement_probe_next(p.it, "z1", p.now, &probe));
+	fixture.register_upstream("far", 2, "z2");
+	fixture.register_upstream("near", 2, "z1");
+	ASSERT_TRUE(aub_placement_probe_next(fixture.placement, "z1",
+					     fixture.now_us, &probe));
 	EXPECT_STREQ(probe.upstream, "near");
-	EXPECT_FALSE(aub_placement_probe_next(p.it, "z1", p.now, &probe));
-	aub_placement_probe_told(p.it, "far", AUB_PROBE_WELL, &load, p.now);
-	EXPECT_EQ(p.row("far")->state, AUB_ROW_UP);
-	p.now += 200 * MS;
-	EXPECT_FALSE(aub_placement_probe_next(p.it, NULL, p.now, &probe));
+	EXPECT_FALSE(aub_placement_probe_next(fixture.placement, "z1",
+					      fixture.now_us, &probe));
+	aub_placement_probe_received(fixture.placement, "far",
+				     AUB_PROBE_HEALTHY, &load, fixture.now_us);
+	EXPECT_EQ(fixture.endpoint("far")->state, AUB_ENDPOINT_UP);
+	fixture.now_us += 200 * US_PER_MS;
+	EXPECT_FALSE(aub_placement_probe_next(fixture.placement, NULL,
+					      fixture.now_us, &probe));
 	/* Its prober is silent: it is probed from here. */
-	p.now += 200 * MS;
-	ASSERT_TRUE(aub_placement_probe_next(p.it, NULL, p.now, &probe));
+	fixture.now_us += 200 * US_PER_MS;
+	ASSERT_TRUE(aub_placement_probe_next(fixture.placement, NULL,
+					     fixture.now_us, &probe));
 	EXPECT_STREQ(probe.upstream, "far");
 }
 
 TEST(PlacementProbe, ProbesStayWithinTheirBudget)
 {
-	Placement p;
+	PlacementFixture fixture;
 	struct aub_probe probe;
 	int probes = 0;
 
-	p.add("u1");
+	fixture.add_healthy("u1");
 	for (int ms = 0; ms < 10000; ms++) {
-		while (aub_placement_probe_next(p.it, NULL, p.now, &probe)) {
+		while (aub_placement_probe_next(fixture.placement, NULL,
+						fixture.now_us, &probe)) {
 			probes++;
-			p.probed("u1");
+			fixture.finish_probe("u1");
 		}
-		p.now += MS;
+		fixture.now_us += US_PER_MS;
 	}
 	EXPECT_LE(probes, 101);
 	EXPECT_GE(probes, 90);
@@ -62,17 +71,17 @@
 
 TEST(PlacementProbe, OneLostProbeIsNoDeath)
 {
-	Placement p;
-
-	p.add("u1");
-	p.probed("u1", -1, -1, AUB_PROBE_SILENT);
-	EXPECT_EQ(p.row("u1")->state, AUB_ROW_UP);
-	p.probed("u1", -1, -1, AUB_PROBE_SILENT);
-	EXPECT_EQ(p.row("u1")->state, AUB_ROW_DOWN);
-	p.probed("u1");
-	EXPECT_EQ(p.row("u1")->state, AUB_ROW_UP);
-	p.probed("u1", -1, -1, AUB_PROBE_OTHER);
-	EXPECT_EQ(p.row("u1")->state, AUB_ROW_DOWN);
+	PlacementFixture fixture;
+
+	fixture.add_healthy("u1");
+	fixture.finish_probe("u1", -1, -1, AUB_PROBE_NO_RESPONSE);
+	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_UP);
+	fixture.finish_probe("u1", -1, -1, AUB_PROBE_NO_RESPONSE);
+	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_DOWN);
+	fixture.finish_probe("u1");
+	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_UP);
+	fixture.finish_probe("u1", -1, -1, AUB_PROBE_WRONG_UPSTREAM);
+	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_DOWN);
 }
 
 TEST(PlacementProbe, ProbesALargeServiceLessOften)
@@ -83,18 +92,18 @@
 	 * second, one of a thousand upstreams some 1,700 times in all.
 	 */
 	for (guint count : { 100u, 1000u }) {
-		Placement place;
+		PlacementFixture fixture;
 		struct aub_probe due;
 		guint probes = 0;
 
 		for (guint i = 0; i < count; i++)
-			place.add("u" + std::to_string(i));
+			fixture.add_healthy("u" + std::to_string(i));
 		for (int ms = 0; ms < 6000; ms += 20) {
-			place.now += 20 * MS;
-			while (aub_placement_probe_next(place.it, NULL,
-							place.now, &due)) {
+			fixture.now_us += 20 * US_PER_MS;
+			while (aub_placement_probe_next(fixture.placement, NULL,
+							fixture.now_us, &due)) {
 				probes++;
-				place.probed(due.upstream);
+				fixture.finish_probe(due.upstream);
 			}
 		}
 		EXPECT_LE(probes, count == 100 ? 6100u : 11000u);
@@ -109,16 +118,16 @@
 	 * Two thirds of a service are silent: each probe there takes its whole
 	 * time limit, and another one is due as soon as it is over.
 	 */
-	Placement place;
+	PlacementFixture fixture;
 	struct aub_probe due;
 	std::vector<std::string> silent;
 	guint well = 0;
 
 	for (guint i = 0; i < 300; i++)
-		place.enter("u" + std::to_string(i));
+		fixture.register_upstream("u" + std::to_string(i));
 	for (int round = 0; round < 12; round++) {
-		while (aub_placement_probe_next(place.it, NULL, place.now,
-						&due)) {
+		while (aub_placement_probe_next(fixture.placement, NULL,
+						fixture.now_us, &due)) {
 			std::string id = due.upstream;
 
 			if (std::stoi(id.substr(1)) < 200) {
@@ -126,31 +135,35 @@
 				continue;
 			}
 			well++;
-			place.probed(id);
+			fixture.finish_probe(id);
 		}
 		EXPECT_LE(silent.size(), 64u);
-		place.now += 400 * MS;
+		fixture.now_us += 400 * US_PER_MS;
 		for (auto &id : silent)
-			place.probed(id, -1, 100, AUB_PROBE_SILENT);
+			fixture.finish_probe(id, -1, 100,
+					     AUB_PROBE_NO_RESPONSE);
 		silent.clear();
-		aub_placement_check(place.it);
+		aub_placement_check_invariants(fixture.placement);
 	}
 	EXPECT_GE(well, 200u);
 }
 
 TEST(PlacementProbe, TellsWhatIsBelievedByName)
 {
-	Placement place;
-
-	EXPECT_STREQ(aub_placement_health_name(place.it, "u1"), "gone");
-	place.enter("u1");
-	EXPECT_STREQ(aub_placement_health_name(place.it, "u1"), "unknown");
-	place.probed("u1");
-	EXPECT_STREQ(aub_placement_health_name(place.it, "u1"), "up");
-	place.probed("u1", -1, 100, AUB_PROBE_ILL);
-	EXPECT_STREQ(aub_placement_health_name(place.it, "u1"), "ill");
-	place.probed("u1", -1, 100, AUB_PROBE_SILENT);
-	EXPECT_STREQ(aub_placement_health_name(place.it, "u1"), "ill");
-	place.probed("u1", -1, 100, AUB_PROBE_SILENT);
-	EXPECT_STREQ(aub_placement_health_name(place.it, "u1"), "down");
+	PlacementFixture fixture;
+
+	EXPECT_STREQ(aub_placement_health_name(fixture.placement, "u1"),
+		     "gone");
+	fixture.register_upstream("u1");
+	EXPECT_STREQ(aub_placement_health_name(fixture.placement, "u1"),
+		     "unknown");
+	fixture.finish_probe("u1");
+	EXPECT_STREQ(aub_placement_health_name(fixture.placement, "u1"), "up");
+	fixture.finish_probe("u1", -1, 100, AUB_PROBE_UNHEALTHY);
+	EXPECT_STREQ(aub_placement_health_name(fixture.placement, "u1"), "ill");
+	fixture.finish_probe("u1", -1, 100, AUB_PROBE_NO_RESPONSE);
+	EXPECT_STREQ(aub_placement_health_name(fixture.placement, "u1"), "ill");
+	fixture.finish_probe("u1", -1, 100, AUB_PROBE_NO_RESPONSE);
+	EXPECT_STREQ(aub_placement_health_name(fixture.placement, "u1"),
+		     "down");
 }
--- a/tests/test_placement_queue.cc
+++ b/tests/test_placement_queue.cc
@@ -1,45 +1,46 @@
 /*
  * Who waits for a slot, in which order they get one, and who is refused.
  */
-#include "placement_rig.h"
+#include "placement_fixture.h"
 
 TEST(Placement, ServesTheMostUrgentFirst)
 {
-	Placement p;
-	struct aub_decision decision;
-
-	p.add("u1");
-	guint64 held = p.ask().ticket;
-	p.ask();
-	struct aub_ask late = p.ask_of(2);
-	struct aub_ask urgent = p.ask_of(0);
-	p.ask(late);
-	p.ask(urgent);
-	p.report(held);
-	ASSERT_TRUE(p.next(&decision));
+	PlacementFixture fixture;
+	struct aub_placement_decision decision;
+
+	fixture.add_healthy("u1");
+	guint64 outstanding = fixture.submit().ticket;
+	fixture.submit();
+	struct aub_placement_request late = fixture.new_request(2);
+	struct aub_placement_request urgent = fixture.new_request(0);
+	fixture.submit(late);
+	fixture.submit(urgent);
+	fixture.report(outstanding);
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.ticket, urgent.ticket);
 }
 
 TEST(Placement, ServesTheNewestOnceTheOldestHasWaitedLong)
 {
-	Placement p;
-	struct aub_decision decision;
-
-	p.add("u1");
-	guint64 held[] = { p.ask().ticket, p.ask().ticket };
-	struct aub_ask old = p.ask_of();
-	p.ask(old);
-	p.now += 60 * MS;
-	struct aub_ask middle = p.ask_of();
-	p.ask(middle);
-	p.report(held[0]);
-	ASSERT_TRUE(p.next(&decision));
+	PlacementFixture fixture;
+	struct aub_placement_decision decision;
+
+	fixture.add_healthy("u1");
+	guint64 outstanding[] = { fixture.submit().ticket,
+				  fixture.submit().ticket };
+	struct aub_placement_request old = fixture.new_request();
+	fixture.submit(old);
+	fixture.now_us += 60 * US_PER_MS;
+	struct aub_placement_request middle = fixture.new_request();
+	fixture.submit(middle);
+	fixture.report(outstanding[0]);
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.ticket, old.ticket);
-	p.now += 150 * MS;
-	struct aub_ask fresh = p.ask_of();
-	p.ask(fresh);
-	p.report(held[1]);
-	ASSERT_TRUE(p.next(&decision));
+	fixture.now_us += 150 * US_PER_MS;
+	struct aub_placement_request fresh = fixture.new_request();
+	fixture.submit(fresh);
+	fixture.report(outstanding[1]);
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.ticket, fresh.ticket);
 }
 
@@ -51,24 +52,24 @@
 	 * are served in an overload; a third of its time is gone after 70 ms,
 	 * of theirs a seventh.
 	 */
-	Placement p;
-	struct aub_decision decision;
+	PlacementFixture fixture;
+	struct aub_placement_decision decision;
 
-	p.add("u1", 1);
-	guint64 held = p.ask().ticket;
-	struct aub_ask patient = p.ask_of();
+	fixture.add_healthy("u1", 1);
+	guint64 outstanding = fixture.submit().ticket;
+	struct aub_placement_request patient = fixture.new_request();
 	patient.target_ms = 1000;
-	patient.on_time_ms = 600;
-	patient.patience_ms = 600;
-	p.ask(patient);
-	p.now += 20 * MS;
-	struct aub_ask hasty = p.ask_of();
-	hasty.on_time_ms = 240;
-	hasty.patience_ms = 3000;
-	p.ask(hasty);
-	p.now += 70 * MS;
-	p.report(held);
-	ASSERT_TRUE(p.next(&decision));
+	patient.on_time_wait_ms = 600;
+	patient.max_wait_ms = 600;
+	fixture.submit(patient);
+	fixture.now_us += 20 * US_PER_MS;
+	struct aub_placement_request hasty = fixture.new_request();
+	hasty.on_time_wait_ms = 240;
+	hasty.max_wait_ms = 3000;
+	fixture.submit(hasty);
+	fixture.now_us += 70 * US_PER_MS;
+	fixture.report(outstanding);
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.ticket, hasty.ticket);
 }
 
@@ -78,33 +79,33 @@
 	 * The caller is refused though it would have its answer in time: many
 	 * wait, but they have waited long, and the newest is served first.
 	 */
-	Placement p;
-	struct aub_decision decision;
+	PlacementFixture fixture;
+	struct aub_placement_decision decision;
 
-	p.add("u1", 1);
-	guint64 held = p.ask().ticket;
+	fixture.add_healthy("u1", 1);
+	guint64 outstanding = fixture.submit().ticket;
 	for (int i = 0; i < 5; i++) {
-		struct aub_ask ask = p.ask_of();
+		struct aub_placement_request request = fixture.new_request();
 
-		ask.patience_ms = 5000;
-		EXPECT_EQ(p.ask(ask).verdict, AUB_VERDICT_QUEUED);
+		request.max_wait_ms = 5000;
+		EXPECT_EQ(fixture.submit(request).verdict, AUB_VERDICT_QUEUED);
 	}
-	p.now += 200 * MS;
-	struct aub_ask fresh = p.ask_of();
-	EXPECT_EQ(p.ask(fresh).verdict, AUB_VERDICT_QUEUED);
-	p.report(held);
-	ASSERT_TRUE(p.next(&decision));
+	fixture.now_us += 200 * US_PER_MS;
+	struct aub_placement_request fresh = fixture.new_request();
+	EXPECT_EQ(fixture.submit(fresh).verdict, AUB_VERDICT_QUEUED);
+	fixture.report(outstanding);
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.ticket, fresh.ticket);
 }
 
 TEST(Placement, RefusesOnArrivalWhatWouldWaitInVain)
 {
-	Placement p;
+	PlacementFixture fixture;
 	int refused = 0;
 
-	p.add("u1");
+	fixture.add_healthy("u1");
 	for (int i = 0; i < 20; i++) {
-		struct aub_decision decision = p.ask();
+		struct aub_placement_decision decision = fixture.submit();
 
 		if (decision.verdict != AUB_VERDICT_OVERLOAD)
 			continue;
@@ -116,52 +117,52 @@
 
 TEST(Placement, TellsThoseWhosePatienceEnds)
 {
-	Placement p;
-	struct aub_decision decision;
-
-	p.add("u1");
-	p.ask();
-	p.ask();
-	guint64 waiting = p.ask().ticket;
-	p.now += 301 * MS;
-	ASSERT_TRUE(p.next(&decision));
+	PlacementFixture fixture;
+	struct aub_placement_decision decision;
+
+	fixture.add_healthy("u1");
+	fixture.submit();
+	fixture.submit();
+	guint64 waiting = fixture.submit().ticket;
+	fixture.now_us += 301 * US_PER_MS;
+	ASSERT_TRUE(fixture.next_decision(&decision));
 	EXPECT_EQ(decision.ticket, waiting);
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_OVERLOAD);
-	EXPECT_FALSE(p.next(&decision));
+	EXPECT_FALSE(fixture.next_decision(&decision));
 }
 
 TEST(Placement, KeepsSlotsFreeOfLateRequests)
 {
-	Placement p;
+	PlacementFixture fixture;
 	int granted = 0;
 
-	p.add("u1", 6);
+	fixture.add_healthy("u1", 6);
 	for (int i = 0; i < 6; i++) {
-		struct aub_ask late = p.ask_of();
+		struct aub_placement_request late = fixture.new_request();
 
-		late.on_time_ms = 0;
-		granted += p.ask(late).verdict == AUB_VERDICT_GRANTED;
+		late.on_time_wait_ms = 0;
+		granted += fixture.submit(late).verdict == AUB_VERDICT_GRANTED;
 	}
 	EXPECT_EQ(granted, 3);
-	EXPECT_EQ(p.ask().verdict, AUB_VERDICT_GRANTED);
+	EXPECT_EQ(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
 /* Guards against callers sent away for long while upstreams have room. */
 TEST(PlacementQueue, SendsRetriesBackSoonWhereThereIsRoom)
 {
-	Placement p(0.0, 0);
-	struct aub_ask again = p.ask_of();
+	PlacementFixture fixture(0.0, 0);
+	struct aub_placement_request again = fixture.new_request();
 
-	p.add("u1");
+	fixture.add_healthy("u1");
 	again.retry = true;
-	struct aub_decision decision = p.ask(again);
+	struct aub_placement_decision decision = fixture.submit(again);
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_NO_BUDGET);
 	EXPECT_LE(decision.retry_after_ms, 100u);
 	/* Without room it is as long as for all others. */
-	p.ask();
-	p.ask();
-	again.ticket = ++p.serial;
-	decision = p.ask(again);
+	fixture.submit();
+	fixture.submit();
+	again.ticket = ++fixture.last_ticket;
+	decision = fixture.submit(again);
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_NO_BUDGET);
 	EXPECT_GE(decision.retry_after_ms, 700u);
 }
--- a/tests/test_placer.cc
+++ b/tests/test_placer.cc
@@ -25,7 +25,7 @@
 	ask(*gates[0], &results[2], 2000);
 	run_for(100);
 	EXPECT_FALSE(results[2].done);
-	aub_placer_report(gates[1]->placer, results[1].ticket, AUB_END_OK,
+	aub_placer_report(gates[1]->placer, results[1].ticket, AUB_GRANT_OK,
 			  50000, NULL);
 	ASSERT_TRUE(run_until([&] { return results[2].done; }, 500));
 	EXPECT_EQ(results[2].verdict, AUB_VERDICT_GRANTED);
@@ -119,12 +119,12 @@
 	EXPECT_EQ(aub_placer_get_counts(other->placer)->placed_here, 0u);
 	EXPECT_GE(aub_placer_get_counts(other->placer)->forwarded, 1u);
 	EXPECT_EQ(aub_placer_get_counts(placer->placer)->placed_here, 1u);
-	aub_placer_report(fresh->placer, result.ticket, AUB_END_OK, 1000, NULL);
+	aub_placer_report(fresh->placer, result.ticket, AUB_GRANT_OK, 1000, NULL);
 	ASSERT_TRUE(run_until(
 		[&] {
-			struct aub_placement_state state;
+			struct aub_placement_stats state;
 
-			aub_placement_get_state(
+			aub_placement_get_stats(
 				aub_placer_placement(placer->placer, "svc"),
 				g_get_monotonic_time(), &state);
 			return state.granted == 0;
@@ -135,7 +135,7 @@
 /* Guards against slots granted to a gateway that no decision can reach. */
 TEST_F(PlacerTest, GrantsNothingToAGatewayThatItDoesNotKnow)
 {
-	struct aub_placement_state state;
+	struct aub_placement_stats state;
 
 	start_all({ "a", "b" });
 	Gate *stranger = start("stranger");
@@ -147,7 +147,7 @@
 	aub_string_set(&ask->service, "svc");
 	aub_string_set(&ask->address, stranger->address.c_str());
 	aub_placer_message(gates[0]->placer, &ask->base);
-	aub_placement_get_state(aub_placer_placement(gates[0]->placer, "svc"),
+	aub_placement_get_stats(aub_placer_placement(gates[0]->placer, "svc"),
 				g_get_monotonic_time(), &state);
 	EXPECT_EQ(state.granted, 0u);
 	EXPECT_EQ(state.queued, 0u);
@@ -206,7 +206,7 @@
 	while (g_get_monotonic_time() < end) {
 		ask(*far, &result);
 		ASSERT_TRUE(run_until([&] { return result.done; }, 2000));
-		aub_placer_report(far->placer, result.ticket, AUB_END_OK, 1000,
+		aub_placer_report(far->placer, result.ticket, AUB_GRANT_OK, 1000,
 				  NULL);
 		run_for(20);
 	}
--- a/tests/test_placer_rollouts.cc
+++ b/tests/test_placer_rollouts.cc
@@ -4,7 +4,7 @@
  */
 #include "placer_rig.h"
 
-#include <auburnstile/internal/placement_parts.h>
+#include <auburnstile/internal/placement_internal.h>
 
 class PlacerRolloutTest : public PlacerTest
 {
@@ -116,7 +116,7 @@
 		.ms = 0,
 		.full = false,
 	};
-	aub_judge_take_new(&rollout->judge, &answer, &evidence, 3.0);
+	aub_judge_add_canary(&rollout->judge, &answer, &evidence, 3.0);
 	const struct aub_rollout *heard = &placement(*other)->rollout;
 	EXPECT_TRUE(run_until(
 		[&] {
@@ -142,10 +142,10 @@
 	placement(*other)->rollout.exposed = 25;
 	order(*placer);
 	const struct aub_rollout *its = &placement(*placer)->rollout;
-	gint64 began_us = its->began_us;
+	gint64 began_us = its->started_us;
 	EXPECT_TRUE(run_until(
 		[&] {
-			return its->began_us <= began_us - 1000 * 1000 &&
+			return its->started_us <= began_us - 1000 * 1000 &&
 			       aub_rollout_total_reached(its) == 400 &&
 			       aub_rollout_total_exposed(its) == 25;
 		},
@@ -161,10 +161,10 @@
 	order(*placer);
 	run_for(700);
 	order(*other);
-	gint64 heard_us = placement(*other)->rollout.began_us;
+	gint64 heard_us = placement(*other)->rollout.started_us;
 	EXPECT_TRUE(run_until(
 		[&] {
-			return placement(*other)->rollout.began_us <=
+			return placement(*other)->rollout.started_us <=
 			       heard_us - 600 * 1000;
 		},
 		1500));
--- a/tests/test_retry_budget.cc
+++ b/tests/test_retry_budget.cc
@@ -12,12 +12,12 @@
 
 	aub_retry_budget_init(&budget, 10000000);
 	for (int i = 0; i < 20; i++)
-		taken += aub_retry_budget_take(&budget, 0.2, 5, 1000000);
+		taken += aub_retry_budget_take_retry(&budget, 0.2, 5, 1000000);
 	EXPECT_EQ(taken, 5);
 	for (int i = 0; i < 100; i++)
-		aub_retry_budget_first(&budget, 1000000);
+		aub_retry_budget_add_request(&budget, 1000000);
 	for (int i = 0; i < 100; i++)
-		taken += aub_retry_budget_take(&budget, 0.2, 5, 1000000);
+		taken += aub_retry_budget_take_retry(&budget, 0.2, 5, 1000000);
 	EXPECT_EQ(taken, 25);
 }
 
@@ -26,11 +26,11 @@
 	struct aub_retry_budget budget;
 
 	aub_retry_budget_init(&budget, 10000000);
-	EXPECT_TRUE(aub_retry_budget_take(&budget, 0, 1, 1000000));
-	EXPECT_FALSE(aub_retry_budget_take(&budget, 0, 1, 9000000));
-	EXPECT_TRUE(aub_retry_budget_take(&budget, 0, 1, 13000000));
+	EXPECT_TRUE(aub_retry_budget_take_retry(&budget, 0, 1, 1000000));
+	EXPECT_FALSE(aub_retry_budget_take_retry(&budget, 0, 1, 9000000));
+	EXPECT_TRUE(aub_retry_budget_take_retry(&budget, 0, 1, 13000000));
 	/* Also after a long silence. */
-	EXPECT_TRUE(aub_retry_budget_take(&budget, 0, 1, 900000000));
+	EXPECT_TRUE(aub_retry_budget_take_retry(&budget, 0, 1, 900000000));
 }
 
 TEST(RetryBudget, HoldsInEverySpanOfItsWindow)
@@ -43,7 +43,7 @@
 	for (gint64 now = 0; now < 100000000; now += 20000) {
 		if (g_rand_int_range(random, 0, 3))
 			continue;
-		if (aub_retry_budget_take(&budget, 0, 30, now))
+		if (aub_retry_budget_take_retry(&budget, 0, 30, now))
 			taken.push_back(now);
 		while (!taken.empty() && now - taken.front() >= 10000000)
 			taken.pop_front();
--- a/tests/test_rollout.cc
+++ b/tests/test_rollout.cc
@@ -2,33 +2,36 @@
  * Orders to change versions, as a placement carries them out: who gets what
  * before, during and after.
  */
-#include "placement_rig.h"
+#include "placement_fixture.h"
 
 #include <map>
 
-#define SECOND (1000 * MS)
+#define SECOND (1000 * US_PER_MS)
 
 /* A service with upstreams of two versions, warm and probed. */
-class Rollout
+class RolloutFixture
 {
       public:
-	Placement p{ 0.2, 10 };
+	PlacementFixture fixture{ 0.2, 10 };
 	std::map<std::string, int> sent; /* by version */
 	gint64 created = 7;
 
-	explicit Rollout(int upstreams = 4)
+	explicit RolloutFixture(int upstreams = 4)
 	{
 		const struct aub_rollout_limits limits = { 0.1, 50 };
 
-		aub_placement_take_orders(p.it, &limits);
-		aub_placement_orders_known(p.it, p.now);
+		aub_placement_enable_rollouts(fixture.placement, &limits);
+		aub_placement_set_rollouts_loaded(fixture.placement,
+						  fixture.now_us);
 		for (int i = 0; i < upstreams; i++)
 			add("a" + std::to_string(i), "v1", 1);
 	}
-	void add(const std::string &id, const std::string &version, gint64 born)
+	void add(const std::string &id, const std::string &version,
+		 gint64 started_ms)
 	{
-		p.enter(id, 4, "z1", false, born, 0, version);
-		p.probed(id);
+		fixture.register_upstream(id, 4, "z1", false, started_ms, 0,
+					  version);
+		fixture.finish_probe(id);
 	}
 	void add_new(int upstreams = 4)
 	{
@@ -50,224 +53,240 @@
 	void order(enum aub_rollout_state state = AUB_ROLLOUT_NONE,
 		   guint duration_ms = 12000, const char *version = "v2")
 	{
-		const struct aub_rollout_record given =
+		const struct aub_rollout_record order_record =
 			record(state, duration_ms, version);
 
-		aub_placement_order(p.it, &given, false, p.now);
+		aub_placement_set_rollout(fixture.placement, &order_record,
+					  false, fixture.now_us);
 	}
 	/* Requests one after the other, each answered by `end`. */
-	void serve(int count, gint64 gap_us = 10 * MS,
-		   enum aub_attempt_end bad_end = AUB_END_OK)
+	void serve(int count, gint64 gap_us = 10 * US_PER_MS,
+		   enum aub_grant_result bad_end = AUB_GRANT_OK)
 	{
 		for (int i = 0; i < count; i++) {
-			struct aub_ask ask = p.ask_of();
-			ask.route = 1;
-			struct aub_decision decision = p.ask(ask);
-
-			p.now += gap_us;
-			(void)aub_placement_rollout_step(p.it, p.now);
+			struct aub_placement_request request =
+				fixture.new_request();
+			request.route = 1;
+			struct aub_placement_decision decision =
+				fixture.submit(request);
+
+			fixture.now_us += gap_us;
+			(void)aub_placement_rollout_step(fixture.placement,
+							 fixture.now_us);
 			if (decision.verdict != AUB_VERDICT_GRANTED)
 				continue;
 			bool is_new = decision.upstream[0] == 'b';
 			sent[is_new ? "v2" : "v1"]++;
-			p.report(decision.ticket, is_new ? bad_end : AUB_END_OK,
-				 200 * MS);
+			fixture.report(decision.ticket,
+				       is_new ? bad_end : AUB_GRANT_OK,
+				       200 * US_PER_MS);
 		}
 	}
 	/* Requests that differ by `change`; all go to the old version. */
-	void expect_old(int count, void (*change)(struct aub_ask *ask))
+	void expect_old(int count,
+			void (*change)(struct aub_placement_request *request))
 	{
 		for (int i = 0; i < count; i++) {
-			struct aub_ask ask = p.ask_of();
+			struct aub_placement_request request =
+				fixture.new_request();
 
-			change(&ask);
-			struct aub_decision decision = p.ask(ask);
+			change(&request);
+			struct aub_placement_decision decision =
+				fixture.submit(request);
 			ASSERT_EQ(decision.verdict, AUB_VERDICT_GRANTED);
 			EXPECT_EQ(decision.upstream[0], 'a');
-			p.report(decision.ticket);
+			fixture.report(decision.ticket);
 		}
 	}
 	enum aub_rollout_state state()
 	{
-		return p.it->rollout.state;
+		return fixture.placement->rollout.state;
 	}
 };
 
 /* Guards against a new version that gets requests before it is allowed any. */
 TEST(Rollout, SendsNothingToAVersionThatWaitsForItsOrder)
 {
-	Rollout it;
+	RolloutFixture rollout;
 
-	it.add_new();
-	it.serve(200);
-	EXPECT_EQ(it.sent["v2"], 0);
-	EXPECT_EQ(it.sent["v1"], 200);
+	rollout.add_new();
+	rollout.serve(200);
+	EXPECT_EQ(rollout.sent["v2"], 0);
+	EXPECT_EQ(rollout.sent["v1"], 200);
 }
 
 /* Guards against a bad version that gets more than operators allow. */
 TEST(Rollout, StaysWithinTheExposure)
 {
-	Rollout it;
+	RolloutFixture rollout;
 
-	it.add_new();
-	it.order();
-	it.serve(900);
-	EXPECT_GT(it.sent["v2"], 10);
-	EXPECT_LE(it.sent["v2"], 0.1 * 900);
+	rollout.add_new();
+	rollout.order();
+	rollout.serve(900);
+	EXPECT_GT(rollout.sent["v2"], 10);
+	EXPECT_LE(rollout.sent["v2"], 0.1 * 900);
 }
 
 TEST(Rollout, SendsNothingBeforeOrdersAreKnown)
 {
-	Placement p;
+	PlacementFixture fixture;
 	const struct aub_rollout_limits limits = { 0.1, 50 };
 
-	aub_placement_take_orders(p.it, &limits);
-	p.add("u1");
-	EXPECT_EQ(p.ask().verdict, AUB_VERDICT_NO_UPSTREAM);
-	EXPECT_FALSE(aub_placement_may_send(p.it, "u1"));
-	aub_placement_orders_known(p.it, p.now);
-	EXPECT_EQ(p.ask().verdict, AUB_VERDICT_GRANTED);
+	aub_placement_enable_rollouts(fixture.placement, &limits);
+	fixture.add_healthy("u1");
+	EXPECT_EQ(fixture.submit().verdict, AUB_VERDICT_NO_UPSTREAM);
+	EXPECT_FALSE(aub_placement_may_send(fixture.placement, "u1"));
+	aub_placement_set_rollouts_loaded(fixture.placement, fixture.now_us);
+	EXPECT_EQ(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
 /* Guards against a count of upstreams that drifts as they come and go. */
 TEST(Rollout, CountsUpstreamsAsTheyComeAndGo)
 {
-	Rollout it(0);
+	RolloutFixture rollout(0);
 	auto upstreams = [&](const char *version) {
-		gint i =
-			aub_service_versions_index(&it.p.it->versions, version);
+		gint i = aub_service_versions_index(
+			&rollout.fixture.placement->versions, version);
 
-		return it.p.it->versions.list[i].upstreams;
+		return rollout.fixture.placement->versions.list[i].upstreams;
 	};
 
 	for (int i = 0; i < 50; i++)
-		it.add("a" + std::to_string(i), "v1", 1);
+		rollout.add("a" + std::to_string(i), "v1", 1);
 	EXPECT_EQ(upstreams("v1"), 50u);
-	it.add("a0", "v1", 7);
-	it.p.leave("a1");
-	it.p.leave("a1");
+	rollout.add("a0", "v1", 7);
+	rollout.fixture.unregister_upstream("a1");
+	rollout.fixture.unregister_upstream("a1");
 	EXPECT_EQ(upstreams("v1"), 49u);
-	it.add_new(3);
-	it.add("a2", "v2", 9);
+	rollout.add_new(3);
+	rollout.add("a2", "v2", 9);
 	EXPECT_EQ(upstreams("v1"), 48u);
 	EXPECT_EQ(upstreams("v2"), 4u);
-	it.p.leave("b0");
+	rollout.fixture.unregister_upstream("b0");
 	EXPECT_EQ(upstreams("v2"), 3u);
-	EXPECT_TRUE(aub_placement_may_send(it.p.it, "a0"));
-	EXPECT_FALSE(aub_placement_may_send(it.p.it, "a2"));
+	EXPECT_TRUE(aub_placement_may_send(rollout.fixture.placement, "a0"));
+	EXPECT_FALSE(aub_placement_may_send(rollout.fixture.placement, "a2"));
 }
 
 TEST(Rollout, VersionsDontMatterWhereNoOrdersAreTaken)
 {
-	Placement p;
-
-	p.enter("u1", 2, "z1", false, 1, 0, "v1");
-	p.enter("u2", 2, "z1", false, 9, 0, "v2");
-	p.probed("u1");
-	p.probed("u2");
-	EXPECT_TRUE(aub_placement_may_send(p.it, "u1"));
-	EXPECT_TRUE(aub_placement_may_send(p.it, "u2"));
+	PlacementFixture fixture;
+
+	fixture.register_upstream("u1", 2, "z1", false, 1, 0, "v1");
+	fixture.register_upstream("u2", 2, "z1", false, 9, 0, "v2");
+	fixture.finish_probe("u1");
+	fixture.finish_probe("u2");
+	EXPECT_TRUE(aub_placement_may_send(fixture.placement, "u1"));
+	EXPECT_TRUE(aub_placement_may_send(fixture.placement, "u2"));
 }
 
 TEST(Rollout, RollsABadVersionBackAndSendsItNothingMore)
 {
-	Rollout it;
+	RolloutFixture rollout;
 
-	it.add_new();
-	it.order();
-	it.serve(900, 10 * MS, AUB_END_FAILED);
-	EXPECT_EQ(it.state(), AUB_ROLLOUT_ROLLED_BACK);
-	int sent = it.sent["v2"];
+	rollout.add_new();
+	rollout.order();
+	rollout.serve(900, 10 * US_PER_MS, AUB_GRANT_FAILED);
+	EXPECT_EQ(rollout.state(), AUB_ROLLOUT_ROLLED_BACK);
+	int sent = rollout.sent["v2"];
 	EXPECT_LT(sent, 20);
-	it.serve(300);
-	EXPECT_EQ(it.sent["v2"], sent);
-	EXPECT_FALSE(aub_placement_may_send(it.p.it, "b0"));
-	EXPECT_EQ(aub_placement_rollout_step(it.p.it, it.p.now),
+	rollout.serve(300);
+	EXPECT_EQ(rollout.sent["v2"], sent);
+	EXPECT_FALSE(aub_placement_may_send(rollout.fixture.placement, "b0"));
+	EXPECT_EQ(aub_placement_rollout_step(rollout.fixture.placement,
+					     rollout.fixture.now_us),
 		  AUB_ROLLOUT_ROLLED_BACK);
 }
 
 /* Guards against old upstreams that are stopped with requests under way. */
 TEST(Rollout, CompletesOnlyOnceTheOldVersionHasAnswered)
 {
-	Rollout it;
+	RolloutFixture rollout;
 
-	it.add_new();
-	it.order();
-	it.serve(1000);
-	struct aub_decision last = it.p.ask();
+	rollout.add_new();
+	rollout.order();
+	rollout.serve(1000);
+	struct aub_placement_decision last = rollout.fixture.submit();
 	ASSERT_EQ(last.verdict, AUB_VERDICT_GRANTED);
 	ASSERT_EQ(last.upstream[0], 'a');
 	guint64 ticket = last.ticket;
-	it.serve(180);
-	ASSERT_EQ(it.state(), AUB_ROLLOUT_SWITCHING);
-	EXPECT_EQ(aub_placement_rollout_step(it.p.it, it.p.now),
+	rollout.serve(180);
+	ASSERT_EQ(rollout.state(), AUB_ROLLOUT_SWITCHING);
+	EXPECT_EQ(aub_placement_rollout_step(rollout.fixture.placement,
+					     rollout.fixture.now_us),
 		  AUB_ROLLOUT_RUNNING);
-	it.p.report(ticket);
-	EXPECT_EQ(aub_placement_rollout_step(it.p.it, it.p.now),
+	rollout.fixture.report(ticket);
+	EXPECT_EQ(aub_placement_rollout_step(rollout.fixture.placement,
+					     rollout.fixture.now_us),
 		  AUB_ROLLOUT_COMPLETED);
-	it.order(AUB_ROLLOUT_COMPLETED);
-	it.sent.clear();
-	it.serve(50);
-	EXPECT_EQ(it.sent["v1"], 0);
-	EXPECT_EQ(it.sent["v2"], 50);
+	rollout.order(AUB_ROLLOUT_COMPLETED);
+	rollout.sent.clear();
+	rollout.serve(50);
+	EXPECT_EQ(rollout.sent["v1"], 0);
+	EXPECT_EQ(rollout.sent["v2"], 50);
 }
 
 TEST(Rollout, CompletesAGoodVersionInTime)
 {
-	Rollout it;
+	RolloutFixture rollout;
 	enum aub_rollout_state wanted = AUB_ROLLOUT_NONE;
-	gint64 began = it.p.now;
+	gint64 began = rollout.fixture.now_us;
 
-	it.add_new();
-	it.order();
+	rollout.add_new();
+	rollout.order();
 	while (wanted != AUB_ROLLOUT_COMPLETED &&
-	       it.p.now < began + 12 * SECOND) {
-		it.serve(1);
-		wanted = aub_placement_rollout_step(it.p.it, it.p.now);
+	       rollout.fixture.now_us < began + 12 * SECOND) {
+		rollout.serve(1);
+		wanted = aub_placement_rollout_step(rollout.fixture.placement,
+						    rollout.fixture.now_us);
 	}
 	EXPECT_EQ(wanted, AUB_ROLLOUT_COMPLETED);
-	EXPECT_LE(it.sent["v2"], 0.1 * (it.sent["v1"] + it.sent["v2"]) + 50);
+	EXPECT_LE(rollout.sent["v2"],
+		  0.1 * (rollout.sent["v1"] + rollout.sent["v2"]) + 50);
 }
 
 /* Guards against a move to upstreams that can't bear all requests. */
 TEST(Rollout, DoesNotMoveToFewerSlotsThanAreNeeded)
 {
-	Rollout it(8);
+	RolloutFixture rollout(8);
 
-	it.add_new(1);
-	it.order();
-	std::vector<guint64> held;
+	rollout.add_new(1);
+	rollout.order();
+	std::vector<guint64> outstanding;
 	for (int i = 0; i < 12; i++) {
-		struct aub_decision decision = it.p.ask();
+		struct aub_placement_decision decision =
+			rollout.fixture.submit();
 
 		if (decision.verdict == AUB_VERDICT_GRANTED)
-			held.push_back(decision.ticket);
+			outstanding.push_back(decision.ticket);
 	}
-	it.serve(1300);
-	EXPECT_EQ(it.state(), AUB_ROLLOUT_ROLLED_BACK);
-	EXPECT_STREQ(it.p.it->rollout.reason, "no-room");
+	rollout.serve(1300);
+	EXPECT_EQ(rollout.state(), AUB_ROLLOUT_ROLLED_BACK);
+	EXPECT_STREQ(rollout.fixture.placement->rollout.reason, "no-room");
 }
 
 TEST(Rollout, RollsBackWhatHasNoUpstreams)
 {
-	Rollout it;
+	RolloutFixture rollout;
 
-	it.order();
-	it.serve(1300);
-	EXPECT_EQ(it.state(), AUB_ROLLOUT_ROLLED_BACK);
-	EXPECT_STREQ(it.p.it->rollout.reason, "no-upstreams");
+	rollout.order();
+	rollout.serve(1300);
+	EXPECT_EQ(rollout.state(), AUB_ROLLOUT_ROLLED_BACK);
+	EXPECT_STREQ(rollout.fixture.placement->rollout.reason, "no-upstreams");
 }
 
 TEST(Rollout, SendsNoRetryToACanary)
 {
-	Rollout it;
-
-	it.add_new();
-	it.order();
-	it.serve(300);
-	int sent = it.sent["v2"];
-	it.expect_old(10, [](struct aub_ask *ask) { ask->retry = true; });
-	EXPECT_EQ(it.sent["v2"], sent);
+	RolloutFixture rollout;
+
+	rollout.add_new();
+	rollout.order();
+	rollout.serve(300);
+	int sent = rollout.sent["v2"];
+	rollout.expect_old(10, [](struct aub_placement_request *request) {
+		request->retry = true;
+	});
+	EXPECT_EQ(rollout.sent["v2"], sent);
 }
 
 /* Guards against two requests a share from each of several placers. */
@@ -278,16 +297,19 @@
 	guint64 exposed = 0;
 
 	for (int placer = 0; placer < 6; placer++) {
-		Rollout it;
-
-		it.add_new();
-		it.order(AUB_ROLLOUT_RUNNING);
-		aub_placement_inherit(it.p.it, NULL, 0, reached, exposed, 0);
-		it.serve(150);
-		for (auto &entry : it.sent)
+		RolloutFixture rollout;
+
+		rollout.add_new();
+		rollout.order(AUB_ROLLOUT_RUNNING);
+		aub_placement_import_evidence(rollout.fixture.placement, NULL,
+					      0, reached, exposed, 0);
+		rollout.serve(150);
+		for (auto &entry : rollout.sent)
 			sent[entry.first] += entry.second;
-		reached = aub_rollout_total_reached(&it.p.it->rollout);
-		exposed = aub_rollout_total_exposed(&it.p.it->rollout);
+		reached = aub_rollout_total_reached(
+			&rollout.fixture.placement->rollout);
+		exposed = aub_rollout_total_exposed(
+			&rollout.fixture.placement->rollout);
 	}
 	EXPECT_GT(sent["v2"], 0);
 	EXPECT_LE(sent["v2"], 0.1 * (sent["v1"] + sent["v2"]));
@@ -295,16 +317,16 @@
 
 TEST(Rollout, TheSlackIsSpentByWhoeverWasGivenIt)
 {
-	Rollout with;
-	Rollout without;
+	RolloutFixture with;
+	RolloutFixture without;
 
-	for (Rollout *it : { &with, &without }) {
-		it->add_new();
-		it->order();
+	for (RolloutFixture *rollout : { &with, &without }) {
+		rollout->add_new();
+		rollout->order();
 	}
-	aub_placement_grant_slack(with.p.it);
-	with.serve(60, 100 * MS);
-	without.serve(60, 100 * MS);
+	aub_placement_grant_slack(with.fixture.placement);
+	with.serve(60, 100 * US_PER_MS);
+	without.serve(60, 100 * US_PER_MS);
 	EXPECT_GT(with.sent["v2"], without.sent["v2"] + 5);
 	EXPECT_LE(with.sent["v2"], 0.1 * 60 + 50);
 	EXPECT_LE(without.sent["v2"], 0.1 * 60 + 1);
@@ -312,91 +334,101 @@
 
 TEST(Rollout, AVerdictOfAnotherHoldsAtOnce)
 {
-	Rollout it;
-
-	it.add_new();
-	it.order();
-	const struct aub_rollout_record given = it.record();
-	EXPECT_TRUE(aub_placement_order_told(it.p.it, &given.order,
-					     AUB_ROLLOUT_ROLLED_BACK, 0,
-					     it.p.now));
-	EXPECT_FALSE(aub_placement_may_send(it.p.it, "b0"));
+	RolloutFixture rollout;
+
+	rollout.add_new();
+	rollout.order();
+	const struct aub_rollout_record order_record = rollout.record();
+	EXPECT_TRUE(aub_placement_merge_rollout(rollout.fixture.placement,
+						&order_record.order,
+						AUB_ROLLOUT_ROLLED_BACK, 0,
+						rollout.fixture.now_us));
+	EXPECT_FALSE(aub_placement_may_send(rollout.fixture.placement, "b0"));
 	/* It stays, whatever else is told. */
-	(void)aub_placement_order_told(it.p.it, &given.order,
-				       AUB_ROLLOUT_SWITCHING, 0, it.p.now);
-	EXPECT_FALSE(aub_placement_may_send(it.p.it, "b0"));
+	(void)aub_placement_merge_rollout(rollout.fixture.placement,
+					  &order_record.order,
+					  AUB_ROLLOUT_SWITCHING, 0,
+					  rollout.fixture.now_us);
+	EXPECT_FALSE(aub_placement_may_send(rollout.fixture.placement, "b0"));
 }
 
 /* Guards against a verdict on one order that is taken for the next one's. */
 TEST(Rollout, AnotherOrderForTheSameVersionBeginsAnew)
 {
-	Rollout it;
-
-	it.add_new();
-	it.order();
-	it.serve(900, 10 * MS, AUB_END_FAILED);
-	ASSERT_EQ(it.state(), AUB_ROLLOUT_ROLLED_BACK);
-	const struct aub_rollout_record before = it.record();
-	it.created = 99;
-	it.order();
-	EXPECT_EQ(it.state(), AUB_ROLLOUT_RUNNING);
-	EXPECT_FALSE(aub_placement_order_told(it.p.it, &before.order,
-					      AUB_ROLLOUT_ROLLED_BACK, 0,
-					      it.p.now));
-	EXPECT_EQ(it.state(), AUB_ROLLOUT_RUNNING);
+	RolloutFixture rollout;
+
+	rollout.add_new();
+	rollout.order();
+	rollout.serve(900, 10 * US_PER_MS, AUB_GRANT_FAILED);
+	ASSERT_EQ(rollout.state(), AUB_ROLLOUT_ROLLED_BACK);
+	const struct aub_rollout_record before = rollout.record();
+	rollout.created = 99;
+	rollout.order();
+	EXPECT_EQ(rollout.state(), AUB_ROLLOUT_RUNNING);
+	EXPECT_FALSE(aub_placement_merge_rollout(rollout.fixture.placement,
+						 &before.order,
+						 AUB_ROLLOUT_ROLLED_BACK, 0,
+						 rollout.fixture.now_us));
+	EXPECT_EQ(rollout.state(), AUB_ROLLOUT_RUNNING);
 }
 
 TEST(Rollout, AnOrderForAThirdVersionHoldsTheSecond)
 {
-	Rollout it;
-
-	it.add_new();
-	it.order();
-	it.serve(100);
-	it.add("c0", "v3", 500);
-	it.order(AUB_ROLLOUT_NONE, 12000, "v3");
-	it.sent.clear();
-	it.serve(500);
-	EXPECT_EQ(it.sent["v2"], 0);
+	RolloutFixture rollout;
+
+	rollout.add_new();
+	rollout.order();
+	rollout.serve(100);
+	rollout.add("c0", "v3", 500);
+	rollout.order(AUB_ROLLOUT_NONE, 12000, "v3");
+	rollout.sent.clear();
+	rollout.serve(500);
+	EXPECT_EQ(rollout.sent["v2"], 0);
 }
 
 TEST(Rollout, ADeletedOrderLeavesTheOldVersion)
 {
-	Rollout it;
-
-	it.add_new();
-	it.order();
-	it.serve(300);
-	aub_placement_order(it.p.it, NULL, false, it.p.now);
-	it.sent.clear();
-	it.p.now += 60 * SECOND;
-	aub_placement_admit(it.p.it, it.p.now);
-	it.serve(200);
-	EXPECT_EQ(it.sent["v2"], 0);
-	EXPECT_EQ(it.sent["v1"], 200);
+	RolloutFixture rollout;
+
+	rollout.add_new();
+	rollout.order();
+	rollout.serve(300);
+	aub_placement_set_rollout(rollout.fixture.placement, NULL, false,
+				  rollout.fixture.now_us);
+	rollout.sent.clear();
+	rollout.fixture.now_us += 60 * SECOND;
+	aub_placement_admit_versions(rollout.fixture.placement,
+				     rollout.fixture.now_us);
+	rollout.serve(200);
+	EXPECT_EQ(rollout.sent["v2"], 0);
+	EXPECT_EQ(rollout.sent["v1"], 200);
 }
 
 /* Guards against an order nobody can read, whose version takes part. */
 TEST(Rollout, AnUnreadableOrderAdmitsNoVersion)
 {
-	Rollout it;
-
-	it.add_new();
-	aub_placement_order(it.p.it, NULL, true, it.p.now);
-	it.p.now += 60 * SECOND;
-	aub_placement_admit(it.p.it, it.p.now);
-	it.serve(100);
-	EXPECT_EQ(it.sent["v2"], 0);
-	aub_placement_order(it.p.it, NULL, false, it.p.now);
-	aub_placement_admit(it.p.it, it.p.now);
-	it.serve(100);
-	EXPECT_GT(it.sent["v2"], 0);
+	RolloutFixture rollout;
+
+	rollout.add_new();
+	aub_placement_set_rollout(rollout.fixture.placement, NULL, true,
+				  rollout.fixture.now_us);
+	rollout.fixture.now_us += 60 * SECOND;
+	aub_placement_admit_versions(rollout.fixture.placement,
+				     rollout.fixture.now_us);
+	rollout.serve(100);
+	EXPECT_EQ(rollout.sent["v2"], 0);
+	aub_placement_set_rollout(rollout.fixture.placement, NULL, false,
+				  rollout.fixture.now_us);
+	aub_placement_admit_versions(rollout.fixture.placement,
+				     rollout.fixture.now_us);
+	rollout.serve(100);
+	EXPECT_GT(rollout.sent["v2"], 0);
 }
 
 TEST(Rollout, AGatewayThatStartsLaterGoesByTheStoredState)
 {
-	Rollout back;
-	Rollout done;
+	RolloutFixture back;
+	RolloutFixture done;
 
 	back.add_new();
 	back.order(AUB_ROLLOUT_ROLLED_BACK);
@@ -411,25 +443,27 @@
 
 TEST(Rollout, WhoPlacesForWantOfAPlacerSendsNothingToACanary)
 {
-	Rollout it;
-
-	it.add_new();
-	it.order();
-	it.serve(300);
-	it.expect_old(50, [](struct aub_ask *ask) { ask->alone = true; });
+	RolloutFixture rollout;
+
+	rollout.add_new();
+	rollout.order();
+	rollout.serve(300);
+	rollout.expect_old(50, [](struct aub_placement_request *request) {
+		request->local_fallback = true;
+	});
 }
 
 /* Guards against crashes of either version's upstreams taken for a verdict. */
 TEST(Rollout, CrashesAreNoVerdict)
 {
-	Rollout it;
+	RolloutFixture rollout;
 
-	it.add_new();
-	it.order();
+	rollout.add_new();
+	rollout.order();
 	for (int i = 0; i < 900; i++) {
-		it.serve(1, 10 * MS, AUB_END_LOST);
+		rollout.serve(1, 10 * US_PER_MS, AUB_GRANT_LOST);
 		for (int j = 0; j < 4; j++)
-			it.p.probed("b" + std::to_string(j));
+			rollout.fixture.finish_probe("b" + std::to_string(j));
 	}
-	EXPECT_EQ(it.state(), AUB_ROLLOUT_RUNNING);
+	EXPECT_EQ(rollout.state(), AUB_ROLLOUT_RUNNING);
 }
--- a/tests/test_rollout_judge.cc
+++ b/tests/test_rollout_judge.cc
@@ -40,7 +40,7 @@
 				.ms = time(),
 			};
 
-			aub_judge_take_base(&it, &answer);
+			aub_judge_add_baseline(&it, &answer);
 		}
 	}
 	/* Until it is found to be bad; the answers that took, or -1. */
@@ -58,9 +58,9 @@
 				.full = full,
 			};
 
-			aub_judge_take_new(&it, &answer, &evidence[at],
-					   aub_judge_evidence_most(
-						   (guint)evidence.size()));
+			aub_judge_add_canary(&it, &answer, &evidence[at],
+					     aub_judge_evidence_max(
+						     (guint)evidence.size()));
 			if (it.alarmed)
 				return i + 1;
 		}
@@ -176,7 +176,7 @@
 			.ms = judge.time(),
 		};
 
-		aub_judge_take_base(&judge.it, &answer);
+		aub_judge_add_baseline(&judge.it, &answer);
 	}
 	EXPECT_EQ(judge.take(300, 0.3, 1), -1);
 }
@@ -187,7 +187,7 @@
 
 	judge.base(500);
 	ASSERT_GT(judge.take(1000, 0.5, 1), 0);
-	aub_judge_restart(&judge.it);
+	aub_judge_reset_canary(&judge.it);
 	EXPECT_FALSE(judge.it.alarmed);
 	EXPECT_EQ(judge.it.answers, 0u);
 	EXPECT_GT(aub_judge_slow_ms(&judge.it, 1, false), 0);
@@ -204,9 +204,9 @@
 		first.take(1, 0.5, 1);
 	ASSERT_FALSE(first.it.alarmed);
 	EXPECT_FALSE(aub_judge_is_suspicious(&second.it));
-	struct aub_judge_route routes[AUB_JUDGE_ROUTES + 1];
+	struct aub_judge_route routes[AUB_JUDGE_ROUTES_MAX + 1];
 	guint count = aub_judge_export(&first.it, routes);
-	aub_judge_inherit(&second.it, routes, count);
+	aub_judge_import(&second.it, routes, count);
 	EXPECT_TRUE(aub_judge_is_suspicious(&second.it));
 	EXPECT_EQ(second.it.answers, first.it.answers);
 }
@@ -217,6 +217,6 @@
 
 	for (guint32 route = 1; route <= 100; route++)
 		judge.base(1, route);
-	EXPECT_EQ(judge.it.count, (guint)AUB_JUDGE_ROUTES);
+	EXPECT_EQ(judge.it.count, (guint)AUB_JUDGE_ROUTES_MAX);
 	EXPECT_GT(judge.take(1000, 0.5, 1, 99), 0);
 }
--- a/tests/test_routing.cc
+++ b/tests/test_routing.cc
@@ -45,7 +45,7 @@
 {
 	struct aub_routing *routing = example();
 
-	ASSERT_TRUE(aub_routing_seal(routing, NULL));
+	ASSERT_TRUE(aub_routing_build_index(routing, NULL));
 	EXPECT_STREQ(aub_routing_find(routing, "one", "/x/1")->name, "short");
 	EXPECT_STREQ(aub_routing_find(routing, "one", "/x/y/1")->name, "long");
 	EXPECT_STREQ(aub_routing_find(routing, "ONE:80", "/x/y/")->name,
@@ -64,7 +64,7 @@
 	GError *error = NULL;
 
 	aub_route_add_split(add_route(routing, "bad", "one", "/z/"), "none", 1);
-	EXPECT_FALSE(aub_routing_seal(routing, &error));
+	EXPECT_FALSE(aub_routing_build_index(routing, &error));
 	EXPECT_NE(strstr(error->message, "bad"), nullptr);
 	EXPECT_NE(strstr(error->message, "none"), nullptr);
 	g_error_free(error);
@@ -76,7 +76,7 @@
 	struct aub_routing *routing = example();
 
 	aub_route_add_split(add_route(routing, "bad", "one", "/z"), "a", 1);
-	EXPECT_FALSE(aub_routing_seal(routing, NULL));
+	EXPECT_FALSE(aub_routing_build_index(routing, NULL));
 	aub_routing_unref(routing);
 }
 
@@ -89,7 +89,7 @@
 	aub_route_add_split(route, "b", 20);
 	aub_route_add_split(route, "c", 10);
 	for (int i = 0; i < 300; i++)
-		counts[aub_route_pick(route)]++;
+		counts[aub_route_pick_service(route)]++;
 	EXPECT_NEAR(counts["a"], 210, 6);
 	EXPECT_NEAR(counts["b"], 60, 6);
 	EXPECT_NEAR(counts["c"], 30, 6);
@@ -103,7 +103,7 @@
 	aub_route_add_split(route, "a", 0);
 	aub_route_add_split(route, "b", 5);
 	for (int i = 0; i < 100; i++)
-		EXPECT_STREQ(aub_route_pick(route), "b");
+		EXPECT_STREQ(aub_route_pick_service(route), "b");
 	aub_route_free(route);
 }
 
@@ -116,15 +116,18 @@
 	struct aub_routing *before = example();
 	struct aub_routing *after = example();
 
-	ASSERT_TRUE(aub_routing_seal(before, NULL));
-	ASSERT_TRUE(aub_routing_seal(after, NULL));
-	aub_caller_age_observe(&aub_routing_find(before, "one", "/x/y/z")->age,
-			       4000);
-	aub_routing_inherit(after, before);
-	EXPECT_EQ(aub_routing_find(after, "one", "/x/y/z")->age.longest_ms,
+	ASSERT_TRUE(aub_routing_build_index(before, NULL));
+	ASSERT_TRUE(aub_routing_build_index(after, NULL));
+	aub_caller_wait_observe(
+		&aub_routing_find(before, "one", "/x/y/z")->caller_wait, 4000);
+	aub_routing_copy_caller_waits(after, before);
+	EXPECT_EQ(aub_routing_find(after, "one", "/x/y/z")
+			  ->caller_wait.max_timeout_ms,
 		  4000);
-	EXPECT_EQ(aub_routing_find(after, "one", "/x/z")->age.longest_ms, 0);
-	aub_routing_inherit(after, NULL);
+	EXPECT_EQ(aub_routing_find(after, "one", "/x/z")
+			  ->caller_wait.max_timeout_ms,
+		  0);
+	aub_routing_copy_caller_waits(after, NULL);
 	aub_routing_unref(before);
 	aub_routing_unref(after);
 }
--- a/tests/test_service_versions.cc
+++ b/tests/test_service_versions.cc
@@ -35,15 +35,15 @@
 	}
 	void count()
 	{
-		aub_service_versions_recount(&it);
+		aub_service_versions_begin_count(&it);
 		for (auto &upstream : upstreams)
-			aub_service_versions_count(&it, index(upstream.version),
-						   upstream.born);
-		aub_service_versions_counted(&it, now);
+			aub_service_versions_add(&it, index(upstream.version),
+						 upstream.born);
+		aub_service_versions_finish_count(&it, now);
 	}
 	bool is_free(const std::string &name)
 	{
-		return aub_service_versions_is_free(&it, index(name));
+		return aub_service_versions_is_active(&it, index(name));
 	}
 	void order(const std::string &name)
 	{
--- a/tools/rollout/rollout_model.c
+++ b/tools/rollout/rollout_model.c
@@ -3,7 +3,7 @@
  */
 #include "rollout_model.h"
 
-#include <auburnstile/internal/placement_parts.h>
+#include <auburnstile/internal/placement_internal.h>
 
 #include <math.h>
 #include <string.h>
@@ -95,7 +95,7 @@
 	struct aub_placement *placers[PLACERS];
 	guint placer; /* the one that places now */
 	gint64 started_ms[PLACERS];
-	struct aub_judge_route evidence[AUB_JUDGE_ROUTES + 1]; /* last told */
+	struct aub_judge_route evidence[AUB_JUDGE_ROUTES_MAX + 1]; /* last told */
 	guint evidence_count;
 	guint64 reached;
 	guint64 exposed;
@@ -182,8 +182,8 @@
 	struct aub_placement *placement = aub_placement_new("svc", &limits);
 
 	aub_placement_configure(placement, &spec);
-	aub_placement_take_orders(placement, &rollouts);
-	aub_placement_orders_known(placement, now_ms * MS);
+	aub_placement_enable_rollouts(placement, &rollouts);
+	aub_placement_set_rollouts_loaded(placement, now_ms * MS);
 	model->placers[model->placer] = placement;
 	model->started_ms[model->placer] = now_ms;
 	for (guint i = 0; i < model->upstream_count; i++)
@@ -192,14 +192,14 @@
 			enter(model, placement, i, now_ms);
 	if (!model->spec->orders || now_ms < model->order_ms)
 		return;
-	aub_placement_order(placement, order_of(model, model->stored), false,
+	aub_placement_set_rollout(placement, order_of(model, model->stored), false,
 			    now_ms * MS);
-	(void)aub_placement_order_told(placement,
+	(void)aub_placement_merge_rollout(placement,
 				       &order_of(model, model->stored)->order,
 				       model->told,
 				       (now_ms - model->order_ms) * MS,
 				       now_ms * MS);
-	aub_placement_inherit(placement, model->evidence, model->evidence_count,
+	aub_placement_import_evidence(placement, model->evidence, model->evidence_count,
 			      model->reached, model->exposed, model->allowance);
 }
 
@@ -218,7 +218,7 @@
 		upstream->cold_until_ms = now_ms + COLD_MS;
 		enter(model, placer_now(model), i, now_ms);
 	}
-	aub_placement_order(placer_now(model),
+	aub_placement_set_rollout(placer_now(model),
 			    order_of(model, AUB_ROLLOUT_NONE), false,
 			    now_ms * MS);
 	aub_placement_grant_slack(placer_now(model));
@@ -292,7 +292,7 @@
 		outcome->after_50_ms = (double)(now_ms - model->fiftieth_ms);
 }
 
-static void send(struct model *model, const struct aub_decision *decision,
+static void send(struct model *model, const struct aub_placement_decision *decision,
 		 const struct run *asked, gint64 now_ms)
 {
 	guint index = (guint)atoi(decision->upstream + 1);
@@ -313,7 +313,7 @@
 }
 
 static void take_decision(struct model *model,
-			  const struct aub_decision *decision, gint64 now_ms)
+			  const struct aub_placement_decision *decision, gint64 now_ms)
 {
 	struct run *asked =
 		g_hash_table_lookup(model->asked, &decision->ticket);
@@ -353,15 +353,15 @@
 {
 	const struct kind *kind = draw_kind(model);
 	struct run *run = g_new0(struct run, 1);
-	struct aub_decision decision;
-	struct aub_ask ask = {
+	struct aub_placement_decision decision;
+	struct aub_placement_request ask = {
 		.ticket = ++model->serial,
 		.holder = 1,
 		.zone = "z1",
 		.priority = 1,
 		.target_ms = kind->target_ms,
-		.on_time_ms = kind->target_ms / 2,
-		.patience_ms = kind->target_ms,
+		.on_time_wait_ms = kind->target_ms / 2,
+		.max_wait_ms = kind->target_ms,
 		.route = kind->route,
 	};
 
@@ -372,7 +372,7 @@
 	g_hash_table_insert(model->asked, &run->ticket, run);
 	if (now_ms >= model->order_ms && now_ms < model->deadline_ms)
 		model->outcome->asked++;
-	aub_placement_ask(model->placers[run->placer], &ask, now_ms * MS,
+	aub_placement_submit(model->placers[run->placer], &ask, now_ms * MS,
 			  &decision);
 	take_decision(model, &decision, now_ms);
 }
@@ -417,12 +417,12 @@
 {
 	struct upstream *upstream = &model->upstreams[run->upstream];
 	struct aub_placement *placement = model->placers[run->placer];
-	const struct aub_attempt_report report = {
+	const struct aub_grant_report report = {
 		.ticket = run->ticket,
 		.end = run->ends_ms - run->sent_ms >= HANG_MS ?
-			       AUB_END_TIMEOUT :
-		       run->failed ? AUB_END_FAILED :
-				     AUB_END_OK,
+			       AUB_GRANT_TIMEOUT :
+		       run->failed ? AUB_GRANT_FAILED :
+				     AUB_GRANT_OK,
 		.elapsed_us = (run->ends_ms - run->sent_ms) * MS,
 		.load = { .running = (gint)upstream->running - 1,
 			  .slots = (gint)model->spec->slots,
@@ -452,10 +452,10 @@
 static void queue_and_probes(struct model *model,
 			     struct aub_placement *placement, gint64 now_ms)
 {
-	struct aub_decision decision;
+	struct aub_placement_decision decision;
 	struct aub_probe probe;
 
-	while (aub_placement_next(placement, now_ms * MS, &decision))
+	while (aub_placement_next_decision(placement, now_ms * MS, &decision))
 		take_decision(model, &decision, now_ms);
 	if (now_ms % STEP_MS)
 		return;
@@ -471,8 +471,8 @@
 			.warmup_ms = (gint)MAX(cold_ms, 0),
 		};
 
-		aub_placement_probe_ended(placement, upstream->id,
-					  AUB_PROBE_WELL, &load, now_ms * MS);
+		aub_placement_probe_finished(placement, upstream->id,
+					  AUB_PROBE_HEALTHY, &load, now_ms * MS);
 	}
 }
 
@@ -515,7 +515,7 @@
 		note_stored(model, now_ms);
 	for (guint i = 0; i < PLACERS; i++)
 		if (model->placers[i])
-			aub_placement_order(model->placers[i],
+			aub_placement_set_rollout(model->placers[i],
 					    order_of(model, state), false,
 					    now_ms * MS);
 }
@@ -531,9 +531,9 @@
 	model->told = rollout->state;
 	for (guint i = 0; i < PLACERS; i++)
 		if (model->placers[i] && i != model->placer)
-			(void)aub_placement_order_told(
+			(void)aub_placement_merge_rollout(
 				model->placers[i], &rollout->order,
-				rollout->state, now_ms * MS - rollout->began_us,
+				rollout->state, now_ms * MS - rollout->started_us,
 				now_ms * MS);
 }
 
@@ -549,7 +549,7 @@
 		return;
 	if (rollout->state != before || now_ms % TELL_MS < STEP_MS)
 		tell(model, rollout, now_ms);
-	if (rollout->state != before && !aub_rollout_is_open(rollout) &&
+	if (rollout->state != before && !aub_rollout_is_in_progress(rollout) &&
 	    model->outcome->verdict_ms < 0) {
 		model->outcome->verdict_ms = (double)(now_ms - model->order_ms);
 		model->outcome->reason = rollout->reason;
