--- a/src/state/caller_wait.c
+++ b/src/state/caller_wait.c
@@ -1,16 +1,18 @@
 /*
- * New requests are the greater part of all, so that the median of what
- * callers give lies among theirs, even while a third of them come back.
+ * Estimates the typical timeout of new callers as a running median.
+ *
+ * New requests are the majority, so the median of the remaining times lies
+ * among those of new callers even while a third of the callers retry.
  */
 #include <auburnstile/internal/caller_wait.h>
 
-#define PRIOR_MEDIAN_SHARE \
-	0.9 /* of the longest: callers differ by a few parts */
-#define MEDIAN_STEP_SHARE 0.01 /* of the longest, a request */
+/* of the maximum: timeouts of callers differ by a few percent */
+#define PRIOR_MEDIAN_SHARE 0.9
+#define MEDIAN_STEP_SHARE 0.01 /* of the maximum, per request */
 
 /*
- * New ones reach as far below the median as above it, and a little further:
- * the median moves down while some come back.
+ * The timeouts of new callers reach as far below the median as above it, and
+ * slightly further, because the median moves down while some callers retry.
  */
 #define NEW_CALLER_SPREADS 2.0
 
--- a/src/state/crash_counts.c
+++ b/src/state/crash_counts.c
@@ -1,18 +1,19 @@
 /*
- * Marks of requests that upstreams died under: a small table that forgets.
+ * A bounded table of crash counts that expire.
  */
 #include <auburnstile/internal/crash_counts.h>
 
 #include <string.h>
 
 /*
- * Lost answers have many causes; three in a row, without one answer, have
- * one. It is the number of upstreams that a crashing request may take down.
+ * A lost response has many possible causes; three in a row without a single
+ * response are taken for a crash caused by the request. This limits the
+ * upstreams that such a request may take down.
  */
 #define LOSSES_MAX 3
-#define EXPIRY_US (60 * G_GINT64_CONSTANT(1000000)) /* since the last death */
-#define TRACKED_REQUESTS_MAX \
-	4096 /* at a loss a millisecond, four seconds of them */
+#define EXPIRY_US (60 * G_GINT64_CONSTANT(1000000)) /* since the last loss */
+#define TRACKED_REQUESTS_MAX 4096 /* four seconds at one loss per millisecond \
+				   */
 
 struct crash_count {
 	guint64 fingerprint;
@@ -49,7 +50,9 @@
 	gsize size = sizeof(digest);
 	guint64 fingerprint;
 
-	/* With their NULs, so that no two pairs run together. */
+	/*
+	 * Includes the NULs, so that no two pairs have the same concatenation.
+	 */
 	g_checksum_update(checksum, (const guchar *)line,
 			  (gssize)strlen(line) + 1);
 	g_checksum_update(checksum, (const guchar *)host,
--- a/src/state/load_trend.c
+++ b/src/state/load_trend.c
@@ -1,25 +1,25 @@
 /*
- * A service's slowdowns as a process that reverts to its mean: what is left
- * of a difference from it after `t` is exp(-t / holds). The mean squared jump
- * over a short gap `g` is then 2 x variance x g / holds.
+ * Models a service's slowdowns as a mean-reverting process: after `t`, exp(-t /
+ * correlation time) of a deviation from the mean is left. The mean squared
+ * change over a short gap `g` is then 2 x variance x g / correlation time.
  */
 #include <auburnstile/internal/load_trend.h>
 
 #include <math.h>
 
-/* Before reports have come: bursts of some hundred milliseconds. */
+/* The prior: interference bursts of some hundred milliseconds. */
 #define PRIOR_WEIGHT_S 5.0
 #define PRIOR_MEAN_SLOWDOWN 1.1
 #define PRIOR_SLOWDOWN_VARIANCE 0.3
 #define PRIOR_CORRELATION_S 0.3
 
-#define AVERAGING_TIME_S \
-	60.0 /* of the upstreams' time, summed over all of them */
-#define REPORT_GAP_MAX_US 500000 /* what lies between is unknown beyond that \
-				  */
+/* In upstream time, i.e. summed over all upstreams. */
+#define AVERAGING_TIME_S 60.0
+/* Changes between reports with a longer gap are not seen. */
+#define REPORT_GAP_MAX_US 500000
 #define CORRELATION_MIN_S 0.02
 #define CORRELATION_MAX_S 60.0
-#define SLOWDOWN_MAX 20.0 /* more is an upstream's mistake */
+#define SLOWDOWN_MAX 20.0 /* higher reports are considered erroneous */
 
 void aub_load_trend_init(struct aub_load_trend *trend)
 {
--- a/src/state/placement.c
+++ b/src/state/placement.c
@@ -1,18 +1,17 @@
 /*
- * A service's upstreams as a placement knows them: registered, observed,
- * probed.
+ * A service's upstreams in a placement: their registration, load and health.
  */
 #include <auburnstile/internal/placement_internal.h>
 
 #include <string.h>
 
 /*
- * Share of a new figure in a smoothed one. Upstreams share their hosts and
- * change many times a second: three answers make half of the figure.
+ * The weight of a new sample. Upstreams share their hosts and change many times
+ * a second; three responses make up half of the average.
  */
 #define FAILURE_SMOOTHING 0.2
 
-/* Late reports and probes of one that left have come in by then. */
+/* By then, late reports and probes of a departed upstream have arrived. */
 #define DEPARTED_RETENTION_US (60000 * AUB_US_PER_MS)
 
 struct aub_endpoint *aub_placement_endpoint(
@@ -152,10 +151,9 @@
 }
 
 /*
- * Failure: an upstream dies and is back within a second, cold; nobody saw it
- * go but whoever was refused or reset. Symptom: a full load runs it down
- * again. Enough: after such a sign it gets nothing before a probe has said
- * how cold it is.
+ * A crashed upstream may be back within a second, cold, and the only indication
+ * is a refused or reset connection. Full load would bring it down again, so it
+ * gets no requests until a probe has reported how cold it is.
  */
 void aub_endpoint_mark_down(struct aub_endpoint *endpoint, gint64 now_us)
 {
@@ -163,7 +161,7 @@
 	endpoint->next_probe_us = MIN(endpoint->next_probe_us, now_us);
 }
 
-/* Index of a row whose upstream is gone for good, or -1. */
+/* Returns the index of an endpoint that may be reused, or -1. */
 static gint find_reusable(const struct aub_placement *placement, gint64 now_us)
 {
 	for (guint i = 0; i < placement->endpoints->len; i++) {
@@ -178,9 +176,9 @@
 }
 
 /*
- * Failure: upstreams are replaced all day, each under a new id. Symptom: every
- * decision walks the rows of all that ever were. Enough: a row serves again
- * once its upstream has been gone for a while and nothing is out there.
+ * Upstreams are replaced continuously, each under a new id. To keep every
+ * decision from iterating over all that ever existed, an endpoint is reused
+ * once its upstream has been gone for a while and has no open grants.
  */
 static struct aub_endpoint *endpoint_add(struct aub_placement *placement,
 					 const char *id, gint64 now_us)
@@ -266,9 +264,9 @@
 }
 
 /*
- * Failure: a zone that was out comes back and its upstreams are cold.
- * Symptom: its share of the load runs them down. Enough: each is unknown,
- * and so gets nothing, until a probe has told how cold it is.
+ * The upstreams of a zone that is back in service are cold, and its share of
+ * the load would bring them down. Each is unknown, and so gets no requests,
+ * until a probe has reported how cold it is.
  */
 void aub_placement_set_zone_out(struct aub_placement *placement,
 				const char *zone, bool out, gint64 now_us)
@@ -320,7 +318,7 @@
 	return endpoint->state == AUB_ENDPOINT_DOWN ? "down" : "unknown";
 }
 
-/* Whatever is not told of is up, warm and as fast as the others. */
+/* Upstreams that are not reported are up, warm and as fast as the others. */
 static bool is_reportable(const struct aub_endpoint *endpoint, gint64 now_us)
 {
 	return endpoint->state != AUB_ENDPOINT_UP ||
@@ -384,7 +382,10 @@
 	endpoint->slowness = health->slowdown / 100.0;
 }
 
-/* Of the first registered upstream; those of a service are mostly alike. */
+/*
+ * Taken from the first registered upstream; a service's upstreams are mostly
+ * alike.
+ */
 static guint concurrency_limit_percent(const struct aub_placement *placement)
 {
 	for (guint i = 0; i < placement->endpoints->len; i++) {
--- a/src/state/placement_choose.c
+++ b/src/state/placement_choose.c
@@ -1,29 +1,32 @@
 /*
- * The cost of each upstream for one request, and the cheapest with room.
+ * Chooses the endpoint with room that has the lowest cost for a request.
  *
- * Costs are in units of the request's target latency: what is expected to be
- * late, or to fail, is compared on one scale.
+ * Costs are in units of the latency target of the request, so that expected
+ * lateness and failures are compared on one scale.
  */
 #include <auburnstile/internal/placement_internal.h>
 
 #include <math.h>
 #include <string.h>
 
-/* What an upstream told of running and waiting requests holds so long. */
+/* For how long an upstream's reported request counts are valid. */
 #define LOAD_COUNTS_VALID_US (200 * AUB_US_PER_MS)
 
-/* Bytes between zones are dear: in calm times answers stay in their zone. */
+/*
+ * Traffic between zones is expensive: under light load, requests stay in their
+ * zone.
+ */
 #define CROSS_ZONE_COST 0.05
 
 #define FAILURE_COST 2.0 /* a failed attempt costs its time and a retry */
-#define UNHEALTHY_COST 1.0 /* said to be unwell by itself: a last resort */
-#define LATE_COST 0.9 /* likely to be late there */
-#define INTERFERENCE_REMAINING_SHARE \
-	0.5 /* of a burst that is under way, on the mean */
+#define UNHEALTHY_COST 1.0 /* reported itself unhealthy: a last resort */
+#define LATE_COST 0.9 /* the response is likely to be late */
+/* The expected remainder of an interference burst in progress. */
+#define INTERFERENCE_REMAINING_SHARE 0.5
 
-#define COLD_SLOWDOWN 2.0 /* work at a cold upstream takes twice as long */
-#define STUCK_COST 3.0 /* nothing came back for too long */
-#define STUCK_TARGET_RATIO 1.5 /* an answer that is out for longer is stuck */
+#define COLD_SLOWDOWN 2.0 /* service time factor of a cold upstream */
+#define STUCK_COST 3.0 /* no response for too long */
+#define STUCK_TARGET_RATIO 1.5 /* a request in progress for longer is stuck */
 
 static bool was_tried(const struct aub_placement_request *request,
 		      const char *id)
@@ -34,18 +37,18 @@
 	return false;
 }
 
-/* What one choice goes by, whichever the upstream. */
+/* The parameters of one choice, the same for all endpoints. */
 struct choice {
 	struct aub_placement *placement;
 	const struct aub_placement_request *request;
 	gint64 now_us;
-	double service_time_ms; /* of its kind of work */
-	enum aub_version_traffic traffic; /* of the upstreams that count */
-	bool judging; /* a version, by a few requests */
-	bool filling; /* one upstream after the other, not evenly */
+	double service_time_ms; /* mean of its class */
+	enum aub_version_traffic traffic; /* of the endpoints considered */
+	bool judging; /* canary requests that judge a version */
+	bool filling; /* fill one upstream after the other, not evenly */
 };
 
-/* May this request ever go there, room or not? */
+/* Returns whether the request may go there, regardless of room. */
 static bool is_usable(const struct choice *choice,
 		      const struct aub_endpoint *endpoint)
 {
@@ -56,7 +59,10 @@
 		return false;
 	if (endpoint->state == AUB_ENDPOINT_DOWN)
 		return false;
-	/* Cold ones are slow, and what they answer says little. */
+	/*
+	 * Cold upstreams are slow, so their responses say little of the
+	 * version.
+	 */
 	if (choice->judging && aub_endpoint_is_cold(endpoint, choice->now_us))
 		return false;
 	if (request->local_fallback)
@@ -87,12 +93,13 @@
 }
 
 /*
- * Slots of each upstream that only requests that can be on time may take.
+ * Returns the slots of each upstream that are reserved for requests that can be
+ * on time.
  *
- * Failure: after a burst the late ones keep every slot busy, and new ones
- * become late behind them. Symptom: the load is back to usual and answers
- * are late for minutes. Enough: with a third of the slots kept free of late
- * ones, new requests are on time, and the late ones drain beside them.
+ * After a load spike, late requests would occupy every slot and make new ones
+ * late behind them, for minutes after the load is back to normal. With a third
+ * of the slots free of late requests, new ones are on time while the late ones
+ * drain.
  */
 static guint reserved_slots(const struct aub_placement_request *request,
 			    guint limit)
@@ -101,12 +108,13 @@
 }
 
 /*
- * How many times as long as usual work takes there now because of neighbours.
+ * Returns the present slowdown from interference of neighbours, as a multiple
+ * of the baseline service time.
  *
- * Failure: an upstream told that it is fast a tenth of a second ago, and a
- * neighbour has slowed it since. Symptom: one request in twelve is late in
- * calm times. Enough: what was told fades with its age, so that of several
- * that were fast the one that told it last is taken.
+ * A report that is a tenth of a second old may be outdated because a neighbour
+ * has become busy since; trusting it makes one request in twelve late even
+ * under light load. A report therefore decays with its age, so that of several
+ * fast upstreams the one with the latest report is chosen.
  */
 static double interference(const struct aub_placement *placement,
 			   const struct aub_endpoint *endpoint, gint64 now_us)
@@ -119,11 +127,10 @@
 }
 
 /*
- * Failure: in an overload requests are begun at upstreams in a neighbour's
- * burst. Symptom: each keeps its slot for four times as long, long after the
- * burst has ended, and all that come later wait for it. Enough: a slot is left
- * empty where waiting for the burst's end and then working at the usual pace
- * takes less time.
+ * In an overload, requests started during an interference burst would each keep
+ * their slot for four times as long, long after the burst has ended, and delay
+ * all later ones. A slot is left empty if waiting for the end of the burst and
+ * then executing at normal speed takes less time.
  */
 static bool should_wait_for_interference(const struct choice *choice,
 					 const struct aub_endpoint *endpoint)
@@ -137,7 +144,7 @@
 		       aub_load_trend_mean(trend) * choice->service_time_ms;
 }
 
-/* `limit` is the row's, see aub_endpoint_concurrency_limit(). */
+/* `limit` is aub_endpoint_concurrency_limit(). */
 static bool has_room(const struct choice *choice,
 		     const struct aub_endpoint *endpoint, guint limit)
 {
@@ -160,11 +167,11 @@
 }
 
 /*
- * An upstream's own slowness, for reasons that it does not tell.
+ * Returns an upstream's own slowness, from causes that it does not report.
  *
- * Failure: the last answers of an upstream happened to be long. Symptom: it is
- * passed over for one farther away, fuller, or not heard of lately. Enough:
- * nothing counts that the spread of the work explains.
+ * A few long responses in a row must not make the choice skip it for an
+ * upstream in another zone, with higher utilization or an older report. Ratios
+ * within the normal spread of service times are ignored.
  */
 static double own_slowness(const struct aub_endpoint *endpoint)
 {
@@ -173,7 +180,7 @@
 		       1.0;
 }
 
-/* How many times as long as usual the next request takes there. */
+/* Returns the expected slowdown of the next request there. */
 static double slowdown(const struct choice *choice,
 		       const struct aub_endpoint *endpoint)
 {
@@ -210,7 +217,10 @@
 	return value;
 }
 
-/* Rows with a request out for longer than good answers take. */
+/*
+ * Sets `stuck` for endpoints with a request in progress for longer than
+ * successful responses take.
+ */
 static void find_stuck(const struct aub_placement *placement, bool *stuck,
 		       gint64 now_us)
 {
@@ -233,8 +243,8 @@
 }
 
 /*
- * May some upstream serve it on time, though it has no room now? Looked for
- * only where those with room would not.
+ * Returns whether some upstream could serve the request on time, though it has
+ * no room at present. Only needed if those with room can not.
  */
 static bool is_any_on_time(const struct choice *choice, const bool *stuck)
 {
@@ -252,12 +262,13 @@
 }
 
 /*
- * Load: the share of the requests that judge a new version, while few of its
- * upstreams would do.
+ * Returns the cost of a canary for a request that judges a new version, whose
+ * share of the requests could be served by few of its upstreams.
  *
- * Failure: a version fails only where its upstreams are nearly full. Symptom:
- * spread evenly, its share fills none, and it is taken for good. Enough: at
- * times the fullest that has room takes the next request.
+ * A version may fail only when its upstreams are nearly full. If its requests
+ * were always distributed evenly, they would fill none and the fault would not
+ * show. Periodically the endpoint with the most requests that still has room
+ * takes the next one.
  */
 static double canary_cost(const struct choice *choice,
 			  const struct aub_endpoint *endpoint, bool stuck)
@@ -268,7 +279,7 @@
 		return value;
 	if (choice->filling && value < LATE_COST)
 		value = -(double)endpoint->granted;
-	/* One that has said much already has less to add. */
+	/* An upstream that has contributed much evidence has less to add. */
 	return value + aub_endpoint_evidence_share(choice->placement, endpoint);
 }
 
@@ -302,8 +313,8 @@
 		best = (gint)i;
 	}
 	/*
-	 * A request that could still be on time waits for an upstream where it
-	 * is, if there is one. A late one takes what there is.
+	 * A request that can still be on time waits for an upstream that can
+	 * serve it on time, if there is one. A late request takes any.
 	 */
 	if (best >= 0 && !choice->judging && choice->request->on_time_wait_ms &&
 	    best_cost > LATE_COST && is_any_on_time(choice, stuck))
--- a/src/state/placement_grants.c
+++ b/src/state/placement_grants.c
@@ -1,25 +1,29 @@
 /*
- * Grants from their making to their report, and what a report teaches.
+ * The grants, and what is learned from their reports.
  */
 #include <auburnstile/internal/placement_internal.h>
 
-#define SLOT_TIME_SMOOTHING 0.05 /* a mean over some twenty requests */
+#define SLOT_TIME_SMOOTHING 0.05 /* an average over about twenty requests */
 
-/* An upstream that says it is full is taken to be for about a slot's time. */
+/*
+ * An upstream that refused a request is considered full for about the time that
+ * a slot takes to become free.
+ */
 #define REFUSED_PAUSE_US (50 * AUB_US_PER_MS)
 
-/* A grant younger than this may not yet be in its holder's list. */
+/* A grant younger than this may be missing in its holder's list. */
 #define HOLDER_LIST_GRACE_US (1200 * AUB_US_PER_MS)
 
 #define SLOWNESS_SMOOTHING 0.1
 #define SLOWNESS_MAX 8.0
 
 /*
- * Share of its limit that a cold upstream is given: two placers that do not
- * know of each other then stay below one and a half times it.
+ * The share of the warm-up rate that one placer grants a cold upstream. Two
+ * placers that do not know of each other then stay within one and a half times
+ * that rate.
  */
 #define COLD_RATE_SHARE 0.75
-#define COLD_RATE_MIN_PER_S 0.1 /* where the configuration names none */
+#define COLD_RATE_MIN_PER_S 0.1 /* if the configuration sets none */
 
 double aub_placement_cold_rate_per_s(const struct aub_placement *placement)
 {
@@ -58,9 +62,8 @@
 }
 
 /*
- * What an answer's time says of its kind of work, of how full the upstream
- * was, and of the upstream itself: each with what the others explain divided
- * out.
+ * Updates the service time of the class, the slowdown by utilization and the
+ * slowness of the upstream, each with the effects of the others divided out.
  */
 static void update_times(struct aub_placement *placement,
 			 struct aub_endpoint *endpoint,
@@ -81,9 +84,10 @@
 		(slot_time_us - placement->mean_slot_time_us) *
 		SLOT_TIME_SMOOTHING;
 	/*
-	 * Failure: in a long overload all answers come from full upstreams.
-	 * Symptom: what is slow there is taken for usual, and they are kept
-	 * that full. Enough: the usual is learned where there is room.
+	 * In a long overload all responses come from full upstreams. If these
+	 * counted for the baseline service time, slow would become the baseline
+	 * and the upstreams would be kept that full. The baseline is therefore
+	 * learned from upstreams with room.
 	 */
 	if (aub_saturation_is_lightly_loaded(grant->concurrency,
 					     endpoint->slots) ||
@@ -102,7 +106,7 @@
 	endpoint->slowness = CLAMP(endpoint->slowness, 0.5, SLOWNESS_MAX);
 }
 
-/* What an attempt's end says of the upstream. */
+/* Updates the health of the upstream by the result of a grant. */
 static void apply_result(struct aub_placement *placement,
 			 struct aub_endpoint *endpoint,
 			 const struct aub_grant *grant,
--- a/src/state/placement_probe.c
+++ b/src/state/placement_probe.c
@@ -1,28 +1,34 @@
 /*
- * When each upstream is probed, and what a probe's end says.
+ * The schedule of health probes, and the handling of their results.
  */
 #include <auburnstile/internal/placement_internal.h>
 
-/* Neighbours' bursts last some hundred milliseconds. */
+/* Short enough to notice interference bursts of some hundred milliseconds. */
 #define PROBE_INTERVAL_US (100 * AUB_US_PER_MS)
-#define PROBE_INTERVAL_COLD_US (500 * AUB_US_PER_MS) /* it bears little */
+/* A cold upstream can handle few requests. */
+#define PROBE_INTERVAL_COLD_US (500 * AUB_US_PER_MS)
 #define PROBE_INTERVAL_DOWN_US (250 * AUB_US_PER_MS)
 /*
- * Failure: a service has a thousand upstreams, and those who probe them have a
- * fifth of a core. Symptom: probes take nearly all of it, and configurations
- * are late. Enough: the interval grows with the upstreams, to 600 ms at a
- * thousand; up to 160 nothing changes.
+ * Multiplied by the number of upstreams of the service, the minimum interval.
+ * The processes that probe a service of a thousand upstreams have a fifth of a
+ * core; probes at the normal interval would use nearly all of it and delay
+ * configuration updates. The interval grows to 600 ms at a thousand upstreams;
+ * up to 160 it does not change.
+ */
+#define PROBE_INTERVAL_PER_UPSTREAM_US 600
+/*
+ * An upstream is probed locally after this many intervals without a result from
+ * its zone's prober.
  */
-#define PROBE_INTERVAL_PER_UPSTREAM_US \
-	600 /* the least, for each upstream of the service */
-/* Without word from a zone's prober for so many, it is probed here. */
 #define REMOTE_PROBE_INTERVALS 3
 /*
- * Under way at once, for a service. After a start all upstreams are due; a
- * thousand connections in one turn keep a small VM from anything else.
+ * Concurrent probes of one service. After a start all upstreams are due; a
+ * thousand connections in one iteration of the main loop would block a small
+ * VM.
  */
 #define CONCURRENT_PROBES_MAX 64
-#define FAILED_PROBES_DOWN 2 /* one lost packet is no death */
+/* Consecutive ones; a single lost packet does not mark it down. */
+#define FAILED_PROBES_DOWN 2
 
 static gint64 probe_interval_us(const struct aub_placement *placement,
 				const struct aub_endpoint *endpoint,
@@ -59,7 +65,10 @@
 	       (!zone || !g_strcmp0(endpoint->zone, zone));
 }
 
-/* In turn: those that are silent must not keep the others from a probe. */
+/*
+ * Goes round-robin, so that unresponsive upstreams do not keep the others from
+ * being probed.
+ */
 bool aub_placement_probe_next(struct aub_placement *placement, const char *zone,
 			      gint64 now_us, struct aub_probe *probe)
 {
@@ -131,7 +140,7 @@
 	endpoint = aub_placement_endpoint(placement, (guint)index);
 	probing = endpoint->probing;
 	aub_placement_probe_finished(placement, upstream, result, load, now_us);
-	/* An own one under way goes on. */
+	/* A local probe in progress continues. */
 	aub_endpoint_set_probing(placement, endpoint, probing);
 	endpoint->next_probe_us =
 		now_us + REMOTE_PROBE_INTERVALS *
--- a/src/state/placement_queue.c
+++ b/src/state/placement_queue.c
@@ -1,23 +1,26 @@
 /*
- * Who waits for a slot, in which order they get one, and who is refused.
+ * The queue of requests that wait for a slot: order of service and refusals.
  */
 #include <auburnstile/internal/placement_internal.h>
 
 #include <math.h>
 #include <string.h>
 
-/* Before a report has come: a usual time of work at these upstreams. */
+/* Used before the first report: a typical time that a slot is in use. */
 #define SLOT_TIME_DEFAULT_US (250 * AUB_US_PER_MS)
 
 #define RETRY_AFTER_MIN_MS 700
-#define RETRY_AFTER_BUDGET_MS 100 /* only the budget was in the way */
-#define LOW_UTILIZATION_PERCENT \
-	75 /* of the slots: below, nobody waits for one */
+#define RETRY_AFTER_BUDGET_MS 100 /* only the retry budget was exhausted */
+/* Of the slots; at a lower utilization no request waits. */
+#define LOW_UTILIZATION_PERCENT 75
 #define RETRY_AFTER_MAX_MS 5000
-#define RETRY_AFTER_NO_UPSTREAM_MS 500 /* what is down is probed twice in it \
-					*/
+/* Upstreams that are down are probed twice in this time. */
+#define RETRY_AFTER_NO_UPSTREAM_MS 500
 
-/* Of the time in which it can still be on time: then the newest goes first. */
+/*
+ * Of the time in which a request can be on time. Once the longest waiting one
+ * has used up more, the newest goes first.
+ */
 #define NEWEST_FIRST_WAIT_SHARE 0.3
 
 static double slot_time_us(const struct aub_placement *placement)
@@ -26,7 +29,7 @@
 						  SLOT_TIME_DEFAULT_US;
 }
 
-/* How long whoever stands behind `ahead` others waits for a slot, ms. */
+/* Returns the wait for a slot behind `ahead` other requests, in ms. */
 static guint wait_ms(const struct aub_placement *placement, guint ahead,
 		     guint slots)
 {
@@ -79,23 +82,27 @@
 }
 
 /*
- * The order of service. Whoever can still be on time goes first; the most
- * urgent of these, and of equals who has used up most of the time in which it
- * can be, or least of it once that is a good part.
+ * The next requests to serve. Those that can still be on time go first, by
+ * priority. Among equals it is the one that has used up the largest share of
+ * the time in which it can be on time, or, once that share is large, the
+ * smallest.
  *
- * Failure: in an overload everybody waits equally long. Symptom: all answers
- * are late, though most could have been on time; and where kinds of requests
- * with different targets wait for the same slots, only those with the longest
- * are served. Enough: those served have hardly waited by their own measure;
- * the others take what is left over.
+ * If all requests waited equally long in an overload, all responses would be
+ * late although most could have been on time; and where classes with different
+ * targets compete for slots, only those with the longest target would be
+ * served. With this order the requests served have waited only for a small
+ * share of their own limit, and the others get the remaining slots.
  */
 struct queue_ends {
-	gint longest_waiting; /* index of who has used up most, or -1 */
-	gint shortest_waiting; /* of who has used up least */
-	bool newest_first; /* the first has used up a good part of its time */
+	gint longest_waiting; /* index, or -1; used up the largest share */
+	gint shortest_waiting; /* used up the smallest share */
+	bool newest_first; /* serve shortest_waiting first */
 };
 
-/* Of the time in which it can be on time, or of its patience, if late. */
+/*
+ * Returns the share used up of the time in which it can be on time or, if it is
+ * late, of its maximum wait.
+ */
 static double wait_share(const struct aub_queued_request *queued, gint64 now_us)
 {
 	gint64 end_us = queued->on_time_until_us > now_us ?
@@ -138,7 +145,7 @@
 	ends->newest_first = max_share > NEWEST_FIRST_WAIT_SHARE;
 }
 
-/* Those that would be served before a newcomer. */
+/* Returns the number of requests that would be served before a new one. */
 static guint count_ahead(const struct aub_placement *placement, guint priority,
 			 bool late, gint64 now_us)
 {
@@ -198,13 +205,12 @@
 }
 
 /*
- * Load: many attempts fail though upstreams have room, and the fleet's budget
- * of retries is used up.
+ * Refuses a retry beyond the budget of the fleet, as when many attempts fail
+ * although upstreams have room.
  *
- * Failure: callers are told to come back when the next queue has drained.
- * Symptom: nobody waits in a queue, and all of them are late. Enough: where
- * there is room for the request now, it may come back at once: it is a request
- * of its own then.
+ * If callers were told to return after the queue has drained, they would be
+ * late although no request waits. If there is room now, the caller may retry
+ * almost immediately: it is then a request of its own.
  */
 static void refuse_retry(struct aub_placement *placement,
 			 const struct aub_placement_request *request,
@@ -220,7 +226,7 @@
 		decision->retry_after_ms = RETRY_AFTER_BUDGET_MS;
 }
 
-/* A probe is under way that may find an upstream for those who wait. */
+/* Returns whether a pending probe may find an upstream for queued requests. */
 static bool is_any_unknown(const struct aub_placement *placement)
 {
 	for (guint i = 0; i < placement->endpoints->len; i++) {
@@ -284,7 +290,10 @@
 		       RETRY_AFTER_NO_UPSTREAM_MS);
 		return;
 	}
-	/* Refused on arrival, not after a wait that would have been in vain. */
+	/*
+	 * Refused on arrival rather than after a wait that is too long to be
+	 * useful.
+	 */
 	if (slots && wait_ms(placement, ahead, slots) > request->max_wait_ms) {
 		refuse(placement, decision, AUB_VERDICT_OVERLOAD,
 		       wait_ms(placement, ahead, slots));
@@ -339,7 +348,7 @@
 	return true;
 }
 
-/* The first whose patience has ended is told to come back. */
+/* Refuses the first request whose maximum wait is over. */
 static bool expire_queued(struct aub_placement *placement, gint64 now_us,
 			  struct aub_placement_decision *decision)
 {
--- a/src/state/placement_rollout.c
+++ b/src/state/placement_rollout.c
@@ -1,15 +1,15 @@
 /*
- * Versions in a placement: what each upstream's allows, what a new one gets
- * while it is judged, and what its answers say of it.
+ * Versions in a placement: the traffic that each upstream's version allows, the
+ * share of a new version while it is judged, and the judging of its responses.
  */
 #include <auburnstile/internal/placement_internal.h>
 
 #include <string.h>
 
-#define FULL_UTILIZATION_SHARE \
-	0.7 /* of its slots: an upstream counts as full */
-#define SWITCH_HEADROOM_FACTOR \
-	1.2 /* slots over what runs, to take all requests */
+/* of the slots; an upstream is nearly full above */
+#define FULL_UTILIZATION_SHARE 0.7
+/* slots needed, times the requests in progress */
+#define SWITCH_HEADROOM_FACTOR 1.2
 
 static enum aub_version_traffic traffic_of(
 	const struct aub_placement *placement,
@@ -45,7 +45,7 @@
 	placement->rollout.canary_upstreams = canaries;
 }
 
-/* Counts all upstreams anew and finds what each may get. */
+/* Counts all upstreams again and updates the traffic that each may get. */
 static void recount_versions(struct aub_placement *placement, gint64 now_us)
 {
 	struct aub_service_versions *versions = &placement->versions;
@@ -73,12 +73,9 @@
 }
 
 /*
- * Load: the listing of a service with hundreds of upstreams, all of them of one
- * version.
- *
- * Failure: all are counted anew for each that is read. Symptom: a start takes
- * time by the square of their number. Enough: while there is one version only,
- * nothing but the upstream's own count changes.
+ * Recounting all upstreams for each one that is read would make the start with
+ * hundreds of upstreams quadratic in their number. While there is a single
+ * version, only the count of the upstream itself is updated.
  */
 void aub_endpoint_count_version(struct aub_placement *placement,
 				struct aub_endpoint *endpoint,
@@ -129,7 +126,7 @@
 	recount_versions(placement, now_us);
 }
 
-/* What follows from the order's state for the versions. */
+/* Applies the state of the order to the versions. */
 static void apply_state(struct aub_placement *placement, gint64 now_us)
 {
 	const struct aub_rollout *rollout = &placement->rollout;
@@ -205,13 +202,13 @@
 		       &placement->rollout;
 }
 
-/* What the old version answers is soon known anew. */
+/* The baseline is not imported: it is soon learned again. */
 void aub_placement_import_evidence(struct aub_placement *placement,
 				   const struct aub_judge_route *routes,
 				   guint count, guint64 reached,
 				   guint64 exposed, double allowance)
 {
-	/* Older than what is known. */
+	/* Older than the exposure known here. */
 	if (reached < aub_rollout_total_reached(&placement->rollout))
 		return;
 	aub_rollout_import_exposure(&placement->rollout, reached, exposed,
@@ -239,7 +236,10 @@
 					      request->target_ms),
 		    now_us))
 		return AUB_CANARY_ONLY;
-	/* A caller meets a version that may be bad once, not again. */
+	/*
+	 * A caller is exposed to a possibly bad version once, not with its
+	 * retries.
+	 */
 	if (request->local_fallback || request->retry ||
 	    !aub_rollout_may_send_canary(rollout, now_us))
 		return AUB_CANARY_NONE;
@@ -257,7 +257,7 @@
 	placement->rollout.last_exposed_us = grant->granted_us;
 }
 
-/* Did the request reach the upstream? */
+/* Returns whether the request reached the upstream. */
 static bool reached_upstream(enum aub_grant_result end)
 {
 	switch (end) {
@@ -283,8 +283,8 @@
 }
 
 /*
- * Upstreams that crash, shed or hang say nothing of their version: what counts
- * is whole answers, and how long they took.
+ * Crashes, refusals and timeouts of upstreams say nothing about their version.
+ * Only complete responses and their times count.
  */
 static void fill_answer(const struct aub_placement *placement,
 			const struct aub_endpoint *endpoint,
@@ -356,7 +356,9 @@
 		return;
 	fill_answer(placement, endpoint, grant, report->elapsed_us, &answer);
 	answer.failed = report->end == AUB_GRANT_FAILED;
-	/* Also while there is no order, so that the next one has its measure.
+	/*
+	 * Also done while there is no order, so that the next one has a
+	 * baseline.
 	 */
 	if (endpoint->traffic == AUB_VERSION_ACTIVE)
 		aub_judge_add_baseline(&rollout->judge, &answer);
@@ -365,11 +367,10 @@
 }
 
 /*
- * Load: a version several times slower than the old one, at a high rate.
- *
- * Failure: its answers are waited for before it is judged. Symptom: hundreds
- * of requests are sent to it meanwhile. Enough: an answer that is out for
- * longer than good ones take is judged at once.
+ * A version that is several times slower than the old one, at a high request
+ * rate, would get hundreds of requests before its first responses are judged. A
+ * request in progress for longer than good responses take is therefore judged
+ * immediately.
  */
 static void judge_overdue_grants(struct aub_placement *placement, gint64 now_us)
 {
--- a/src/state/request_path.c
+++ b/src/state/request_path.c
@@ -1,11 +1,14 @@
 /*
- * Canonical paths of requests.
+ * Canonicalization of request paths.
  */
 #include <auburnstile/internal/request_path.h>
 
 #include <string.h>
 
-/* Percent signs decoded once; a broken one stays as it is. */
+/*
+ * Decodes percent-encoding once; an invalid sequence is left as it is. The
+ * caller frees the result.
+ */
 static char *percent_decode(const char *path, gsize length)
 {
 	char *text = g_malloc(length + 1);
@@ -31,7 +34,7 @@
 	return text;
 }
 
-/* Take the last segment off, keeping the string within its root. */
+/* Removes the last segment. The path never rises above its root. */
 static void remove_last_segment(GString *path)
 {
 	const char *slash = strrchr(path->str, '/');
--- a/src/state/retry_budget.c
+++ b/src/state/retry_budget.c
@@ -1,6 +1,7 @@
 /*
- * The sliding window as a ring of buckets. The bucket under way counts in
- * full, so a span of the window's length never holds more than is allowed.
+ * Implements the sliding window as a ring of buckets. The current bucket counts
+ * in full, so that no interval of the length of the window ever holds more than
+ * is allowed.
  */
 #include <auburnstile/internal/retry_budget.h>
 
--- a/src/state/rollout.c
+++ b/src/state/rollout.c
@@ -1,5 +1,6 @@
 /*
- * The life of an order: exposure, verdict, and the move to the new version.
+ * The life cycle of a rollout order: exposure, decision, switch to the new
+ * version.
  */
 #include <auburnstile/internal/rollout.h>
 
@@ -7,39 +8,49 @@
 
 #define US_PER_MS ((gint64)1000)
 
-/* Parts of the operators' share and slack that are used. */
-#define SHARE_USED_MAX 0.98 /* of the share, by all means */
+/* The portions of the operators' share and slack that are used. */
+#define SHARE_USED_MAX 0.98 /* of the share, hard limit */
 #define SHARE_USED_PLANNED 0.96
-#define SHARE_USED_INHERITED 0.92 /* what was told is a moment old */
+#define SHARE_USED_INHERITED 0.92 /* imported numbers are slightly outdated */
 #define SLACK_USED_SHARE 0.85
 #define ALLOWANCE_INHERITED_SHARE 0.5
-#define ARRIVAL_RESERVE_SIGMAS 1.5 /* arrivals come at random */
+#define ARRIVAL_RESERVE_SIGMAS 1.5 /* requests arrive at random */
 
-/* Parts of what is planned for judging; the rest is for the move. */
+/*
+ * The portions of the planned exposure for judging; the rest is for the switch.
+ */
 #define CANARY_SHARE_MAX 0.7
 #define CANARY_SHARE_MIN 0.18
-#define ALLOWANCE_DURATION_SHARE \
-	0.6 /* of the whole time, to spend the allowance in */
-#define CANARY_SPREAD_US \
-	(1500.0 * US_PER_MS) /* in which what may be sent is sent */
+/* The allowance is spent in this share of the duration. */
+#define ALLOWANCE_DURATION_SHARE 0.6
+/* Requests that may be sent are spread over this time. */
+#define CANARY_SPREAD_US (1500.0 * US_PER_MS)
 
-/* An order is heard of a little late, and completing it takes a call. */
+/* An order is received with some delay, and completing it takes a call. */
 #define MARGIN_DURATION_SHARE 0.01
 #define MARGIN_MIN_MS 200.0
 #define MARGIN_MAX_MS 1500.0
 
-/* Usual times of work until the last answers of the old version are in. */
+/*
+ * Time until the last responses of the old version have arrived, as a multiple
+ * of the mean service time.
+ */
 #define DRAIN_FACTOR_MAX 7.0
 #define DRAIN_FACTOR_MIN 0.5
-#define DRAIN_DURATION_SHARE 0.25 /* of the whole time, at most */
-#define RATE_INTERVAL_MS 1000.0 /* over which the rate of requests is taken */
+#define DRAIN_DURATION_SHARE 0.25 /* of the duration, at most */
+#define RATE_INTERVAL_MS 1000.0 /* over which the request rate is measured */
 
-/* Answers whose time could be judged, before a version can be good ... */
+/*
+ * Timed responses required before a version can be good, once the given number
+ * of requests has reached the service.
+ */
 #define TIMED_ANSWERS_MIN 8
-#define REACHED_REQUESTS_MIN \
-	40 /* ... where as many requests reached the service */
+#define REACHED_REQUESTS_MIN 40
 
-/* So many bad answers, if they are so much of all, make a bad version. */
+/*
+ * As many bad responses, if they are this share of the timed ones, make a bad
+ * version.
+ */
 #define BAD_ANSWERS_MIN 20
 #define BAD_ANSWERS_SHARE 0.4
 
@@ -105,9 +116,9 @@
 }
 
 /*
- * Failure: placers end one after the other, or two place at once. Symptom: each
- * spends the whole allowance. Enough: each gets half of what the one before it
- * had, and all together no more than twice the first one's part.
+ * Placers may fail one after the other, or two may be active at the same time.
+ * To keep each from spending the whole allowance, each gets half of that of the
+ * one before, so that all together spend at most twice the first one.
  */
 void aub_rollout_import_exposure(struct aub_rollout *rollout, guint64 reached,
 				 guint64 exposed, double allowance)
@@ -168,8 +179,9 @@
 }
 
 /*
- * As late as the old version's answers allow: a version that turns bad late is
- * then still judged by a small share of the requests.
+ * Returns the time of the switch, in ms after the start of the order. It is as
+ * late as the old version's responses in progress allow, so that a version that
+ * regresses late is still judged by a small share of the requests.
  */
 static double switch_ms(const struct aub_rollout *rollout,
 			double service_time_ms)
@@ -185,7 +197,10 @@
 	return age_ms(rollout, now_us) >= rollout->order.duration_ms;
 }
 
-/* Whatever the version turns out to be, it may get `requests` more. */
+/*
+ * Returns whether `requests` more may be sent to the new version, even if it
+ * turns out to be bad.
+ */
 static bool is_within_exposure(const struct aub_rollout *rollout,
 			       double requests)
 {
@@ -204,7 +219,7 @@
 	       (is_expired(rollout, now_us) || is_within_exposure(rollout, 1));
 }
 
-/* Requests that may still be sent to the new version, to judge it. */
+/* Returns how many more requests may be sent to the new version to judge it. */
 static double canary_requests_left(const struct aub_rollout *rollout,
 				   gint64 now_us)
 {
@@ -225,10 +240,10 @@
 }
 
 /*
- * Failure: what may be sent has added up while the new version warmed up, and
- * is sent at once. Symptom: its long answers come one after the other, after
- * all short ones, and look like a version that has turned slow. Enough: what
- * there is is spread over a while, but for as much as one upstream takes.
+ * The requests that may be sent add up while the new version warms up. Sent at
+ * once, their long responses would arrive one after the other, after all short
+ * ones, and look like a version that has become slow. They are spread over a
+ * while, except for as many as fill one upstream.
  */
 static bool may_send_now(const struct aub_rollout *rollout, double left,
 			 gint64 now_us)
@@ -241,8 +256,9 @@
 }
 
 /*
- * What was placed here counts, and what was told: so the parts of processes
- * that place one after the other, or at once, stay below the share of the sum.
+ * Includes the requests placed by others as far as known, so that processes
+ * that place one after the other, or concurrently, stay below the share of the
+ * sum.
  */
 bool aub_rollout_may_send_canary(const struct aub_rollout *rollout,
 				 gint64 now_us)
@@ -254,7 +270,7 @@
 	       may_send_now(rollout, left, now_us);
 }
 
-/* Of late, so that a burst that has just begun counts. */
+/* Uses a recent interval, so that the start of a load spike counts. */
 static void update_request_rate(struct aub_rollout *rollout, gint64 now_us)
 {
 	double ms = (double)(now_us - rollout->rate_sampled_us) / US_PER_MS;
@@ -270,10 +286,11 @@
 }
 
 /*
- * Failure: a version turns bad, or shows that it is, once it gets all
- * requests. Symptom: until they go back to the old one it has got more than
- * operators allow. Enough: the move takes no more requests than are left of
- * what it may get until the end of the order, whatever it turns out to be.
+ * A version may regress, or show that it is bad, only when it gets all
+ * requests; until they are back at the old version it would have got more than
+ * operators allow. The switch therefore takes no more requests than are left of
+ * the exposure until the end of the order, whatever the version turns out to
+ * be.
  */
 static void plan_switch(struct aub_rollout *rollout,
 			const struct aub_rollout_load *load, gint64 now_us)
@@ -291,7 +308,7 @@
 		       rollout->allowance;
 	double reserve = per_ms * margin_ms(rollout) +
 			 ARRIVAL_RESERVE_SIGMAS * sqrt(MAX(total, 0));
-	double drain; /* requests in one usual time of work */
+	double drain; /* requests in one mean service time */
 	double canary;
 
 	update_request_rate(rollout, now_us);
@@ -312,14 +329,17 @@
 	rollout->allowance = SLACK_USED_SHARE * rollout->limits.slack;
 }
 
-/* Too few answers to say that it is good, though there were requests. */
+/*
+ * Returns whether there are too few responses to call it good, though there
+ * were requests.
+ */
 static bool lacks_answers(const struct aub_rollout *rollout)
 {
 	return rollout->judge.timed < TIMED_ANSWERS_MIN &&
 	       aub_rollout_total_reached(rollout) >= REACHED_REQUESTS_MIN;
 }
 
-/* Why an order's time went by without a move. */
+/* Returns the reason why an order expired without a switch. */
 static const char *failure_reason(const struct aub_rollout *rollout,
 				  const struct aub_rollout_load *load)
 {
@@ -340,7 +360,7 @@
 	       load->slots >= load->slots_needed;
 }
 
-/* A test may take long to be sure of what is only a little worse. */
+/* The tests may take long to detect a small regression. */
 static bool has_many_bad_answers(const struct aub_rollout *rollout)
 {
 	const struct aub_judge *judge = &rollout->judge;
@@ -366,7 +386,7 @@
 		return false;
 	rollout->batch_size = MAX(load->batch_size, 1);
 	plan_switch(rollout, load, now_us);
-	/* In time to be stored before the order's end. */
+	/* Early enough to be stored before the order's end. */
 	if (age >= rollout->order.duration_ms - margin_ms(rollout) / 2)
 		return set_state(rollout, AUB_ROLLOUT_ROLLED_BACK,
 				 failure_reason(rollout, load));
@@ -376,7 +396,10 @@
 	return set_state(rollout, AUB_ROLLOUT_SWITCHING, "good");
 }
 
-/* Everything goes to the new version, and the old one has nothing left. */
+/*
+ * Returns whether all requests go to the new version and the old one has none
+ * in progress.
+ */
 static bool is_drained(const struct aub_rollout *rollout,
 		       const struct aub_rollout_load *load, gint64 now_us)
 {
--- a/src/state/rollout_judge.c
+++ b/src/state/rollout_judge.c
@@ -1,43 +1,42 @@
 /*
- * Sequential tests of a new version against the old one beside it.
+ * Sequential tests of a new version against the old one.
  */
 #include <auburnstile/internal/rollout_judge.h>
 
 #include <math.h>
 #include <string.h>
 
-/* In nats. */
 const double aub_judge_threshold = 9.0;
 
-#define SUSPICION_THRESHOLD_NATS \
-	5.5 /* evidence with which a version isn't trusted */
+#define SUSPICION_THRESHOLD_NATS 5.5 /* no switch to the version above this */
 #define BUCKETS_PER_OCTAVE 4.0
-#define BASELINE_ANSWERS_MAX \
-	4000.0 /* answers of the old version that are remembered */
-#define BASELINE_ANSWERS_MIN \
-	20.0 /* before the old version tells what is slow */
+/* Responses of the old version that are remembered. */
+#define BASELINE_ANSWERS_MAX 4000.0
+#define BASELINE_ANSWERS_MIN 20.0 /* before a slow threshold is derived */
 
-/* The old version's share of failures is taken to be at least this much. */
+/* Lower bound of the old version's failure rate. */
 #define FAILURE_SHARE_MIN 0.008
 #define FAILURE_SHARE_MARGIN 1.5
-#define FAILURE_PRIOR_ANSWERS 100.0 /* answers without a failure */
+#define FAILURE_PRIOR_ANSWERS 100.0 /* assumed responses without failure */
 
-#define SLOW_QUANTILE 0.85 /* of the old version's times; beyond is slow */
-#define SLOW_FACTOR 1.1 /* and this many times as long */
-#define FULL_SLOW_FACTOR 1.8 /* full upstreams are slower, whichever version \
-			      */
+#define SLOW_QUANTILE 0.85 /* of the old version's times; slow is above it */
+#define SLOW_FACTOR 1.1 /* times that quantile */
+/* Nearly full upstreams are slower, whatever their version. */
+#define FULL_SLOW_FACTOR 1.8
 #define SLOW_SHARE_MIN 0.25
 #define SLOW_SHARE_MARGIN 1.4
-#define ALTERNATIVE_RATIO_MIN \
-	1.5 /* an alternative below so many times the base is none */
+/* Alternatives below this ratio are too close to the baseline to test. */
+#define ALTERNATIVE_RATIO_MIN 1.5
 
-/* Upstreams whose evidence convicts a version: a share of its own. */
+/*
+ * The number of upstreams whose evidence rejects a version, as a share of all
+ * of its upstreams, within bounds.
+ */
 #define REJECTING_UPSTREAM_SHARE 0.3
 #define REJECTING_UPSTREAMS_MIN 1.5
 #define REJECTING_UPSTREAMS_MAX 5.0
-#define REJECTING_EVIDENCE_FACTOR                          \
-	1.2 /* the last of these need not bring all of its \
-	     */
+/* The last of these does not have to contribute its maximum. */
+#define REJECTING_EVIDENCE_FACTOR 1.2
 
 static const double
 	alternative_rates[AUB_JUDGE_FAULT_COUNT][AUB_JUDGE_ALTERNATIVES] = {
@@ -45,7 +44,7 @@
 		[AUB_JUDGE_SLOWNESS] = { 0.4, 0.55, 0.75, 0.95 },
 	};
 
-/* What an upstream's evidence loses with each of its good answers, nats. */
+/* The decay of an upstream's evidence with each of its good responses, nats. */
 static const double evidence_decay[AUB_JUDGE_FAULT_COUNT] = {
 	[AUB_JUDGE_FAILURES] = 0.1,
 	[AUB_JUDGE_SLOWNESS] = 0.5,
@@ -110,7 +109,7 @@
 	return (guint)CLAMP(bucket, 0, AUB_JUDGE_LATENCY_BUCKETS - 1);
 }
 
-/* The lower end of a bucket. */
+/* Returns the lower bound of a bucket. */
 static double bucket_ms(guint bucket)
 {
 	return exp2(bucket / BUCKETS_PER_OCTAVE);
@@ -137,7 +136,10 @@
 		halve_baseline(route);
 }
 
-/* Bucket from which on an answer is slow; AUB_JUDGE_LATENCY_BUCKETS: not known.
+/*
+ * Returns the first bucket of slow responses, or AUB_JUDGE_LATENCY_BUCKETS if
+ * it is not known yet. Sets `share` to the upper bound of the share of slow
+ * responses of the old version.
  */
 static guint slow_bucket(const struct aub_judge_route *route, double *share)
 {
@@ -233,7 +235,10 @@
 	return CLAMP(share, FAILURE_SHARE_MIN, 0.9);
 }
 
-/* One step of a test; what the strongest alternative gained by it. */
+/*
+ * Advances a test by one response. Returns the gain of the strongest
+ * alternative.
+ */
 static double test_step(struct aub_judge_test *test, enum aub_judge_fault fault,
 			bool bad, double base, double weight)
 {
@@ -277,8 +282,9 @@
 }
 
 /*
- * One answer, good or bad, where the old version's share is `base`. The more
- * its upstream has brought forward, the less it counts, for and against.
+ * Adds one response, good or bad, to the tests, where the old version's share
+ * of bad ones is `base`. The more evidence its upstream has contributed, the
+ * less it counts, for and against.
  */
 static void add_result(struct aub_judge *judge, struct aub_judge_route *route,
 		       enum aub_judge_fault fault, bool full, bool bad,
@@ -294,7 +300,10 @@
 			MIN(evidence_max / MAX(strongest, 1), 1);
 	double gained = test_step(test, fault, bad, base, weight);
 
-	/* Whether a full one is slow is hard to tell: that stays apart. */
+	/*
+	 * Slowness is hard to judge at nearly full upstreams, so it is not
+	 * pooled.
+	 */
 	if (!full || fault != AUB_JUDGE_SLOWNESS)
 		(void)test_step(pooled, fault, bad, base, weight);
 	if (bad)
--- a/src/state/routing.c
+++ b/src/state/routing.c
@@ -1,12 +1,12 @@
 /*
- * Routes by host and longest prefix.
+ * The lookup of routes by host and longest prefix.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/routing.h>
 
 #include <string.h>
 
-/* Steps of the golden ratio spread any number of picks evenly. */
+/* Golden ratio steps distribute any number of picks evenly. */
 #define GOLDEN_RATIO_STEP 0.6180339887498949
 
 struct aub_routing *aub_routing_new(void)
@@ -152,7 +152,10 @@
 	return true;
 }
 
-/* `prefix` begins the path; the query is not part of it. */
+/*
+ * Returns whether the path of `target`, without its query, starts with
+ * `prefix`.
+ */
 static bool has_path_prefix(const char *target, const char *prefix)
 {
 	gsize length = strlen(prefix);
--- a/src/state/saturation.c
+++ b/src/state/saturation.c
@@ -1,18 +1,20 @@
 /*
- * Means by step. One that few answers stand behind is held by its prior, and
- * returns to it when no more come: a step that was given up is tried again.
+ * Mean slowdowns by utilization bucket.
+ *
+ * A bucket with few samples stays close to its prior, and returns to it when it
+ * gets no more samples, so that a utilization that was given up is tried again.
  */
 #include <auburnstile/internal/saturation.h>
 
-/* Before answers have come: nothing up to four fifths, then up to 1.7. */
+/* The prior: no slowdown up to four fifths, then a linear rise to 1.7. */
 #define PRIOR_SATURATION_SHARE 0.8
 #define PRIOR_FULL_SLOWDOWN 1.7
 #define PRIOR_SAMPLES 10.0
 
 #define SAMPLES_MAX 200.0
-#define DECAY_PER_SAMPLE \
-	0.0005 /* of a step's answers, for each answer at another */
-#define OUTLIER_RATIO 2.0 /* times the step's mean: a neighbour's burst */
+/* A bucket loses this share of its samples for each sample of any bucket. */
+#define DECAY_PER_SAMPLE 0.0005
+#define OUTLIER_RATIO 2.0 /* times the bucket's mean: an interference burst */
 
 static guint bucket_of(guint running, guint slots)
 {
@@ -31,7 +33,7 @@
 	return excess <= 0 ? 1.0 : 1.0 + (PRIOR_FULL_SLOWDOWN - 1) * excess;
 }
 
-/* The mean time at upstreams that are at most half full. */
+/* Returns the mean slowdown at upstreams that are at most half utilized. */
 static double light_load_mean(const struct aub_saturation *saturation)
 {
 	double sum = PRIOR_SAMPLES;
@@ -66,8 +68,8 @@
 }
 
 /*
- * A fuller upstream is no faster than a less full one. Steps between those
- * that its slots make are like the one before.
+ * Higher utilization never gives a lower slowdown. A bucket that no number of
+ * slots maps to takes the value of the one before.
  */
 static void update_smoothed(struct aub_saturation *saturation)
 {
@@ -121,10 +123,10 @@
 }
 
 /*
- * Failure: a burst fills every slot, each upstream slows down, and less is
- * done than arrives even after the burst. Symptom: every answer is late for
- * the rest of the day. Enough: the number with the most answers a second is
- * never passed, so that a backlog drains as fast as it can.
+ * If a load spike filled every slot, each upstream would slow down and complete
+ * less than arrives, even after the spike, and all responses would be late for
+ * the rest of the day. The concurrency with the highest throughput is therefore
+ * never exceeded, so that a backlog drains as fast as possible.
  */
 guint aub_saturation_limit(const struct aub_saturation *saturation, guint slots)
 {
--- a/src/state/service_times.c
+++ b/src/state/service_times.c
@@ -1,18 +1,19 @@
 /*
- * Means by kind. The first answers are held by a prior, so that one that met a
- * neighbour's burst doesn't make all later ones look fast.
+ * Mean service times by class. A prior keeps the first samples from dominating,
+ * so that one that fell into an interference burst does not make all later ones
+ * look fast.
  */
 #include <auburnstile/internal/service_times.h>
 
-#define PRIOR_TARGET_SHARE 0.35 /* of the target */
+#define PRIOR_TARGET_SHARE 0.35
 #define PRIOR_SAMPLES 2.0
 #define SAMPLES_MAX 50.0
-#define OUTLIER_RATIO 3.0 /* times the usual */
+#define OUTLIER_RATIO 3.0 /* times the mean */
 #define SERVICE_TIME_MIN_MS 0.1
 
 #define INFORMATIVE_SAMPLES 8.0
-#define INFORMATIVE_TARGET_SHARE \
-	0.05 /* of the target: below, it is hardly work */
+/* Below this share of the target, a request is hardly any work. */
+#define INFORMATIVE_TARGET_SHARE 0.05
 
 static const struct aub_service_time_class *find_class(
 	const struct aub_service_times *times, guint target_ms)
--- a/src/state/service_versions.c
+++ b/src/state/service_versions.c
@@ -1,13 +1,13 @@
 /*
- * The versions of a service's upstreams, and the one in force.
+ * The versions of a service's upstreams, and the current one.
  */
 #include <auburnstile/internal/service_versions.h>
 
 #include <string.h>
 
 /*
- * An order is given before or while its upstreams start; this is longer than
- * it takes to hear of it while the store is disturbed.
+ * Operators give an order before or while its upstreams start. The delay is
+ * longer than it takes to receive it while the store is disturbed.
  */
 #define ADMISSION_DELAY_US ((gint64)10 * G_USEC_PER_SEC)
 
@@ -25,7 +25,7 @@
 	aub_service_versions_init(versions);
 }
 
-/* A place for one more: one that is of no use any more, if the list is full. */
+/* Returns a free index, or that of an unused version if the list is full. */
 static gint find_slot(struct aub_service_versions *versions)
 {
 	if (versions->count < AUB_VERSIONS_MAX)
@@ -87,16 +87,18 @@
 }
 
 /*
- * Failure: a gateway starts while two versions run side by side, and has not
- * heard of the order. Symptom: it sends requests to the version that waits.
- * Enough: upstreams of a new version are started beside the old ones, so the
- * version of the oldest upstream is the one in force.
+ * A gateway that starts while two versions run side by side may not have
+ * received the order yet, and must not send requests to the version that is
+ * still withheld. Upstreams of a new version start while the old ones run, so
+ * the version of the oldest upstream is the current one.
  */
 static void find_current(struct aub_service_versions *versions, gint64 now_us)
 {
 	gint best = AUB_VERSION_NONE;
 
-	/* Upstreams restart, so age tells only until the first listing is in.
+	/*
+	 * Upstreams restart, so start times are reliable only until the first
+	 * listing is complete.
 	 */
 	if (versions->current != AUB_VERSION_NONE &&
 	    may_be_current(versions, versions->current) &&
@@ -128,7 +130,7 @@
 	find_current(versions, now_us);
 }
 
-/* What an order was for needs another one once that is gone. */
+/* A version that had an order needs another order once that one is gone. */
 void aub_service_versions_set_target(struct aub_service_versions *versions,
 				     gint index, gint64 now_us)
 {
@@ -153,7 +155,7 @@
 	}
 	versions->list[index].requires_order = false;
 	versions->current = index;
-	/* Older upstreams that are still listed don't come before it. */
+	/* Older upstreams that are still listed must not replace it. */
 	versions->current_since_us = now_us - ADMISSION_DELAY_US;
 	versions->target = AUB_VERSION_NONE;
 }
