--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -1,5 +1,5 @@
 /*
- * A placement with upstreams of the test's choice, and a clock of its own.
+ * A placement with simulated upstreams and a simulated clock.
  */
 #ifndef TESTS_PLACEMENT_FIXTURE_H
 #define TESTS_PLACEMENT_FIXTURE_H
--- a/tests/placement_load.h
+++ b/tests/placement_load.h
@@ -1,7 +1,7 @@
 /*
- * A load played on a placement in virtual time: callers that arrive at
- * random, upstreams whose neighbours slow them down for a while, probes. What
- * counts is what callers get.
+ * Simulates load on a placement in virtual time: random arrivals, upstreams
+ * with phases of interference by neighbours, and probes. Measures how many
+ * requests are answered on time.
  */
 #ifndef TESTS_PLACEMENT_LOAD_H
 #define TESTS_PLACEMENT_LOAD_H
@@ -17,34 +17,34 @@
 	guint slots = 6;
 	double work_ms = 120;
 	double work_sigma = 0.3; /* sigma of its logarithm */
-	double interference_share =
-		0.25; /* of the time that neighbours are busy */
+	/* Share of the time in which neighbours are busy. */
+	double interference_share = 0.25;
 	double interference_factor = 4;
-	guint interference_ms = 300; /* how long they stay as they are */
-	double saturation_share =
-		0.8; /* of the slots; what begins there or beyond */
-	double saturated_slowdown = 1.7; /* takes so many times as long */
-	bool reports_load = true; /* answers and probes tell the load */
-	double requests_per_s = 70; /* callers that arrive */
+	guint interference_ms = 300; /* duration of a phase */
+	/* Share of the slots at which an upstream is saturated. */
+	double saturation_share = 0.8;
+	double saturated_slowdown = 1.7; /* slowdown from there on */
+	bool reports_load = true; /* responses and probes report load */
+	double requests_per_s = 70; /* arrivals */
 	guint target_ms = 300;
 	guint seconds = 60;
 	guint seed = 1;
 };
 
 struct LoadResult {
-	guint asked = 0;
+	guint submitted = 0;
 	guint on_time = 0;
 	guint late = 0;
 	guint refused = 0;
 
 	void add(const LoadResult &other)
 	{
-		asked += other.asked;
+		submitted += other.submitted;
 		on_time += other.on_time;
 		late += other.late;
 		refused += other.refused;
 	}
-	/* Of those whose answer is known. */
+	/* Returns the share of the requests with a known result. */
 	double on_time_share() const
 	{
 		return (double)on_time / MAX(on_time + late + refused, 1);
@@ -89,7 +89,7 @@
 		guint64 ticket;
 		guint upstream;
 		gint64 sent_ms;
-		gint64 asked_ms;
+		gint64 submitted_ms;
 	};
 
 	const LoadSpec spec;
@@ -97,8 +97,8 @@
 	PlacementFixture fixture;
 	std::vector<Upstream> upstreams;
 	std::map<std::string, guint> index;
-	std::multimap<gint64, Run> runs; /* by when they end, ms */
-	std::map<guint64, gint64> asked; /* ticket -> ms */
+	std::multimap<gint64, Run> runs; /* by end time, ms */
+	std::map<guint64, gint64> submitted; /* ticket -> ms */
 	double next_arrival_ms = 0;
 	LoadResult result;
 
@@ -160,7 +160,7 @@
 		work *= upstream.slowdown * saturation(upstream);
 		runs.insert({ ms + (gint64)work + 2,
 			      { decision.ticket, at, ms,
-				asked[decision.ticket] } });
+				submitted[decision.ticket] } });
 	}
 	void handle_decision(const struct aub_placement_decision &decision,
 			     gint64 ms)
@@ -182,8 +182,8 @@
 			request.target_ms = spec.target_ms;
 			request.on_time_wait_ms = spec.target_ms * 6 / 10;
 			request.max_wait_ms = spec.target_ms;
-			asked[request.ticket] = ms;
-			result.asked++;
+			submitted[request.ticket] = ms;
+			result.submitted++;
 			handle_decision(fixture.submit(request), ms);
 		}
 	}
@@ -201,7 +201,7 @@
 			report.load = load_of(upstreams[run.upstream]);
 			aub_placement_report(fixture.placement, &report,
 					     fixture.now_us);
-			if (ms - run.asked_ms <= spec.target_ms)
+			if (ms - run.submitted_ms <= spec.target_ms)
 				result.on_time++;
 			else
 				result.late++;
--- a/tests/test_crash_counts.cc
+++ b/tests/test_crash_counts.cc
@@ -1,11 +1,13 @@
-/* Requests that crash upstreams: counted, learned, forgotten. */
+/*
+ * Counts of crashes by request: added, merged, expired.
+ */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/crash_counts.h>
 
 #define SECOND G_GINT64_CONSTANT(1000000)
 
-TEST(CrashMarks, RefuseAfterTheThirdDeath)
+TEST(CrashCounts, BlocksAfterThreeLosses)
 {
 	struct aub_crash_counts *counts = aub_crash_counts_new();
 
@@ -19,7 +21,7 @@
 	aub_crash_counts_free(counts);
 }
 
-TEST(CrashMarks, AnAnswerClearsTheMark)
+TEST(CrashCounts, ResponseResetsTheCount)
 {
 	struct aub_crash_counts *counts = aub_crash_counts_new();
 
@@ -32,7 +34,7 @@
 	aub_crash_counts_free(counts);
 }
 
-TEST(CrashMarks, AreLearnedFromOthers)
+TEST(CrashCounts, MergesCountsOfOthers)
 {
 	struct aub_crash_counts *counts = aub_crash_counts_new();
 
@@ -43,20 +45,20 @@
 	aub_crash_counts_free(counts);
 }
 
-TEST(CrashMarks, StayBounded)
+TEST(CrashCounts, AreBounded)
 {
 	struct aub_crash_counts *counts = aub_crash_counts_new();
 
 	for (guint64 i = 1; i < 100000; i++)
 		aub_crash_counts_add(counts, i, SECOND);
-	/* Old ones give way. */
+	/* Expired ones are replaced. */
 	for (int i = 0; i < 3; i++)
 		aub_crash_counts_add(counts, 999999, 200 * SECOND);
 	EXPECT_TRUE(aub_crash_counts_is_blocked(counts, 999999, 200 * SECOND));
 	aub_crash_counts_free(counts);
 }
 
-TEST(CrashMarks, FingerprintsTellRequestsApart)
+TEST(CrashCounts, FingerprintsDifferByRequest)
 {
 	const guint8 body[] = { 1, 2 };
 	guint64 one = aub_crash_fingerprint("GET /a HTTP/1.1", "h", body, 2);
--- a/tests/test_load_trend.cc
+++ b/tests/test_load_trend.cc
@@ -1,5 +1,5 @@
 /*
- * What a report of an upstream's load is worth some time later.
+ * Predictions of slowdowns from load reports.
  */
 #include <gtest/gtest.h>
 
@@ -7,11 +7,14 @@
 
 #include <random>
 
-#define MS ((gint64)1000)
+#define US_PER_MS ((gint64)1000)
 
-/* Reports each `every_ms` of neighbours that change every `slow_ms`. */
-static struct aub_load_trend learned(double share, double factor, int slow_ms,
-				     int every_ms)
+/*
+ * Returns a trend that has seen a report per `interval_ms` of interference that
+ * changes every `phase_ms`.
+ */
+static struct aub_load_trend learned(double share, double factor, int phase_ms,
+				     int interval_ms)
 {
 	struct aub_load_trend trend;
 	std::mt19937 random(3);
@@ -20,17 +23,18 @@
 
 	aub_load_trend_init(&trend);
 	for (int ms = 0; ms < 600000; ms++) {
-		if (ms % slow_ms == 0)
+		if (ms % phase_ms == 0)
 			now = random() % 1000 < share * 1000 ? factor : 1;
-		if (ms % every_ms)
+		if (ms % interval_ms)
 			continue;
-		aub_load_trend_observe(&trend, before, now, every_ms * MS);
+		aub_load_trend_observe(&trend, before, now,
+				       interval_ms * US_PER_MS);
 		before = now;
 	}
 	return trend;
 }
 
-TEST(LoadTrend, BelievesWhatWasJustTold)
+TEST(LoadTrend, TrustsFreshReports)
 {
 	struct aub_load_trend trend;
 
@@ -39,7 +43,7 @@
 	EXPECT_NEAR(aub_load_trend_predict(&trend, 1, 0), 1, 0.01);
 }
 
-TEST(LoadTrend, LearnsHowLongABurstLasts)
+TEST(LoadTrend, LearnsDurationOfInterference)
 {
 	struct aub_load_trend brief = learned(0.25, 4, 300, 60);
 	struct aub_load_trend lasting = learned(0.25, 4, 2000, 60);
@@ -48,36 +52,38 @@
 	EXPECT_NEAR(aub_load_trend_correlation_ms(&lasting), 2000, 700);
 }
 
-TEST(LoadTrend, FadesTowardsTheMean)
+TEST(LoadTrend, DecaysTowardsTheMean)
 {
 	struct aub_load_trend trend = learned(0.25, 4, 300, 60);
 	double mean = aub_load_trend_mean(&trend);
 
 	EXPECT_NEAR(mean, 1.75, 0.3);
-	EXPECT_LT(aub_load_trend_predict(&trend, 4, 300 * MS), 3);
-	EXPECT_GT(aub_load_trend_predict(&trend, 1, 300 * MS), 1.3);
-	EXPECT_NEAR(aub_load_trend_predict(&trend, 4, 10000 * MS), mean, 0.01);
+	EXPECT_LT(aub_load_trend_predict(&trend, 4, 300 * US_PER_MS), 3);
+	EXPECT_GT(aub_load_trend_predict(&trend, 1, 300 * US_PER_MS), 1.3);
+	EXPECT_NEAR(aub_load_trend_predict(&trend, 4, 10000 * US_PER_MS), mean,
+		    0.01);
 }
 
-TEST(LoadTrend, KeepsWhatNeverChanges)
+TEST(LoadTrend, KeepsConstantReports)
 {
 	struct aub_load_trend trend;
 
 	aub_load_trend_init(&trend);
 	for (int i = 0; i < 20000; i++)
-		aub_load_trend_observe(&trend, 1, 1, 100 * MS);
+		aub_load_trend_observe(&trend, 1, 1, 100 * US_PER_MS);
 	EXPECT_NEAR(aub_load_trend_mean(&trend), 1, 0.01);
-	EXPECT_NEAR(aub_load_trend_predict(&trend, 1, 1000 * MS), 1, 0.01);
+	EXPECT_NEAR(aub_load_trend_predict(&trend, 1, 1000 * US_PER_MS), 1,
+		    0.01);
 }
 
-TEST(LoadTrend, IsNotLedAstrayByNonsense)
+TEST(LoadTrend, IgnoresImplausibleReports)
 {
 	struct aub_load_trend trend;
 
 	aub_load_trend_init(&trend);
-	aub_load_trend_observe(&trend, 1, 1e9, 100 * MS);
-	aub_load_trend_observe(&trend, 1, 4, -5 * MS);
-	aub_load_trend_observe(&trend, 1, 4, 3600 * 1000 * MS);
+	aub_load_trend_observe(&trend, 1, 1e9, 100 * US_PER_MS);
+	aub_load_trend_observe(&trend, 1, 4, -5 * US_PER_MS);
+	aub_load_trend_observe(&trend, 1, 4, 3600 * 1000 * US_PER_MS);
 	EXPECT_LT(aub_load_trend_mean(&trend), 2);
 	EXPECT_GT(aub_load_trend_correlation_ms(&trend), 0);
 }
--- a/tests/test_placement.cc
+++ b/tests/test_placement.cc
@@ -1,12 +1,12 @@
 /*
- * Which upstream gets the next request: slots, cold starts, signs of trouble.
+ * The choice of an upstream: slots, cold starts, health signals.
  */
 #include "placement_fixture.h"
 
 #include <map>
 #include <set>
 
-TEST(Placement, PromisesNoSlotTwice)
+TEST(Placement, GrantsEachSlotOnce)
 {
 	PlacementFixture fixture;
 	std::map<std::string, int> granted;
@@ -24,7 +24,7 @@
 	EXPECT_EQ(fixture.submit().verdict, AUB_VERDICT_QUEUED);
 }
 
-TEST(Placement, AnswersARepeatedAskAlike)
+TEST(Placement, RepeatedTicketGetsSameDecision)
 {
 	PlacementFixture fixture;
 
@@ -35,7 +35,7 @@
 	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
 }
 
-TEST(Placement, PrefersItsOwnZone)
+TEST(Placement, PrefersZoneOfRequest)
 {
 	PlacementFixture fixture;
 
@@ -45,7 +45,7 @@
 		EXPECT_STREQ(fixture.submit().upstream, "near");
 }
 
-TEST(Placement, AvoidsANeighboursBurst)
+TEST(Placement, AvoidsUpstreamWithInterference)
 {
 	PlacementFixture fixture;
 
@@ -56,12 +56,12 @@
 		EXPECT_STREQ(fixture.submit().upstream, "u2");
 }
 
-TEST(Placement, WaitsForOneWithoutABurstWhileItCanBeOnTime)
+TEST(Placement, QueuesRequestForFastUpstreamIfItCanBeOnTime)
 {
 	/*
-	 * The caller is on time rather than served at once and late: work at
-	 * the only free upstream takes four times as long, and another one
-	 * frees a slot within some ms.
+	 * Guards against a late response where a short wait avoids it: service
+	 * times at the only free upstream are fourfold, and another one frees a
+	 * slot within some ms.
 	 */
 	PlacementFixture fixture;
 	struct aub_placement_decision decision;
@@ -80,7 +80,7 @@
 	EXPECT_STREQ(decision.upstream, "fast");
 }
 
-/* Bursts that last for seconds, as all upstreams tell. */
+/* Reports interference bursts that last for seconds. */
 static void report_long_bursts(PlacementFixture &fixture)
 {
 	for (int i = 0; i < 600; i++) {
@@ -91,12 +91,12 @@
 	fixture.finish_probe("slow", -1, 400);
 }
 
-TEST(Placement, BeginsWorkInABurstOnlyIfThatOutlastsIt)
+TEST(Placement, StartsLateRequestDuringInterferenceOnlyIfItLasts)
 {
 	/*
-	 * The caller is late in any case. Work that begins in a burst takes
-	 * four times as long and keeps its slot for all of it; a burst of some
-	 * hundred ms is waited for, one of seconds is not.
+	 * Guards against slots that are occupied for four times as long by
+	 * requests started in an interference burst. A late request waits for
+	 * the end of a burst of some hundred ms, but not of seconds.
 	 */
 	PlacementFixture brief;
 	PlacementFixture lasting;
@@ -121,7 +121,7 @@
 	EXPECT_STREQ(decision.upstream, "slow");
 }
 
-TEST(Placement, NeverFillsAnUpstreamPastItsKnee)
+TEST(Placement, DoesNotExceedTheSaturationPoint)
 {
 	PlacementFixture fixture;
 	int granted = 0;
@@ -132,7 +132,7 @@
 	EXPECT_EQ(granted, 5);
 }
 
-TEST(Placement, SendsNothingToWhatIsUnknownOrDown)
+TEST(Placement, SendsNothingToUnknownOrDownUpstreams)
 {
 	PlacementFixture fixture;
 
@@ -147,11 +147,11 @@
 	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
-TEST(Placement, RefusesAtOnceWhereEverythingIsDown)
+TEST(Placement, RefusesImmediatelyIfAllUpstreamsAreDown)
 {
 	/*
-	 * The caller is told at once when to come back. All upstreams have
-	 * died; waiting for a slot would use up its time for nothing.
+	 * Guards against callers that wait for a slot in vain. All upstreams
+	 * are down, so the retry time is reported immediately.
 	 */
 	PlacementFixture fixture;
 
@@ -162,7 +162,7 @@
 	EXPECT_GT(decision.retry_after_ms, 0u);
 }
 
-TEST(Placement, SendsNothingNewToWhatLeaves)
+TEST(Placement, SendsNothingNewToDrainingOrDepartedUpstreams)
 {
 	PlacementFixture fixture;
 
@@ -170,14 +170,13 @@
 	fixture.register_upstream("u1", 2, "z1", true);
 	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 	EXPECT_FALSE(aub_placement_may_send(fixture.placement, "u1"));
-	EXPECT_FALSE(
-		aub_placement_may_send(fixture.placement, "never-heard-of"));
+	EXPECT_FALSE(aub_placement_may_send(fixture.placement, "unregistered"));
 	fixture.add_healthy("u2");
 	fixture.unregister_upstream("u2");
 	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
-TEST(Placement, SendsNothingToAZoneThatIsOut)
+TEST(Placement, SendsNothingToZoneThatIsOut)
 {
 	PlacementFixture fixture;
 
@@ -185,7 +184,7 @@
 	aub_placement_set_zone_out(fixture.placement, "z1", true,
 				   fixture.now_us);
 	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
-	/* Back: nothing before a probe has told how cold it is. */
+	/* After its return, a probe has to report how cold it is. */
 	aub_placement_set_zone_out(fixture.placement, "z1", false,
 				   fixture.now_us);
 	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
@@ -195,7 +194,10 @@
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_GRANTED);
 }
 
-/* Requests that a cold upstream gets in each of `seconds`. */
+/*
+ * Returns the grants of a cold upstream in steps of 50 ms, with a request per
+ * step to each of `placers`.
+ */
 static std::vector<int> cold_grants(std::vector<PlacementFixture *> placers,
 				    int seconds)
 {
@@ -234,7 +236,7 @@
 	return max;
 }
 
-TEST(Placement, KeepsAColdUpstreamWithinItsRate)
+TEST(Placement, LimitsRateOfColdUpstream)
 {
 	PlacementFixture fixture;
 
@@ -245,11 +247,12 @@
 	EXPECT_GE(max, 1);
 }
 
-TEST(Placement, TwoPlacersKeepAColdUpstreamWithinItsBound)
+TEST(Placement, TwoPlacersTogetherLimitRateOfColdUpstream)
 {
 	/*
-	 * A cold upstream falls over when two gateways believe that they place
-	 * for it, as after a cut. Its bound is 2 a second, times 1.5, and 5.
+	 * Guards against overloading a cold upstream while two gateways act as
+	 * placer, as after a network partition. The upper limit is 2 per
+	 * second, times 1.5, and 5.
 	 */
 	PlacementFixture one;
 	PlacementFixture two;
@@ -261,7 +264,7 @@
 	EXPECT_LE(max_per_second(cold_grants({ &one, &two }, 10)), 4);
 }
 
-TEST(Placement, APlacerOfNecessitySendsNothingCold)
+TEST(Placement, LocalFallbackSendsNothingToColdUpstreams)
 {
 	PlacementFixture fixture;
 
@@ -272,7 +275,7 @@
 	EXPECT_EQ(fixture.submit(request).verdict, AUB_VERDICT_NO_UPSTREAM);
 }
 
-TEST(Placement, ANewIncarnationIsUnknownAgain)
+TEST(Placement, RestartedUpstreamIsUnknownAgain)
 {
 	PlacementFixture fixture;
 
@@ -281,7 +284,7 @@
 	EXPECT_NE(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
-TEST(Placement, AvoidsWhatFails)
+TEST(Placement, AvoidsFailingUpstreamAndTriesItAgain)
 {
 	PlacementFixture fixture;
 
@@ -306,34 +309,35 @@
 	EXPECT_TRUE(seen.count("granted"));
 }
 
-TEST(Placement, AvoidsWhatAnswersNothing)
+TEST(Placement, AvoidsUnresponsiveUpstreamWithHealthyProbes)
 {
 	/*
-	 * Callers meet a silent upstream at most as often as it has slots.
-	 * It accepts requests and answers none, while its probes are well.
+	 * Guards against sending more requests to an unresponsive upstream than
+	 * it has slots. It accepts requests and answers none, while its probes
+	 * succeed.
 	 */
 	PlacementFixture fixture;
 	std::map<std::string, int> granted;
 
-	fixture.add_healthy("mute", 6);
-	fixture.add_healthy("well", 6);
+	fixture.add_healthy("unresponsive", 6);
+	fixture.add_healthy("healthy", 6);
 	for (int i = 0; i < 200; i++) {
 		struct aub_placement_decision decision = fixture.submit();
 
 		fixture.now_us += 20 * US_PER_MS;
-		fixture.finish_probe("mute");
-		fixture.finish_probe("well");
+		fixture.finish_probe("unresponsive");
+		fixture.finish_probe("healthy");
 		if (decision.verdict != AUB_VERDICT_GRANTED)
 			continue;
 		granted[decision.upstream]++;
-		if (std::string(decision.upstream) == "well")
+		if (std::string(decision.upstream) == "healthy")
 			fixture.report(decision.ticket);
 	}
-	EXPECT_LE(granted["mute"], 5);
-	EXPECT_GE(granted["well"], 150);
+	EXPECT_LE(granted["unresponsive"], 5);
+	EXPECT_GE(granted["healthy"], 150);
 }
 
-TEST(Placement, LearnsWhoIsSlow)
+TEST(Placement, LearnsSlowUpstreams)
 {
 	PlacementFixture fixture;
 	int slow = 0;
@@ -352,12 +356,12 @@
 	EXPECT_LT(slow, 15);
 }
 
-TEST(Placement, StaysInItsZoneThoughAnswersThereHappenToBeLong)
+TEST(Placement, StaysInZoneDespiteAFewLongResponses)
 {
 	/*
-	 * Callers get their answers from their own zone: work differs from
-	 * request to request, and three long answers in a row don't make an
-	 * upstream slow.
+	 * Guards against leaving the zone because of the normal spread of
+	 * service times: three long responses in a row do not make an upstream
+	 * slow.
 	 */
 	PlacementFixture fixture;
 
@@ -375,7 +379,7 @@
 	}
 }
 
-TEST(Placement, KeepsRetriesWithinTheFleetsBudget)
+TEST(Placement, LimitsRetriesToTheFleetBudget)
 {
 	PlacementFixture fixture(0.2, 3);
 	int granted = 0;
@@ -399,7 +403,7 @@
 	EXPECT_GE(granted, 20);
 }
 
-TEST(Placement, ReleasesGrantsWhoseReportsWereLost)
+TEST(Placement, ReleasesGrantsWithLostReports)
 {
 	PlacementFixture fixture;
 	guint64 tickets[2];
@@ -417,7 +421,7 @@
 	EXPECT_EQ(fixture.endpoint("u1")->granted, 0u);
 }
 
-TEST(Placement, AdoptsWhatAnotherPlacerGranted)
+TEST(Placement, AdoptsGrantsOfAnotherPlacer)
 {
 	PlacementFixture fixture;
 
@@ -426,7 +430,7 @@
 			    fixture.now_us);
 	aub_placement_adopt(fixture.placement, 9, 77, "u1", 600,
 			    fixture.now_us);
-	aub_placement_adopt(fixture.placement, 9, 78, "unheard-of", 600,
+	aub_placement_adopt(fixture.placement, 9, 78, "unregistered", 600,
 			    fixture.now_us);
 	aub_placement_check_invariants(fixture.placement);
 	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
@@ -434,12 +438,12 @@
 	EXPECT_EQ(fixture.endpoint("u1")->granted, 0u);
 }
 
-/* Random operations; the invariants hold after each. */
+/* Random operations; the invariants have to hold after each. */
 class PlacementSequences : public ::testing::TestWithParam<guint32>
 {
 };
 
-TEST_P(PlacementSequences, KeepTheInvariants)
+TEST_P(PlacementSequences, MaintainInvariants)
 {
 	GRand *random = g_rand_new_with_seed(GetParam());
 	PlacementFixture fixture;
@@ -523,12 +527,12 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, PlacementSequences,
 			 ::testing::Range<guint32>(1, 21));
 
-TEST(Placement, APlacerOfNecessityGivesTheQueueNothingCold)
+TEST(Placement, LocalFallbackGrantsQueuedRequestsNoColdUpstream)
 {
 	/*
-	 * A cold upstream falls over when each gateway that finds no placer
-	 * sends it something. The request waits here for a slot of a warm
-	 * upstream; the cold one is free all the while.
+	 * Guards against overloading a cold upstream when every gateway that
+	 * finds no placer sends it requests. The request waits for a slot of a
+	 * warm upstream although the cold one is free.
 	 */
 	PlacementFixture fixture;
 	struct aub_placement_decision decision;
@@ -547,19 +551,19 @@
 	EXPECT_EQ(fixture.endpoint("cold")->granted, 0u);
 }
 
-TEST(Placement, UsesTheRowsOfThoseThatLeft)
+TEST(Placement, ReusesEndpointsOfDepartedUpstreams)
 {
 	/*
-	 * Callers notice nothing. A service's upstreams are replaced one after
-	 * the other, each with a new id; one that left keeps its row for as
-	 * long as a request is out there.
+	 * Guards against unbounded growth of the list of endpoints. A service's
+	 * upstreams are replaced one after the other, each with a new id; the
+	 * endpoint of a departed one is kept while it has open grants.
 	 */
 	PlacementFixture fixture;
 
-	fixture.add_healthy("held");
+	fixture.add_healthy("outstanding");
 	struct aub_placement_decision decision = fixture.submit();
 	ASSERT_EQ(decision.verdict, AUB_VERDICT_GRANTED);
-	fixture.unregister_upstream("held");
+	fixture.unregister_upstream("outstanding");
 	for (int i = 0; i < 300; i++) {
 		std::string id = "u" + std::to_string(i);
 
@@ -568,12 +572,14 @@
 		fixture.now_us += 1000 * US_PER_MS;
 	}
 	aub_placement_check_invariants(fixture.placement);
-	/* A minute's worth, and the one that is held. */
+	/* Those of one minute, and the one with a grant. */
 	EXPECT_LE(fixture.placement->endpoints->len, 63u);
 	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "u0"), -1);
-	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "held"), 0);
+	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "outstanding"),
+		  0);
 	fixture.report(decision.ticket, AUB_GRANT_OK);
 	fixture.add_healthy("last");
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "held"), -1);
+	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "outstanding"),
+		  -1);
 }
--- a/tests/test_placement_load.cc
+++ b/tests/test_placement_load.cc
@@ -1,5 +1,5 @@
 /*
- * What callers get from a placement under load.
+ * On-time responses of a placement under simulated load.
  */
 #include "placement_load.h"
 
@@ -14,13 +14,13 @@
 	return all;
 }
 
-TEST(PlacementLoad, IsOnTimeBesideNeighboursInCalmTimes)
+TEST(PlacementLoad, ServesOnTimeDespiteInterferenceAtLightLoad)
 {
 	/*
-	 * Few slots are in use and yet callers are late: what an upstream told
-	 * a tenth of a second ago no longer holds, because a neighbour has
-	 * slowed it fourfold since. Of those that were fast, the one that told
-	 * it last is the surest; one caller in a hundred may be late.
+	 * Guards against late responses under light load: a load report that is
+	 * a tenth of a second old is outdated when a neighbour has slowed the
+	 * upstream fourfold since. Of several fast upstreams the one with the
+	 * latest report has to be chosen; one request in a hundred may be late.
 	 */
 	LoadSpec spec;
 
@@ -32,14 +32,15 @@
 	EXPECT_EQ(result.refused, 0u);
 }
 
-TEST(PlacementLoad, LearnsHowFullUpstreamsAreBestKept)
+TEST(PlacementLoad, LearnsTheSaturationPoint)
 {
 	/*
-	 * Callers are late though there is room: the fifth of six requests at
-	 * an upstream takes 1.7 times as long, so that with five at once less
-	 * gets done than with four. With four, those without a busy neighbour
-	 * (three of four) do 325 requests a second; at four fifths of that,
-	 * nine of ten callers are on time.
+	 * Guards against filling upstreams past saturation: the fifth of six
+	 * requests at an upstream takes 1.7 times as long, so that five
+	 * complete fewer requests per second than four. With four, the
+	 * upstreams without a busy neighbour (three of four) complete 325
+	 * requests per second; at four fifths of that, nine requests of ten
+	 * have to be on time.
 	 */
 	LoadSpec spec;
 
@@ -47,14 +48,14 @@
 	EXPECT_GT(run_seeds(spec).on_time_share(), 0.9);
 }
 
-TEST(PlacementLoad, KeepsItsSlotsOutOfBursts)
+TEST(PlacementLoad, DoesNotStartRequestsDuringInterference)
 {
 	/*
-	 * Callers are late long after a burst of the neighbours has ended:
-	 * their work began in it and takes four times as long, and all others
-	 * wait for the slot. Upstreams without a busy neighbour (three of
-	 * four) do 97 requests a second; at nine tenths of that, nine of ten
-	 * callers are on time.
+	 * Guards against late responses long after an interference burst:
+	 * requests started in it take four times as long, and all others wait
+	 * for their slots. Upstreams without a busy neighbour (three of four)
+	 * complete 97 requests per second; at nine tenths of that, nine
+	 * requests of ten have to be on time.
 	 */
 	LoadSpec spec;
 
@@ -65,9 +66,10 @@
 }
 
 /*
- * Deployments that differ in what the choice of an upstream builds on. None
- * is served worse than by a choice that knows usual times of work, knees and
- * bursts in advance, as constants; `least` is what that one gave callers.
+ * Deployments with other parameters of the model that the choice of an upstream
+ * is based on. `min_on_time_share` is the share of requests on time with a
+ * choice that has service times, saturation points and bursts as constants; the
+ * learned ones must not be worse.
  */
 struct Deployment {
 	const char *name;
@@ -88,7 +90,7 @@
 	return spec;
 }
 
-TEST(PlacementLoad, ServesOtherDeploymentsNoWorse)
+TEST(PlacementLoad, MatchesBaselineInOtherDeployments)
 {
 	std::vector<Deployment> deployments = {
 		{ "short work", deployment(13, 40, 100, 600), 0.925 },
@@ -114,7 +116,10 @@
 	}
 }
 
-/* Callers of upstreams that turn away a share of what they could run. */
+/*
+ * Simulates callers of upstreams that refuse a share of the requests although
+ * they have room.
+ */
 class SheddingLoad
 {
       public:
@@ -122,14 +127,14 @@
 	static constexpr double SHED_SHARE = 0.55;
 	static constexpr gint64 WORK_MS = 220;
 	static constexpr gint64 TARGET_MS = 600;
-	static constexpr int RETRIES_MAX = 2; /* of a caller after a refusal */
+	static constexpr int RETRIES_MAX = 2; /* per caller, after a refusal */
 	static constexpr guint32 SEED = 3;
 
 	~SheddingLoad()
 	{
 		g_rand_free(random);
 	}
-	/* Share of the callers that are answered within their target. */
+	/* Returns the share of callers with a response within their target. */
 	double run()
 	{
 		for (int i = 0; i < UPSTREAMS; i++)
@@ -220,10 +225,10 @@
 };
 
 /*
- * Guards against callers who are late while upstreams have room. As many are on
- * time as two attempts each would serve.
+ * Guards against late responses while upstreams have room. The expected share
+ * is that of callers served by two attempts each.
  */
-TEST(PlacementLoad, IsOnTimeWhereUpstreamsShedWithRoom)
+TEST(PlacementLoad, ServesOnTimeWhenUpstreamsShedDespiteRoom)
 {
 	EXPECT_GT(SheddingLoad().run(),
 		  1 - SheddingLoad::SHED_SHARE * SheddingLoad::SHED_SHARE);
--- a/tests/test_placement_probe.cc
+++ b/tests/test_placement_probe.cc
@@ -1,9 +1,11 @@
-/* When upstreams are probed, and what the end of a probe says of them. */
+/*
+ * The schedule of probes, and the effect of their results.
+ */
 #include "placement_fixture.h"
 
 #include <set>
 
-TEST(PlacementProbe, ProbesEachUpstreamInTurnAndNoneTwiceAtOnce)
+TEST(PlacementProbe, ProbesRoundRobinAndNoneConcurrently)
 {
 	PlacementFixture fixture;
 	struct aub_probe probe;
@@ -24,7 +26,7 @@
 					     fixture.now_us, &probe));
 }
 
-TEST(PlacementProbe, LeavesAZonesProbesToItsProber)
+TEST(PlacementProbe, LeavesZoneToItsProberWhileThatReports)
 {
 	PlacementFixture fixture;
 	struct aub_probe probe;
@@ -43,14 +45,14 @@
 	fixture.now_us += 200 * US_PER_MS;
 	EXPECT_FALSE(aub_placement_probe_next(fixture.placement, NULL,
 					      fixture.now_us, &probe));
-	/* Its prober is silent: it is probed from here. */
+	/* Its prober sends no results: it is probed locally. */
 	fixture.now_us += 200 * US_PER_MS;
 	ASSERT_TRUE(aub_placement_probe_next(fixture.placement, NULL,
 					     fixture.now_us, &probe));
 	EXPECT_STREQ(probe.upstream, "far");
 }
 
-TEST(PlacementProbe, ProbesStayWithinTheirBudget)
+TEST(PlacementProbe, ProbesEveryInterval)
 {
 	PlacementFixture fixture;
 	struct aub_probe probe;
@@ -69,7 +71,7 @@
 	EXPECT_GE(probes, 90);
 }
 
-TEST(PlacementProbe, OneLostProbeIsNoDeath)
+TEST(PlacementProbe, MarksDownAfterTwoProbesWithoutResponse)
 {
 	PlacementFixture fixture;
 
@@ -84,12 +86,13 @@
 	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_DOWN);
 }
 
-TEST(PlacementProbe, ProbesALargeServiceLessOften)
+TEST(PlacementProbe, ProbesLargeServiceLessOften)
 {
 	/*
-	 * Callers at 3,000 upstreams would wait behind probes: whoever sends
-	 * them has a fifth of a core. A usual service is probed ten times a
-	 * second, one of a thousand upstreams some 1,700 times in all.
+	 * Guards against probes that starve requests: at 3,000 upstreams, the
+	 * process that probes them has a fifth of a core. An upstream of a
+	 * service of normal size is probed ten times a second; a service of a
+	 * thousand upstreams gets some 1,700 probes a second in total.
 	 */
 	for (guint count : { 100u, 1000u }) {
 		PlacementFixture fixture;
@@ -111,17 +114,17 @@
 	}
 }
 
-TEST(PlacementProbe, ProbesTheOthersWhereManyAreSilent)
+TEST(PlacementProbe, ProbesHealthyUpstreamsWhenManyAreUnresponsive)
 {
 	/*
-	 * Callers wait for upstreams that are back and that nobody has probed.
-	 * Two thirds of a service are silent: each probe there takes its whole
-	 * time limit, and another one is due as soon as it is over.
+	 * Guards against upstreams that are back but not probed. Two thirds of
+	 * a service do not respond: each probe there takes its full timeout,
+	 * and the next one is due as soon as it ends.
 	 */
 	PlacementFixture fixture;
 	struct aub_probe due;
-	std::vector<std::string> silent;
-	guint well = 0;
+	std::vector<std::string> unresponsive;
+	guint healthy = 0;
 
 	for (guint i = 0; i < 300; i++)
 		fixture.register_upstream("u" + std::to_string(i));
@@ -131,24 +134,24 @@
 			std::string id = due.upstream;
 
 			if (std::stoi(id.substr(1)) < 200) {
-				silent.push_back(id);
+				unresponsive.push_back(id);
 				continue;
 			}
-			well++;
+			healthy++;
 			fixture.finish_probe(id);
 		}
-		EXPECT_LE(silent.size(), 64u);
+		EXPECT_LE(unresponsive.size(), 64u);
 		fixture.now_us += 400 * US_PER_MS;
-		for (auto &id : silent)
+		for (auto &id : unresponsive)
 			fixture.finish_probe(id, -1, 100,
 					     AUB_PROBE_NO_RESPONSE);
-		silent.clear();
+		unresponsive.clear();
 		aub_placement_check_invariants(fixture.placement);
 	}
-	EXPECT_GE(well, 200u);
+	EXPECT_GE(healthy, 200u);
 }
 
-TEST(PlacementProbe, TellsWhatIsBelievedByName)
+TEST(PlacementProbe, ReturnsHealthName)
 {
 	PlacementFixture fixture;
 
--- a/tests/test_placement_queue.cc
+++ b/tests/test_placement_queue.cc
@@ -1,9 +1,9 @@
 /*
- * Who waits for a slot, in which order they get one, and who is refused.
+ * The queue of requests that wait for a slot: order of service and refusals.
  */
 #include "placement_fixture.h"
 
-TEST(Placement, ServesTheMostUrgentFirst)
+TEST(Placement, ServesHighestPriorityFirst)
 {
 	PlacementFixture fixture;
 	struct aub_placement_decision decision;
@@ -20,7 +20,7 @@
 	EXPECT_EQ(decision.ticket, urgent.ticket);
 }
 
-TEST(Placement, ServesTheNewestOnceTheOldestHasWaitedLong)
+TEST(Placement, ServesNewestOnceOldestHasWaitedLong)
 {
 	PlacementFixture fixture;
 	struct aub_placement_decision decision;
@@ -44,13 +44,13 @@
 	EXPECT_EQ(decision.ticket, fresh.ticket);
 }
 
-TEST(Placement, ServesKindsOfRequestsByTheirOwnMeasure)
+TEST(Placement, OrdersRequestsByShareOfTheirOwnWaitLimit)
 {
 	/*
-	 * A caller that must have its answer soon stands behind others that
-	 * have time. Served in the order they came, only those that have time
-	 * are served in an overload; a third of its time is gone after 70 ms,
-	 * of theirs a seventh.
+	 * Guards against starving requests with a short target behind others
+	 * with a long one. In order of arrival, only those with a long target
+	 * would be served in an overload. After 70 ms one request has used up a
+	 * third of its time, the other a seventh.
 	 */
 	PlacementFixture fixture;
 	struct aub_placement_decision decision;
@@ -63,21 +63,21 @@
 	patient.max_wait_ms = 600;
 	fixture.submit(patient);
 	fixture.now_us += 20 * US_PER_MS;
-	struct aub_placement_request hasty = fixture.new_request();
-	hasty.on_time_wait_ms = 240;
-	hasty.max_wait_ms = 3000;
-	fixture.submit(hasty);
+	struct aub_placement_request urgent = fixture.new_request();
+	urgent.on_time_wait_ms = 240;
+	urgent.max_wait_ms = 3000;
+	fixture.submit(urgent);
 	fixture.now_us += 70 * US_PER_MS;
 	fixture.report(outstanding);
 	ASSERT_TRUE(fixture.next_decision(&decision));
-	EXPECT_EQ(decision.ticket, hasty.ticket);
+	EXPECT_EQ(decision.ticket, urgent.ticket);
 }
 
-TEST(Placement, TakesANewcomerThatWouldBeServedFirst)
+TEST(Placement, QueuesNewRequestThatWouldBeServedFirst)
 {
 	/*
-	 * The caller is refused though it would have its answer in time: many
-	 * wait, but they have waited long, and the newest is served first.
+	 * Guards against refusing a request that would be served in time: many
+	 * are queued, but they have waited long, so the newest goes first.
 	 */
 	PlacementFixture fixture;
 	struct aub_placement_decision decision;
@@ -98,7 +98,7 @@
 	EXPECT_EQ(decision.ticket, fresh.ticket);
 }
 
-TEST(Placement, RefusesOnArrivalWhatWouldWaitInVain)
+TEST(Placement, RefusesOnArrivalIfWaitExceedsLimit)
 {
 	PlacementFixture fixture;
 	int refused = 0;
@@ -115,7 +115,7 @@
 	EXPECT_GE(refused, 10);
 }
 
-TEST(Placement, TellsThoseWhosePatienceEnds)
+TEST(Placement, RefusesQueuedRequestAfterItsMaxWait)
 {
 	PlacementFixture fixture;
 	struct aub_placement_decision decision;
@@ -131,7 +131,7 @@
 	EXPECT_FALSE(fixture.next_decision(&decision));
 }
 
-TEST(Placement, KeepsSlotsFreeOfLateRequests)
+TEST(Placement, ReservesSlotsForRequestsThatCanBeOnTime)
 {
 	PlacementFixture fixture;
 	int granted = 0;
@@ -147,8 +147,8 @@
 	EXPECT_EQ(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
-/* Guards against callers sent away for long while upstreams have room. */
-TEST(PlacementQueue, SendsRetriesBackSoonWhereThereIsRoom)
+/* Guards against long retry times while upstreams have room. */
+TEST(PlacementQueue, AllowsEarlyRetryIfThereIsRoom)
 {
 	PlacementFixture fixture(0.0, 0);
 	struct aub_placement_request again = fixture.new_request();
@@ -158,7 +158,7 @@
 	struct aub_placement_decision decision = fixture.submit(again);
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_NO_BUDGET);
 	EXPECT_LE(decision.retry_after_ms, 100u);
-	/* Without room it is as long as for all others. */
+	/* Without room the retry time is the normal one. */
 	fixture.submit();
 	fixture.submit();
 	again.ticket = ++fixture.last_ticket;
--- a/tests/test_retry_budget.cc
+++ b/tests/test_retry_budget.cc
@@ -1,11 +1,13 @@
-/* The budget of second attempts in a sliding window. */
+/*
+ * The retry budget in a sliding window.
+ */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/retry_budget.h>
 
 #include <deque>
 
-TEST(RetryBudget, GivesItsSlackAndThenAShare)
+TEST(RetryBudget, AllowsSlackPlusShareOfRequests)
 {
 	struct aub_retry_budget budget;
 	int taken = 0;
@@ -21,7 +23,7 @@
 	EXPECT_EQ(taken, 25);
 }
 
-TEST(RetryBudget, ForgetsWhatIsOlderThanItsWindow)
+TEST(RetryBudget, DropsEntriesOlderThanItsWindow)
 {
 	struct aub_retry_budget budget;
 
@@ -29,11 +31,11 @@
 	EXPECT_TRUE(aub_retry_budget_take_retry(&budget, 0, 1, 1000000));
 	EXPECT_FALSE(aub_retry_budget_take_retry(&budget, 0, 1, 9000000));
 	EXPECT_TRUE(aub_retry_budget_take_retry(&budget, 0, 1, 13000000));
-	/* Also after a long silence. */
+	/* Also after a long time without requests. */
 	EXPECT_TRUE(aub_retry_budget_take_retry(&budget, 0, 1, 900000000));
 }
 
-TEST(RetryBudget, HoldsInEverySpanOfItsWindow)
+TEST(RetryBudget, HoldsInEveryIntervalOfItsWindow)
 {
 	struct aub_retry_budget budget;
 	std::deque<gint64> taken;
--- a/tests/test_rollout.cc
+++ b/tests/test_rollout.cc
@@ -1,6 +1,6 @@
 /*
- * Orders to change versions, as a placement carries them out: who gets what
- * before, during and after.
+ * Rollout orders as a placement executes them: the requests that each version
+ * gets before, during and after.
  */
 #include "placement_fixture.h"
 
@@ -8,7 +8,7 @@
 
 #define SECOND (1000 * US_PER_MS)
 
-/* A service with upstreams of two versions, warm and probed. */
+/* A service with warm, probed upstreams of two versions. */
 class RolloutFixture
 {
       public:
@@ -24,19 +24,19 @@
 		aub_placement_set_rollouts_loaded(fixture.placement,
 						  fixture.now_us);
 		for (int i = 0; i < upstreams; i++)
-			add("a" + std::to_string(i), "v1", 1);
+			add_upstream("a" + std::to_string(i), "v1", 1);
 	}
-	void add(const std::string &id, const std::string &version,
-		 gint64 started_ms)
+	void add_upstream(const std::string &id, const std::string &version,
+			  gint64 started_ms)
 	{
 		fixture.register_upstream(id, 4, "z1", false, started_ms, 0,
 					  version);
 		fixture.finish_probe(id);
 	}
-	void add_new(int upstreams = 4)
+	void add_new_version(int upstreams = 4)
 	{
 		for (int i = 0; i < upstreams; i++)
-			add("b" + std::to_string(i), "v2", 100 + i);
+			add_upstream("b" + std::to_string(i), "v2", 100 + i);
 	}
 	struct aub_rollout_record record(
 		enum aub_rollout_state state = AUB_ROLLOUT_NONE,
@@ -59,9 +59,12 @@
 		aub_placement_set_rollout(fixture.placement, &order_record,
 					  false, fixture.now_us);
 	}
-	/* Requests one after the other, each answered by `end`. */
+	/*
+	 * Sends requests one after the other. Those at the new version end with
+	 * `new_version_result`.
+	 */
 	void serve(int count, gint64 gap_us = 10 * US_PER_MS,
-		   enum aub_grant_result bad_end = AUB_GRANT_OK)
+		   enum aub_grant_result new_version_result = AUB_GRANT_OK)
 	{
 		for (int i = 0; i < count; i++) {
 			struct aub_placement_request request =
@@ -78,13 +81,18 @@
 			bool is_new = decision.upstream[0] == 'b';
 			sent[is_new ? "v2" : "v1"]++;
 			fixture.report(decision.ticket,
-				       is_new ? bad_end : AUB_GRANT_OK,
+				       is_new ? new_version_result :
+						AUB_GRANT_OK,
 				       200 * US_PER_MS);
 		}
 	}
-	/* Requests that differ by `change`; all go to the old version. */
-	void expect_old(int count,
-			void (*change)(struct aub_placement_request *request))
+	/*
+	 * Sends requests modified by `change` and expects them at the old
+	 * version.
+	 */
+	void expect_old_version(
+		int count,
+		void (*change)(struct aub_placement_request *request))
 	{
 		for (int i = 0; i < count; i++) {
 			struct aub_placement_request request =
@@ -104,30 +112,30 @@
 	}
 };
 
-/* Guards against a new version that gets requests before it is allowed any. */
-TEST(Rollout, SendsNothingToAVersionThatWaitsForItsOrder)
+/* Guards against a new version that gets requests before any are allowed. */
+TEST(Rollout, SendsNothingToVersionWithoutOrder)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.serve(200);
 	EXPECT_EQ(rollout.sent["v2"], 0);
 	EXPECT_EQ(rollout.sent["v1"], 200);
 }
 
-/* Guards against a bad version that gets more than operators allow. */
-TEST(Rollout, StaysWithinTheExposure)
+/* Guards against a bad version that gets more requests than operators allow. */
+TEST(Rollout, StaysWithinTheExposureLimit)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	rollout.serve(900);
 	EXPECT_GT(rollout.sent["v2"], 10);
 	EXPECT_LE(rollout.sent["v2"], 0.1 * 900);
 }
 
-TEST(Rollout, SendsNothingBeforeOrdersAreKnown)
+TEST(Rollout, SendsNothingBeforeOrdersAreLoaded)
 {
 	PlacementFixture fixture;
 	const struct aub_rollout_limits limits = { 0.1, 50 };
@@ -140,7 +148,7 @@
 	EXPECT_EQ(fixture.submit().verdict, AUB_VERDICT_GRANTED);
 }
 
-/* Guards against a count of upstreams that drifts as they come and go. */
+/* Guards against an upstream count that drifts as upstreams come and go. */
 TEST(Rollout, CountsUpstreamsAsTheyComeAndGo)
 {
 	RolloutFixture rollout(0);
@@ -152,14 +160,14 @@
 	};
 
 	for (int i = 0; i < 50; i++)
-		rollout.add("a" + std::to_string(i), "v1", 1);
+		rollout.add_upstream("a" + std::to_string(i), "v1", 1);
 	EXPECT_EQ(upstreams("v1"), 50u);
-	rollout.add("a0", "v1", 7);
+	rollout.add_upstream("a0", "v1", 7);
 	rollout.fixture.unregister_upstream("a1");
 	rollout.fixture.unregister_upstream("a1");
 	EXPECT_EQ(upstreams("v1"), 49u);
-	rollout.add_new(3);
-	rollout.add("a2", "v2", 9);
+	rollout.add_new_version(3);
+	rollout.add_upstream("a2", "v2", 9);
 	EXPECT_EQ(upstreams("v1"), 48u);
 	EXPECT_EQ(upstreams("v2"), 4u);
 	rollout.fixture.unregister_upstream("b0");
@@ -168,7 +176,7 @@
 	EXPECT_FALSE(aub_placement_may_send(rollout.fixture.placement, "a2"));
 }
 
-TEST(Rollout, VersionsDontMatterWhereNoOrdersAreTaken)
+TEST(Rollout, IgnoresVersionsIfRolloutsAreDisabled)
 {
 	PlacementFixture fixture;
 
@@ -180,11 +188,11 @@
 	EXPECT_TRUE(aub_placement_may_send(fixture.placement, "u2"));
 }
 
-TEST(Rollout, RollsABadVersionBackAndSendsItNothingMore)
+TEST(Rollout, RollsBackBadVersionAndSendsItNothingMore)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	rollout.serve(900, 10 * US_PER_MS, AUB_GRANT_FAILED);
 	EXPECT_EQ(rollout.state(), AUB_ROLLOUT_ROLLED_BACK);
@@ -198,12 +206,12 @@
 		  AUB_ROLLOUT_ROLLED_BACK);
 }
 
-/* Guards against old upstreams that are stopped with requests under way. */
-TEST(Rollout, CompletesOnlyOnceTheOldVersionHasAnswered)
+/* Guards against stopping old upstreams with requests in progress. */
+TEST(Rollout, CompletesOnlyAfterOldVersionIsDrained)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	rollout.serve(1000);
 	struct aub_placement_decision last = rollout.fixture.submit();
@@ -226,13 +234,13 @@
 	EXPECT_EQ(rollout.sent["v2"], 50);
 }
 
-TEST(Rollout, CompletesAGoodVersionInTime)
+TEST(Rollout, CompletesGoodVersionInTime)
 {
 	RolloutFixture rollout;
 	enum aub_rollout_state wanted = AUB_ROLLOUT_NONE;
 	gint64 began = rollout.fixture.now_us;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	while (wanted != AUB_ROLLOUT_COMPLETED &&
 	       rollout.fixture.now_us < began + 12 * SECOND) {
@@ -245,12 +253,12 @@
 		  0.1 * (rollout.sent["v1"] + rollout.sent["v2"]) + 50);
 }
 
-/* Guards against a move to upstreams that can't bear all requests. */
-TEST(Rollout, DoesNotMoveToFewerSlotsThanAreNeeded)
+/* Guards against a switch to upstreams that can not handle all requests. */
+TEST(Rollout, DoesNotSwitchToFewerSlotsThanNeeded)
 {
 	RolloutFixture rollout(8);
 
-	rollout.add_new(1);
+	rollout.add_new_version(1);
 	rollout.order();
 	std::vector<guint64> outstanding;
 	for (int i = 0; i < 12; i++) {
@@ -265,7 +273,7 @@
 	EXPECT_STREQ(rollout.fixture.placement->rollout.reason, "no-room");
 }
 
-TEST(Rollout, RollsBackWhatHasNoUpstreams)
+TEST(Rollout, RollsBackVersionWithoutUpstreams)
 {
 	RolloutFixture rollout;
 
@@ -275,22 +283,23 @@
 	EXPECT_STREQ(rollout.fixture.placement->rollout.reason, "no-upstreams");
 }
 
-TEST(Rollout, SendsNoRetryToACanary)
+TEST(Rollout, SendsNoRetriesToCanaries)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	rollout.serve(300);
 	int sent = rollout.sent["v2"];
-	rollout.expect_old(10, [](struct aub_placement_request *request) {
-		request->retry = true;
-	});
+	rollout.expect_old_version(10,
+				   [](struct aub_placement_request *request) {
+					   request->retry = true;
+				   });
 	EXPECT_EQ(rollout.sent["v2"], sent);
 }
 
-/* Guards against two requests a share from each of several placers. */
-TEST(Rollout, PlacersThatFollowEachOtherStayWithinOneShare)
+/* Guards against each of several placers using the full share by itself. */
+TEST(Rollout, SuccessivePlacersStayWithinOneShare)
 {
 	std::map<std::string, int> sent;
 	guint64 reached = 0;
@@ -299,7 +308,7 @@
 	for (int placer = 0; placer < 6; placer++) {
 		RolloutFixture rollout;
 
-		rollout.add_new();
+		rollout.add_new_version();
 		rollout.order(AUB_ROLLOUT_RUNNING);
 		aub_placement_import_evidence(rollout.fixture.placement, NULL,
 					      0, reached, exposed, 0);
@@ -315,13 +324,13 @@
 	EXPECT_LE(sent["v2"], 0.1 * (sent["v1"] + sent["v2"]));
 }
 
-TEST(Rollout, TheSlackIsSpentByWhoeverWasGivenIt)
+TEST(Rollout, OnlyTheGranteeSpendsTheSlack)
 {
 	RolloutFixture with;
 	RolloutFixture without;
 
 	for (RolloutFixture *rollout : { &with, &without }) {
-		rollout->add_new();
+		rollout->add_new_version();
 		rollout->order();
 	}
 	aub_placement_grant_slack(with.fixture.placement);
@@ -332,11 +341,11 @@
 	EXPECT_LE(without.sent["v2"], 0.1 * 60 + 1);
 }
 
-TEST(Rollout, AVerdictOfAnotherHoldsAtOnce)
+TEST(Rollout, AppliesDecisionOfAnotherProcessImmediately)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	const struct aub_rollout_record order_record = rollout.record();
 	EXPECT_TRUE(aub_placement_merge_rollout(rollout.fixture.placement,
@@ -344,7 +353,7 @@
 						AUB_ROLLOUT_ROLLED_BACK, 0,
 						rollout.fixture.now_us));
 	EXPECT_FALSE(aub_placement_may_send(rollout.fixture.placement, "b0"));
-	/* It stays, whatever else is told. */
+	/* It is final, whatever other state is received. */
 	(void)aub_placement_merge_rollout(rollout.fixture.placement,
 					  &order_record.order,
 					  AUB_ROLLOUT_SWITCHING, 0,
@@ -352,12 +361,12 @@
 	EXPECT_FALSE(aub_placement_may_send(rollout.fixture.placement, "b0"));
 }
 
-/* Guards against a verdict on one order that is taken for the next one's. */
-TEST(Rollout, AnotherOrderForTheSameVersionBeginsAnew)
+/* Guards against applying the decision on one order to the next one. */
+TEST(Rollout, NewOrderForSameVersionStartsOver)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	rollout.serve(900, 10 * US_PER_MS, AUB_GRANT_FAILED);
 	ASSERT_EQ(rollout.state(), AUB_ROLLOUT_ROLLED_BACK);
@@ -372,25 +381,25 @@
 	EXPECT_EQ(rollout.state(), AUB_ROLLOUT_RUNNING);
 }
 
-TEST(Rollout, AnOrderForAThirdVersionHoldsTheSecond)
+TEST(Rollout, OrderForThirdVersionWithholdsTheSecond)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	rollout.serve(100);
-	rollout.add("c0", "v3", 500);
+	rollout.add_upstream("c0", "v3", 500);
 	rollout.order(AUB_ROLLOUT_NONE, 12000, "v3");
 	rollout.sent.clear();
 	rollout.serve(500);
 	EXPECT_EQ(rollout.sent["v2"], 0);
 }
 
-TEST(Rollout, ADeletedOrderLeavesTheOldVersion)
+TEST(Rollout, DeletedOrderKeepsTheOldVersion)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	rollout.serve(300);
 	aub_placement_set_rollout(rollout.fixture.placement, NULL, false,
@@ -404,12 +413,12 @@
 	EXPECT_EQ(rollout.sent["v1"], 200);
 }
 
-/* Guards against an order nobody can read, whose version takes part. */
-TEST(Rollout, AnUnreadableOrderAdmitsNoVersion)
+/* Guards against admitting the version of an order that can not be parsed. */
+TEST(Rollout, UnreadableOrderAdmitsNoVersion)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	aub_placement_set_rollout(rollout.fixture.placement, NULL, true,
 				  rollout.fixture.now_us);
 	rollout.fixture.now_us += 60 * SECOND;
@@ -425,40 +434,41 @@
 	EXPECT_GT(rollout.sent["v2"], 0);
 }
 
-TEST(Rollout, AGatewayThatStartsLaterGoesByTheStoredState)
+TEST(Rollout, LateStartingGatewayAppliesTheStoredState)
 {
 	RolloutFixture back;
 	RolloutFixture done;
 
-	back.add_new();
+	back.add_new_version();
 	back.order(AUB_ROLLOUT_ROLLED_BACK);
 	back.serve(100);
 	EXPECT_EQ(back.sent["v2"], 0);
-	done.add_new();
+	done.add_new_version();
 	done.order(AUB_ROLLOUT_COMPLETED);
 	done.serve(100);
 	EXPECT_EQ(done.sent["v1"], 0);
 	EXPECT_EQ(done.sent["v2"], 100);
 }
 
-TEST(Rollout, WhoPlacesForWantOfAPlacerSendsNothingToACanary)
+TEST(Rollout, LocalFallbackSendsNothingToCanaries)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	rollout.serve(300);
-	rollout.expect_old(50, [](struct aub_placement_request *request) {
-		request->local_fallback = true;
-	});
+	rollout.expect_old_version(50,
+				   [](struct aub_placement_request *request) {
+					   request->local_fallback = true;
+				   });
 }
 
-/* Guards against crashes of either version's upstreams taken for a verdict. */
-TEST(Rollout, CrashesAreNoVerdict)
+/* Guards against crashes of upstreams that count against their version. */
+TEST(Rollout, CrashesDoNotCountAgainstTheVersion)
 {
 	RolloutFixture rollout;
 
-	rollout.add_new();
+	rollout.add_new_version();
 	rollout.order();
 	for (int i = 0; i < 900; i++) {
 		rollout.serve(1, 10 * US_PER_MS, AUB_GRANT_LOST);
--- a/tests/test_routing.cc
+++ b/tests/test_routing.cc
@@ -1,4 +1,6 @@
-/* Routes: host and longest prefix, splits, and what is refused. */
+/*
+ * Routing: lookup by host and longest prefix, splits, invalid routes.
+ */
 #include <gtest/gtest.h>
 
 #include <auburnstile/error.h>
@@ -41,7 +43,7 @@
 	return routing;
 }
 
-TEST(Routing, TakesTheLongestPrefixOfTheHost)
+TEST(Routing, FindsLongestPrefixOfHost)
 {
 	struct aub_routing *routing = example();
 
@@ -58,7 +60,7 @@
 	aub_routing_unref(routing);
 }
 
-TEST(Routing, NamesTheRouteThatIsWrong)
+TEST(Routing, ErrorNamesTheInvalidRoute)
 {
 	struct aub_routing *routing = example();
 	GError *error = NULL;
@@ -71,7 +73,7 @@
 	aub_routing_unref(routing);
 }
 
-TEST(Routing, RefusesAPrefixWithoutItsSlash)
+TEST(Routing, RejectsPrefixWithoutTrailingSlash)
 {
 	struct aub_routing *routing = example();
 
@@ -80,7 +82,7 @@
 	aub_routing_unref(routing);
 }
 
-TEST(Routing, KeepsTheSharesOfASplit)
+TEST(Routing, DistributesSplitByWeight)
 {
 	struct aub_route *route = aub_route_new();
 	std::map<std::string, int> counts;
@@ -96,7 +98,7 @@
 	aub_route_free(route);
 }
 
-TEST(Routing, GivesAPartWithoutWeightNothing)
+TEST(Routing, SendsNothingToSplitWithoutWeight)
 {
 	struct aub_route *route = aub_route_new();
 
@@ -107,11 +109,12 @@
 	aub_route_free(route);
 }
 
-TEST(Routing, KeepsWhatItLearnedOfARoutesCallers)
+TEST(Routing, CopiesCallerWaitsOfKnownRoutes)
 {
 	/*
-	 * Callers that come back are told from new ones right after a change,
-	 * too: what is known of a route's callers stays with host and prefix.
+	 * Guards against taking callers that retry for new ones right after a
+	 * configuration change: the wait statistics of a route are kept by host
+	 * and prefix.
 	 */
 	struct aub_routing *before = example();
 	struct aub_routing *after = example();
--- a/tests/test_saturation.cc
+++ b/tests/test_saturation.cc
@@ -1,28 +1,31 @@
 /*
- * How work slows down as an upstream fills, and how full it is best kept.
+ * The slowdown by utilization, and the concurrency limit derived from it.
  */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/saturation.h>
 
-/* Answers at each number of running requests, so many times as long. */
-static struct aub_saturation learned(guint slots, double at,
-				     double smoothed_slowdown,
-				     int answers = 100)
+/*
+ * Returns an estimator that has seen responses at each concurrency, slower by
+ * `saturated_slowdown` from `saturation_share` of the slots on.
+ */
+static struct aub_saturation learned(guint slots, double saturation_share,
+				     double saturated_slowdown,
+				     int rounds = 100)
 {
 	struct aub_saturation saturation;
 
 	aub_saturation_init(&saturation);
-	for (int i = 0; i < answers; i++)
+	for (int i = 0; i < rounds; i++)
 		for (guint n = 1; n <= slots; n++)
 			aub_saturation_observe(&saturation, n, slots,
-					       n >= at * slots ?
-						       smoothed_slowdown :
+					       n >= saturation_share * slots ?
+						       saturated_slowdown :
 						       1);
 	return saturation;
 }
 
-TEST(Knee, LearnsWhereUpstreamsSlowDown)
+TEST(Saturation, LearnsTheSaturationPoint)
 {
 	struct aub_saturation saturation = learned(6, 0.8, 1.7);
 
@@ -31,7 +34,7 @@
 	EXPECT_EQ(aub_saturation_limit(&saturation, 6), 4u);
 }
 
-TEST(Knee, UsesAllSlotsWhereNothingSlowsDown)
+TEST(Saturation, UsesAllSlotsIfNothingSlowsDown)
 {
 	for (guint slots : { 1u, 2u, 6u, 16u }) {
 		struct aub_saturation saturation = learned(slots, 1, 1);
@@ -41,9 +44,9 @@
 	}
 }
 
-TEST(Knee, UsesTheLastSlotsWhereTheyGainMoreThanTheyCost)
+TEST(Saturation, UsesLastSlotsIfTheyIncreaseThroughput)
 {
-	/* Both of two slots do 2 / 1.7 as much as one. */
+	/* Two requests at two slots complete 2 / 1.7 as much as one. */
 	struct aub_saturation two = learned(2, 0.8, 1.7);
 	struct aub_saturation many = learned(16, 0.5, 3);
 
@@ -51,7 +54,7 @@
 	EXPECT_EQ(aub_saturation_limit(&many, 16), 7u);
 }
 
-TEST(Knee, HoldsItsPriorAgainstAFewAnswers)
+TEST(Saturation, KeepsPriorDespiteAFewSamples)
 {
 	struct aub_saturation saturation;
 
@@ -66,9 +69,9 @@
 	EXPECT_GE(aub_saturation_limit(&saturation, 0), 1u);
 }
 
-TEST(Knee, IsNotLedAstrayByBursts)
+TEST(Saturation, IgnoresInterferenceBursts)
 {
-	/* One answer in ten takes four times as long, however full it is. */
+	/* One response in ten takes four times as long at any utilization. */
 	struct aub_saturation saturation;
 
 	aub_saturation_init(&saturation);
@@ -78,11 +81,12 @@
 	EXPECT_EQ(aub_saturation_limit(&saturation, 6), 6u);
 }
 
-TEST(Knee, TriesAgainWhatItGaveUp)
+TEST(Saturation, RetriesAbandonedUtilization)
 {
 	/*
-	 * Upstreams were slow for a while for another reason. Callers would
-	 * wait for slots that stand empty for good, were they not tried again.
+	 * Guards against slots that stay unused forever while callers wait:
+	 * upstreams were slow for a while for another reason, so a given up
+	 * utilization has to be tried again.
 	 */
 	struct aub_saturation saturation = learned(6, 0.8, 3);
 
--- a/tests/test_service_times.cc
+++ b/tests/test_service_times.cc
@@ -1,15 +1,16 @@
 /*
- * How long a service's requests usually take, by kind.
+ * Service times of a service's requests, by class.
  */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/service_times.h>
 
-TEST(WorkTimes, LearnsEachKindByItself)
+TEST(ServiceTimes, LearnsEachClassSeparately)
 {
 	/*
-	 * Requests of 3 ms beside those of 400 ms must not make an upstream
-	 * look twice as fast as the others, so that all callers are sent there.
+	 * Guards against requests of 3 ms among those of 400 ms making an
+	 * upstream look twice as fast as the others, so that all requests would
+	 * go there.
 	 */
 	struct aub_service_times times = {};
 
@@ -24,7 +25,7 @@
 	EXPECT_NEAR(aub_service_times_mean_ms(&times, 800), 400, 10);
 }
 
-TEST(WorkTimes, GuessesWhatItHasNotSeen)
+TEST(ServiceTimes, UsesPriorForUnknownClass)
 {
 	struct aub_service_times times = {};
 
@@ -36,7 +37,7 @@
 	EXPECT_GT(aub_service_times_mean_ms(&times, 1000), 100);
 }
 
-TEST(WorkTimes, IsNotLedAstrayByAFewLongOnes)
+TEST(ServiceTimes, IgnoresAFewOutliers)
 {
 	struct aub_service_times times = {};
 
@@ -45,7 +46,7 @@
 	EXPECT_LT(aub_service_times_mean_ms(&times, 300), 130);
 }
 
-TEST(WorkTimes, KeepsTheKindsInUse)
+TEST(ServiceTimes, KeepsClassesInUse)
 {
 	struct aub_service_times times = {};
 
--- a/tests/test_service_versions.cc
+++ b/tests/test_service_versions.cc
@@ -1,5 +1,5 @@
 /*
- * Which versions of a service's upstreams may take requests.
+ * Tracking of a service's versions.
  */
 #include <gtest/gtest.h>
 
@@ -13,149 +13,158 @@
 class Versions : public ::testing::Test
 {
       protected:
-	struct aub_service_versions it;
+	struct aub_service_versions versions;
 	struct Upstream {
 		std::string version;
-		gint64 born;
+		gint64 started_ms;
 	};
 	std::vector<Upstream> upstreams;
-	gint64 now = SECOND;
+	gint64 now_us = SECOND;
 
 	void SetUp() override
 	{
-		aub_service_versions_init(&it);
+		aub_service_versions_init(&versions);
 	}
 	void TearDown() override
 	{
-		aub_service_versions_clear(&it);
+		aub_service_versions_clear(&versions);
 	}
 	gint index(const std::string &name)
 	{
-		return aub_service_versions_index(&it, name.c_str());
+		return aub_service_versions_index(&versions, name.c_str());
 	}
 	void count()
 	{
-		aub_service_versions_begin_count(&it);
+		aub_service_versions_begin_count(&versions);
 		for (auto &upstream : upstreams)
-			aub_service_versions_add(&it, index(upstream.version),
-						 upstream.born);
-		aub_service_versions_finish_count(&it, now);
+			aub_service_versions_add(&versions,
+						 index(upstream.version),
+						 upstream.started_ms);
+		aub_service_versions_finish_count(&versions, now_us);
 	}
-	bool is_free(const std::string &name)
+	bool is_active(const std::string &name)
 	{
-		return aub_service_versions_is_active(&it, index(name));
+		return aub_service_versions_is_active(&versions, index(name));
 	}
 	void order(const std::string &name)
 	{
-		aub_service_versions_set_target(&it, index(name), now);
+		aub_service_versions_set_target(&versions, index(name), now_us);
 		count();
 	}
 };
 
-TEST_F(Versions, TheOnlyOneIsInForce)
+TEST_F(Versions, OnlyVersionIsActive)
 {
 	upstreams = { { "v1", 5 }, { "v1", 9 } };
 	count();
-	EXPECT_TRUE(is_free("v1"));
+	EXPECT_TRUE(is_active("v1"));
 }
 
-/* Guards against requests to a version whose order is not heard of yet. */
-TEST_F(Versions, HoldsOneThatAppearsBesideIt)
+/*
+ * Guards against requests to a version whose order has not been received yet.
+ */
+TEST_F(Versions, WithholdsVersionThatAppearsLater)
 {
 	upstreams = { { "v1", 5 } };
 	count();
 	upstreams.push_back({ "v2", 9 });
 	count();
-	EXPECT_TRUE(is_free("v1"));
-	EXPECT_FALSE(is_free("v2"));
+	EXPECT_TRUE(is_active("v1"));
+	EXPECT_FALSE(is_active("v2"));
 }
 
-/* Guards against a gateway that starts in the middle and takes the new one. */
-TEST_F(Versions, TakesTheOldestForTheOneInForceWhicheverIsReadFirst)
+/*
+ * Guards against a gateway that starts during a rollout and activates the new
+ * version.
+ */
+TEST_F(Versions, OldestVersionIsCurrentWhicheverIsReadFirst)
 {
 	upstreams = { { "v2", 900 } };
 	count();
 	upstreams = { { "v2", 900 }, { "v1", 5 } };
 	count();
-	EXPECT_TRUE(is_free("v1"));
-	EXPECT_FALSE(is_free("v2"));
+	EXPECT_TRUE(is_active("v1"));
+	EXPECT_FALSE(is_active("v2"));
 }
 
-TEST_F(Versions, KeepsItWhileItsUpstreamsRestart)
+TEST_F(Versions, KeepsCurrentVersionWhileItsUpstreamsRestart)
 {
 	upstreams = { { "v1", 5 } };
 	count();
-	now += 11 * SECOND;
+	now_us += 11 * SECOND;
 	upstreams = { { "v1", 5 }, { "v2", 900 } };
 	count();
 	upstreams = { { "v1", 1000 }, { "v2", 900 } };
 	count();
-	EXPECT_TRUE(is_free("v1"));
-	EXPECT_FALSE(is_free("v2"));
+	EXPECT_TRUE(is_active("v1"));
+	EXPECT_FALSE(is_active("v2"));
 }
 
-/* Guards against upstreams that starve where versions come without orders. */
-TEST_F(Versions, AdmitsWhatWaitsForNoOrder)
+/*
+ * Guards against upstreams without requests where versions change without
+ * orders.
+ */
+TEST_F(Versions, AdmitsVersionWithoutOrderAfterADelay)
 {
 	upstreams = { { "v1", 5 }, { "v2", 900 } };
 	count();
-	now += 9 * SECOND;
-	EXPECT_FALSE(aub_service_versions_admit(&it, now));
-	now += 2 * SECOND;
-	EXPECT_TRUE(aub_service_versions_admit(&it, now));
-	EXPECT_TRUE(is_free("v1"));
-	EXPECT_TRUE(is_free("v2"));
+	now_us += 9 * SECOND;
+	EXPECT_FALSE(aub_service_versions_admit(&versions, now_us));
+	now_us += 2 * SECOND;
+	EXPECT_TRUE(aub_service_versions_admit(&versions, now_us));
+	EXPECT_TRUE(is_active("v1"));
+	EXPECT_TRUE(is_active("v2"));
 }
 
-TEST_F(Versions, TakesTheOtherAtOnceWhereTheOldOneIsGone)
+TEST_F(Versions, ActivatesOtherVersionImmediatelyIfOldOneIsGone)
 {
 	upstreams = { { "v1", 5 }, { "v2", 900 } };
 	count();
 	upstreams = { { "v2", 900 } };
 	count();
-	EXPECT_TRUE(is_free("v2"));
+	EXPECT_TRUE(is_active("v2"));
 }
 
-TEST_F(Versions, AnOrderHoldsItsVersionAlsoWhereItWasAdmitted)
+TEST_F(Versions, OrderWithholdsItsVersionEvenIfAdmitted)
 {
 	upstreams = { { "v1", 5 }, { "v2", 900 } };
 	count();
-	now += 11 * SECOND;
-	aub_service_versions_admit(&it, now);
+	now_us += 11 * SECOND;
+	aub_service_versions_admit(&versions, now_us);
 	order("v2");
-	EXPECT_FALSE(is_free("v2"));
-	now += 30 * SECOND;
-	EXPECT_FALSE(aub_service_versions_admit(&it, now));
-	EXPECT_TRUE(is_free("v1"));
+	EXPECT_FALSE(is_active("v2"));
+	now_us += 30 * SECOND;
+	EXPECT_FALSE(aub_service_versions_admit(&versions, now_us));
+	EXPECT_TRUE(is_active("v1"));
 }
 
-/* Guards against a rolled-back version that comes back without an order. */
-TEST_F(Versions, HoldsForGoodWhatAnOrderDidNotComplete)
+/* Guards against activating a rolled-back version without an order. */
+TEST_F(Versions, WithholdsVersionOfUncompletedOrder)
 {
 	upstreams = { { "v1", 5 }, { "v2", 900 } };
 	count();
 	order("v2");
-	aub_service_versions_set_target(&it, AUB_VERSION_NONE, now);
-	now += 60 * SECOND;
-	EXPECT_FALSE(aub_service_versions_admit(&it, now));
+	aub_service_versions_set_target(&versions, AUB_VERSION_NONE, now_us);
+	now_us += 60 * SECOND;
+	EXPECT_FALSE(aub_service_versions_admit(&versions, now_us));
 	upstreams = { { "v2", 900 } };
 	count();
-	EXPECT_FALSE(is_free("v2"));
+	EXPECT_FALSE(is_active("v2"));
 }
 
-TEST_F(Versions, ACompletedOrderLeavesOnlyItsVersion)
+TEST_F(Versions, CompletedOrderLeavesOnlyItsVersionActive)
 {
 	upstreams = { { "v1", 5 }, { "v2", 900 } };
 	count();
 	order("v2");
-	aub_service_versions_complete(&it, index("v2"), now);
+	aub_service_versions_complete(&versions, index("v2"), now_us);
 	count();
-	EXPECT_TRUE(is_free("v2"));
-	EXPECT_FALSE(is_free("v1"));
-	EXPECT_FALSE(aub_service_versions_admit(&it, now + SECOND));
+	EXPECT_TRUE(is_active("v2"));
+	EXPECT_FALSE(is_active("v1"));
+	EXPECT_FALSE(aub_service_versions_admit(&versions, now_us + SECOND));
 }
 
-TEST_F(Versions, ForgetsOldNamesWhenThereAreMany)
+TEST_F(Versions, ReplacesUnusedNamesIfTheListIsFull)
 {
 	upstreams = { { "v1", 5 } };
 	count();
@@ -163,6 +172,6 @@
 		upstreams = { { "v1", 5 }, { "w" + std::to_string(i), 9 } };
 		count();
 	}
-	EXPECT_TRUE(is_free("v1"));
-	EXPECT_FALSE(is_free("w499"));
+	EXPECT_TRUE(is_active("v1"));
+	EXPECT_FALSE(is_active("w499"));
 }
