--- a/include/auburnstile/internal/placement.h
+++ b/include/auburnstile/internal/placement.h
@@ -181,7 +181,7 @@
 void aub_placement_adopt(struct aub_placement *placement, guint64 holder,
 			 guint64 ticket, const char *upstream, guint target_ms,
 			 gint64 now_us);
-/* Drops the queued requests and the grants of a holder that is gone. */
+/* Drops the queued requests and the grants of a holder that has failed. */
 void aub_placement_drop_holder(struct aub_placement *placement, guint64 holder,
 			       gint64 now_us);
 
--- a/src/state/placement_queue.c
+++ b/src/state/placement_queue.c
@@ -208,7 +208,7 @@
  * Refuses a retry beyond the budget of the fleet, as when many attempts fail
  * although upstreams have room.
  *
- * If callers were told to return after the queue has drained, they would be
+ * If callers had to wait until the queue has drained, they would be
  * late although no request waits. If there is room now, the caller may retry
  * almost immediately: it is then a request of its own.
  */
--- a/src/state/rollout.c
+++ b/src/state/rollout.c
@@ -167,7 +167,7 @@
 	return set_state(rollout, state, "told");
 }
 
-static double age_ms(const struct aub_rollout *rollout, gint64 now_us)
+static double elapsed_ms_of(const struct aub_rollout *rollout, gint64 now_us)
 {
 	return (double)(now_us - rollout->started_us) / US_PER_MS;
 }
@@ -194,7 +194,7 @@
 
 static bool is_expired(const struct aub_rollout *rollout, gint64 now_us)
 {
-	return age_ms(rollout, now_us) >= rollout->order.duration_ms;
+	return elapsed_ms_of(rollout, now_us) >= rollout->order.duration_ms;
 }
 
 /*
@@ -215,7 +215,8 @@
 			      double service_time_ms, gint64 now_us)
 {
 	return rollout->state == AUB_ROLLOUT_SWITCHING &&
-	       age_ms(rollout, now_us) >= switch_ms(rollout, service_time_ms) &&
+	       elapsed_ms_of(rollout, now_us) >=
+		       switch_ms(rollout, service_time_ms) &&
 	       (is_expired(rollout, now_us) || is_within_exposure(rollout, 1));
 }
 
@@ -224,7 +225,7 @@
 				   gint64 now_us)
 {
 	double elapsed_share =
-		age_ms(rollout, now_us) /
+		elapsed_ms_of(rollout, now_us) /
 		(ALLOWANCE_DURATION_SHARE * rollout->order.duration_ms);
 	double limit = rollout->canary_share *
 			       (double)aub_rollout_total_reached(rollout) +
@@ -240,19 +241,21 @@
 }
 
 /*
- * The requests that may be sent add up while the new version warms up. Sent at
- * once, their long responses would arrive one after the other, after all short
- * ones, and look like a version that has become slow. They are spread over a
- * while, except for as many as fill one upstream.
+ * Returns whether one of the `remaining` requests may be sent now.
+ *
+ * The requests that may be sent add up while the new version warms up. If they
+ * were sent together, their long responses would arrive one after the other,
+ * after all short ones, and look like a version that has become slow. They are
+ * spread over a while, except for as many as fill one upstream.
  */
-static bool may_send_now(const struct aub_rollout *rollout, double left,
+static bool may_send_now(const struct aub_rollout *rollout, double remaining,
 			 gint64 now_us)
 {
 	if (!aub_rollout_is_filling(rollout))
 		return now_us - rollout->last_exposed_us >=
-		       (gint64)(CANARY_SPREAD_US / left);
+		       (gint64)(CANARY_SPREAD_US / remaining);
 	return aub_rollout_total_exposed(rollout) % rollout->batch_size ||
-	       left >= rollout->batch_size;
+	       remaining >= rollout->batch_size;
 }
 
 /*
@@ -263,14 +266,17 @@
 bool aub_rollout_may_send_canary(const struct aub_rollout *rollout,
 				 gint64 now_us)
 {
-	double left = canary_requests_left(rollout, now_us);
+	double remaining = canary_requests_left(rollout, now_us);
 
 	return aub_rollout_is_in_progress(rollout) &&
-	       !is_expired(rollout, now_us) && left >= 1 &&
-	       may_send_now(rollout, left, now_us);
+	       !is_expired(rollout, now_us) && remaining >= 1 &&
+	       may_send_now(rollout, remaining, now_us);
 }
 
-/* Uses a recent interval, so that the start of a load spike counts. */
+/*
+ * Updates the request rate from a recent interval, so that the start of a load
+ * spike counts.
+ */
 static void update_request_rate(struct aub_rollout *rollout, gint64 now_us)
 {
 	double ms = (double)(now_us - rollout->rate_sampled_us) / US_PER_MS;
@@ -286,6 +292,8 @@
 }
 
 /*
+ * Plans the exposure that is left for the switch to the new version.
+ *
  * A version may regress, or show that it is bad, only when it gets all
  * requests; until they are back at the old version it would have got more than
  * operators allow. The switch therefore takes no more requests than are left of
@@ -296,32 +304,38 @@
 			const struct aub_rollout_load *load, gint64 now_us)
 {
 	const struct aub_rollout_limits *limits = &rollout->limits;
-	double age = MAX(age_ms(rollout, now_us), 1);
+	double elapsed_ms = MAX(elapsed_ms_of(rollout, now_us), 1);
 	double duration_ms = rollout->order.duration_ms;
-	double left_ms = MAX(duration_ms - age, 0);
+	double remaining_ms = MAX(duration_ms - elapsed_ms, 0);
 	double reached = (double)aub_rollout_total_reached(rollout);
 	double exposed = (double)aub_rollout_total_exposed(rollout);
-	double per_ms = MAX(reached / age, rollout->requests_per_ms);
-	double used = rollout->inherited_reached ? SHARE_USED_INHERITED :
-						   SHARE_USED_PLANNED;
-	double total = used * limits->share * (reached + per_ms * left_ms) +
-		       rollout->allowance;
+	double per_ms = MAX(reached / elapsed_ms, rollout->requests_per_ms);
+	double share_used = rollout->inherited_reached ? SHARE_USED_INHERITED :
+							 SHARE_USED_PLANNED;
+	double max_exposed =
+		share_used * limits->share * (reached + per_ms * remaining_ms) +
+		rollout->allowance;
 	double reserve = per_ms * margin_ms(rollout) +
-			 ARRIVAL_RESERVE_SIGMAS * sqrt(MAX(total, 0));
-	double drain; /* requests in one mean service time */
-	double canary;
+			 ARRIVAL_RESERVE_SIGMAS * sqrt(MAX(max_exposed, 0));
+	double drain_requests; /* requests in one mean service time */
+	double canary_requests;
 
 	update_request_rate(rollout, now_us);
-	drain = MAX(per_ms * load->mean_service_time_ms, 1);
-	canary = CLAMP(total - reserve - DRAIN_FACTOR_MAX * drain,
-		       CANARY_SHARE_MIN * total, CANARY_SHARE_MAX * total);
-	rollout->canary_share = MIN(canary / MAX(per_ms * duration_ms, 1),
-				    CANARY_SHARE_MAX * limits->share);
+	drain_requests = MAX(per_ms * load->mean_service_time_ms, 1);
+	canary_requests =
+		CLAMP(max_exposed - reserve - DRAIN_FACTOR_MAX * drain_requests,
+		      CANARY_SHARE_MIN * max_exposed,
+		      CANARY_SHARE_MAX * max_exposed);
+	rollout->canary_share =
+		MIN(canary_requests / MAX(per_ms * duration_ms, 1),
+		    CANARY_SHARE_MAX * limits->share);
 	rollout->canary_allowance =
-		CLAMP(canary - rollout->canary_share * per_ms * duration_ms, 0,
-		      CANARY_SHARE_MAX * rollout->allowance);
-	rollout->drain_factor = CLAMP((total - exposed - reserve) / drain,
-				      DRAIN_FACTOR_MIN, DRAIN_FACTOR_MAX);
+		CLAMP(canary_requests -
+			      rollout->canary_share * per_ms * duration_ms,
+		      0, CANARY_SHARE_MAX * rollout->allowance);
+	rollout->drain_factor =
+		CLAMP((max_exposed - exposed - reserve) / drain_requests,
+		      DRAIN_FACTOR_MIN, DRAIN_FACTOR_MAX);
 }
 
 void aub_rollout_grant_slack(struct aub_rollout *rollout)
@@ -372,7 +386,7 @@
 bool aub_rollout_step(struct aub_rollout *rollout,
 		      const struct aub_rollout_load *load, gint64 now_us)
 {
-	double age = age_ms(rollout, now_us);
+	double elapsed_ms = elapsed_ms_of(rollout, now_us);
 
 	if (!aub_rollout_is_in_progress(rollout))
 		return false;
@@ -387,10 +401,10 @@
 	rollout->batch_size = MAX(load->batch_size, 1);
 	plan_switch(rollout, load, now_us);
 	/* Early enough to be stored before the order's end. */
-	if (age >= rollout->order.duration_ms - margin_ms(rollout) / 2)
+	if (elapsed_ms >= rollout->order.duration_ms - margin_ms(rollout) / 2)
 		return set_state(rollout, AUB_ROLLOUT_ROLLED_BACK,
 				 failure_reason(rollout, load));
-	if (age < switch_ms(rollout, load->max_service_time_ms) ||
+	if (elapsed_ms < switch_ms(rollout, load->max_service_time_ms) ||
 	    !may_switch(rollout, load))
 		return false;
 	return set_state(rollout, AUB_ROLLOUT_SWITCHING, "good");
@@ -403,11 +417,12 @@
 static bool is_drained(const struct aub_rollout *rollout,
 		       const struct aub_rollout_load *load, gint64 now_us)
 {
-	double age = age_ms(rollout, now_us);
-	double left_ms = MAX(rollout->order.duration_ms - age, 0);
+	double elapsed_ms = elapsed_ms_of(rollout, now_us);
+	double remaining_ms = MAX(rollout->order.duration_ms - elapsed_ms, 0);
 
-	return age >= switch_ms(rollout, 0) && !load->baseline_running &&
-	       is_within_exposure(rollout, rollout->requests_per_ms * left_ms);
+	return elapsed_ms >= switch_ms(rollout, 0) && !load->baseline_running &&
+	       is_within_exposure(rollout,
+				  rollout->requests_per_ms * remaining_ms);
 }
 
 enum aub_rollout_state aub_rollout_state_to_store(
--- a/src/state/service_versions.c
+++ b/src/state/service_versions.c
@@ -62,15 +62,15 @@
 }
 
 void aub_service_versions_add(struct aub_service_versions *versions, gint index,
-			      gint64 oldest_start_ms)
+			      gint64 started_ms)
 {
 	struct aub_version *version;
 
 	if (index == AUB_VERSION_NONE)
 		return;
 	version = &versions->list[index];
-	if (!version->upstreams++ || oldest_start_ms < version->oldest_start_ms)
-		version->oldest_start_ms = oldest_start_ms;
+	if (!version->upstreams++ || started_ms < version->oldest_start_ms)
+		version->oldest_start_ms = started_ms;
 }
 
 void aub_service_versions_remove(struct aub_service_versions *versions,
@@ -130,7 +130,7 @@
 	find_current(versions, now_us);
 }
 
-/* A version that had an order needs another order once that one is gone. */
+/* A version that had an order stays withheld until it gets another one. */
 void aub_service_versions_set_target(struct aub_service_versions *versions,
 				     gint index, gint64 now_us)
 {
--- a/tests/placement_load.h
+++ b/tests/placement_load.h
@@ -149,17 +149,18 @@
 	}
 	void start(const struct aub_placement_decision &decision, gint64 ms)
 	{
-		guint at = index[decision.upstream];
-		Upstream &upstream = upstreams[at];
-		double work = spec.work_ms *
-			      std::lognormal_distribution<double>(
-				      -spec.work_sigma * spec.work_sigma / 2,
-				      spec.work_sigma)(random);
+		guint upstream_index = index[decision.upstream];
+		Upstream &upstream = upstreams[upstream_index];
+		double duration_ms =
+			spec.work_ms *
+			std::lognormal_distribution<double>(
+				-spec.work_sigma * spec.work_sigma / 2,
+				spec.work_sigma)(random);
 
 		upstream.running++;
-		work *= upstream.slowdown * saturation(upstream);
-		runs.insert({ ms + (gint64)work + 2,
-			      { decision.ticket, at, ms,
+		duration_ms *= upstream.slowdown * saturation(upstream);
+		runs.insert({ ms + (gint64)duration_ms + 2,
+			      { decision.ticket, upstream_index, ms,
 				submitted[decision.ticket] } });
 	}
 	void handle_decision(const struct aub_placement_decision &decision,
--- a/tests/test_rollout_judge.cc
+++ b/tests/test_rollout_judge.cc
@@ -21,9 +21,9 @@
 	explicit JudgeFixture(guint upstreams = 10) : evidence(upstreams)
 	{
 	}
-	double time(double usual = 200)
+	double time(double mean_ms = 200)
 	{
-		return usual *
+		return mean_ms *
 		       std::lognormal_distribution<double>(0, 0.3)(random);
 	}
 	bool chance(double share)
@@ -31,7 +31,7 @@
 		return std::uniform_real_distribution<double>(0, 1)(random) <
 		       share;
 	}
-	void base(int answers, guint32 route = 1)
+	void add_baseline(int answers, guint32 route = 1)
 	{
 		for (int i = 0; i < answers; i++) {
 			const struct aub_judge_answer answer = {
@@ -47,21 +47,22 @@
 	 * Adds responses of the new version until it is rejected. Returns how
 	 * many that took, or -1.
 	 */
-	int take(int answers, double fails, double slower, guint32 route = 1,
-		 bool full = false, int only_upstream = -1)
+	int add_canary(int answers, double failure_rate, double slowdown,
+		       guint32 route = 1, bool full = false,
+		       int only_upstream = -1)
 	{
 		for (int i = 0; i < answers && !judge.alarmed; i++) {
-			size_t at = only_upstream >= 0 ?
-					    (size_t)only_upstream :
-					    random() % evidence.size();
+			size_t index = only_upstream >= 0 ?
+					       (size_t)only_upstream :
+					       random() % evidence.size();
 			const struct aub_judge_answer answer = {
 				.route = route,
-				.failed = chance(fails),
-				.ms = time() * slower,
+				.failed = chance(failure_rate),
+				.ms = time() * slowdown,
 				.full = full,
 			};
 
-			aub_judge_add_canary(&judge, &answer, &evidence[at],
+			aub_judge_add_canary(&judge, &answer, &evidence[index],
 					     aub_judge_evidence_max(
 						     (guint)evidence.size()));
 			if (judge.alarmed)
@@ -77,8 +78,8 @@
 		JudgeFixture fixture;
 
 		fixture.random.seed(seed);
-		fixture.base(2000);
-		EXPECT_EQ(fixture.take(1000, 0.004, 1), -1) << seed;
+		fixture.add_baseline(2000);
+		EXPECT_EQ(fixture.add_canary(1000, 0.004, 1), -1) << seed;
 	}
 }
 
@@ -91,10 +92,10 @@
 		JudgeFixture fixture;
 
 		fixture.random.seed(seed);
-		fixture.base(500);
-		int half = fixture.take(1000, 0.5, 1);
-		EXPECT_GT(half, 0);
-		EXPECT_LT(half, 40);
+		fixture.add_baseline(500);
+		int detected_after = fixture.add_canary(1000, 0.5, 1);
+		EXPECT_GT(detected_after, 0);
+		EXPECT_LT(detected_after, 40);
 	}
 }
 
@@ -104,10 +105,10 @@
 		JudgeFixture fixture;
 
 		fixture.random.seed(seed);
-		fixture.base(500);
-		int taken = fixture.take(1000, 0.004, 3);
-		EXPECT_GT(taken, 0);
-		EXPECT_LT(taken, 60);
+		fixture.add_baseline(500);
+		int detected_after = fixture.add_canary(1000, 0.004, 3);
+		EXPECT_GT(detected_after, 0);
+		EXPECT_LT(detected_after, 60);
 	}
 }
 
@@ -116,11 +117,11 @@
 {
 	JudgeFixture fixture;
 
-	fixture.base(2000);
-	ASSERT_EQ(fixture.take(3000, 0.004, 1), -1);
-	int taken = fixture.take(1000, 0.5, 1);
-	EXPECT_GT(taken, 0);
-	EXPECT_LT(taken, 40);
+	fixture.add_baseline(2000);
+	ASSERT_EQ(fixture.add_canary(3000, 0.004, 1), -1);
+	int detected_after = fixture.add_canary(1000, 0.5, 1);
+	EXPECT_GT(detected_after, 0);
+	EXPECT_LT(detected_after, 40);
 }
 
 /* Guards against a fault of one rare route that is masked by the others. */
@@ -128,27 +129,27 @@
 {
 	JudgeFixture fixture;
 
-	fixture.base(2000, 1);
-	fixture.base(50, 2);
-	int rare = 0;
+	fixture.add_baseline(2000, 1);
+	fixture.add_baseline(50, 2);
+	int rounds = 0;
 	for (int i = 0; i < 40 && !fixture.judge.alarmed; i++) {
-		fixture.take(49, 0.004, 1, 1);
-		fixture.take(1, 0.9, 1, 2);
-		rare++;
+		fixture.add_canary(49, 0.004, 1, 1);
+		fixture.add_canary(1, 0.9, 1, 2);
+		rounds++;
 	}
 	EXPECT_TRUE(fixture.judge.alarmed);
 	EXPECT_EQ(fixture.judge.route, 2u);
-	EXPECT_LT(rare, 20);
+	EXPECT_LT(rounds, 20);
 }
 
 TEST(RolloutJudge, DetectsFaultOfFullUpstreams)
 {
 	JudgeFixture fixture;
 
-	fixture.base(2000);
+	fixture.add_baseline(2000);
 	for (int i = 0; i < 40 && !fixture.judge.alarmed; i++) {
-		fixture.take(20, 0.004, 1);
-		fixture.take(4, 0.5, 1, 1, true);
+		fixture.add_canary(20, 0.004, 1);
+		fixture.add_canary(4, 0.5, 1, 1, true);
 	}
 	EXPECT_TRUE(fixture.judge.alarmed);
 }
@@ -160,10 +161,10 @@
 		JudgeFixture fixture;
 
 		fixture.random.seed(seed);
-		fixture.base(2000);
+		fixture.add_baseline(2000);
 		for (int i = 0; i < 200; i++) {
-			fixture.take(9, 0.004, 1);
-			fixture.take(1, 0.45, 1, 1, false, 3);
+			fixture.add_canary(9, 0.004, 1);
+			fixture.add_canary(1, 0.45, 1, 1, false, 3);
 		}
 		EXPECT_FALSE(fixture.judge.alarmed) << seed;
 	}
@@ -183,16 +184,16 @@
 
 		aub_judge_add_baseline(&fixture.judge, &answer);
 	}
-	EXPECT_EQ(fixture.take(300, 0.3, 1), -1);
+	EXPECT_EQ(fixture.add_canary(300, 0.3, 1), -1);
 }
 
 TEST(RolloutJudge, KeepsBaselineForTheNextOrder)
 {
 	JudgeFixture fixture;
 
-	fixture.base(500);
-	ASSERT_GT(fixture.take(1000, 0.5, 1), 0);
-	aub_judge_reset_canary(&fixture.judge.judge);
+	fixture.add_baseline(500);
+	ASSERT_GT(fixture.add_canary(1000, 0.5, 1), 0);
+	aub_judge_reset_canary(&fixture.judge);
 	EXPECT_FALSE(fixture.judge.alarmed);
 	EXPECT_EQ(fixture.judge.answers, 0u);
 	EXPECT_GT(aub_judge_slow_ms(&fixture.judge, 1, false), 0);
@@ -203,10 +204,10 @@
 	JudgeFixture first;
 	JudgeFixture second;
 
-	first.base(500);
-	second.base(500);
+	first.add_baseline(500);
+	second.add_baseline(500);
 	while (!aub_judge_is_suspicious(&first.judge))
-		first.take(1, 0.5, 1);
+		first.add_canary(1, 0.5, 1);
 	ASSERT_FALSE(first.judge.alarmed);
 	EXPECT_FALSE(aub_judge_is_suspicious(&second.judge));
 	struct aub_judge_route routes[AUB_JUDGE_ROUTES_MAX + 1];
@@ -221,7 +222,7 @@
 	JudgeFixture fixture;
 
 	for (guint32 route = 1; route <= 100; route++)
-		fixture.base(1, route);
+		fixture.add_baseline(1, route);
 	EXPECT_EQ(fixture.judge.count, (guint)AUB_JUDGE_ROUTES_MAX);
-	EXPECT_GT(fixture.take(1000, 0.5, 1, 99), 0);
+	EXPECT_GT(fixture.add_canary(1000, 0.5, 1, 99), 0);
 }
