--- a/src/state/crash_counts.c
+++ b/src/state/crash_counts.c
@@ -12,8 +12,9 @@
  */
 #define LOSSES_MAX 3
 #define EXPIRY_US (60 * G_GINT64_CONSTANT(1000000)) /* since the last loss */
-#define TRACKED_REQUESTS_MAX 4096 /* four seconds at one loss per millisecond \
-				   */
+#define TRACKED_REQUESTS_MAX                             \
+	4096 /* four seconds at one loss per millisecond \
+	      */
 
 struct crash_count {
 	guint64 fingerprint;
--- a/src/state/placement.c
+++ b/src/state/placement.c
@@ -488,7 +488,7 @@
 	return names[verdict];
 }
 
-const char *aub_grant_result_name(enum aub_grant_result end)
+const char *aub_grant_result_name(enum aub_grant_result result)
 {
 	static const char *const names[] = {
 		[AUB_GRANT_OK] = "ok",
@@ -502,5 +502,5 @@
 		[AUB_GRANT_UNUSED] = "unused",
 	};
 
-	return names[end];
+	return names[result];
 }
--- a/src/state/placement_rollout.c
+++ b/src/state/placement_rollout.c
@@ -258,9 +258,9 @@
 }
 
 /* Returns whether the request reached the upstream. */
-static bool reached_upstream(enum aub_grant_result end)
+static bool reached_upstream(enum aub_grant_result result)
 {
-	switch (end) {
+	switch (result) {
 	case AUB_GRANT_OK:
 	case AUB_GRANT_FAILED:
 	case AUB_GRANT_REFUSED:
@@ -325,16 +325,16 @@
 			     aub_judge_evidence_max(rollout->canary_upstreams));
 }
 
-static bool is_answer(enum aub_grant_result end)
+static bool is_complete_response(enum aub_grant_result result)
 {
-	return end == AUB_GRANT_OK || end == AUB_GRANT_FAILED;
+	return result == AUB_GRANT_OK || result == AUB_GRANT_FAILED;
 }
 
 static void count_exposure(struct aub_rollout *rollout,
 			   const struct aub_grant *grant,
-			   enum aub_grant_result end)
+			   enum aub_grant_result result)
 {
-	if (reached_upstream(end))
+	if (reached_upstream(result))
 		rollout->reached++;
 	else if (grant->canary && rollout->exposed)
 		rollout->exposed--;
@@ -352,7 +352,7 @@
 		return;
 	if (aub_rollout_is_in_progress(rollout))
 		count_exposure(rollout, grant, report->end);
-	if (!is_answer(report->end))
+	if (!is_complete_response(report->end))
 		return;
 	fill_answer(placement, endpoint, grant, report->elapsed_us, &answer);
 	answer.failed = report->end == AUB_GRANT_FAILED;
--- a/tests/test_placement_load.cc
+++ b/tests/test_placement_load.cc
@@ -201,18 +201,18 @@
 		fixture.now_us = 1000 * US_PER_MS + ms * US_PER_MS;
 		while (!finish_times.empty() &&
 		       finish_times.begin()->first <= ms) {
-			Running done = finish_times.begin()->second;
+			Running finished = finish_times.begin()->second;
 
 			finish_times.erase(finish_times.begin());
-			fixture.report(done.ticket, AUB_GRANT_OK,
+			fixture.report(finished.ticket, AUB_GRANT_OK,
 				       WORK_MS * US_PER_MS);
-			on_time += ms - done.caller.since_ms <= TARGET_MS;
+			on_time += ms - finished.caller.since_ms <= TARGET_MS;
 		}
 		while (!retries.empty() && retries.begin()->first <= ms) {
-			Caller back = retries.begin()->second;
+			Caller caller = retries.begin()->second;
 
 			retries.erase(retries.begin());
-			attempt(back, false, ms);
+			attempt(caller, false, ms);
 		}
 		struct aub_placement_decision decision;
 		while (fixture.next_decision(&decision)) {
