--- a/include/auburnstile/internal/answer.h
+++ b/include/auburnstile/internal/answer.h
@@ -18,7 +18,7 @@
 				      guint32 retry_after_ms);
 
 /* It may have run, and is not run again. */
-struct aub_answer *aub_answer_unknown(const char *reason);
+struct aub_answer *aub_answer_outcome_unknown(const char *reason);
 
 struct aub_answer *aub_answer_copy(const struct aub_answer *answer);
 
--- a/include/auburnstile/internal/gateway.h
+++ b/include/auburnstile/internal/gateway.h
@@ -22,7 +22,7 @@
 	struct aub_placer *placer;
 	struct aub_metrics *metrics;
 	/* Upstreams have died under a request, for the other gateways. */
-	void (*crashed)(guint64 fingerprint, guint deaths, void *context);
+	void (*on_crash)(guint64 fingerprint, guint crash_count, void *context);
 	void *context;
 };
 
@@ -35,17 +35,17 @@
 			   struct aub_routing *routing);
 
 /* Another gateway counts so many deaths under a request. */
-void aub_gateway_learn_crash(struct aub_gateway *gateway, guint64 fingerprint,
-			     guint deaths);
+void aub_gateway_add_reported_crashes(struct aub_gateway *gateway,
+				      guint64 fingerprint, guint crash_count);
 
 /* A planned stop: answers end their connections, new ones are still taken. */
-void aub_gateway_stop(struct aub_gateway *gateway);
+void aub_gateway_begin_drain(struct aub_gateway *gateway);
 /* Take no more connections, and end the idle ones in order. */
-void aub_gateway_close(struct aub_gateway *gateway);
+void aub_gateway_stop_accepting(struct aub_gateway *gateway);
 
 /* Requests under way, and connections open. */
-guint aub_gateway_requests(const struct aub_gateway *gateway);
-guint aub_gateway_connections(const struct aub_gateway *gateway);
+guint aub_gateway_active_requests(const struct aub_gateway *gateway);
+guint aub_gateway_open_connections(const struct aub_gateway *gateway);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/node.h
+++ b/include/auburnstile/internal/node.h
@@ -34,7 +34,7 @@
 	char *log_level;
 };
 
-extern const struct aub_setting aub_node_setting_table[];
+extern const struct aub_setting aub_node_settings_table[];
 
 /*
  * `timers` stays the caller's and outlives the node. NULL with an error that
--- a/include/auburnstile/internal/node_parts.h
+++ b/include/auburnstile/internal/node_parts.h
@@ -24,60 +24,62 @@
 	struct aub_gateway *gateway;
 	struct aub_http_service *directory;
 	struct aub_http_service *readiness;
-	struct aub_http_service *exporter;
+	struct aub_http_service *metrics_service;
 	char *zone;
 	char *peers_port; /* ":port" */
-	GHashTable *orders; /* service -> struct order, in node_rollouts.c */
-	bool takes_orders;
+	GHashTable *rollout_orders; /* service -> struct order, in
+				       node_rollouts.c */
+	bool rollouts_enabled;
 	guint64 records_refused; /* objects of the store that made no sense */
 	guint address_ms;
 	guint grace_ms;
-	gint64 version; /* of the configuration in force */
-	bool upstreams_known;
-	bool acquainted; /* has had the time to hear the other gateways */
+	gint64 config_version; /* of the configuration in force */
+	bool upstreams_listed;
+	bool startup_grace_over; /* has had the time to hear the other gateways
+				  */
 	bool stopping;
-	gint64 stop_us; /* when the stop began */
-	guint current_timer;
+	gint64 stop_start_us; /* when the stop began */
+	guint store_check_timer;
 	guint members_listed; /* others' records in the store */
-	GPtrArray *contacts; /* of char *: listed, not yet contacted */
-	guint lonely_timer;
-	guint enrol_timer;
+	GPtrArray *pending_contacts; /* of char *: listed, not yet contacted */
+	guint isolation_timer;
+	guint register_timer;
 	char *ip; /* of the peers' address */
 	guint stop_timer;
-	void (*stopped)(void *context);
-	void *stopped_context;
+	void (*on_stopped)(void *context);
+	void *on_stopped_context;
 };
 
 /* Callers may be sent here: configuration and upstreams are known. */
 bool aub_node_is_ready(const struct aub_node *node);
 
 /* The peers are told what this process knows and whether it is ready. */
-void aub_node_update_self(struct aub_node *node);
+void aub_node_publish_state(struct aub_node *node);
 
 /* Begin to read the store. */
 void aub_node_start_store(struct aub_node *node,
 			  const struct aub_node_settings *settings);
 /* Another gateway knows of a change; `context` is the node. */
-void aub_node_on_announced(enum aub_store_kind kind, gint64 revision,
-			   void *context);
+void aub_node_on_revision_announced(enum aub_store_kind kind, gint64 revision,
+				    void *context);
 /* Changes that a watcher of this zone was told. */
-void aub_node_take_shared(struct aub_node *node,
-			  const struct aub_store_changes *message);
+void aub_node_apply_shared_changes(struct aub_node *node,
+				   const struct aub_store_changes *message);
 
 /* Orders to move services to other versions. */
 void aub_node_rollouts_init(struct aub_node *node);
 void aub_node_rollouts_clear(struct aub_node *node);
-void aub_node_take_order(struct aub_node *node,
-			 const struct aub_record *record);
+void aub_node_apply_rollout_order(struct aub_node *node,
+				  const struct aub_record *record);
 /* As struct aub_placer_options says; `context` is the node. */
-bool aub_node_on_rollout_wanted(const char *service,
-				enum aub_rollout_state state, bool placer,
-				void *context);
+bool aub_node_store_rollout_state(const char *service,
+				  enum aub_rollout_state state, bool placer,
+				  void *context);
 
 /* Handlers of the small listeners; `context` is the node. */
 aub_http_service_handler aub_node_on_directory;
 aub_http_service_handler aub_node_on_readiness;
-aub_http_service_handler aub_node_on_export;
+aub_http_service_handler aub_node_on_metrics;
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/placer.h
+++ b/include/auburnstile/internal/placer.h
@@ -17,7 +17,7 @@
 struct aub_placer;
 
 /* Whether a request got an upstream; strings are borrowed for the call. */
-struct aub_placed {
+struct aub_placement_result {
 	enum aub_verdict verdict;
 	const char *upstream;
 	const char *address;
@@ -25,8 +25,8 @@
 	const char *placer; /* name of the gateway that decided */
 	gint64 waited_us;
 };
-typedef void aub_placed_callback(const struct aub_placed *placed,
-				 void *context);
+typedef void aub_placement_result_callback(
+	const struct aub_placement_result *placed, void *context);
 
 struct aub_placer_options {
 	const struct aub_platform *platform;
@@ -42,9 +42,9 @@
 	 * again and again. `placer`: by who places for it. True if the store
 	 * holds it already.
 	 */
-	bool (*rollout_wanted)(const char *service,
-			       enum aub_rollout_state state, bool placer,
-			       void *context);
+	bool (*store_rollout_state)(const char *service,
+				    enum aub_rollout_state state, bool placer,
+				    void *context);
 	void *context;
 };
 
@@ -54,36 +54,39 @@
 /* What the store holds. */
 void aub_placer_configure(struct aub_placer *placer,
 			  const struct aub_routing *routing);
-void aub_placer_upstream(struct aub_placer *placer, const char *id,
-			 const struct aub_upstream_record *record);
-void aub_placer_zone_out(struct aub_placer *placer, const char *zone, bool out);
+void aub_placer_update_upstream(struct aub_placer *placer, const char *id,
+				const struct aub_upstream_record *record);
+void aub_placer_set_zone_out(struct aub_placer *placer, const char *zone,
+			     bool out);
 
 /* All orders that stand in the store have been told. */
-void aub_placer_orders_known(struct aub_placer *placer);
+void aub_placer_set_orders_known(struct aub_placer *placer);
 /* As aub_placement_order(). */
-void aub_placer_order(struct aub_placer *placer, const char *service,
-		      const struct aub_rollout_record *record, bool unreadable);
+void aub_placer_update_order(struct aub_placer *placer, const char *service,
+			     const struct aub_rollout_record *record,
+			     bool unreadable);
 /* The store has taken `state` for the order of `service` from this process. */
-void aub_placer_order_stored(struct aub_placer *placer, const char *service,
-			     const struct aub_rollout_record *record);
+void aub_placer_on_order_stored(struct aub_placer *placer, const char *service,
+				const struct aub_rollout_record *record);
 
 void aub_placer_set_limits(struct aub_placer *placer,
 			   const struct aub_placement_limits *limits);
 
 /* A peer's message; owned by the callee. */
-void aub_placer_message(struct aub_placer *placer, struct aub_message *message);
-void aub_placer_peer_lost(struct aub_placer *placer, guint64 incarnation);
+void aub_placer_handle_message(struct aub_placer *placer,
+			       struct aub_message *message);
+void aub_placer_on_peer_lost(struct aub_placer *placer, guint64 incarnation);
 
 /* A new ticket, unique over the fleet; never 0. */
-guint64 aub_placer_ticket(struct aub_placer *placer);
+guint64 aub_placer_new_ticket(struct aub_placer *placer);
 
 /*
  * Ask for an upstream under a new ticket. The callback comes exactly once,
  * possibly before this returns, unless aub_placer_cancel() came first.
  */
-void aub_placer_ask(struct aub_placer *placer, const char *service,
-		    const struct aub_ask *ask, guint64 id,
-		    aub_placed_callback *placed, void *context);
+void aub_placer_request(struct aub_placer *placer, const char *service,
+			const struct aub_ask *ask, guint64 id,
+			aub_placement_result_callback *placed, void *context);
 /* The caller left before the decision. */
 void aub_placer_cancel(struct aub_placer *placer, guint64 ticket);
 /* What became of a granted request; the ticket is spent. */
@@ -99,9 +102,9 @@
 		      void *context);
 
 struct aub_placer_counts {
-	guint64 asked;
+	guint64 requested;
 	guint64 placed_here; /* for this and other gateways, as placer */
-	guint64 placed_alone; /* no placer answered */
+	guint64 placed_in_fallback; /* no placer answered */
 	guint64 suspected; /* a placer that did not answer in time */
 	guint64 forwarded; /* asks, to a gateway that ranks before this one */
 	guint64 probes;
--- a/include/auburnstile/internal/platform.h
+++ b/include/auburnstile/internal/platform.h
@@ -15,7 +15,7 @@
 enum aub_store_kind {
 	AUB_STORE_ROUTING, /* one object: the operators' configuration */
 	AUB_STORE_UPSTREAMS, /* each upstream's own entry */
-	AUB_STORE_ZONES_OUT, /* zones whose upstreams get nothing new */
+	AUB_STORE_EVACUATIONS, /* zones whose upstreams get nothing new */
 	AUB_STORE_ROLLOUTS, /* orders to move services to new versions */
 	AUB_STORE_MEMBERS, /* this project's entries, where to find them */
 	AUB_STORE_KINDS
@@ -25,7 +25,7 @@
 enum aub_watch_duty {
 	AUB_WATCH_NONE, /* others tell it of changes */
 	AUB_WATCH_STANDBY, /* others do, too; it makes good what they miss */
-	AUB_WATCH_FIRST /* it tells the others */
+	AUB_WATCH_PRIMARY /* it tells the others */
 };
 
 struct aub_upstream_record {
@@ -89,14 +89,14 @@
 	/* Names of headers. */
 	const char *request_id;
 	const char *deadline_ms; /* what is left of the caller's time */
-	const char *expect_upstream; /* only this incarnation may run it */
+	const char *target_upstream; /* only this incarnation may run it */
 	const char *answer_stamp; /* the upstream's own mark on its answer */
 	const char *not_run; /* the upstream says that it did not run it */
 	const char *upstream_id;
 
 	/* Paths of calls to the store; g_free. `after` may be NULL. */
 	char *(*list_path)(enum aub_store_kind kind, const char *after,
-			   bool may_be_old);
+			   bool allow_stale);
 	char *(*watch_path)(enum aub_store_kind kind, gint64 revision,
 			    guint wait_ms);
 	char *(*create_path)(enum aub_store_kind kind);
@@ -119,7 +119,7 @@
 			    struct aub_load *load);
 
 	/* Media type of bodies, to the store and to callers. */
-	const char *body_type;
+	const char *content_type;
 	/* Body of the answer to "which addresses". */
 	GBytes *(*addresses_body)(GPtrArray *addresses, guint ttl_ms);
 	/* Its path, and the query that names the caller's zone. */
--- a/programs/auburnstile-gateway.c
+++ b/programs/auburnstile-gateway.c
@@ -51,14 +51,14 @@
 	struct aub_node_settings settings = { 0 };
 	GError *error = NULL;
 
-	if (aub_settings_load(process->file, aub_node_setting_table, &settings,
+	if (aub_settings_load(process->file, aub_node_settings_table, &settings,
 			      &error)) {
 		aub_node_reload(process->node, &settings);
 	} else {
 		g_warning("settings kept as they were: %s", error->message);
 		g_error_free(error);
 	}
-	aub_settings_clear(aub_node_setting_table, &settings);
+	aub_settings_clear(aub_node_settings_table, &settings);
 }
 
 static bool file_changed(struct process *process)
@@ -102,7 +102,7 @@
 	mallopt(M_TRIM_THRESHOLD, TRIM_BYTES);
 	process.file = aubi_program_settings_file(
 		argc, argv, "Serves callers on one VM of a platform.");
-	if (!aub_settings_load(process.file, aub_node_setting_table, &settings,
+	if (!aub_settings_load(process.file, aub_node_settings_table, &settings,
 			       &error))
 		goto out;
 	if (!aubi_program_log(process.file, settings.name, settings.log_level,
@@ -131,6 +131,6 @@
 		g_printerr("%s\n", error->message);
 		g_error_free(error);
 	}
-	aub_settings_clear(aub_node_setting_table, &settings);
+	aub_settings_clear(aub_node_settings_table, &settings);
 	return status;
 }
--- a/src/coordination/addresses.c
+++ b/src/coordination/addresses.c
@@ -7,26 +7,26 @@
 
 #include <json-glib/json-glib.h>
 
-#define VALID_MS 5000
-#define VALID_MOVING_MS 500 /* while this entry stops */
-#define ADDRESSES 3 /* most that are listed */
+#define VALID_DEFAULT_MS 5000
+#define VALID_STOPPING_MS 500 /* while this entry stops */
+#define ADDRESSES_MAX 3 /* most that are listed */
 
-struct place {
+struct endpoint {
 	const char *name;
 	const char *address;
 	const char *zone;
 	guint64 incarnation;
 };
 
-struct list {
+struct endpoints {
 	const struct aub_addresses_options *options;
-	struct place places[ADDRESSES];
+	struct endpoint items[ADDRESSES_MAX];
 	guint count;
 };
 
 /* May callers be sent to this member? */
-static bool is_usable(const struct aub_addresses_options *options,
-		      const struct aub_member *member)
+static bool accepts_callers(const struct aub_addresses_options *options,
+			    const struct aub_member *member)
 {
 	const struct aub_inventory *inventory;
 	guint16 zone;
@@ -41,17 +41,18 @@
 
 static void add_member(const struct aub_member *member, void *context)
 {
-	struct list *list = context;
+	struct endpoints *endpoints = context;
 
-	if (list->count == ADDRESSES || !is_usable(list->options, member))
+	if (endpoints->count == ADDRESSES_MAX ||
+	    !accepts_callers(endpoints->options, member))
 		return;
-	if (list->options->stopping &&
-	    member->incarnation == list->options->self->incarnation)
+	if (endpoints->options->stopping &&
+	    member->incarnation == endpoints->options->self->incarnation)
 		return;
-	for (guint i = 0; i < list->count; i++)
-		if (list->places[i].incarnation == member->incarnation)
+	for (guint i = 0; i < endpoints->count; i++)
+		if (endpoints->items[i].incarnation == member->incarnation)
 			return;
-	list->places[list->count++] = (struct place){
+	endpoints->items[endpoints->count++] = (struct endpoint){
 		.name = member->name,
 		.address = member->callers_address,
 		.zone = member->zone,
@@ -59,11 +60,11 @@
 	};
 }
 
-static void add_self(struct list *list)
+static void add_self(struct endpoints *endpoints)
 {
-	const struct aub_hello *self = list->options->self;
+	const struct aub_hello *self = endpoints->options->self;
 
-	list->places[list->count++] = (struct place){
+	endpoints->items[endpoints->count++] = (struct endpoint){
 		.name = self->name,
 		.address = self->callers_address,
 		.zone = self->zone,
@@ -71,56 +72,60 @@
 	};
 }
 
-static void fill(struct list *list, const char *service)
+static void collect_endpoints(struct endpoints *endpoints, const char *service)
 {
-	const struct aub_entry_view *view = list->options->view;
+	const struct aub_entry_view *view = endpoints->options->view;
 	const struct aub_assignment *assignment;
 
 	assignment = aub_entry_view_assignment(view, service);
-	if (assignment && !list->options->local_only) {
+	if (assignment && !endpoints->options->local_only) {
 		add_member(aub_entry_view_member(view,
 						 assignment->owner_incarnation),
-			   list);
+			   endpoints);
 		add_member(aub_entry_view_member(
 				   view, assignment->standby_incarnation),
-			   list);
+			   endpoints);
 	}
-	if (!list->count && !list->options->stopping)
-		add_self(list);
-	if (!list->count)
-		aub_entry_view_members(view, add_member, list);
-	if (!list->count)
-		add_self(list);
+	if (!endpoints->count && !endpoints->options->stopping)
+		add_self(endpoints);
+	if (!endpoints->count)
+		aub_entry_view_members(view, add_member, endpoints);
+	if (!endpoints->count)
+		add_self(endpoints);
 }
 
-static char *build(const struct list *list, const char *service)
+static char *encode_endpoints(const struct endpoints *endpoints,
+			      const char *service)
 {
 	JsonBuilder *builder = json_builder_new();
 	JsonNode *root;
 	char *grant;
 	char *json;
 
-	grant = aub_grant_make(list->places[0].name,
-			       list->places[0].incarnation,
-			       list->options->wall_s, list->options->random);
+	grant = aub_grant_make(endpoints->items[0].name,
+			       endpoints->items[0].incarnation,
+			       endpoints->options->wall_s,
+			       endpoints->options->random);
 	json_builder_begin_object(builder);
 	json_builder_set_member_name(builder, "service");
 	json_builder_add_string_value(builder, service);
 	json_builder_set_member_name(builder, "addresses");
 	json_builder_begin_array(builder);
-	for (guint i = 0; i < list->count; i++) {
+	for (guint i = 0; i < endpoints->count; i++) {
 		json_builder_begin_object(builder);
 		json_builder_set_member_name(builder, "address");
-		json_builder_add_string_value(builder, list->places[i].address);
+		json_builder_add_string_value(builder,
+					      endpoints->items[i].address);
 		json_builder_set_member_name(builder, "zone");
-		json_builder_add_string_value(builder, list->places[i].zone);
+		json_builder_add_string_value(builder,
+					      endpoints->items[i].zone);
 		json_builder_end_object(builder);
 	}
 	json_builder_end_array(builder);
 	json_builder_set_member_name(builder, "valid_ms");
-	json_builder_add_int_value(builder, list->options->stopping ?
-						    VALID_MOVING_MS :
-						    VALID_MS);
+	json_builder_add_int_value(builder, endpoints->options->stopping ?
+						    VALID_STOPPING_MS :
+						    VALID_DEFAULT_MS);
 	json_builder_set_member_name(builder, "grant");
 	json_builder_add_string_value(builder, grant);
 	json_builder_end_object(builder);
@@ -135,7 +140,7 @@
 char *aub_addresses_json(const struct aub_addresses_options *options,
 			 const char *service, const char *path, guint *status)
 {
-	struct list list = { .options = options };
+	struct endpoints endpoints = { .options = options };
 	const struct aub_inventory *inventory;
 	guint16 handle;
 
@@ -151,6 +156,6 @@
 		return NULL;
 	}
 	service = aub_service_at(inventory, handle)->name;
-	fill(&list, service);
-	return build(&list, service);
+	collect_endpoints(&endpoints, service);
+	return encode_endpoints(&endpoints, service);
 }
--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* HTTP statuses of refusals; 503 where the table says nothing. */
-static const guint refusal_status[] = {
+static const guint refusal_http_status[] = {
 	[AUB_REFUSAL_DEADLINE] = 504,
 	[AUB_REFUSAL_CRASHES] = 422,
 };
@@ -30,13 +30,13 @@
 {
 	guint status = 0;
 
-	if (refusal < G_N_ELEMENTS(refusal_status))
-		status = refusal_status[refusal];
+	if (refusal < G_N_ELEMENTS(refusal_http_status))
+		status = refusal_http_status[refusal];
 	return aub_answer_not_run(status ? status : 503,
 				  aub_refusal_name(refusal), retry_after_ms);
 }
 
-struct aub_answer *aub_answer_unknown(const char *reason)
+struct aub_answer *aub_answer_outcome_unknown(const char *reason)
 {
 	struct aub_answer *answer;
 
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -407,14 +407,14 @@
 						    action->retry_after_ms));
 		break;
 	case AUB_ACTION_UNKNOWN:
-		deliver(request, aub_answer_unknown("upstream-lost"));
+		deliver(request, aub_answer_outcome_unknown("upstream-lost"));
 		break;
 	case AUB_ACTION_DELIVER: {
 		struct aub_answer *answer;
 
 		answer = take_answer(request, action->attempt);
 		deliver(request,
-			answer ? answer : aub_answer_unknown("upstream-lost"));
+			answer ? answer : aub_answer_outcome_unknown("upstream-lost"));
 		break;
 	}
 	default:
--- a/src/coordination/front.c
+++ b/src/coordination/front.c
@@ -205,7 +205,7 @@
 	request->timer = 0;
 	aub_keeper_leave(request->front->options.keeper, request->call->key,
 			 request);
-	front_finish(request, aub_answer_unknown("still-running"));
+	front_finish(request, aub_answer_outcome_unknown("still-running"));
 }
 
 /* Its key is kept here: run it, or answer with what is known. */
@@ -245,7 +245,7 @@
 		front_refuse(request, 409, "grant-over", 0);
 		break;
 	case AUB_KEY_FORGOTTEN:
-		front_finish(request, aub_answer_unknown("key-forgotten"));
+		front_finish(request, aub_answer_outcome_unknown("key-forgotten"));
 		break;
 	}
 }
@@ -264,13 +264,13 @@
 	case AUB_KEEPER_ELSEWHERE:
 		if (request->forwarded)
 			front_finish(request,
-				     aub_answer_unknown(FRONT_KEEPER_MOVED));
+				     aub_answer_outcome_unknown(FRONT_KEEPER_MOVED));
 		else
 			front_route_to_keeper(request, member);
 		break;
 	case AUB_KEEPER_GONE:
 		request->keeper_lost = true;
-		front_finish(request, aub_answer_unknown("keeper-gone"));
+		front_finish(request, aub_answer_outcome_unknown("keeper-gone"));
 		break;
 	case AUB_KEEPER_INVALID:
 		front_refuse(request, 400, "key-without-grant", 0);
--- a/src/coordination/front_route.c
+++ b/src/coordination/front_route.c
@@ -137,7 +137,7 @@
 	request->may_have_run = true;
 	if (call->once || call->retry_budget < RETRY_ATTEMPT ||
 	    request->tried_standby) {
-		front_finish(request, aub_answer_unknown("entry-lost"));
+		front_finish(request, aub_answer_outcome_unknown("entry-lost"));
 		return;
 	}
 	call->retry_budget -= RETRY_ATTEMPT;
@@ -205,7 +205,7 @@
 	 */
 	if (result != AUB_RELAY_ANSWERED) {
 		request->keeper_lost = true;
-		answer = aub_answer_unknown("keeper-unreachable");
+		answer = aub_answer_outcome_unknown("keeper-unreachable");
 		answer->retry_after_ms = NO_OWNER_RETRY_MS;
 	}
 	front_finish(request, answer);
@@ -220,7 +220,7 @@
 		aub_relay_cancel(request->relayed);
 	request->relayed = NULL;
 	request->place = FRONT_NOWHERE;
-	front_finish(request, aub_answer_unknown("entry-silent"));
+	front_finish(request, aub_answer_outcome_unknown("entry-silent"));
 }
 
 static void relay_to(struct front_request *request,
--- a/src/coordination/gateway.c
+++ b/src/coordination/gateway.c
@@ -8,34 +8,35 @@
 #include <string.h>
 #include <unistd.h>
 
-#define SWEEP_US (500 * AUB_MS) /* how late a silent connection is closed */
-#define ACCEPTS_A_TURN 32
+#define SWEEP_PERIOD_US \
+	(500 * AUB_MS) /* how late a silent connection is closed */
+#define ACCEPTS_PER_WAKEUP 32
 
 #define HEADER_BYTES_DEFAULT (16u << 10) /* until a configuration is known */
 
 /* Of 4,100 descriptors, what upstreams, peers and the store don't need. */
-#define CALLERS_MOST 2500
+#define CALLER_CONNECTIONS_MAX 2500
 
-static guint header_bytes(const struct aub_gateway *gateway)
+static guint max_header_bytes(const struct aub_gateway *gateway)
 {
 	return gateway->routing ? gateway->routing->limits.header_bytes :
 				  HEADER_BYTES_DEFAULT;
 }
 
-static void on_acceptable(void *context, guint events)
+static void on_listener_readable(void *context, guint events)
 {
 	struct aub_gateway *gateway = context;
 
-	for (guint i = 0; i < ACCEPTS_A_TURN; i++) {
+	for (guint i = 0; i < ACCEPTS_PER_WAKEUP; i++) {
 		int fd = aub_tcp_accept(gateway->listener);
 
 		if (fd < 0)
 			return;
-		if (gateway->callers.length >= CALLERS_MOST) {
+		if (gateway->callers.length >= CALLER_CONNECTIONS_MAX) {
 			close(fd);
 			continue;
 		}
-		aub_caller_new(gateway, fd, header_bytes(gateway));
+		aub_caller_new(gateway, fd, max_header_bytes(gateway));
 	}
 }
 
@@ -48,7 +49,7 @@
 		struct aub_caller *caller = link->data;
 
 		link = link->next;
-		if (aub_caller_is_overdue(caller, now_us))
+		if (aub_caller_has_timed_out(caller, now_us))
 			aub_caller_free(caller);
 	}
 	aub_http_client_sweep(gateway->options.client, now_us);
@@ -58,32 +59,32 @@
 {
 	struct aub_metrics *metrics = gateway->options.metrics;
 
-	gateway->attempts =
+	gateway->attempts_counter =
 		aub_metrics_counter(metrics, "auburnstile_attempts_total", NULL,
 				    "tries at upstreams");
-	gateway->retries =
+	gateway->retries_counter =
 		aub_metrics_counter(metrics, "auburnstile_retries_total", NULL,
 				    "tries after a failed one");
 }
 
 /* Services and reasons are few, however many routes there are. */
-void aub_gateway_count(struct aub_gateway *gateway, const char *service,
-		       enum aub_request_counter counter, const char *reason,
-		       gint64 elapsed_us)
+void aub_gateway_count_request(struct aub_gateway *gateway, const char *service,
+			       enum aub_request_outcome counter,
+			       const char *reason, gint64 elapsed_us)
 {
-	static const char *const outcomes[AUB_REQUEST_COUNTERS] = {
-		[AUB_COUNT_ANSWERED] = "answered",
-		[AUB_COUNT_REFUSED] = "refused",
-		[AUB_COUNT_FAILED] = "failed",
-		[AUB_COUNT_DENIED] = "denied",
-		[AUB_COUNT_GONE] = "caller-left",
-		[AUB_COUNT_BROKEN] = "broken",
+	static const char *const outcomes[AUB_REQUEST_OUTCOMES] = {
+		[AUB_REQUEST_ANSWERED] = "answered",
+		[AUB_REQUEST_REFUSED] = "refused",
+		[AUB_REQUEST_FAILED] = "failed",
+		[AUB_REQUEST_DENIED] = "denied",
+		[AUB_REQUEST_CALLER_CLOSED] = "caller-left",
+		[AUB_REQUEST_TRUNCATED] = "broken",
 	};
 	struct aub_metrics *metrics = gateway->options.metrics;
 	char *label =
 		aub_metrics_labels("service", service, "outcome",
 				   outcomes[counter], "reason", reason, NULL);
-	char *of_service = aub_metrics_labels("service", service, NULL);
+	char *service_label = aub_metrics_labels("service", service, NULL);
 
 	aub_metrics_add(metrics,
 			aub_metrics_counter(metrics,
@@ -93,11 +94,11 @@
 	aub_metrics_observe(
 		metrics,
 		aub_metrics_histogram(metrics, "auburnstile_request_us",
-				      of_service,
+				      service_label,
 				      "from a request's head to its answer"),
 		elapsed_us);
 	g_free(label);
-	g_free(of_service);
+	g_free(service_label);
 }
 
 struct aub_gateway *aub_gateway_new(const struct aub_gateway_options *options,
@@ -112,12 +113,13 @@
 	gateway->options = *options;
 	gateway->listener = listener;
 	g_queue_init(&gateway->callers);
-	gateway->crashes = aub_crash_marks_new();
+	gateway->crash_marks = aub_crash_marks_new();
 	register_metrics(gateway);
 	gateway->watch = aub_poller_add(options->poller, listener, EPOLLIN,
-					on_acceptable, gateway);
-	gateway->sweep = aub_timer_every(options->timers, "sweep", SWEEP_US,
-					 on_sweep, gateway);
+					on_listener_readable, gateway);
+	gateway->sweep_timer =
+		aub_timer_every(options->timers, "sweep", SWEEP_PERIOD_US,
+				on_sweep, gateway);
 	return gateway;
 }
 
@@ -125,7 +127,7 @@
 {
 	if (!gateway)
 		return;
-	aub_timer_cancel(gateway->options.timers, gateway->sweep);
+	aub_timer_cancel(gateway->options.timers, gateway->sweep_timer);
 	for (GList *link = gateway->callers.head; link;) {
 		struct aub_caller *caller = link->data;
 
@@ -136,7 +138,7 @@
 		aub_poll_watch_remove(gateway->watch);
 		close(gateway->listener);
 	}
-	aub_crash_marks_free(gateway->crashes);
+	aub_crash_marks_free(gateway->crash_marks);
 	aub_routing_unref(gateway->routing);
 	g_free(gateway);
 }
@@ -149,19 +151,19 @@
 	gateway->routing = aub_routing_ref(routing);
 }
 
-void aub_gateway_learn_crash(struct aub_gateway *gateway, guint64 fingerprint,
-			     guint deaths)
+void aub_gateway_add_reported_crashes(struct aub_gateway *gateway,
+				      guint64 fingerprint, guint crash_count)
 {
-	aub_crash_marks_learn(gateway->crashes, fingerprint, deaths,
+	aub_crash_marks_learn(gateway->crash_marks, fingerprint, crash_count,
 			      aub_timer_now(gateway->options.timers));
 }
 
-void aub_gateway_stop(struct aub_gateway *gateway)
+void aub_gateway_begin_drain(struct aub_gateway *gateway)
 {
-	gateway->stopping = true;
+	gateway->draining = true;
 }
 
-void aub_gateway_close(struct aub_gateway *gateway)
+void aub_gateway_stop_accepting(struct aub_gateway *gateway)
 {
 	if (!gateway->closed) {
 		gateway->closed = true;
@@ -172,16 +174,16 @@
 		struct aub_caller *caller = link->data;
 
 		if (aub_caller_is_idle(caller))
-			aub_caller_finish(caller);
+			aub_caller_shutdown(caller);
 	}
 }
 
-guint aub_gateway_requests(const struct aub_gateway *gateway)
+guint aub_gateway_active_requests(const struct aub_gateway *gateway)
 {
-	return gateway->requests;
+	return gateway->active_requests;
 }
 
-guint aub_gateway_connections(const struct aub_gateway *gateway)
+guint aub_gateway_open_connections(const struct aub_gateway *gateway)
 {
 	return gateway->callers.length;
 }
--- a/src/coordination/gateway_attempt.c
+++ b/src/coordination/gateway_attempt.c
@@ -14,22 +14,22 @@
  * repeated a connection that is reset leaves their fate unknown, so they
  * use only what was in use a moment ago.
  */
-#define IDLE_SAFE_US (8 * AUB_SECOND)
-#define IDLE_ONCE_US (1500 * AUB_MS)
+#define POOLED_IDLE_IDEMPOTENT_MAX_US (8 * AUB_SECOND)
+#define POOLED_IDLE_AT_MOST_ONCE_MAX_US (1500 * AUB_MS)
 
 #define STATUS_MISDIRECTED 421
 
-void aub_attempt_free(struct aub_attempt_state *attempt)
+void aub_attempt_free(struct aub_upstream_attempt *attempt)
 {
 	attempt->request->attempt = NULL;
 	if (attempt->head)
 		g_string_free(attempt->head, TRUE);
-	g_byte_array_unref(attempt->body);
+	g_byte_array_unref(attempt->buffered_body);
 	g_free(attempt->upstream);
 	g_free(attempt);
 }
 
-static void log_attempt(const struct aub_attempt_state *attempt,
+static void log_attempt(const struct aub_upstream_attempt *attempt,
 			enum aub_attempt_end end, gint64 elapsed_us)
 {
 	aub_log_begin(AUB_LOG_ATTEMPT);
@@ -43,7 +43,8 @@
 	aub_log_end();
 }
 
-static void report(struct aub_attempt_state *attempt, enum aub_attempt_end end)
+static void report_end(struct aub_upstream_attempt *attempt,
+		       enum aub_attempt_end end)
 {
 	struct aub_gateway *gateway = attempt->request->gateway;
 	gint64 now = aub_timer_now(gateway->options.timers);
@@ -55,18 +56,18 @@
 	attempt->ticket = 0;
 }
 
-void aub_attempt_abort(struct aub_attempt_state *attempt,
+void aub_attempt_abort(struct aub_upstream_attempt *attempt,
 		       enum aub_attempt_end end)
 {
 	aub_exchange_cancel(attempt->exchange);
 	attempt->exchange = NULL;
-	report(attempt, end);
+	report_end(attempt, end);
 	aub_attempt_free(attempt);
 }
 
 /* An answer that names another request belongs to another one. */
-static bool is_foreign(const struct aub_attempt_state *attempt,
-		       const struct aub_http_head *head)
+static bool is_for_other_request(const struct aub_upstream_attempt *attempt,
+				 const struct aub_http_head *head)
 {
 	const char *id = aub_http_head_find(
 		head, attempt->request->gateway->options.platform->request_id);
@@ -74,13 +75,13 @@
 	return id && strcmp(id, attempt->request->id) != 0;
 }
 
-static bool is_sound(const struct aub_attempt_state *attempt,
-		     const struct aub_http_head *head)
+static bool is_well_formed(const struct aub_upstream_attempt *attempt,
+			   const struct aub_http_head *head)
 {
 	const struct aub_platform *platform =
 		attempt->request->gateway->options.platform;
 
-	if (attempt->unrun)
+	if (attempt->not_run)
 		return true;
 	if (!aub_http_head_find(head, platform->request_id))
 		return false;
@@ -90,21 +91,21 @@
 
 static void on_head(const struct aub_http_head *head, void *context)
 {
-	struct aub_attempt_state *attempt = context;
+	struct aub_upstream_attempt *attempt = context;
 	const struct aub_platform *platform =
 		attempt->request->gateway->options.platform;
 
-	if (is_foreign(attempt, head)) {
+	if (is_for_other_request(attempt, head)) {
 		aub_exchange_skip(attempt->exchange);
 		return;
 	}
 	attempt->status = head->status;
-	attempt->unrun = aub_http_head_find(head, platform->not_run) ||
-			 head->status == STATUS_MISDIRECTED;
-	attempt->broken = !is_sound(attempt, head);
-	attempt->length = attempt->request->is_head ? 0 :
-			  head->chunked		    ? -1 :
-						      head->length;
+	attempt->not_run = aub_http_head_find(head, platform->not_run) ||
+			   head->status == STATUS_MISDIRECTED;
+	attempt->malformed = !is_well_formed(attempt, head);
+	attempt->content_length = attempt->request->is_head ? 0 :
+				  head->chunked		    ? -1 :
+							      head->length;
 	platform->decode_load(head, &attempt->load);
 	attempt->head = g_string_new(NULL);
 	g_string_append_printf(attempt->head, "HTTP/1.1 %u %s\r\n",
@@ -120,53 +121,54 @@
 
 static void on_body(const char *data, gsize length, void *context)
 {
-	struct aub_attempt_state *attempt = context;
+	struct aub_upstream_attempt *attempt = context;
 
-	if (attempt->unrun || attempt->broken)
+	if (attempt->not_run || attempt->malformed)
 		return;
 	if (attempt->streaming) {
-		aub_request_attempt_bytes(attempt->request, attempt, data,
-					  length);
+		aub_request_stream_bytes(attempt->request, attempt, data,
+					 length);
 		return;
 	}
-	g_byte_array_append(attempt->body, (const guint8 *)data, (guint)length);
-	if (attempt->body->len > AUB_BODY_KEPT)
-		aub_request_attempt_streams(attempt->request, attempt);
+	g_byte_array_append(attempt->buffered_body, (const guint8 *)data,
+			    (guint)length);
+	if (attempt->buffered_body->len > AUB_BODY_BUFFER_BYTES)
+		aub_request_begin_streaming(attempt->request, attempt);
 }
 
-static enum aub_attempt_end end_of(const struct aub_attempt_state *attempt,
-				   enum aub_exchange_end end)
+static enum aub_attempt_end attempt_end_of(
+	const struct aub_upstream_attempt *attempt, enum aub_exchange_end end)
 {
 	if (end == AUB_EXCHANGE_UNREACHABLE)
 		return AUB_END_UNREACHABLE;
-	if (end != AUB_EXCHANGE_WHOLE || attempt->broken || !attempt->status)
+	if (end != AUB_EXCHANGE_WHOLE || attempt->malformed || !attempt->status)
 		return AUB_END_LOST;
 	if (attempt->status == STATUS_MISDIRECTED)
 		return AUB_END_MISPLACED;
-	if (attempt->unrun)
+	if (attempt->not_run)
 		return AUB_END_REFUSED;
 	return attempt->status >= 500 ? AUB_END_FAILED : AUB_END_OK;
 }
 
 static void on_ended(enum aub_exchange_end exchange_end, void *context)
 {
-	struct aub_attempt_state *attempt = context;
+	struct aub_upstream_attempt *attempt = context;
 	struct aub_request *request = attempt->request;
-	enum aub_attempt_end end = end_of(attempt, exchange_end);
+	enum aub_attempt_end end = attempt_end_of(attempt, exchange_end);
 
 	attempt->exchange = NULL;
-	report(attempt, end);
+	report_end(attempt, end);
 	if (end == AUB_END_OK || end == AUB_END_FAILED)
-		aub_request_attempt_whole(request, attempt);
+		aub_request_on_attempt_complete(request, attempt);
 	else
-		aub_request_attempt_failed(request, attempt, end);
+		aub_request_on_attempt_failed(request, attempt, end);
 }
 
 static void on_drained(void *context)
 {
-	struct aub_attempt_state *attempt = context;
+	struct aub_upstream_attempt *attempt = context;
 
-	aub_request_attempt_drained(attempt->request);
+	aub_request_on_upstream_writable(attempt->request);
 }
 
 static const struct aub_exchange_callbacks exchange_callbacks = {
@@ -176,19 +178,19 @@
 	.ended = on_ended,
 };
 
-static void write_head(struct aub_attempt_state *attempt)
+static void write_head(struct aub_upstream_attempt *attempt)
 {
 	struct aub_request *request = attempt->request;
 	const struct aub_platform *platform =
 		request->gateway->options.platform;
-	GString *text = g_string_new(request->line);
-	gint64 left_us = request->limit_us - attempt->sent_us;
+	GString *text = g_string_new(request->request_line);
+	gint64 left_us = request->effective_deadline_us - attempt->sent_us;
 
 	g_string_append_len(text, request->headers->str,
 			    (gssize)request->headers->len);
 	g_string_append_printf(text, "%s: %" G_GINT64_FORMAT "\r\n%s: %s\r\n",
 			       platform->deadline_ms, MAX(left_us / AUB_MS, 1),
-			       platform->expect_upstream, attempt->upstream);
+			       platform->target_upstream, attempt->upstream);
 	if (request->body_length < 0)
 		g_string_append(text, "Transfer-Encoding: chunked\r\n");
 	else if (request->body_length > 0)
@@ -201,8 +203,8 @@
 	g_string_free(text, TRUE);
 }
 
-void aub_attempt_write_body(struct aub_attempt_state *attempt, const char *data,
-			    gsize length)
+void aub_attempt_write_body(struct aub_upstream_attempt *attempt,
+			    const char *data, gsize length)
 {
 	char size[24];
 
@@ -218,27 +220,30 @@
 	aub_exchange_write(attempt->exchange, "\r\n", 2);
 }
 
-void aub_attempt_end_body(struct aub_attempt_state *attempt)
+void aub_attempt_end_body(struct aub_upstream_attempt *attempt)
 {
 	if (attempt->request->body_length < 0)
 		aub_exchange_write(attempt->exchange, "0\r\n\r\n", 5);
 	aub_exchange_request_done(attempt->exchange);
 }
 
-struct aub_attempt_state *aub_attempt_start(struct aub_request *request,
-					    guint64 ticket,
-					    const char *upstream,
-					    const char *address)
+struct aub_upstream_attempt *aub_attempt_start(struct aub_request *request,
+					       guint64 ticket,
+					       const char *upstream,
+					       const char *address)
 {
 	struct aub_gateway *gateway = request->gateway;
-	struct aub_attempt_state *attempt = g_new0(struct aub_attempt_state, 1);
-	bool again = request->tried->len > 1 || request->unreachable;
+	struct aub_upstream_attempt *attempt =
+		g_new0(struct aub_upstream_attempt, 1);
+	bool is_retry =
+		request->tried_upstreams->len > 1 || request->connect_failures;
 	const struct aub_exchange_options options = {
 		.address = address,
 		.peer = upstream,
-		.idle_us = again		      ? 0 :
-			   request->route->idempotent ? IDLE_SAFE_US :
-							IDLE_ONCE_US,
+		.idle_us = is_retry ? 0 :
+			   request->route->idempotent ?
+				      POOLED_IDLE_IDEMPOTENT_MAX_US :
+				      POOLED_IDLE_AT_MOST_ONCE_MAX_US,
 		.no_body = request->is_head,
 	};
 
@@ -246,16 +251,16 @@
 	attempt->ticket = ticket;
 	attempt->upstream = g_strdup(upstream);
 	attempt->sent_us = aub_timer_now(gateway->options.timers);
-	attempt->body = g_byte_array_new();
+	attempt->buffered_body = g_byte_array_new();
 	attempt->load = (struct aub_load)AUB_LOAD_UNKNOWN;
 	request->attempt = attempt;
-	aub_metrics_add(gateway->options.metrics, gateway->attempts, 1);
+	aub_metrics_add(gateway->options.metrics, gateway->attempts_counter, 1);
 	attempt->exchange = aub_exchange_new(gateway->options.client, &options,
 					     &exchange_callbacks, attempt);
 	write_head(attempt);
 	aub_attempt_write_body(attempt, (const char *)request->body->data,
 			       request->body->len);
-	if (request->body_whole)
+	if (request->body_complete)
 		aub_attempt_end_body(attempt);
 	aub_exchange_flush(attempt->exchange);
 	return attempt;
--- a/src/coordination/gateway_caller.c
+++ b/src/coordination/gateway_caller.c
@@ -11,77 +11,80 @@
 
 #include <string.h>
 
-#define FINISH_US (2 * AUB_SECOND) /* for a peer to take the end in */
+#define SHUTDOWN_TIMEOUT_US (2 * AUB_SECOND) /* for a peer to take the end in \
+					      */
 
 /* Until a configuration is known. */
-#define HEADER_MS_DEFAULT 3000
-#define IDLE_MS_DEFAULT 15000
+#define HEADER_TIMEOUT_DEFAULT_MS 3000
+#define IDLE_TIMEOUT_DEFAULT_MS 15000
 
 /* Served side by side on one connection; each may hold an answer's bytes. */
-#define REQUESTS_MOST 8
+#define CONCURRENT_REQUESTS_MAX 8
 
-static struct aub_request *first_of(const struct aub_caller *caller)
+static struct aub_request *first_request(const struct aub_caller *caller)
 {
 	return g_queue_peek_head((GQueue *)&caller->requests);
 }
 
 /* The one whose body is being read, or the last that was. */
-static struct aub_request *last_of(const struct aub_caller *caller)
+static struct aub_request *last_request(const struct aub_caller *caller)
 {
 	return g_queue_peek_tail((GQueue *)&caller->requests);
 }
 
 bool aub_request_is_first(const struct aub_request *request)
 {
-	return first_of(request->caller) == request;
+	return first_request(request->caller) == request;
 }
 
 bool aub_request_is_last(const struct aub_request *request)
 {
-	return last_of(request->caller) == request;
+	return last_request(request->caller) == request;
 }
 
 void aub_caller_free(struct aub_caller *caller)
 {
 	while (caller->requests.length) {
-		struct aub_request *request = first_of(caller);
+		struct aub_request *request = first_request(caller);
 
-		if (request->done)
+		if (request->answered)
 			aub_request_free(request);
 		else
-			aub_request_caller_left(request);
+			aub_request_on_caller_closed(request);
 	}
 	aub_http_stream_free(caller->stream);
-	g_queue_delete_link(&caller->gateway->callers, caller->link);
+	g_queue_delete_link(&caller->gateway->callers, caller->callers_link);
 	g_free(caller);
 }
 
-static void put(struct aub_caller *caller, const void *data, gsize length)
+static void write_and_flush(struct aub_caller *caller, const void *data,
+			    gsize length)
 {
 	aub_http_stream_write(caller->stream, data, length);
 	aub_http_stream_flush(caller->stream);
 }
 
-void aub_request_put(struct aub_request *request, const void *data,
-		     gsize length)
+void aub_request_write(struct aub_request *request, const void *data,
+		       gsize length)
 {
 	if (aub_request_is_first(request))
-		put(request->caller, data, length);
+		write_and_flush(request->caller, data, length);
 	else
-		g_byte_array_append(request->held, data, (guint)length);
+		g_byte_array_append(request->pending_output, data,
+				    (guint)length);
 }
 
-void aub_caller_finish(struct aub_caller *caller)
+void aub_caller_shutdown(struct aub_caller *caller)
 {
-	caller->finishing = true;
-	caller->since_us = aub_timer_now(caller->gateway->options.timers);
+	caller->shutting_down = true;
+	caller->state_since_us = aub_timer_now(caller->gateway->options.timers);
 	aub_http_stream_finish(caller->stream);
 }
 
-void aub_caller_break(struct aub_caller *caller)
+void aub_caller_abort(struct aub_caller *caller)
 {
 	while (caller->requests.length)
-		aub_request_free(first_of(caller));
+		aub_request_free(first_request(caller));
 	aub_caller_free(caller);
 }
 
@@ -94,42 +97,43 @@
 				     "Connection: close\r\n\r\n",
 				     status);
 
-	put(caller, text, strlen(text));
+	write_and_flush(caller, text, strlen(text));
 	g_free(text);
 }
 
 /* May the next request be read while these are under way? */
-static bool reads_on(const struct aub_caller *caller)
+static bool may_read_next_request(const struct aub_caller *caller)
 {
-	const struct aub_request *last = last_of(caller);
+	const struct aub_request *last = last_request(caller);
 
-	if (caller->closing || caller->finishing || caller->refused)
+	if (caller->close_after_answer || caller->shutting_down ||
+	    caller->input_rejected)
 		return false;
 	if (!last)
 		return true;
-	return caller->requests.length < REQUESTS_MOST &&
-	       !caller->gateway->stopping && last->keep_alive &&
+	return caller->requests.length < CONCURRENT_REQUESTS_MAX &&
+	       !caller->gateway->draining && last->keep_alive &&
 	       !last->body_length && last->route && last->route->idempotent;
 }
 
-static void read_on(struct aub_caller *caller)
+static void resume_reading(struct aub_caller *caller)
 {
-	if (reads_on(caller))
+	if (may_read_next_request(caller))
 		aub_http_stream_resume(caller->stream);
 }
 
 /* All that was read has been answered. */
-static void caller_rests(struct aub_caller *caller)
+static void on_all_answered(struct aub_caller *caller)
 {
-	if (caller->closing) {
-		aub_caller_finish(caller);
-	} else if (caller->refused) {
-		write_error(caller, caller->refusal);
-		aub_caller_finish(caller);
+	if (caller->close_after_answer) {
+		aub_caller_shutdown(caller);
+	} else if (caller->input_rejected) {
+		write_error(caller, caller->rejection);
+		aub_caller_shutdown(caller);
 	} else {
-		caller->since_us =
+		caller->state_since_us =
 			aub_timer_now(caller->gateway->options.timers);
-		read_on(caller);
+		resume_reading(caller);
 	}
 }
 
@@ -137,34 +141,35 @@
  * The first of those under way has been answered: write what the next ones
  * hold, up to the first that is not answered yet.
  */
-void aub_caller_next(struct aub_caller *caller)
+void aub_caller_on_first_finished(struct aub_caller *caller)
 {
 	struct aub_request *request;
-	bool parked;
+	bool deferred;
 
-	while ((request = first_of(caller)) != NULL) {
-		put(caller, request->held->data, request->held->len);
-		g_byte_array_set_size(request->held, 0);
-		if (!request->done)
+	while ((request = first_request(caller)) != NULL) {
+		write_and_flush(caller, request->pending_output->data,
+				request->pending_output->len);
+		g_byte_array_set_size(request->pending_output, 0);
+		if (!request->answered)
 			break;
 		aub_request_free(request);
 	}
 	if (!request) {
-		caller_rests(caller);
+		on_all_answered(caller);
 		return;
 	}
 	/* Nothing is read behind one that was parked, and it may end here. */
-	parked = request->parked;
-	aub_request_take_turn(request);
-	if (!parked)
-		read_on(caller);
+	deferred = request->deferred;
+	aub_request_on_turn(request);
+	if (!deferred)
+		resume_reading(caller);
 }
 
 static void on_head(const struct aub_http_head *head, void *context)
 {
 	struct aub_caller *caller = context;
 
-	if (caller->finishing || caller->closing)
+	if (caller->shutting_down || caller->close_after_answer)
 		return;
 	aub_request_new(caller, head);
 }
@@ -172,29 +177,30 @@
 static void on_body(const char *data, gsize length, void *context)
 {
 	struct aub_caller *caller = context;
-	struct aub_request *request = last_of(caller);
+	struct aub_request *request = last_request(caller);
 
-	if (request && !request->body_whole && !request->done)
-		aub_request_body(request, data, length);
+	if (request && !request->body_complete && !request->answered)
+		aub_request_on_body(request, data, length);
 }
 
 static void on_complete(void *context)
 {
 	struct aub_caller *caller = context;
-	struct aub_request *request = last_of(caller);
+	struct aub_request *request = last_request(caller);
 
-	if (request && !request->body_whole && !request->done)
-		aub_request_body_end(request); /* which may free the caller */
+	if (request && !request->body_complete && !request->answered)
+		aub_request_on_body_end(
+			request); /* which may free the caller */
 	else
-		read_on(caller);
+		resume_reading(caller);
 }
 
 static void on_drained(void *context)
 {
 	struct aub_caller *caller = context;
 
-	if (first_of(caller))
-		aub_request_drained(first_of(caller));
+	if (first_request(caller))
+		aub_request_on_caller_writable(first_request(caller));
 }
 
 static void on_ended(enum aub_stream_end end, bool midway, void *context)
@@ -203,19 +209,19 @@
 }
 
 /* A body that turns into nonsense ends its request as if the caller left. */
-static void on_refused(enum aub_stream_end end, void *context)
+static void on_input_rejected(enum aub_stream_end end, void *context)
 {
 	struct aub_caller *caller = context;
-	struct aub_request *last = last_of(caller);
+	struct aub_request *last = last_request(caller);
 
-	if (last && !last->body_whole) {
+	if (last && !last->body_complete) {
 		aub_caller_free(caller);
 		return;
 	}
-	caller->refused = true;
-	caller->refusal = end;
+	caller->input_rejected = true;
+	caller->rejection = end;
 	if (!last)
-		caller_rests(caller);
+		on_all_answered(caller);
 }
 
 static const struct aub_http_callbacks caller_callbacks = {
@@ -223,7 +229,7 @@
 	.body = on_body,
 	.complete = on_complete,
 	.drained = on_drained,
-	.refused = on_refused,
+	.refused = on_input_rejected,
 	.ended = on_ended,
 };
 
@@ -232,37 +238,38 @@
 	struct aub_caller *caller = g_new0(struct aub_caller, 1);
 
 	caller->gateway = gateway;
-	caller->since_us = aub_timer_now(gateway->options.timers);
+	caller->state_since_us = aub_timer_now(gateway->options.timers);
 	g_queue_init(&caller->requests);
 	g_queue_push_tail(&gateway->callers, caller);
-	caller->link = gateway->callers.tail;
+	caller->callers_link = gateway->callers.tail;
 	caller->stream = aub_http_stream_new(gateway->options.poller, fd,
 					     HTTP_REQUEST, false, header_bytes,
 					     &caller_callbacks, caller);
 }
 
-bool aub_caller_is_overdue(const struct aub_caller *caller, gint64 now_us)
+bool aub_caller_has_timed_out(const struct aub_caller *caller, gint64 now_us)
 {
 	const struct aub_routing *routing = caller->gateway->routing;
-	gint64 idle_us = now_us - caller->since_us;
+	gint64 idle_us = now_us - caller->state_since_us;
 
-	if (caller->finishing)
-		return idle_us > FINISH_US;
+	if (caller->shutting_down)
+		return idle_us > SHUTDOWN_TIMEOUT_US;
 	if (caller->requests.length)
 		return false;
 	if (aub_http_stream_midway(caller->stream))
 		return idle_us > (routing ? routing->limits.header_ms :
-					    HEADER_MS_DEFAULT) *
+					    HEADER_TIMEOUT_DEFAULT_MS) *
 						 AUB_MS +
 					 (routing ? routing->limits.idle_ms :
-						    IDLE_MS_DEFAULT) *
+						    IDLE_TIMEOUT_DEFAULT_MS) *
 						 AUB_MS;
 	return idle_us >
-	       (routing ? routing->limits.idle_ms : IDLE_MS_DEFAULT) * AUB_MS;
+	       (routing ? routing->limits.idle_ms : IDLE_TIMEOUT_DEFAULT_MS) *
+		       AUB_MS;
 }
 
 bool aub_caller_is_idle(const struct aub_caller *caller)
 {
-	return !caller->requests.length && !caller->finishing &&
+	return !caller->requests.length && !caller->shutting_down &&
 	       !aub_http_stream_midway(caller->stream);
 }
--- a/src/coordination/gateway_headers.c
+++ b/src/coordination/gateway_headers.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* RFC 9110, 7.6.1: these concern one connection only. */
-static const char *const connection_headers[] = {
+static const char *const hop_by_hop_headers[] = {
 	"connection",
 	"keep-alive",
 	"proxy-connection",
@@ -19,16 +19,16 @@
 	"expect",
 };
 
-static bool is_connection_header(const char *name)
+static bool is_hop_by_hop_header(const char *name)
 {
-	for (guint i = 0; i < G_N_ELEMENTS(connection_headers); i++)
-		if (!g_ascii_strcasecmp(name, connection_headers[i]))
+	for (guint i = 0; i < G_N_ELEMENTS(hop_by_hop_headers); i++)
+		if (!g_ascii_strcasecmp(name, hop_by_hop_headers[i]))
 			return true;
 	return false;
 }
 
 /* "Connection: x-one, x-two" names headers that also stay here. */
-static bool is_named(const char *connection, const char *name)
+static bool is_listed_in_connection(const char *connection, const char *name)
 {
 	char **parts;
 	bool found = false;
@@ -43,10 +43,11 @@
 }
 
 /* Set by this system itself on the way to an upstream. */
-static bool is_own(const struct aub_platform *platform, const char *name)
+static bool is_set_by_gateway(const struct aub_platform *platform,
+			      const char *name)
 {
 	return !g_ascii_strcasecmp(name, platform->deadline_ms) ||
-	       !g_ascii_strcasecmp(name, platform->expect_upstream);
+	       !g_ascii_strcasecmp(name, platform->target_upstream);
 }
 
 void aub_headers_forward(GString *out, const struct aub_http_head *head,
@@ -59,16 +60,16 @@
 			&g_array_index(head->headers, struct aub_http_header,
 				       i);
 
-		if (is_connection_header(header->name) ||
-		    is_named(connection, header->name) ||
-		    (request && is_own(platform, header->name)))
+		if (is_hop_by_hop_header(header->name) ||
+		    is_listed_in_connection(connection, header->name) ||
+		    (request && is_set_by_gateway(platform, header->name)))
 			continue;
 		g_string_append_printf(out, "%s: %s\r\n", header->name,
 				       header->value);
 	}
 }
 
-bool aub_header_is_number(const char *text, gint64 *value)
+bool aub_header_parse_number(const char *text, gint64 *value)
 {
 	guint64 number;
 
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -14,14 +14,14 @@
  * Shares of the fleet's budget that one placer gives out. Two of them may
  * place for a service at once for a while, so neither takes all of it.
  */
-#define BUDGET_SHARE 0.7
-#define SLACK_SHARE 0.4
+#define RETRY_BUDGET_SHARE 0.7
+#define RETRY_SLACK_SHARE 0.4
 
 /*
  * Callers keep addresses for a while, some three times as long: a VM that
  * stops goes on serving until they have asked anew.
  */
-#define KEPT_FACTOR 3
+#define ADDRESS_CACHE_FACTOR 3
 #define STOP_RESERVE_MS 200 /* of the grace time, to end the process */
 
 /*
@@ -30,61 +30,64 @@
  * answer. Enough: from half of the grace time on nothing new is taken, and
  * the other half is longer than nearly all work.
  */
-#define STOP_TAKES_SHARE 0.5
-#define STOP_CHECK_US (50 * AUB_MS)
+#define STOP_ACCEPT_SHARE 0.5
+#define STOP_CHECK_PERIOD_US (50 * AUB_MS)
 
 /*
  * A store that is slow or drops its watches is back within seconds. Each
  * change of a service's placer loses its counts: it waits for that.
  */
-#define CURRENT_US (4000 * AUB_MS)
+#define STORE_OUTAGE_TOLERATED_US (4000 * AUB_MS)
 
 /* How late it is noticed that another gateway has to watch the store. */
-#define CURRENT_CHECK_US (500 * AUB_MS)
+#define STORE_CHECK_PERIOD_US (500 * AUB_MS)
 
-static bool is_current(const struct aub_node *node)
+static bool is_store_current(const struct aub_node *node)
 {
-	return node->store && aub_store_sync_lost_us(node->store) < CURRENT_US;
+	return node->store &&
+	       aub_store_sync_lost_us(node->store) < STORE_OUTAGE_TOLERATED_US;
 }
 
-void aub_node_update_self(struct aub_node *node)
+void aub_node_publish_state(struct aub_node *node)
 {
-	struct aub_peer_state state = {
+	struct aub_peers_self_state state = {
 		.ready = aub_node_is_ready(node),
 		.stopping = node->stopping,
-		.current = is_current(node),
-		.hears = node->store && !aub_store_sync_lost_us(node->store),
-		.config_version = node->version,
+		.store_current = is_store_current(node),
+		.store_reachable =
+			node->store && !aub_store_sync_lost_us(node->store),
+		.config_version = node->config_version,
 	};
 
 	for (guint i = 0; node->store && i < AUB_STORE_KINDS; i++)
 		state.revisions[i] =
 			aub_store_sync_known(node->store,
 					     (enum aub_store_kind)i);
-	aub_peers_set_self(node->peers, &state);
+	aub_peers_publish_state(node->peers, &state);
 }
 
-static void on_current_check(void *context, gint64 now_us)
+static void on_store_check(void *context, gint64 now_us)
 {
 	struct aub_node *node = context;
 
-	aub_node_update_self(node);
+	aub_node_publish_state(node);
 	aub_store_sync_check(node->store);
 }
 
-static void take_crashes(struct aub_node *node,
-			 const struct aub_crashes *message)
+static void apply_reported_crashes(struct aub_node *node,
+				   const struct aub_crashes *message)
 {
 	for (guint i = 0; node->gateway && i < message->crashes->len; i++) {
 		const struct aub_crash_record *record =
 			g_ptr_array_index(message->crashes, i);
 
-		aub_gateway_learn_crash(node->gateway, record->fingerprint,
-					record->deaths);
+		aub_gateway_add_reported_crashes(node->gateway,
+						 record->fingerprint,
+						 record->deaths);
 	}
 }
 
-static void on_crashed(guint64 fingerprint, guint deaths, void *context)
+static void on_crashed(guint64 fingerprint, guint crash_count, void *context)
 {
 	struct aub_node *node = context;
 	struct aub_crashes *message =
@@ -92,9 +95,9 @@
 	struct aub_crash_record *record = aub_crash_record_new();
 
 	record->fingerprint = fingerprint;
-	record->deaths = deaths;
+	record->deaths = crash_count;
 	g_ptr_array_add(message->crashes, record);
-	aub_peers_send_all(node->peers, &message->base);
+	aub_peers_send_to_all(node->peers, &message->base);
 	aub_message_free(&message->base);
 }
 
@@ -103,13 +106,14 @@
 	struct aub_node *node = context;
 
 	if (message->type == AUB_MESSAGE_CRASHES) {
-		take_crashes(node, (struct aub_crashes *)message);
+		apply_reported_crashes(node, (struct aub_crashes *)message);
 		aub_message_free(message);
 	} else if (message->type == AUB_MESSAGE_STORE_CHANGES) {
-		aub_node_take_shared(node, (struct aub_store_changes *)message);
+		aub_node_apply_shared_changes(node, (struct aub_store_changes *)
+							    message);
 		aub_message_free(message);
 	} else if (node->placer) {
-		aub_placer_message(node->placer, message);
+		aub_placer_handle_message(node->placer, message);
 	} else {
 		aub_message_free(message);
 	}
@@ -120,16 +124,17 @@
 	struct aub_node *node = context;
 
 	if (node->placer)
-		aub_placer_peer_lost(node->placer, incarnation);
+		aub_placer_on_peer_lost(node->placer, incarnation);
 }
 
-static void limits_of(const struct aub_node_settings *settings,
-		      struct aub_placement_limits *limits)
+static void placement_limits_of(const struct aub_node_settings *settings,
+				struct aub_placement_limits *limits)
 {
 	*limits = (struct aub_placement_limits){
-		.retry_ratio =
-			BUDGET_SHARE * (double)settings->retry_percent / 100,
-		.retry_slack = (guint)(SLACK_SHARE * settings->retry_slack),
+		.retry_ratio = RETRY_BUDGET_SHARE *
+			       (double)settings->retry_percent / 100,
+		.retry_slack =
+			(guint)(RETRY_SLACK_SHARE * settings->retry_slack),
 		.window_us = (gint64)(settings->retry_window_s * AUB_SECOND),
 	};
 }
@@ -162,7 +167,7 @@
 		.client = node->client,
 		.placer = node->placer,
 		.metrics = node->metrics,
-		.crashed = on_crashed,
+		.on_crash = on_crashed,
 		.context = node,
 	};
 
@@ -181,13 +186,14 @@
 				     node, error);
 	if (!node->readiness)
 		return false;
-	node->exporter = aub_http_service_new(node->poller, node->timers,
-					      settings->metrics,
-					      aub_node_on_export, node, error);
-	return node->exporter != NULL;
+	node->metrics_service =
+		aub_http_service_new(node->poller, node->timers,
+				     settings->metrics, aub_node_on_metrics,
+				     node, error);
+	return node->metrics_service != NULL;
 }
 
-static guint32 capacity_of(const struct aub_node_settings *settings)
+static guint32 cpu_capacity_of(const struct aub_node_settings *settings)
 {
 	return (guint32)(settings->processor_share * settings->processor_cores *
 			 1000);
@@ -203,13 +209,13 @@
 		.zone = settings->zone,
 		.address = settings->peers,
 		.callers_address = settings->callers,
-		.capacity = capacity_of(settings),
+		.capacity = cpu_capacity_of(settings),
 		.incarnation = incarnation,
 		.poller = node->poller,
 		.timers = node->timers,
-		.message = on_peer_message,
-		.announced = aub_node_on_announced,
-		.lost = on_peer_lost,
+		.on_message = on_peer_message,
+		.on_revision = aub_node_on_revision_announced,
+		.on_lost = on_peer_lost,
 		.context = node,
 	};
 	struct aub_placer_options placer = {
@@ -220,7 +226,7 @@
 		.zone = node->zone,
 		.rollouts = { .share = settings->rollout_share,
 			      .slack = settings->rollout_slack },
-		.rollout_wanted = aub_node_on_rollout_wanted,
+		.store_rollout_state = aub_node_store_rollout_state,
 		.context = node,
 	};
 
@@ -228,7 +234,7 @@
 	if (!node->peers)
 		return false;
 	placer.peers = node->peers;
-	limits_of(settings, &placer.limits);
+	placement_limits_of(settings, &placer.limits);
 	node->placer = aub_placer_new(&placer);
 	return true;
 }
@@ -244,8 +250,8 @@
 	node->poller = aub_poller_new();
 	node->client = aub_http_client_new(node->poller, node->timers);
 	node->metrics = aub_metrics_new();
-	node->contacts = g_ptr_array_new_with_free_func(g_free);
-	node->takes_orders = settings->rollout_share > 0;
+	node->pending_contacts = g_ptr_array_new_with_free_func(g_free);
+	node->rollouts_enabled = settings->rollout_share > 0;
 	aub_node_rollouts_init(node);
 	node->zone = g_strdup(settings->zone);
 	node->peers_port = g_strdup(strrchr(settings->peers, ':'));
@@ -259,9 +265,9 @@
 	}
 	add_seeds(node, settings);
 	aub_node_start_store(node, settings);
-	node->current_timer =
-		aub_timer_every(node->timers, "current", CURRENT_CHECK_US,
-				on_current_check, node);
+	node->store_check_timer =
+		aub_timer_every(node->timers, "current", STORE_CHECK_PERIOD_US,
+				on_store_check, node);
 	aub_log_begin(AUB_LOG_START);
 	aub_log_text("zone", node->zone);
 	aub_log_number("incarnation",
@@ -274,21 +280,21 @@
 {
 	if (!node)
 		return;
-	aub_timer_cancel(node->timers, node->current_timer);
-	aub_timer_cancel(node->timers, node->lonely_timer);
-	aub_timer_cancel(node->timers, node->enrol_timer);
+	aub_timer_cancel(node->timers, node->store_check_timer);
+	aub_timer_cancel(node->timers, node->isolation_timer);
+	aub_timer_cancel(node->timers, node->register_timer);
 	aub_timer_cancel(node->timers, node->stop_timer);
 	aub_node_rollouts_clear(node);
 	aub_store_sync_free(node->store);
 	aub_gateway_free(node->gateway);
 	aub_http_service_free(node->directory);
 	aub_http_service_free(node->readiness);
-	aub_http_service_free(node->exporter);
+	aub_http_service_free(node->metrics_service);
 	aub_placer_free(node->placer);
 	aub_peers_free(node->peers);
 	aub_http_client_free(node->client);
 	aub_metrics_free(node->metrics);
-	g_ptr_array_unref(node->contacts);
+	g_ptr_array_unref(node->pending_contacts);
 	aub_poller_free(node->poller);
 	g_free(node->zone);
 	g_free(node->peers_port);
@@ -301,7 +307,7 @@
 {
 	struct aub_placement_limits limits;
 
-	limits_of(settings, &limits);
+	placement_limits_of(settings, &limits);
 	aub_placer_set_limits(node->placer, &limits);
 	node->address_ms = (guint)settings->address_ms;
 	node->grace_ms = (guint)(settings->grace_s * 1000);
@@ -313,23 +319,26 @@
 static void on_stop_check(void *context, gint64 now_us)
 {
 	struct aub_node *node = context;
-	gint64 age_us = now_us - node->stop_us;
-	gint64 last_us = (node->grace_ms - STOP_RESERVE_MS) * AUB_MS;
-	gint64 takes_us = (gint64)(STOP_TAKES_SHARE * node->grace_ms) * AUB_MS;
-	gint64 close_us =
-		MIN(node->address_ms * AUB_MS * KEPT_FACTOR, takes_us);
+	gint64 age_us = now_us - node->stop_start_us;
+	gint64 kill_us = (node->grace_ms - STOP_RESERVE_MS) * AUB_MS;
+	gint64 accept_us =
+		(gint64)(STOP_ACCEPT_SHARE * node->grace_ms) * AUB_MS;
+	gint64 close_us = MIN(node->address_ms * AUB_MS * ADDRESS_CACHE_FACTOR,
+			      accept_us);
 
 	if (age_us >= close_us)
-		aub_gateway_close(node->gateway);
-	if ((age_us >= close_us && !aub_gateway_requests(node->gateway) &&
-	     !aub_gateway_connections(node->gateway)) ||
-	    age_us >= last_us) {
+		aub_gateway_stop_accepting(node->gateway);
+	if ((age_us >= close_us &&
+	     !aub_gateway_active_requests(node->gateway) &&
+	     !aub_gateway_open_connections(node->gateway)) ||
+	    age_us >= kill_us) {
 		aub_log_begin(AUB_LOG_STOP);
 		aub_log_number("ms", age_us / AUB_MS);
-		aub_log_number("requests", aub_gateway_requests(node->gateway));
+		aub_log_number("requests",
+			       aub_gateway_active_requests(node->gateway));
 		aub_log_end();
 		aub_decision_log_flush();
-		node->stopped(node->stopped_context);
+		node->on_stopped(node->on_stopped_context);
 	}
 }
 
@@ -339,14 +348,15 @@
 	if (node->stopping)
 		return;
 	node->stopping = true;
-	node->stopped = stopped;
-	node->stopped_context = context;
-	node->stop_us = aub_timer_now(node->timers);
+	node->on_stopped = stopped;
+	node->on_stopped_context = context;
+	node->stop_start_us = aub_timer_now(node->timers);
 	aub_log_begin(AUB_LOG_STOPPING);
 	aub_log_end();
-	aub_node_update_self(node);
-	aub_gateway_stop(node->gateway);
+	aub_node_publish_state(node);
+	aub_gateway_begin_drain(node->gateway);
 	aub_store_sync_leave(node->store);
-	node->stop_timer = aub_timer_every(node->timers, "stop", STOP_CHECK_US,
-					   on_stop_check, node);
+	node->stop_timer =
+		aub_timer_every(node->timers, "stop", STOP_CHECK_PERIOD_US,
+				on_stop_check, node);
 }
--- a/src/coordination/node_answers.c
+++ b/src/coordination/node_endpoints.c
@@ -7,30 +7,33 @@
 #include <string.h>
 
 /* Callers in a zone that is down to one VM get the others', too. */
-#define OWN_ZONE_LEAST 2
+#define OWN_ZONE_ADDRESSES_MIN 2
 
 /* Callers are sent to nobody who has been silent for longer. */
-#define DIRECTORY_US (4000 * AUB_MS)
+#define HEARTBEAT_AGE_MAX_US (4000 * AUB_MS)
 
-#define ADDRESSES_MOST 64
+#define ADDRESSES_MAX 64
 
 bool aub_node_is_ready(const struct aub_node *node)
 {
-	return node->version && node->upstreams_known && !node->stopping;
+	return node->config_version && node->upstreams_listed &&
+	       !node->stopping;
 }
 
 /* Addresses of gateways that take callers; of one zone, or of all. */
-static GPtrArray *addresses_in(const struct aub_node *node, const char *zone)
+static GPtrArray *caller_addresses_in(const struct aub_node *node,
+				      const char *zone)
 {
 	const GPtrArray *all = aub_peers_all(node->peers);
 	GPtrArray *list = g_ptr_array_new();
 	gint64 now = aub_timer_now(node->timers);
 
-	for (guint i = 0; i < all->len && list->len < ADDRESSES_MOST; i++) {
+	for (guint i = 0; i < all->len && list->len < ADDRESSES_MAX; i++) {
 		const struct aub_peer *peer = g_ptr_array_index(all, i);
 
 		if (peer->alive && peer->ready && !peer->stopping &&
-		    (peer->self || now - peer->heard_us < DIRECTORY_US) &&
+		    (peer->self ||
+		     now - peer->last_heartbeat_us < HEARTBEAT_AGE_MAX_US) &&
 		    (!zone || !strcmp(zone, peer->zone)))
 			g_ptr_array_add(list, peer->callers_address);
 	}
@@ -48,13 +51,13 @@
 	if (!aub_http_path_is(head->target, node->platform->addresses_path))
 		return;
 	zone = aub_http_query(head->target, node->platform->zone_parameter);
-	list = addresses_in(node, zone);
-	if (list->len < OWN_ZONE_LEAST) {
+	list = caller_addresses_in(node, zone);
+	if (list->len < OWN_ZONE_ADDRESSES_MIN) {
 		g_ptr_array_unref(list);
-		list = addresses_in(node, NULL);
+		list = caller_addresses_in(node, NULL);
 	}
 	reply->status = list->len ? 200 : 503;
-	reply->type = node->platform->body_type;
+	reply->type = node->platform->content_type;
 	reply->body = node->platform->addresses_body(list, node->address_ms);
 	g_ptr_array_unref(list);
 	g_free(zone);
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -11,51 +11,51 @@
 #include <sys/resource.h>
 
 /* One figure without labels. */
-struct figure {
+struct scalar {
 	const char *name;
 	const char *help;
-	bool total; /* only rises */
+	bool is_counter; /* only rises */
 	gint64 (*read)(const struct aub_node *node);
 };
 
 static gint64 read_version(const struct aub_node *node)
 {
-	return node->version;
+	return node->config_version;
 }
 
 static gint64 read_requests(const struct aub_node *node)
 {
-	return aub_gateway_requests(node->gateway);
+	return aub_gateway_active_requests(node->gateway);
 }
 
-static gint64 read_callers(const struct aub_node *node)
+static gint64 read_caller_connections(const struct aub_node *node)
 {
-	return aub_gateway_connections(node->gateway);
+	return aub_gateway_open_connections(node->gateway);
 }
 
-static gint64 read_opened(const struct aub_node *node)
+static gint64 read_connections_opened(const struct aub_node *node)
 {
 	return (gint64)aub_http_client_opened(node->client);
 }
 
-static gint64 read_store_lost(const struct aub_node *node)
+static gint64 read_store_outage_ms(const struct aub_node *node)
 {
 	return aub_store_sync_lost_us(node->store) / AUB_MS;
 }
 
 static gint64 read_asked(const struct aub_node *node)
 {
-	return (gint64)aub_placer_get_counts(node->placer)->asked;
+	return (gint64)aub_placer_get_counts(node->placer)->requested;
 }
 
-static gint64 read_decided(const struct aub_node *node)
+static gint64 read_placed_here(const struct aub_node *node)
 {
 	return (gint64)aub_placer_get_counts(node->placer)->placed_here;
 }
 
-static gint64 read_alone(const struct aub_node *node)
+static gint64 read_placed_in_fallback(const struct aub_node *node)
 {
-	return (gint64)aub_placer_get_counts(node->placer)->placed_alone;
+	return (gint64)aub_placer_get_counts(node->placer)->placed_in_fallback;
 }
 
 static gint64 read_forwarded(const struct aub_node *node)
@@ -78,9 +78,9 @@
 	return aub_peers_count_alive(node->peers);
 }
 
-static gint64 read_refused(const struct aub_node *node)
+static gint64 read_datagrams_rejected(const struct aub_node *node)
 {
-	return (gint64)aub_peers_get_counts(node->peers)->refused;
+	return (gint64)aub_peers_get_counts(node->peers)->rejected_datagrams;
 }
 
 static gint64 read_introductions(const struct aub_node *node)
@@ -88,7 +88,7 @@
 	return (gint64)aub_peers_get_counts(node->peers)->introductions;
 }
 
-static gint64 read_records_refused(const struct aub_node *node)
+static gint64 read_records_rejected(const struct aub_node *node)
 {
 	return (gint64)node->records_refused;
 }
@@ -103,22 +103,23 @@
 	return (gint64)usage.ru_maxrss * 1024;
 }
 
-static const struct figure figures[] = {
+static const struct scalar scalars[] = {
 	{ "auburnstile_config_version", "configuration in force", false,
 	  read_version },
 	{ "auburnstile_requests_under_way", "now", false, read_requests },
-	{ "auburnstile_caller_connections", "open now", false, read_callers },
+	{ "auburnstile_caller_connections", "open now", false,
+	  read_caller_connections },
 	{ "auburnstile_connections_opened_total",
-	  "to upstreams and to the store", true, read_opened },
+	  "to upstreams and to the store", true, read_connections_opened },
 	{ "auburnstile_store_lost_ms",
 	  "since the store stopped answering; 0: it answers", false,
-	  read_store_lost },
+	  read_store_outage_ms },
 	{ "auburnstile_placer_asked_total",
 	  "requests that asked for an upstream", true, read_asked },
 	{ "auburnstile_placer_decided_total", "asked here, by any gateway",
-	  true, read_decided },
+	  true, read_placed_here },
 	{ "auburnstile_placer_alone_total", "placed for want of a placer", true,
-	  read_alone },
+	  read_placed_in_fallback },
 	{ "auburnstile_placer_forwarded_total",
 	  "asks passed on to a gateway that ranks first", true,
 	  read_forwarded },
@@ -128,34 +129,36 @@
 	{ "auburnstile_peers_alive", "other gateways heard lately", false,
 	  read_peers },
 	{ "auburnstile_peer_datagrams_refused_total",
-	  "datagrams of peers that made no sense", true, read_refused },
+	  "datagrams of peers that made no sense", true,
+	  read_datagrams_rejected },
 	{ "auburnstile_peer_introductions_total",
 	  "of gateways that knew nobody", true, read_introductions },
 	{ "auburnstile_records_refused_total",
 	  "objects of the store that made no sense", true,
-	  read_records_refused },
+	  read_records_rejected },
 	{ "auburnstile_memory_peak_bytes", "-1: can't be told", false,
 	  read_memory },
 };
 
 /* `total`: it only rises. `labels` is freed. */
-static void set_series(struct aub_node *node, bool total, const char *name,
+static void set_series(struct aub_node *node, bool is_counter, const char *name,
 		       char *labels, const char *help, gint64 value)
 {
 	struct aub_metrics *metrics = node->metrics;
 	guint handle =
-		total ? aub_metrics_counter(metrics, name, labels, help) :
-			aub_metrics_gauge(metrics, name, labels, help);
+		is_counter ? aub_metrics_counter(metrics, name, labels, help) :
+			     aub_metrics_gauge(metrics, name, labels, help);
 
 	aub_metrics_set(metrics, handle, value);
 	g_free(labels);
 }
 
 /* A series of one service. */
-static void set_service(struct aub_node *node, bool total, const char *name,
-			const char *service, const char *help, gint64 value)
+static void set_service_series(struct aub_node *node, bool is_counter,
+			       const char *name, const char *service,
+			       const char *help, gint64 value)
 {
-	set_series(node, total, name,
+	set_series(node, is_counter, name,
 		   aub_metrics_labels("service", service, NULL), help, value);
 }
 
@@ -179,27 +182,31 @@
 	export_upstreams(node, service, "cold", state->cold);
 	export_upstreams(node, service, "leaving", state->leaving);
 	export_upstreams(node, service, "held", state->held);
-	set_service(node, false, "auburnstile_queued", service,
-		    "requests that wait here for a slot", state->queued);
-	set_service(node, false, "auburnstile_granted", service,
-		    "slots in use by what was granted here", state->granted);
-	set_service(node, true, "auburnstile_asks_refused_total", service,
-		    "asks that got no upstream here", (gint64)state->refused);
-	set_service(node, true, "auburnstile_cold_grants_total", service,
-		    "requests given to cold upstreams",
-		    (gint64)state->cold_grants);
-	set_service(node, false, "auburnstile_cold_limit_per_1000_s", service,
-		    "requests that one cold upstream is given",
-		    (gint64)(1000 * state->cold_per_s));
-	set_service(node, false, "auburnstile_upstream_full_percent", service,
-		    "of its slots that an upstream is kept to, learned",
-		    state->full_percent);
-	set_service(node, false, "auburnstile_upstream_slowdown_percent",
-		    service, "mean that upstreams tell; 100 is as usual",
-		    state->slowdown_percent);
-	set_service(node, false, "auburnstile_upstream_burst_ms", service,
-		    "for which what upstreams tell holds, learned",
-		    state->burst_ms);
+	set_service_series(node, false, "auburnstile_queued", service,
+			   "requests that wait here for a slot", state->queued);
+	set_service_series(node, false, "auburnstile_granted", service,
+			   "slots in use by what was granted here",
+			   state->granted);
+	set_service_series(node, true, "auburnstile_asks_refused_total",
+			   service, "asks that got no upstream here",
+			   (gint64)state->refused);
+	set_service_series(node, true, "auburnstile_cold_grants_total", service,
+			   "requests given to cold upstreams",
+			   (gint64)state->cold_grants);
+	set_service_series(node, false, "auburnstile_cold_limit_per_1000_s",
+			   service, "requests that one cold upstream is given",
+			   (gint64)(1000 * state->cold_per_s));
+	set_service_series(node, false, "auburnstile_upstream_full_percent",
+			   service,
+			   "of its slots that an upstream is kept to, learned",
+			   state->full_percent);
+	set_service_series(node, false, "auburnstile_upstream_slowdown_percent",
+			   service, "mean that upstreams tell; 100 is as usual",
+			   state->slowdown_percent);
+	set_service_series(node, false, "auburnstile_upstream_burst_ms",
+			   service,
+			   "for which what upstreams tell holds, learned",
+			   state->burst_ms);
 }
 
 static void export_rollout(const char *service,
@@ -216,19 +223,20 @@
 					      NULL),
 			   "1: the order is there, as this gateway sees it",
 			   state->rollout == i);
-	set_service(node, false, "auburnstile_rollout_exposed", service,
-		    "requests placed here at the version of the order",
-		    (gint64)state->exposed);
-	set_service(node, false, "auburnstile_rollout_answers", service,
-		    "of the version, that judge it", state->judged);
-	set_service(node, false, "auburnstile_rollout_bad_answers", service,
-		    "of these, failures and slow ones", state->judged_bad);
+	set_service_series(node, false, "auburnstile_rollout_exposed", service,
+			   "requests placed here at the version of the order",
+			   (gint64)state->exposed);
+	set_service_series(node, false, "auburnstile_rollout_answers", service,
+			   "of the version, that judge it", state->judged);
+	set_service_series(node, false, "auburnstile_rollout_bad_answers",
+			   service, "of these, failures and slow ones",
+			   state->judged_bad);
 }
 
 static void export_store_kind(struct aub_node *node, enum aub_store_kind kind)
 {
 	const char *name = aub_store_kind_name(kind);
-	gint64 heard_us = aub_store_sync_heard_us(node->store, kind);
+	gint64 answered_us = aub_store_sync_heard_us(node->store, kind);
 	gint64 now = aub_timer_now(node->timers);
 
 	for (guint i = 0; i < AUB_STORE_RESULTS; i++) {
@@ -245,7 +253,7 @@
 	set_series(node, false, "auburnstile_store_age_ms",
 		   aub_metrics_labels("kind", name, NULL),
 		   "since the store itself told of it; -1: never",
-		   heard_us ? (now - heard_us) / AUB_MS : -1);
+		   answered_us ? (now - answered_us) / AUB_MS : -1);
 }
 
 static void export_links(struct aub_node *node)
@@ -257,14 +265,16 @@
 
 	set_series(node, true, datagrams,
 		   aub_metrics_labels("to", "zone", NULL),
-		   "sent to other gateways", (gint64)counts->near_datagrams);
+		   "sent to other gateways",
+		   (gint64)counts->own_zone_datagrams);
 	set_series(node, true, datagrams,
 		   aub_metrics_labels("to", "others", NULL),
-		   "sent to other gateways", (gint64)counts->far_datagrams);
+		   "sent to other gateways",
+		   (gint64)counts->cross_zone_datagrams);
 	set_series(node, true, bytes, aub_metrics_labels("to", "zone", NULL),
-		   "of these datagrams", (gint64)counts->near_bytes);
+		   "of these datagrams", (gint64)counts->own_zone_bytes);
 	set_series(node, true, bytes, aub_metrics_labels("to", "others", NULL),
-		   "of these datagrams", (gint64)counts->far_bytes);
+		   "of these datagrams", (gint64)counts->cross_zone_bytes);
 }
 
 static void export_log(struct aub_node *node)
@@ -283,26 +293,26 @@
 				   (enum aub_log_class)i));
 }
 
-void aub_node_on_export(const struct aub_http_head *head,
-			struct aub_http_reply *reply, void *context)
+void aub_node_on_metrics(const struct aub_http_head *head,
+			 struct aub_http_reply *reply, void *context)
 {
 	struct aub_node *node = context;
 	char *text;
 
 	if (!aub_http_path_is(head->target, "/metrics"))
 		return;
-	for (guint i = 0; i < G_N_ELEMENTS(figures); i++) {
-		const struct figure *figure = &figures[i];
+	for (guint i = 0; i < G_N_ELEMENTS(scalars); i++) {
+		const struct scalar *scalar = &scalars[i];
 
-		set_series(node, figure->total, figure->name, NULL,
-			   figure->help, figure->read(node));
+		set_series(node, scalar->is_counter, scalar->name, NULL,
+			   scalar->help, scalar->read(node));
 	}
 	for (guint i = 0; i < AUB_STORE_KINDS; i++)
 		export_store_kind(node, (enum aub_store_kind)i);
 	export_links(node);
 	export_log(node);
 	aub_placer_visit(node->placer, export_placement, node);
-	if (node->takes_orders)
+	if (node->rollouts_enabled)
 		aub_placer_visit(node->placer, export_rollout, node);
 	reply->status = 200;
 	reply->type = "text/plain; version=0.0.4";
--- a/src/coordination/node_rollouts.c
+++ b/src/coordination/node_rollouts.c
@@ -10,23 +10,24 @@
 #include <auburnstile/internal/decision_log.h>
 #include <auburnstile/internal/node_parts.h>
 
-#define RETRY_US (250 * AUB_MS)
-#define WATCHER_US (1500 * AUB_MS) /* before others write for the placer */
+#define WRITE_RETRY_DELAY_US (250 * AUB_MS)
+#define WATCHER_WRITE_DELAY_US \
+	(1500 * AUB_MS) /* before others write for the placer */
 
-struct order {
+struct stored_order {
 	struct aub_node *node;
 	char *service;
 	gint64 revision;
 	struct aub_rollout_record record; /* as stored */
-	enum aub_rollout_state writing; /* by the write under way */
+	enum aub_rollout_state pending_state; /* by the write under way */
 	struct aub_store_write *write; /* under way */
-	gint64 next_us; /* no write before this */
-	gint64 wanted_us; /* since when the final state is wanted */
+	gint64 next_write_us; /* no write before this */
+	gint64 requested_us; /* since when the final state is wanted */
 };
 
-static void order_free(void *data)
+static void stored_order_free(void *data)
 {
-	struct order *order = data;
+	struct stored_order *order = data;
 
 	aub_store_write_cancel(order->write);
 	g_free(order->record.order.version);
@@ -36,37 +37,39 @@
 
 void aub_node_rollouts_init(struct aub_node *node)
 {
-	node->orders = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					     order_free);
+	node->rollout_orders = g_hash_table_new_full(g_str_hash, g_str_equal,
+						     NULL, stored_order_free);
 }
 
 void aub_node_rollouts_clear(struct aub_node *node)
 {
-	g_clear_pointer(&node->orders, g_hash_table_unref);
+	g_clear_pointer(&node->rollout_orders, g_hash_table_unref);
 }
 
-void aub_node_take_order(struct aub_node *node, const struct aub_record *record)
+void aub_node_apply_rollout_order(struct aub_node *node,
+				  const struct aub_record *record)
 {
 	const struct aub_rollout_record *rollout = record->rollout;
-	struct order *order;
+	struct stored_order *order;
 
-	aub_placer_order(node->placer, record->name, rollout,
-			 record->problem != NULL);
+	aub_placer_update_order(node->placer, record->name, rollout,
+				record->problem != NULL);
 	if (!rollout) {
-		g_hash_table_remove(node->orders, record->name);
+		g_hash_table_remove(node->rollout_orders, record->name);
 		return;
 	}
-	order = g_hash_table_lookup(node->orders, record->name);
+	order = g_hash_table_lookup(node->rollout_orders, record->name);
 	if (!order) {
-		order = g_new0(struct order, 1);
+		order = g_new0(struct stored_order, 1);
 		order->node = node;
 		order->service = g_strdup(record->name);
-		g_hash_table_insert(node->orders, order->service, order);
+		g_hash_table_insert(node->rollout_orders, order->service,
+				    order);
 	}
 	if (!aub_rollout_order_equal(&order->record.order, &rollout->order)) {
 		/* What is under way is for the one before. */
 		g_clear_pointer(&order->write, aub_store_write_cancel);
-		order->wanted_us = 0;
+		order->requested_us = 0;
 	}
 	g_free(order->record.order.version);
 	order->record = *rollout;
@@ -77,15 +80,16 @@
 static void on_written(enum aub_store_result result, bool conflict,
 		       void *context)
 {
-	struct order *order = context;
+	struct stored_order *order = context;
 	struct aub_node *node = order->node;
 	const struct aub_rollout_record written = {
 		.order = order->record.order,
-		.state = order->writing,
+		.state = order->pending_state,
 	};
 
 	order->write = NULL;
-	order->next_us = aub_timer_now(node->timers) + RETRY_US;
+	order->next_write_us =
+		aub_timer_now(node->timers) + WRITE_RETRY_DELAY_US;
 	aub_log_begin(AUB_LOG_ROLLOUT_STORED);
 	aub_log_text("service", order->service);
 	aub_log_text("state", aub_rollout_state_name(written.state));
@@ -96,7 +100,7 @@
 	if (result != AUB_STORE_ANSWERED)
 		return;
 	order->record.state = written.state;
-	aub_placer_order_stored(node->placer, order->service, &written);
+	aub_placer_on_order_stored(node->placer, order->service, &written);
 }
 
 static bool is_final(enum aub_rollout_state state)
@@ -105,7 +109,8 @@
 	       state == AUB_ROLLOUT_ROLLED_BACK;
 }
 
-static void write_state(struct order *order, enum aub_rollout_state state)
+static void write_state(struct stored_order *order,
+			enum aub_rollout_state state)
 {
 	struct aub_node *node = order->node;
 	const struct aub_rollout_record written = {
@@ -114,7 +119,7 @@
 	};
 	GBytes *body;
 
-	order->writing = state;
+	order->pending_state = state;
 	body = node->platform->rollout_body(order->service, order->revision,
 					    &written);
 	order->write =
@@ -124,12 +129,13 @@
 	g_bytes_unref(body);
 }
 
-bool aub_node_on_rollout_wanted(const char *service,
-				enum aub_rollout_state state, bool placer,
-				void *context)
+bool aub_node_store_rollout_state(const char *service,
+				  enum aub_rollout_state state, bool placer,
+				  void *context)
 {
 	struct aub_node *node = context;
-	struct order *order = g_hash_table_lookup(node->orders, service);
+	struct stored_order *order =
+		g_hash_table_lookup(node->rollout_orders, service);
 	gint64 now = aub_timer_now(node->timers);
 
 	if (!order)
@@ -137,17 +143,17 @@
 	if (order->record.state == state || is_final(order->record.state) ||
 	    state == AUB_ROLLOUT_NONE)
 		return true;
-	if (!order->wanted_us)
-		order->wanted_us = now;
-	if (order->write || now < order->next_us)
+	if (!order->requested_us)
+		order->requested_us = now;
+	if (order->write || now < order->next_write_us)
 		return false;
 	/*
 	 * Failure: the placer is cut off from the store when it finds a version
 	 * to be bad, and ends. Symptom: whoever starts later doesn't know.
 	 * Enough: those that watch the store write what it has told them.
 	 */
-	if (!placer && (!aub_peers_self_watches(node->peers) ||
-			now - order->wanted_us < WATCHER_US))
+	if (!placer && (!aub_peers_self_is_watcher(node->peers) ||
+			now - order->requested_us < WATCHER_WRITE_DELAY_US))
 		return false;
 	write_state(order, state);
 	return false;
--- a/src/coordination/node_settings.c
+++ b/src/coordination/node_settings.c
@@ -5,7 +5,7 @@
 
 #define FIELD(name) offsetof(struct aub_node_settings, name)
 
-const struct aub_setting aub_node_setting_table[] = {
+const struct aub_setting aub_node_settings_table[] = {
 	{ .key = "name",
 	  .type = AUB_SETTING_STRING,
 	  .offset = FIELD(name),
--- a/src/coordination/node_store.c
+++ b/src/coordination/node_store.c
@@ -6,18 +6,19 @@
 #include <auburnstile/internal/node_parts.h>
 #include <auburnstile/internal/pack.h>
 
-#define LONELY_US (300 * AUB_MS) /* a seed answers within some ms */
+#define ISOLATION_CHECK_DELAY_US \
+	(300 * AUB_MS) /* a seed answers within some ms */
 
 /*
  * By then the others are known, and so is who watches the store: if each
  * watched until it knew better, a start would cost calls by the fleet's size.
  * Listings may be old until then.
  */
-#define ACQUAINTED_US (1000 * AUB_MS)
-#define RECORDS 24 /* gateways that stand in the store, about */
+#define STARTUP_GRACE_US (1000 * AUB_MS)
+#define MEMBER_RECORDS_TARGET 24 /* gateways that stand in the store, about */
 #define FIRST_CONTACTS 3 /* of these */
 
-static void take_routing(struct aub_node *node, struct aub_record *record)
+static void apply_routing(struct aub_node *node, struct aub_record *record)
 {
 	struct aub_routing *routing = record->routing;
 
@@ -28,9 +29,9 @@
 	 * Symptom: callers see a change taken back. Enough: versions only
 	 * rise here.
 	 */
-	if (routing->version <= node->version)
+	if (routing->version <= node->config_version)
 		return;
-	node->version = routing->version;
+	node->config_version = routing->version;
 	aub_gateway_configure(node->gateway, routing);
 	aub_placer_configure(node->placer, routing);
 	aub_log_begin(AUB_LOG_CONFIGURATION);
@@ -38,7 +39,7 @@
 	aub_log_number("revision", record->revision);
 	aub_log_number("routes", routing->routes->len);
 	aub_log_end();
-	aub_node_update_self(node);
+	aub_node_publish_state(node);
 }
 
 static void log_upstream(const struct aub_record *record)
@@ -67,25 +68,26 @@
  * are up. Enough: the same few of those that stand in the store are contacted
  * first, and introduce all to each other.
  */
-static void take_member(struct aub_node *node,
-			const struct aub_member_record *member)
+static void add_member(struct aub_node *node,
+		       const struct aub_member_record *member)
 {
 	char *address = g_strconcat(member->ip, node->peers_port, NULL);
 
-	if (++node->members_listed <= FIRST_CONTACTS || node->acquainted) {
+	if (++node->members_listed <= FIRST_CONTACTS ||
+	    node->startup_grace_over) {
 		aub_peers_add(node->peers, address);
 		g_free(address);
 	} else {
-		g_ptr_array_add(node->contacts, address);
+		g_ptr_array_add(node->pending_contacts, address);
 	}
 }
 
-static void contact_all(struct aub_node *node)
+static void add_pending_contacts(struct aub_node *node)
 {
-	for (guint i = 0; i < node->contacts->len; i++)
+	for (guint i = 0; i < node->pending_contacts->len; i++)
 		aub_peers_add(node->peers,
-			      g_ptr_array_index(node->contacts, i));
-	g_ptr_array_set_size(node->contacts, 0);
+			      g_ptr_array_index(node->pending_contacts, i));
+	g_ptr_array_set_size(node->pending_contacts, 0);
 }
 
 static void on_changed(enum aub_store_kind kind, struct aub_record *record,
@@ -103,54 +105,54 @@
 	}
 	switch (kind) {
 	case AUB_STORE_ROUTING:
-		take_routing(node, record);
+		apply_routing(node, record);
 		break;
 	case AUB_STORE_UPSTREAMS:
 		if (!record->problem)
 			log_upstream(record);
-		aub_placer_upstream(node->placer, record->name,
-				    record->upstream);
+		aub_placer_update_upstream(node->placer, record->name,
+					   record->upstream);
 		break;
-	case AUB_STORE_ZONES_OUT:
+	case AUB_STORE_EVACUATIONS:
 		aub_log_begin(AUB_LOG_ZONE);
 		aub_log_text("zone", record->name);
 		aub_log_text("state", record->removed ? "in" : "out");
 		aub_log_number("revision", record->revision);
 		aub_log_end();
-		aub_placer_zone_out(node->placer, record->name,
-				    !record->removed);
+		aub_placer_set_zone_out(node->placer, record->name,
+					!record->removed);
 		break;
 	case AUB_STORE_ROLLOUTS:
-		aub_node_take_order(node, record);
+		aub_node_apply_rollout_order(node, record);
 		break;
 	case AUB_STORE_MEMBERS:
 		if (record->member)
-			take_member(node, record->member);
+			add_member(node, record->member);
 		break;
 	case AUB_STORE_KINDS:
 		break;
 	}
 }
 
-static enum aub_watch_duty on_duty(void *context)
+static enum aub_watch_duty watch_duty(void *context)
 {
 	struct aub_node *node = context;
-	bool alone = aub_peers_all(node->peers)->len == 1;
+	bool is_only_member = aub_peers_all(node->peers)->len == 1;
 
-	if (!alone && !node->acquainted)
+	if (!is_only_member && !node->startup_grace_over)
 		return AUB_WATCH_NONE;
 	return aub_peers_watch_duty(node->peers);
 }
 
-static guint on_fleet(void *context)
+static guint count_other_gateways(void *context)
 {
 	struct aub_node *node = context;
 
 	return aub_peers_count_alive(node->peers);
 }
 
-void aub_node_on_announced(enum aub_store_kind kind, gint64 revision,
-			   void *context)
+void aub_node_on_revision_announced(enum aub_store_kind kind, gint64 revision,
+				    void *context)
 {
 	struct aub_node *node = context;
 
@@ -159,9 +161,9 @@
 }
 
 /* Heartbeats go out at once, so that the others learn of the change. */
-static void on_told(void *context)
+static void on_changes_applied(void *context)
 {
-	aub_node_update_self(context);
+	aub_node_publish_state(context);
 }
 
 static void on_listed(enum aub_store_kind kind, void *context)
@@ -169,14 +171,15 @@
 	struct aub_node *node = context;
 
 	if (kind == AUB_STORE_UPSTREAMS)
-		node->upstreams_known = true;
+		node->upstreams_listed = true;
 	if (kind == AUB_STORE_ROLLOUTS)
-		aub_placer_orders_known(node->placer);
-	aub_node_update_self(node);
+		aub_placer_set_orders_known(node->placer);
+	aub_node_publish_state(node);
 }
 
-#define SHARE_BYTES (48u << 10) /* a datagram's worth, packed */
-#define SHARED_LIMIT (4u << 20) /* unpacked; a page of the store is smaller */
+#define SHARED_PACKED_MAX_BYTES (48u << 10) /* a datagram's worth, packed */
+#define SHARED_UNPACKED_MAX_BYTES \
+	(4u << 20) /* unpacked; a page of the store is smaller */
 
 /* To the gateways of the same zone: their copy costs no call of the store. */
 static void on_share(enum aub_store_kind kind, gint64 after, gint64 until,
@@ -188,25 +191,25 @@
 	gsize size;
 	const void *data;
 
-	if (!aub_peers_self_watches(node->peers))
+	if (!aub_peers_self_is_watcher(node->peers))
 		return;
 	packed = aubi_pack(body, length);
 	data = g_bytes_get_data(packed, &size);
-	if (size <= SHARE_BYTES) {
+	if (size <= SHARED_PACKED_MAX_BYTES) {
 		message = (struct aub_store_changes *)aub_message_new(
 			AUB_MESSAGE_STORE_CHANGES);
 		message->kind = kind;
 		message->after = (guint64)after;
 		message->until = (guint64)until;
 		aub_bytes_set(&message->body, data, size);
-		aub_peers_send_zone(node->peers, &message->base);
+		aub_peers_send_to_zone(node->peers, &message->base);
 		aub_message_free(&message->base);
 	}
 	g_bytes_unref(packed);
 }
 
-void aub_node_take_shared(struct aub_node *node,
-			  const struct aub_store_changes *message)
+void aub_node_apply_shared_changes(struct aub_node *node,
+				   const struct aub_store_changes *message)
 {
 	GBytes *body;
 	gsize length;
@@ -215,7 +218,7 @@
 	if (!node->store || message->kind >= AUB_STORE_KINDS)
 		return;
 	body = aubi_unpack(message->body.data, message->body.length,
-			   SHARED_LIMIT, "peer", NULL);
+			   SHARED_UNPACKED_MAX_BYTES, "peer", NULL);
 	if (!body)
 		return;
 	text = g_bytes_get_data(body, &length);
@@ -226,13 +229,13 @@
 }
 
 /* Neither a seed nor a first contact has answered. */
-static void on_lonely_check(void *context, gint64 now_us)
+static void on_isolation_check(void *context, gint64 now_us)
 {
 	struct aub_node *node = context;
 
-	node->lonely_timer = 0;
+	node->isolation_timer = 0;
 	if (aub_peers_count_alive(node->peers) == 0)
-		contact_all(node);
+		add_pending_contacts(node);
 }
 
 /*
@@ -240,20 +243,22 @@
  * whose seeds are all gone: a record each costs a call, and any one of them
  * introduces to all.
  */
-static void on_enrol(void *context, gint64 now_us)
+static void on_startup_grace_over(void *context, gint64 now_us)
 {
 	struct aub_node *node = context;
 	const struct aub_member_record member = {
 		.ip = node->ip,
 		.zone = node->zone,
 	};
-	guint every = (aub_peers_count_alive(node->peers) + 1) / RECORDS + 1;
+	guint record_interval = (aub_peers_count_alive(node->peers) + 1) /
+					MEMBER_RECORDS_TARGET +
+				1;
 
-	node->enrol_timer = 0;
-	node->acquainted = true;
+	node->register_timer = 0;
+	node->startup_grace_over = true;
 	aub_store_sync_check(node->store);
-	contact_all(node);
-	if (g_str_hash(node->ip) % every == 0)
+	add_pending_contacts(node);
+	if (g_str_hash(node->ip) % record_interval == 0)
 		aub_store_sync_enrol(node->store, node->ip, &member);
 	else if (!node->members_listed)
 		aub_store_sync_list_members(node->store);
@@ -267,23 +272,23 @@
 		.client = node->client,
 		.timers = node->timers,
 		.address = settings->store,
-		.takes_orders = node->takes_orders,
+		.takes_orders = node->rollouts_enabled,
 		.changed = on_changed,
-		.told = on_told,
+		.told = on_changes_applied,
 		.share = on_share,
-		.duty = on_duty,
-		.fleet = on_fleet,
+		.duty = watch_duty,
+		.fleet = count_other_gateways,
 		.listed = on_listed,
 		.context = node,
 	};
 	node->store = aub_store_sync_new(&options);
 	aub_store_sync_list_members(node->store);
-	node->lonely_timer =
-		aub_timer_at(node->timers, "lonely",
-			     aub_timer_now(node->timers) + LONELY_US,
-			     on_lonely_check, node);
-	node->enrol_timer =
+	node->isolation_timer = aub_timer_at(node->timers, "lonely",
+					     aub_timer_now(node->timers) +
+						     ISOLATION_CHECK_DELAY_US,
+					     on_isolation_check, node);
+	node->register_timer =
 		aub_timer_at(node->timers, "enrol",
-			     aub_timer_now(node->timers) + ACQUAINTED_US,
-			     on_enrol, node);
+			     aub_timer_now(node->timers) + STARTUP_GRACE_US,
+			     on_startup_grace_over, node);
 }
--- a/src/coordination/peers.c
+++ b/src/coordination/peers.c
@@ -17,28 +17,29 @@
  * are rarer than a dead peer even where 3% of packets go. A placer of another
  * zone that is dead is suspected long before its heartbeats are missed.
  */
-#define HEARTBEAT_US (250 * AUB_MS)
-#define ALIVE_US (1000 * AUB_MS)
-#define START_US (50 * AUB_MS)
-#define START_ROUNDS 6
+#define HEARTBEAT_PERIOD_US (250 * AUB_MS)
+#define OWN_ZONE_DEAD_AFTER_US (1000 * AUB_MS)
+#define START_HEARTBEAT_PERIOD_US (50 * AUB_MS)
+#define START_HEARTBEAT_ROUNDS 6
 
 /*
  * Heartbeats to other zones go out each so many rounds, and less often the
  * more gateways there are: their bytes grow with the square of these. Nothing
  * waits for them: a dead placer is found out by those who ask it.
  */
-#define FAR_ROUNDS 4
-#define FAR_PEERS_A_ROUND 4
-#define FAR_ALIVE_ROUNDS                                     \
+#define CROSS_ZONE_PERIOD_MIN_ROUNDS 4
+#define CROSS_ZONE_PEERS_PER_ROUND 4
+#define CROSS_ZONE_DEAD_AFTER_PERIODS                        \
 	3.2 /* periods without a heartbeat that make a death \
 	     */
-#define SILENT_US (15 * AUB_SECOND) /* then it gets one heartbeat in ten */
-#define SILENT_EACH 10
-#define FORGET_US (300 * AUB_SECOND) /* long after callers forgot it */
+#define UNRESPONSIVE_AFTER_US \
+	(15 * AUB_SECOND) /* then it gets one heartbeat in ten */
+#define UNRESPONSIVE_PERIOD_ROUNDS 10
+#define REMOVE_AFTER_US (300 * AUB_SECOND) /* long after callers forgot it */
 
-#define DATAGRAM_LIMIT \
+#define DATAGRAM_MAX_BYTES \
 	60000 /* bytes; a list of upstreams takes some 100 each */
-#define DATAGRAMS_A_TURN 64
+#define DATAGRAMS_PER_WAKEUP 64
 
 static void log_peer(enum aub_log_event event, const struct aub_peer *peer,
 		     gint64 age_us)
@@ -50,12 +51,13 @@
 	aub_log_end();
 }
 
-static void lose(struct aub_peers *peers, struct aub_peer *peer, gint64 now_us)
+static void mark_lost(struct aub_peers *peers, struct aub_peer *peer,
+		      gint64 now_us)
 {
 	peer->alive = false;
-	aub_peers_rank_again(peers);
-	log_peer(AUB_LOG_PEER_LOST, peer, now_us - peer->heard_us);
-	peers->options.lost(peer->incarnation, peers->options.context);
+	aub_peers_invalidate_ranks(peers);
+	log_peer(AUB_LOG_PEER_LOST, peer, now_us - peer->last_heartbeat_us);
+	peers->options.on_lost(peer->incarnation, peers->options.context);
 }
 
 /* Whoever is not known to be alive is asked to answer. */
@@ -74,21 +76,21 @@
 	const struct aub_peers_options *options = &peers->options;
 
 	for (guint i = 0; i < AUB_HEARTBEAT_REVISIONS; i++)
-		options->announced((enum aub_store_kind)i,
-				   (gint64)heartbeat->revisions[i],
-				   options->context);
+		options->on_revision((enum aub_store_kind)i,
+				     (gint64)heartbeat->revisions[i],
+				     options->context);
 }
 
-static void take_heartbeat(struct aub_peers *peers,
-			   const struct aub_heartbeat *heartbeat)
+static void handle_heartbeat(struct aub_peers *peers,
+			     const struct aub_heartbeat *heartbeat)
 {
 	gint64 now = aub_timer_now(peers->options.timers);
 	struct aub_peer *peer = aub_peers_by_address(peers, heartbeat->address);
-	bool differs;
+	bool state_changed;
 
 	if (!peer) {
 		peer = aub_peer_new(heartbeat->address, now);
-		aub_peers_list_add(peers, peer);
+		aub_peers_table_add(peers, peer);
 	}
 	if (peer->self)
 		return;
@@ -96,15 +98,15 @@
 	if (heartbeat->incarnation < peer->incarnation)
 		return;
 	if (peer->alive && peer->incarnation != heartbeat->incarnation)
-		lose(peers, peer, now);
-	differs = !peer->alive || peer->ready != heartbeat->ready ||
-		  peer->stopping != heartbeat->stopping ||
-		  peer->current != heartbeat->current ||
-		  peer->hears != heartbeat->hears;
+		mark_lost(peers, peer, now);
+	state_changed = !peer->alive || peer->ready != heartbeat->ready ||
+			peer->stopping != heartbeat->stopping ||
+			peer->store_current != heartbeat->current ||
+			peer->store_reachable != heartbeat->hears;
 	if (!peer->alive || (heartbeat->ready && !peer->ready))
-		peers->joined_us = now;
+		peers->last_join_us = now;
 	if (strcmp(peer->name, heartbeat->name) != 0)
-		aub_peer_forget_ranks(peer);
+		aub_peer_clear_rank_keys(peer);
 	aub_string_set(&peer->name, heartbeat->name);
 	aub_string_set(&peer->zone, heartbeat->zone);
 	aub_string_set(&peer->callers_address, heartbeat->callers_address);
@@ -112,15 +114,15 @@
 	aub_peers_set_incarnation(peers, peer, heartbeat->incarnation);
 	peer->ready = heartbeat->ready;
 	peer->stopping = heartbeat->stopping;
-	peer->current = heartbeat->current;
-	peer->hears = heartbeat->hears;
-	peer->heard_us = now;
+	peer->store_current = heartbeat->current;
+	peer->store_reachable = heartbeat->hears;
+	peer->last_heartbeat_us = now;
 	announce_revisions(peers, heartbeat);
-	if (differs) {
+	if (state_changed) {
 		bool appeared = !peer->alive;
 
 		peer->alive = true;
-		aub_peers_rank_again(peers);
+		aub_peers_invalidate_ranks(peers);
 		if (appeared)
 			log_peer(AUB_LOG_PEER_HEARD, peer, 0);
 		if (appeared && !heartbeat->peers)
@@ -135,53 +137,54 @@
 		send_heartbeat(peers, peer);
 }
 
-static void refuse(struct aub_peers *peers, const struct sockaddr_in *from,
-		   const char *why)
+static void reject_datagram(struct aub_peers *peers,
+			    const struct sockaddr_in *from, const char *reason)
 {
 	char host[INET_ADDRSTRLEN];
 
-	peers->counts.refused++;
+	peers->counts.rejected_datagrams++;
 	inet_ntop(AF_INET, &from->sin_addr, host, sizeof(host));
 	aub_log_begin(AUB_LOG_DATAGRAM_REFUSED);
 	aub_log_text("from", host);
-	aub_log_text("error", why);
+	aub_log_text("error", reason);
 	aub_log_end();
 }
 
-static void take(struct aub_peers *peers, const void *data, gsize length,
-		 const struct sockaddr_in *from)
+static void handle_datagram(struct aub_peers *peers, const void *data,
+			    gsize length, const struct sockaddr_in *from)
 {
 	GError *error = NULL;
 	struct aub_message *message =
 		aub_message_decode(data, length, "datagram", &error);
 
 	if (!message) {
-		refuse(peers, from, error->message);
+		reject_datagram(peers, from, error->message);
 		g_error_free(error);
 		return;
 	}
 	if (message->type == AUB_MESSAGE_HEARTBEAT) {
-		take_heartbeat(peers, (struct aub_heartbeat *)message);
+		handle_heartbeat(peers, (struct aub_heartbeat *)message);
 		aub_message_free(message);
 		return;
 	}
 	if (message->type == AUB_MESSAGE_INTRODUCTION) {
-		if (!aub_peers_take_introduction(
+		if (!aub_peers_apply_introduction(
 			    peers, (struct aub_introduction *)message))
-			refuse(peers, from,
-			       "introduction: addresses: a part of one");
+			reject_datagram(
+				peers, from,
+				"introduction: addresses: a part of one");
 		aub_message_free(message);
 		return;
 	}
-	peers->options.message(message, peers->options.context);
+	peers->options.on_message(message, peers->options.context);
 }
 
 static void on_readable(void *context, guint events)
 {
 	struct aub_peers *peers = context;
-	char data[DATAGRAM_LIMIT];
+	char data[DATAGRAM_MAX_BYTES];
 
-	for (guint i = 0; i < DATAGRAMS_A_TURN; i++) {
+	for (guint i = 0; i < DATAGRAMS_PER_WAKEUP; i++) {
 		struct sockaddr_in from = { 0 };
 		socklen_t from_length = sizeof(from);
 		ssize_t got = recvfrom(peers->fd, data, sizeof(data), 0,
@@ -189,7 +192,7 @@
 
 		if (got < 0)
 			return;
-		take(peers, data, (gsize)got, &from);
+		handle_datagram(peers, data, (gsize)got, &from);
 	}
 }
 
@@ -202,12 +205,12 @@
 
 	if (!to->socket_address.sin_port)
 		return;
-	if (aub_peer_is_near(peers, to)) {
-		counts->near_datagrams++;
-		counts->near_bytes += length;
+	if (aub_peer_is_in_own_zone(peers, to)) {
+		counts->own_zone_datagrams++;
+		counts->own_zone_bytes += length;
 	} else {
-		counts->far_datagrams++;
-		counts->far_bytes += length;
+		counts->cross_zone_datagrams++;
+		counts->cross_zone_bytes += length;
 	}
 	/* A datagram that can't leave is a lost one. */
 	(void)sendto(peers->fd, data, length, MSG_NOSIGNAL,
@@ -241,51 +244,57 @@
 		g_bytes_unref(bytes);
 }
 
-void aub_peers_send_zone(struct aub_peers *peers,
-			 const struct aub_message *message)
+void aub_peers_send_to_zone(struct aub_peers *peers,
+			    const struct aub_message *message)
 {
 	send_alive(peers, aub_peers_self(peers)->zone, message);
 }
 
-void aub_peers_send_all(struct aub_peers *peers,
-			const struct aub_message *message)
+void aub_peers_send_to_all(struct aub_peers *peers,
+			   const struct aub_message *message)
 {
 	send_alive(peers, NULL, message);
 }
 
-gint64 aub_peers_joined_us(const struct aub_peers *peers)
+gint64 aub_peers_last_join_us(const struct aub_peers *peers)
 {
-	return peers->joined_us;
+	return peers->last_join_us;
 }
 
-static guint far_rounds(const struct aub_peers *peers)
+static guint cross_zone_period_rounds(const struct aub_peers *peers)
 {
 	guint far = 0;
 
 	for (guint i = 1; i < peers->all->len; i++)
-		far += !aub_peer_is_near(peers,
-					 g_ptr_array_index(peers->all, i));
-	return MAX(FAR_ROUNDS, far / FAR_PEERS_A_ROUND);
+		far += !aub_peer_is_in_own_zone(peers,
+						g_ptr_array_index(peers->all,
+								  i));
+	return MAX(CROSS_ZONE_PERIOD_MIN_ROUNDS,
+		   far / CROSS_ZONE_PEERS_PER_ROUND);
 }
 
 /* Silence of a peer that makes it dead. */
-static gint64 alive_us(const struct aub_peers *peers,
-		       const struct aub_peer *peer)
+static gint64 dead_after_us(const struct aub_peers *peers,
+			    const struct aub_peer *peer)
 {
-	if (aub_peer_is_near(peers, peer))
-		return ALIVE_US;
-	return (gint64)(FAR_ALIVE_ROUNDS * peers->far_rounds) * HEARTBEAT_US;
+	if (aub_peer_is_in_own_zone(peers, peer))
+		return OWN_ZONE_DEAD_AFTER_US;
+	return (gint64)(CROSS_ZONE_DEAD_AFTER_PERIODS *
+			peers->cross_zone_period_rounds) *
+	       HEARTBEAT_PERIOD_US;
 }
 
-static bool is_due(const struct aub_peers *peers, const struct aub_peer *peer,
-		   bool all, gint64 now_us)
+static bool is_heartbeat_due(const struct aub_peers *peers,
+			     const struct aub_peer *peer, bool all,
+			     gint64 now_us)
 {
-	gint64 last = MAX(peer->heard_us, peer->known_us);
+	gint64 last = MAX(peer->last_heartbeat_us, peer->added_us);
 
-	if (now_us - last >= SILENT_US)
-		return peers->round % SILENT_EACH == 0;
-	return all || !peer->heard_us || aub_peer_is_near(peers, peer) ||
-	       peers->round % peers->far_rounds == 0;
+	if (now_us - last >= UNRESPONSIVE_AFTER_US)
+		return peers->round % UNRESPONSIVE_PERIOD_ROUNDS == 0;
+	return all || !peer->last_heartbeat_us ||
+	       aub_peer_is_in_own_zone(peers, peer) ||
+	       peers->round % peers->cross_zone_period_rounds == 0;
 }
 
 static GBytes *encode_heartbeat(struct aub_peers *peers, bool reply)
@@ -297,19 +306,21 @@
 /* To those whose turn it is, or to `all` where something has changed. */
 static void send_heartbeats(struct aub_peers *peers, bool all, gint64 now_us)
 {
-	peers->heartbeat->peers = aub_peers_count_found(peers, now_us);
+	peers->heartbeat->peers = aub_peers_count_known(peers, now_us);
 
-	GBytes *asking = encode_heartbeat(peers, true);
-	GBytes *telling = encode_heartbeat(peers, false);
+	GBytes *with_reply = encode_heartbeat(peers, true);
+	GBytes *without_reply = encode_heartbeat(peers, false);
 
-	for (guint i = 1; asking && telling && i < peers->all->len; i++) {
+	for (guint i = 1; with_reply && without_reply && i < peers->all->len;
+	     i++) {
 		struct aub_peer *peer = g_ptr_array_index(peers->all, i);
 
-		if (is_due(peers, peer, all, now_us))
-			send_to(peers, peer, peer->alive ? telling : asking);
+		if (is_heartbeat_due(peers, peer, all, now_us))
+			send_to(peers, peer,
+				peer->alive ? without_reply : with_reply);
 	}
-	g_bytes_unref(asking);
-	g_bytes_unref(telling);
+	g_bytes_unref(with_reply);
+	g_bytes_unref(without_reply);
 }
 
 static void on_round(void *context, gint64 now_us)
@@ -318,15 +329,16 @@
 	guint i = 1;
 
 	peers->round++;
-	peers->far_rounds = far_rounds(peers);
+	peers->cross_zone_period_rounds = cross_zone_period_rounds(peers);
 	while (i < peers->all->len) {
 		struct aub_peer *peer = g_ptr_array_index(peers->all, i);
 
-		if (peer->alive &&
-		    now_us - peer->heard_us > alive_us(peers, peer))
-			lose(peers, peer, now_us);
-		if (now_us - MAX(peer->heard_us, peer->known_us) > FORGET_US)
-			aub_peers_list_remove(peers, i);
+		if (peer->alive && now_us - peer->last_heartbeat_us >
+					   dead_after_us(peers, peer))
+			mark_lost(peers, peer, now_us);
+		if (now_us - MAX(peer->last_heartbeat_us, peer->added_us) >
+		    REMOVE_AFTER_US)
+			aub_peers_table_remove(peers, i);
 		else
 			i++;
 	}
@@ -344,7 +356,7 @@
 {
 	struct aub_peers *peers = context;
 
-	if (aub_peers_count_alive(peers) || !--peers->start_rounds) {
+	if (aub_peers_count_alive(peers) || !--peers->start_rounds_left) {
 		aub_timer_cancel(peers->options.timers, peers->start_timer);
 		peers->start_timer = 0;
 		return;
@@ -353,7 +365,7 @@
 		send_heartbeat(peers, g_ptr_array_index(peers->all, i));
 }
 
-static void self_add(struct aub_peers *peers)
+static void add_self(struct aub_peers *peers)
 {
 	const struct aub_peers_options *options = &peers->options;
 	struct aub_peer *self =
@@ -366,7 +378,7 @@
 	self->incarnation = options->incarnation;
 	self->alive = true;
 	self->self = true;
-	aub_peers_list_add(peers, self);
+	aub_peers_table_add(peers, self);
 	peers->heartbeat =
 		(struct aub_heartbeat *)aub_message_new(AUB_MESSAGE_HEARTBEAT);
 	aub_string_set(&peers->heartbeat->name, options->name);
@@ -389,20 +401,21 @@
 	peers = g_new0(struct aub_peers, 1);
 	peers->options = *options;
 	peers->fd = fd;
-	peers->far_rounds = FAR_ROUNDS;
+	peers->cross_zone_period_rounds = CROSS_ZONE_PERIOD_MIN_ROUNDS;
 	peers->all = g_ptr_array_new_with_free_func(aub_peer_free);
 	peers->by_address = g_hash_table_new(g_str_hash, g_str_equal);
 	peers->by_incarnation = g_hash_table_new(g_int64_hash, g_int64_equal);
 	peers->ranked =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 				      (GDestroyNotify)g_ptr_array_unref);
-	self_add(peers);
+	add_self(peers);
 	peers->watch = aub_poller_add(options->poller, fd, EPOLLIN, on_readable,
 				      peers);
 	peers->timer = aub_timer_every(options->timers, "heartbeats",
-				       HEARTBEAT_US, on_round, peers);
-	peers->start_rounds = START_ROUNDS;
-	peers->start_timer = aub_timer_every(options->timers, "start", START_US,
+				       HEARTBEAT_PERIOD_US, on_round, peers);
+	peers->start_rounds_left = START_HEARTBEAT_ROUNDS;
+	peers->start_timer = aub_timer_every(options->timers, "start",
+					     START_HEARTBEAT_PERIOD_US,
 					     on_start_round, peers);
 	return peers;
 }
@@ -431,7 +444,7 @@
 	if (aub_peers_by_address(peers, address))
 		return;
 	peer = aub_peer_new(address, aub_timer_now(peers->options.timers));
-	aub_peers_list_add(peers, peer);
+	aub_peers_table_add(peers, peer);
 	send_heartbeat(peers, peer);
 }
 
@@ -442,23 +455,23 @@
  * watch for another; the rest hear it from these, or by the next heartbeat of
  * their zone.
  */
-static void tell_zone_and_watchers(struct aub_peers *peers)
+static void notify_zone_and_watchers(struct aub_peers *peers)
 {
 	const GPtrArray *watchers = aub_peers_watchers(peers);
 
 	peers->heartbeat->reply = false;
-	aub_peers_send_zone(peers, &peers->heartbeat->base);
+	aub_peers_send_to_zone(peers, &peers->heartbeat->base);
 	for (guint i = 0; i < watchers->len; i++) {
 		const struct aub_peer *peer = g_ptr_array_index(watchers, i);
 
-		if (!aub_peer_is_near(peers, peer))
+		if (!aub_peer_is_in_own_zone(peers, peer))
 			send_heartbeat(peers, peer);
 	}
 }
 
 /* True where some are other ones than before. */
 static bool set_revisions(struct aub_heartbeat *heartbeat,
-			  const struct aub_peer_state *state)
+			  const struct aub_peers_self_state *state)
 {
 	bool changed = false;
 
@@ -471,32 +484,34 @@
 	return changed;
 }
 
-void aub_peers_set_self(struct aub_peers *peers,
-			const struct aub_peer_state *state)
+void aub_peers_publish_state(struct aub_peers *peers,
+			     const struct aub_peers_self_state *state)
 {
 	struct aub_peer *self = aub_peers_self(peers);
-	bool role_differs = self->ready != state->ready ||
+	bool role_changed = self->ready != state->ready ||
 			    self->stopping != state->stopping ||
-			    self->current != state->current;
-	bool hears_differs = self->hears != state->hears;
+			    self->store_current != state->store_current;
+	bool reachability_changed =
+		self->store_reachable != state->store_reachable;
 	bool changed = set_revisions(peers->heartbeat, state);
 
 	self->ready = state->ready;
 	self->stopping = state->stopping;
-	self->current = state->current;
-	self->hears = state->hears;
+	self->store_current = state->store_current;
+	self->store_reachable = state->store_reachable;
 	peers->heartbeat->ready = state->ready;
 	peers->heartbeat->stopping = state->stopping;
-	peers->heartbeat->current = state->current;
-	peers->heartbeat->hears = state->hears;
+	peers->heartbeat->current = state->store_current;
+	peers->heartbeat->hears = state->store_reachable;
 	peers->heartbeat->config_version = (guint64)state->config_version;
-	if (role_differs || hears_differs)
-		aub_peers_rank_again(peers);
-	if (role_differs)
+	if (role_changed || reachability_changed)
+		aub_peers_invalidate_ranks(peers);
+	if (role_changed)
 		send_heartbeats(peers, true,
 				aub_timer_now(peers->options.timers));
-	else if (hears_differs || (changed && aub_peers_self_watches(peers)))
-		tell_zone_and_watchers(peers);
+	else if (reachability_changed ||
+		 (changed && aub_peers_self_is_watcher(peers)))
+		notify_zone_and_watchers(peers);
 }
 
 const struct aub_peers_counts *aub_peers_get_counts(
--- a/src/coordination/peers_introduction.c
+++ b/src/coordination/peers_introduction.c
@@ -8,17 +8,18 @@
 
 /* IPv4 address and port, in network order. */
 #define ADDRESS_BYTES 6
-#define PORT_AT 4
+#define PORT_OFFSET 4
 
-#define INTRODUCED_US (1 * AUB_SECOND) /* the others have answered by then */
+#define INTRODUCTION_GRACE_US \
+	(1 * AUB_SECOND) /* the others have answered by then */
 
 static void append_address(GByteArray *packed,
 			   const struct sockaddr_in *address)
 {
 	g_byte_array_append(packed, (const guint8 *)&address->sin_addr.s_addr,
-			    PORT_AT);
+			    PORT_OFFSET);
 	g_byte_array_append(packed, (const guint8 *)&address->sin_port,
-			    ADDRESS_BYTES - PORT_AT);
+			    ADDRESS_BYTES - PORT_OFFSET);
 }
 
 /* "ip:port"; g_free. */
@@ -28,7 +29,7 @@
 	guint16 port;
 
 	inet_ntop(AF_INET, packed, host, sizeof(host));
-	memcpy(&port, packed + PORT_AT, sizeof(port));
+	memcpy(&port, packed + PORT_OFFSET, sizeof(port));
 	return g_strdup_printf("%s:%u", host, ntohs(port));
 }
 
@@ -59,12 +60,12 @@
 	g_byte_array_unref(packed);
 }
 
-bool aub_peers_take_introduction(struct aub_peers *peers,
-				 const struct aub_introduction *message)
+bool aub_peers_apply_introduction(struct aub_peers *peers,
+				  const struct aub_introduction *message)
 {
 	if (message->addresses.length % ADDRESS_BYTES)
 		return false;
-	peers->introduced_us = aub_timer_now(peers->options.timers);
+	peers->last_introduction_us = aub_timer_now(peers->options.timers);
 	/* At once: the heartbeats that follow must not ask for another one. */
 	peers->heartbeat->peers = MAX(peers->heartbeat->peers, 1);
 	for (gsize i = 0; i < message->addresses.length; i += ADDRESS_BYTES) {
@@ -81,10 +82,10 @@
  * it knows nobody yet. Symptom: all of them introduce it. Enough: whoever was
  * just introduced says that it has found them.
  */
-guint aub_peers_count_found(const struct aub_peers *peers, gint64 now_us)
+guint aub_peers_count_known(const struct aub_peers *peers, gint64 now_us)
 {
-	if (peers->introduced_us &&
-	    now_us - peers->introduced_us < INTRODUCED_US)
+	if (peers->last_introduction_us &&
+	    now_us - peers->last_introduction_us < INTRODUCTION_GRACE_US)
 		return peers->all->len - 1;
 	return aub_peers_count_alive(peers);
 }
--- a/src/coordination/peers_rank.c
+++ b/src/coordination/peers_rank.c
@@ -15,21 +15,21 @@
  * a change is late everywhere. Enough: two a zone, and another begins as soon
  * as one says that it does not hear.
  */
-#define WATCHERS 2
+#define WATCHERS_PER_ZONE 2
 
-bool aub_peer_is_near(const struct aub_peers *peers,
-		      const struct aub_peer *peer)
+bool aub_peer_is_in_own_zone(const struct aub_peers *peers,
+			     const struct aub_peer *peer)
 {
 	return !strcmp(peer->zone, aub_peers_self(peers)->zone);
 }
 
-void aub_peers_rank_again(struct aub_peers *peers)
+void aub_peers_invalidate_ranks(struct aub_peers *peers)
 {
 	g_hash_table_remove_all(peers->ranked);
 	g_clear_pointer(&peers->watchers, g_ptr_array_unref);
 }
 
-void aub_peer_forget_ranks(struct aub_peer *peer)
+void aub_peer_clear_rank_keys(struct aub_peer *peer)
 {
 	g_hash_table_remove_all(peer->rank_keys);
 }
@@ -64,15 +64,15 @@
 static guint64 rank_key(struct aub_peers *peers, struct aub_peer *peer,
 			const char *service)
 {
-	guint64 *known = g_hash_table_lookup(peer->rank_keys, service);
-
-	if (known)
-		return *known;
-	known = g_new(guint64, 1);
-	*known = rank_hash(service, peer->name);
-	peers->rank_hashes++;
-	g_hash_table_insert(peer->rank_keys, g_strdup(service), known);
-	return *known;
+	guint64 *cached = g_hash_table_lookup(peer->rank_keys, service);
+
+	if (cached)
+		return *cached;
+	cached = g_new(guint64, 1);
+	*cached = rank_hash(service, peer->name);
+	peers->rank_hashes_computed++;
+	g_hash_table_insert(peer->rank_keys, g_strdup(service), cached);
+	return *cached;
 }
 
 /* VMs of one class differ by less than a factor of two. */
@@ -90,15 +90,15 @@
  * take its processor, and asks time out. Enough: VMs that have more of it go
  * first.
  */
-static gint by_key(gconstpointer a, gconstpointer b)
+static gint compare_ranked_peers(gconstpointer a, gconstpointer b)
 {
 	const struct ranked_peer *left = a;
 	const struct ranked_peer *right = b;
 	guint left_class = capacity_class(left->peer);
 	guint right_class = capacity_class(right->peer);
 
-	if (left->peer->current != right->peer->current)
-		return left->peer->current ? -1 : 1;
+	if (left->peer->store_current != right->peer->store_current)
+		return left->peer->store_current ? -1 : 1;
 	if (left_class != right_class)
 		return left_class > right_class ? -1 : 1;
 	return left->key < right->key ? -1 : left->key > right->key;
@@ -118,7 +118,7 @@
 		ranked.key = rank_key(peers, peer, service);
 		g_array_append_val(list, ranked);
 	}
-	g_array_sort(list, by_key);
+	g_array_sort(list, compare_ranked_peers);
 	for (guint i = 0; i < list->len; i++)
 		g_ptr_array_add(
 			result,
@@ -138,8 +138,9 @@
 	return list;
 }
 
-GPtrArray *aub_peers_first_of_zones(const GPtrArray *ranked, guint most,
-				    bool (*is_fit)(const struct aub_peer *peer))
+GPtrArray *aub_peers_top_of_each_zone(
+	const GPtrArray *ranked, guint per_zone_max,
+	bool (*is_eligible)(const struct aub_peer *peer))
 {
 	GHashTable *counts = g_hash_table_new(g_str_hash, g_str_equal);
 	GPtrArray *first = g_ptr_array_new();
@@ -149,7 +150,8 @@
 		guint before = GPOINTER_TO_UINT(
 			g_hash_table_lookup(counts, peer->zone));
 
-		if (before >= most || (is_fit && !is_fit(peer)))
+		if (before >= per_zone_max ||
+		    (is_eligible && !is_eligible(peer)))
 			continue;
 		g_hash_table_insert(counts, peer->zone,
 				    GUINT_TO_POINTER(before + 1));
@@ -159,16 +161,16 @@
 	return first;
 }
 
-static bool hears_store(const struct aub_peer *peer)
+static bool reaches_store(const struct aub_peer *peer)
 {
-	return peer->hears;
+	return peer->store_reachable;
 }
 
 /* The first of each zone that hear the store; of this process's, also it. */
 static GPtrArray *find_watchers(struct aub_peers *peers)
 {
-	return aub_peers_first_of_zones(aub_peers_ranked(peers, WATCH_ROLE),
-					WATCHERS, hears_store);
+	return aub_peers_top_of_each_zone(aub_peers_ranked(peers, WATCH_ROLE),
+					  WATCHERS_PER_ZONE, reaches_store);
 }
 
 const GPtrArray *aub_peers_watchers(struct aub_peers *peers)
@@ -181,23 +183,26 @@
 enum aub_watch_duty aub_peers_watch_duty(struct aub_peers *peers)
 {
 	const GPtrArray *watchers = aub_peers_watchers(peers);
-	guint near = 0;
+	guint own_zone_watchers = 0;
 
-	if (!aub_peers_self(peers)->hears)
-		return AUB_WATCH_FIRST; /* to find out when the store is back */
+	if (!aub_peers_self(peers)->store_reachable)
+		return AUB_WATCH_PRIMARY; /* to find out when the store is back
+					   */
 	for (guint i = 0; i < watchers->len; i++) {
 		const struct aub_peer *peer = g_ptr_array_index(watchers, i);
 
 		if (peer->self)
-			return near ? AUB_WATCH_STANDBY : AUB_WATCH_FIRST;
-		near += aub_peer_is_near(peers, peer);
+			return own_zone_watchers ? AUB_WATCH_STANDBY :
+						   AUB_WATCH_PRIMARY;
+		own_zone_watchers += aub_peer_is_in_own_zone(peers, peer);
 	}
-	if (!near)
-		return AUB_WATCH_FIRST;
-	return near < WATCHERS ? AUB_WATCH_STANDBY : AUB_WATCH_NONE;
+	if (!own_zone_watchers)
+		return AUB_WATCH_PRIMARY;
+	return own_zone_watchers < WATCHERS_PER_ZONE ? AUB_WATCH_STANDBY :
+						       AUB_WATCH_NONE;
 }
 
-bool aub_peers_self_watches(struct aub_peers *peers)
+bool aub_peers_self_is_watcher(struct aub_peers *peers)
 {
 	return aub_peers_watch_duty(peers) != AUB_WATCH_NONE;
 }
--- a/src/coordination/peers_table.c
+++ b/src/coordination/peers_table.c
@@ -25,7 +25,7 @@
 	peer->callers_address = g_strdup("");
 	peer->address = g_strdup(address);
 	aub_socket_address(address, &peer->socket_address);
-	peer->known_us = now_us;
+	peer->added_us = now_us;
 	peer->rank_keys =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return peer;
@@ -43,7 +43,7 @@
 	return g_hash_table_lookup(peers->by_incarnation, &incarnation);
 }
 
-void aub_peers_list_add(struct aub_peers *peers, struct aub_peer *peer)
+void aub_peers_table_add(struct aub_peers *peers, struct aub_peer *peer)
 {
 	g_ptr_array_add(peers->all, peer);
 	g_hash_table_insert(peers->by_address, peer->address, peer);
@@ -52,7 +52,7 @@
 				    peer);
 }
 
-void aub_peers_list_remove(struct aub_peers *peers, guint index)
+void aub_peers_table_remove(struct aub_peers *peers, guint index)
 {
 	struct aub_peer *peer = g_ptr_array_index(peers->all, index);
 
--- a/src/coordination/placer.c
+++ b/src/coordination/placer.c
@@ -5,8 +5,9 @@
 
 #include <string.h>
 
-#define TICK_US (10 * AUB_MS) /* how late a queue's head may be looked at */
-#define ROUND_US (1000 * AUB_MS) /* what a lost report costs at most */
+#define TICK_PERIOD_US \
+	(10 * AUB_MS) /* how late a queue's head may be looked at */
+#define ROUND_PERIOD_US (1000 * AUB_MS) /* what a lost report costs at most */
 
 /*
  * Failure: many gateways start at once, and each places for itself until it
@@ -16,64 +17,68 @@
  * it waits for as long as first heartbeats take to come back, which is longer
  * the more gateways there are: small VMs are slow to hear many.
  */
-#define SETTLE_ALONE_US (250 * AUB_MS) /* while it has heard nobody */
-#define SETTLE_US (100 * AUB_MS)
-#define SETTLE_EACH_US 1500 /* and so much for each gateway known of */
-#define SETTLE_QUIET_US (60 * AUB_MS)
-#define SETTLE_QUIET_EACH_US 1000
-#define SETTLE_QUIET_MET_US (100 * AUB_MS) /* at most, once most are met */
-#define SETTLE_MOST_US (1000 * AUB_MS)
-#define MET_PERCENT 90
-
-bool aub_placer_is_settled(const struct aub_placer *placer)
+#define STARTUP_ISOLATED_US (250 * AUB_MS) /* while it has heard nobody */
+#define STARTUP_MIN_US (100 * AUB_MS)
+#define STARTUP_PER_PEER_US 1500 /* and so much for each gateway known of */
+#define STARTUP_QUIET_US (60 * AUB_MS)
+#define STARTUP_QUIET_PER_PEER_US 1000
+#define STARTUP_QUIET_CONNECTED_MAX_US \
+	(100 * AUB_MS) /* at most, once most are met */
+#define STARTUP_MAX_US (1000 * AUB_MS)
+#define CONNECTED_PERCENT 90
+
+bool aub_placer_startup_is_over(const struct aub_placer *placer)
 {
-	return placer->settled;
+	return placer->startup_over;
 }
 
 /* Have nearly all others that are known of been heard? */
-static bool has_met_most(const struct aub_placer *placer)
+static bool most_peers_are_alive(const struct aub_placer *placer)
 {
 	guint known = aub_peers_all(placer->options.peers)->len - 1;
 
 	return 100 * aub_peers_count_alive(placer->options.peers) >=
-	       MET_PERCENT * known;
+	       CONNECTED_PERCENT * known;
 }
 
-bool aub_placer_hears(const struct aub_placer *placer, gint64 now_us)
+bool aub_placer_heartbeats_are_due(const struct aub_placer *placer,
+				   gint64 now_us)
 {
 	guint known = aub_peers_all(placer->options.peers)->len;
-	gint64 age_us = now_us - placer->since_us;
+	gint64 age_us = now_us - placer->start_us;
 
 	if (!aub_peers_count_alive(placer->options.peers))
-		return age_us >= SETTLE_ALONE_US;
-	if (has_met_most(placer))
-		return age_us >= SETTLE_US;
-	return age_us >= SETTLE_US + (gint64)known * SETTLE_EACH_US;
+		return age_us >= STARTUP_ISOLATED_US;
+	if (most_peers_are_alive(placer))
+		return age_us >= STARTUP_MIN_US;
+	return age_us >= STARTUP_MIN_US + (gint64)known * STARTUP_PER_PEER_US;
 }
 
-static bool has_heard_all(const struct aub_placer *placer, gint64 now_us)
+static bool startup_conditions_met(const struct aub_placer *placer,
+				   gint64 now_us)
 {
-	gint64 joined_us = aub_peers_joined_us(placer->options.peers);
-	gint64 age_us = now_us - placer->since_us;
+	gint64 last_join_us = aub_peers_last_join_us(placer->options.peers);
+	gint64 age_us = now_us - placer->start_us;
 	guint known = aub_peers_all(placer->options.peers)->len;
 	gint64 quiet_us =
-		SETTLE_QUIET_US + (gint64)known * SETTLE_QUIET_EACH_US;
+		STARTUP_QUIET_US + (gint64)known * STARTUP_QUIET_PER_PEER_US;
 
-	if (has_met_most(placer))
-		quiet_us = MIN(quiet_us, SETTLE_QUIET_MET_US);
-	return age_us >= SETTLE_MOST_US || (aub_placer_hears(placer, now_us) &&
-					    now_us - joined_us >= quiet_us);
+	if (most_peers_are_alive(placer))
+		quiet_us = MIN(quiet_us, STARTUP_QUIET_CONNECTED_MAX_US);
+	return age_us >= STARTUP_MAX_US ||
+	       (aub_placer_heartbeats_are_due(placer, now_us) &&
+		now_us - last_join_us >= quiet_us);
 }
 
-void aub_placer_on_settle_check(void *context, gint64 now_us)
+void aub_placer_on_startup_check(void *context, gint64 now_us)
 {
 	struct aub_placer *placer = context;
 
-	if (!has_heard_all(placer, now_us))
+	if (!startup_conditions_met(placer, now_us))
 		return;
-	aub_timer_cancel(placer->options.timers, placer->settle_timer);
-	placer->settle_timer = 0;
-	placer->settled = true;
+	aub_timer_cancel(placer->options.timers, placer->startup_timer);
+	placer->startup_timer = 0;
+	placer->startup_over = true;
 	aub_placer_on_round(placer, now_us);
 }
 
@@ -88,7 +93,7 @@
 	if (placement)
 		return placement;
 	placement = aub_placement_new(service, &placer->options.limits);
-	g_hash_table_iter_init(&iter, placer->zones_out);
+	g_hash_table_iter_init(&iter, placer->evacuated_zones);
 	while (g_hash_table_iter_next(&iter, &zone, NULL))
 		aub_placement_zone_out(placement, zone, true, 0);
 	aub_placement_take_orders(placement, &placer->options.rollouts);
@@ -100,8 +105,8 @@
 	return placement;
 }
 
-void aub_placer_drain(struct aub_placer *placer,
-		      struct aub_placement *placement)
+void aub_placer_drain_queue(struct aub_placer *placer,
+			    struct aub_placement *placement)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_decision decision;
@@ -110,7 +115,7 @@
 		aub_placer_deliver(placer, &decision);
 }
 
-static bool queues_drain(struct aub_placer *placer)
+static bool drain_queues(struct aub_placer *placer)
 {
 	GHashTableIter iter;
 	void *placement;
@@ -120,7 +125,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &placement)) {
 		if (!aub_placement_queued(placement))
 			continue;
-		aub_placer_drain(placer, placement);
+		aub_placer_drain_queue(placer, placement);
 		queued = queued || aub_placement_queued(placement);
 	}
 	return queued;
@@ -133,7 +138,7 @@
 
 	g_hash_table_iter_init(&iter, placer->tickets);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (((struct aub_ticket *)value)->placed)
+		if (((struct aub_ticket *)value)->callback)
 			return true;
 	return false;
 }
@@ -142,20 +147,21 @@
 {
 	struct aub_placer *placer = context;
 
-	placer->tick = 0;
-	aub_tickets_due(placer, now_us);
-	if (queues_drain(placer) || has_waiting_ticket(placer))
-		aub_placer_arm(placer);
+	placer->tick_timer = 0;
+	aub_tickets_process_due(placer, now_us);
+	if (drain_queues(placer) || has_waiting_ticket(placer))
+		aub_placer_arm_tick(placer);
 }
 
-void aub_placer_arm(struct aub_placer *placer)
+void aub_placer_arm_tick(struct aub_placer *placer)
 {
 	struct aub_timer_service *timers = placer->options.timers;
 
-	if (!placer->tick)
-		placer->tick = aub_timer_at(timers, "placer",
-					    aub_timer_now(timers) + TICK_US,
-					    on_tick, placer);
+	if (!placer->tick_timer)
+		placer->tick_timer =
+			aub_timer_at(timers, "placer",
+				     aub_timer_now(timers) + TICK_PERIOD_US,
+				     on_tick, placer);
 }
 
 void aub_placer_configure(struct aub_placer *placer,
@@ -173,35 +179,37 @@
 			spec);
 }
 
-void aub_placer_upstream(struct aub_placer *placer, const char *id,
-			 const struct aub_upstream_record *record)
+void aub_placer_update_upstream(struct aub_placer *placer, const char *id,
+				const struct aub_upstream_record *record)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	const char *before = g_hash_table_lookup(placer->service_of, id);
+	const char *before =
+		g_hash_table_lookup(placer->service_by_upstream, id);
 
 	if (before && (!record || strcmp(before, record->service) != 0))
 		aub_placement_register(aub_placer_placement(placer, before), id,
 				       NULL, now);
 	if (!record) {
-		g_hash_table_remove(placer->service_of, id);
+		g_hash_table_remove(placer->service_by_upstream, id);
 		return;
 	}
-	g_hash_table_insert(placer->service_of, g_strdup(id),
+	g_hash_table_insert(placer->service_by_upstream, g_strdup(id),
 			    g_strdup(record->service));
 	aub_placement_register(aub_placer_placement(placer, record->service),
 			       id, record, now);
 }
 
-void aub_placer_zone_out(struct aub_placer *placer, const char *zone, bool out)
+void aub_placer_set_zone_out(struct aub_placer *placer, const char *zone,
+			     bool out)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	GHashTableIter iter;
 	void *placement;
 
 	if (out)
-		g_hash_table_add(placer->zones_out, g_strdup(zone));
+		g_hash_table_add(placer->evacuated_zones, g_strdup(zone));
 	else
-		g_hash_table_remove(placer->zones_out, zone);
+		g_hash_table_remove(placer->evacuated_zones, zone);
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &placement))
 		aub_placement_zone_out(placement, zone, out, now);
@@ -213,26 +221,29 @@
 
 	placer->options = *options;
 	placer->zone = g_strdup(options->zone);
-	placer->since_us = aub_timer_now(options->timers);
+	placer->start_us = aub_timer_now(options->timers);
 	placer->placements =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 				      (GDestroyNotify)aub_placement_free);
-	placer->service_of =
+	placer->service_by_upstream =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	placer->zones_out =
+	placer->evacuated_zones =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	placer->tickets = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						NULL, aub_ticket_free);
-	placer->active = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					       aub_active_free);
-	placer->outstanding_told =
+	placer->probed_services =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+				      aub_probed_service_free);
+	placer->outstanding_reported =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	placer->probes = g_ptr_array_new();
-	placer->settle_timer =
-		aub_timer_every(options->timers, "settle", AUB_SETTLE_CHECK_US,
-				aub_placer_on_settle_check, placer);
-	placer->round = aub_timer_every(options->timers, "placer round",
-					ROUND_US, aub_placer_on_round, placer);
+	placer->startup_timer =
+		aub_timer_every(options->timers, "settle",
+				AUB_STARTUP_CHECK_PERIOD_US,
+				aub_placer_on_startup_check, placer);
+	placer->round_timer =
+		aub_timer_every(options->timers, "placer round",
+				ROUND_PERIOD_US, aub_placer_on_round, placer);
 	return placer;
 }
 
@@ -240,18 +251,18 @@
 {
 	if (!placer)
 		return;
-	aub_timer_cancel(placer->options.timers, placer->tick);
-	aub_timer_cancel(placer->options.timers, placer->settle_timer);
-	aub_timer_cancel(placer->options.timers, placer->round);
+	aub_timer_cancel(placer->options.timers, placer->tick_timer);
+	aub_timer_cancel(placer->options.timers, placer->startup_timer);
+	aub_timer_cancel(placer->options.timers, placer->round_timer);
 	aub_timer_cancel(placer->options.timers, placer->rollout_timer);
 	aub_timer_cancel(placer->options.timers, placer->probe_timer);
-	aub_timer_cancel(placer->options.timers, placer->tell_timer);
-	aub_placer_probes_stop(placer);
+	aub_timer_cancel(placer->options.timers, placer->report_timer);
+	aub_placer_stop_probes(placer);
 	g_hash_table_unref(placer->tickets);
 	g_hash_table_unref(placer->placements);
-	g_hash_table_unref(placer->service_of);
-	g_hash_table_unref(placer->zones_out);
-	g_hash_table_unref(placer->active);
+	g_hash_table_unref(placer->service_by_upstream);
+	g_hash_table_unref(placer->evacuated_zones);
+	g_hash_table_unref(placer->probed_services);
 	g_free(placer->zone);
 	g_free(placer);
 }
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -4,7 +4,7 @@
  */
 #include <auburnstile/internal/placer_parts.h>
 
-struct aub_load_told aub_load_tell(const struct aub_load *load)
+struct aub_load_told aub_load_encode(const struct aub_load *load)
 {
 	return (struct aub_load_told){
 		.running = (guint32)(load->running + 1),
@@ -15,14 +15,14 @@
 	};
 }
 
-struct aub_load aub_load_of(const struct aub_load_told *told)
+struct aub_load aub_load_decode(const struct aub_load_told *encoded)
 {
 	return (struct aub_load){
-		.running = (gint)told->running - 1,
-		.waiting = (gint)told->waiting - 1,
-		.slots = (gint)told->slots - 1,
-		.slowdown = (gint)told->slowdown - 1,
-		.warmup_ms = (gint)told->warmup_ms - 1,
+		.running = (gint)encoded->running - 1,
+		.waiting = (gint)encoded->waiting - 1,
+		.slots = (gint)encoded->slots - 1,
+		.slowdown = (gint)encoded->slowdown - 1,
+		.warmup_ms = (gint)encoded->warmup_ms - 1,
 	};
 }
 
@@ -60,9 +60,9 @@
 		return;
 	}
 	ticket = g_hash_table_lookup(placer->tickets, &decision->ticket);
-	if (ticket && ticket->placed)
-		aub_ticket_settle(placer, ticket, decision,
-				  placer->options.incarnation);
+	if (ticket && ticket->callback)
+		aub_ticket_resolve(placer, ticket, decision,
+				   placer->options.incarnation);
 }
 
 /*
@@ -75,17 +75,19 @@
 			const struct aub_peer *holder,
 			struct aub_place_ask *message)
 {
-	struct aub_peer *better = NULL;
+	struct aub_peer *first_ranked = NULL;
 
 	if (message->forward)
-		better = aub_placer_of(placer, message->service,
-				       aub_timer_now(placer->options.timers));
-	if (!better || better == holder)
+		first_ranked =
+			aub_placer_peer_for(placer, message->service,
+					    aub_timer_now(
+						    placer->options.timers));
+	if (!first_ranked || first_ranked == holder)
 		return false;
 	message->forward = false;
 	aub_string_set(&message->address, holder->address);
 	placer->counts.forwarded++;
-	aub_peers_send(placer->options.peers, better, &message->base);
+	aub_peers_send(placer->options.peers, first_ranked, &message->base);
 	return true;
 }
 
@@ -129,13 +131,13 @@
 					       ->name);
 	ask.avoid = (const char *const *)avoid->pdata;
 	ask.avoid_count = avoid->len;
-	aub_placer_wake_service(placer, message->service);
+	aub_placer_probe_service(placer, message->service);
 	aub_placement_ask(placement, &ask,
 			  aub_timer_now(placer->options.timers), &decision);
 	placer->counts.placed_here++;
 	send_decision(placer, &decision);
 	if (decision.verdict == AUB_VERDICT_QUEUED)
-		aub_placer_arm(placer);
+		aub_placer_arm_tick(placer);
 	g_ptr_array_unref(avoid);
 }
 
@@ -158,13 +160,13 @@
 }
 
 /* The next suspicion of whoever answers is a short one again. */
-static void answered(struct aub_placer *placer, guint64 incarnation)
+static void clear_suspicion(struct aub_placer *placer, guint64 incarnation)
 {
 	struct aub_peer *peer =
 		aub_peers_by_incarnation(placer->options.peers, incarnation);
 
 	if (peer)
-		peer->suspect_us = 0;
+		peer->suspicion_us = 0;
 }
 
 static void take_decision(struct aub_placer *placer,
@@ -182,25 +184,25 @@
 
 	if (message->verdict > AUB_VERDICT_NO_BUDGET)
 		return;
-	if (!ticket || !ticket->placed || ticket->local ||
-	    (ticket->placer != message->placer && !ticket->forwardable)) {
+	if (!ticket || !ticket->callback || ticket->placed_locally ||
+	    (ticket->asked_placer != message->placer && !ticket->forwardable)) {
 		bool same = ticket && ticket->granted_by == message->placer;
 
 		if (decision.verdict == AUB_VERDICT_GRANTED && !same)
 			return_grant(placer, message);
 		return;
 	}
-	ticket->placer = message->placer;
+	ticket->asked_placer = message->placer;
 	ticket->forwardable = false;
-	answered(placer, message->placer);
+	clear_suspicion(placer, message->placer);
 	if (decision.verdict == AUB_VERDICT_QUEUED) {
 		ticket->queued = true;
-		ticket->next_us = ticket->sent_us +
-				  ticket->ask.patience_ms * AUB_MS +
-				  AUB_QUEUED_SLACK_US;
+		ticket->next_action_us = ticket->sent_us +
+					 ticket->ask.patience_ms * AUB_MS +
+					 AUB_DECISION_DELIVERY_SLACK_US;
 		return;
 	}
-	aub_ticket_settle(placer, ticket, &decision, message->placer);
+	aub_ticket_resolve(placer, ticket, &decision, message->placer);
 }
 
 static void take_remote_report(struct aub_placer *placer,
@@ -210,7 +212,7 @@
 		.ticket = message->ticket,
 		.end = (enum aub_attempt_end)message->end,
 		.elapsed_us = (gint64)message->elapsed_us,
-		.load = aub_load_of(&message->load),
+		.load = aub_load_decode(&message->load),
 	};
 	GHashTableIter iter;
 	void *placement;
@@ -218,7 +220,7 @@
 	if (message->end > AUB_END_UNUSED)
 		return;
 	if (message->service[0]) {
-		aub_placer_take_report(placer, message->service, &report);
+		aub_placer_apply_report(placer, message->service, &report);
 		return;
 	}
 	g_hash_table_iter_init(&iter, placer->placements);
@@ -227,7 +229,8 @@
 				     aub_timer_now(placer->options.timers));
 }
 
-void aub_placer_message(struct aub_placer *placer, struct aub_message *message)
+void aub_placer_handle_message(struct aub_placer *placer,
+			       struct aub_message *message)
 {
 	switch (message->type) {
 	case AUB_MESSAGE_PLACE_ASK:
@@ -240,20 +243,20 @@
 		take_remote_report(placer, (struct aub_place_report *)message);
 		break;
 	case AUB_MESSAGE_PLACE_OUTSTANDING:
-		aub_placer_take_outstanding(
+		aub_placer_apply_outstanding(
 			placer, (struct aub_place_outstanding *)message);
 		break;
 	case AUB_MESSAGE_PLACE_PROBED:
-		aub_placer_take_probed(placer,
-				       (struct aub_place_probed *)message);
+		aub_placer_apply_probe_results(
+			placer, (struct aub_place_probed *)message);
 		break;
 	case AUB_MESSAGE_PLACE_HEALTH:
-		aub_placer_take_health(placer,
-				       (struct aub_place_health *)message);
+		aub_placer_apply_health(placer,
+					(struct aub_place_health *)message);
 		break;
 	case AUB_MESSAGE_PLACE_ROLLOUT:
-		aub_placer_take_rollout(placer,
-					(struct aub_place_rollout *)message);
+		aub_placer_apply_rollout(placer,
+					 (struct aub_place_rollout *)message);
 		break;
 	default:
 		break;
@@ -261,7 +264,7 @@
 	aub_message_free(message);
 }
 
-void aub_placer_peer_lost(struct aub_placer *placer, guint64 incarnation)
+void aub_placer_on_peer_lost(struct aub_placer *placer, guint64 incarnation)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	GHashTableIter iter;
@@ -274,7 +277,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct aub_ticket *ticket = value;
 
-		if (ticket->placed && ticket->placer == incarnation)
-			ticket->next_us = now;
+		if (ticket->callback && ticket->asked_placer == incarnation)
+			ticket->next_action_us = now;
 	}
 }
--- a/src/coordination/placer_round.c
+++ b/src/coordination/placer_periodic.c
@@ -8,11 +8,12 @@
 
 #include <string.h>
 
-#define HEALTH_ROWS_MOST 512 /* upstreams of a service in one datagram */
-#define RELAYS 2 /* of each other zone are told; the first passes it on */
+#define HEALTH_ROWS_MAX 512 /* upstreams of a service in one datagram */
+#define RELAYS_PER_ZONE \
+	2 /* of each other zone are told; the first passes it on */
 
-struct aub_peer *aub_placer_of(struct aub_placer *placer, const char *service,
-			       gint64 now_us)
+struct aub_peer *aub_placer_peer_for(struct aub_placer *placer,
+				     const char *service, gint64 now_us)
 {
 	const GPtrArray *ranked =
 		aub_peers_ranked(placer->options.peers, service);
@@ -22,14 +23,14 @@
 
 		if (peer->self)
 			return NULL;
-		if (peer->suspect_until_us <= now_us)
+		if (peer->suspected_until_us <= now_us)
 			return peer;
 	}
 	return NULL;
 }
 
-static struct aub_place_outstanding *outstanding_of(struct aub_placer *placer,
-						    const char *service)
+static struct aub_place_outstanding *build_outstanding(
+	struct aub_placer *placer, const char *service)
 {
 	struct aub_place_outstanding *message =
 		(struct aub_place_outstanding *)aub_message_new(
@@ -42,15 +43,15 @@
 	g_hash_table_iter_init(&iter, placer->tickets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct aub_ticket *ticket = value;
-		struct aub_outstanding *held;
+		struct aub_outstanding *grant;
 
 		if (!ticket->upstream || strcmp(ticket->service, service) != 0)
 			continue;
-		held = aub_outstanding_new();
-		held->ticket = ticket->id;
-		held->target_ms = ticket->ask.target_ms;
-		aub_string_set(&held->upstream, ticket->upstream);
-		g_ptr_array_add(message->grants, held);
+		grant = aub_outstanding_new();
+		grant->ticket = ticket->id;
+		grant->target_ms = ticket->ask.target_ms;
+		aub_string_set(&grant->upstream, ticket->upstream);
+		g_ptr_array_add(message->grants, grant);
 	}
 	return message;
 }
@@ -59,18 +60,20 @@
 static void send_outstanding(struct aub_placer *placer, const char *service,
 			     gint64 now_us)
 {
-	struct aub_peer *peer = aub_placer_of(placer, service, now_us);
+	struct aub_peer *peer = aub_placer_peer_for(placer, service, now_us);
 	struct aub_place_outstanding *message;
-	bool told = g_hash_table_contains(placer->outstanding_told, service);
+	bool reported =
+		g_hash_table_contains(placer->outstanding_reported, service);
 
 	if (!peer)
 		return;
-	message = outstanding_of(placer, service);
+	message = build_outstanding(placer, service);
 	if (message->grants->len)
-		g_hash_table_add(placer->outstanding_told, g_strdup(service));
+		g_hash_table_add(placer->outstanding_reported,
+				 g_strdup(service));
 	else
-		g_hash_table_remove(placer->outstanding_told, service);
-	if (message->grants->len || told)
+		g_hash_table_remove(placer->outstanding_reported, service);
+	if (message->grants->len || reported)
 		aub_peers_send(placer->options.peers, peer, &message->base);
 	aub_message_free(&message->base);
 }
@@ -81,16 +84,16 @@
  * grow with the fleet. Enough: its own zone is told, and the first of each
  * other zone, which tell theirs.
  */
-void aub_placer_tell_zones(struct aub_placer *placer, const char *service,
-			   struct aub_message *message, bool *relay)
+void aub_placer_send_to_zones(struct aub_placer *placer, const char *service,
+			      struct aub_message *message, bool *relay)
 {
 	struct aub_peers *peers = placer->options.peers;
 	GPtrArray *relays =
-		aub_peers_first_of_zones(aub_peers_ranked(peers, service),
-					 RELAYS, NULL);
+		aub_peers_top_of_each_zone(aub_peers_ranked(peers, service),
+					   RELAYS_PER_ZONE, NULL);
 
 	*relay = false;
-	aub_peers_send_zone(peers, message);
+	aub_peers_send_to_zone(peers, message);
 	*relay = true;
 	for (guint i = 0; i < relays->len; i++) {
 		const struct aub_peer *peer = g_ptr_array_index(relays, i);
@@ -104,10 +107,10 @@
 static void send_health(struct aub_placer *placer, const char *service,
 			gint64 now_us)
 {
-	struct aub_upstream_health list[HEALTH_ROWS_MOST];
+	struct aub_upstream_health list[HEALTH_ROWS_MAX];
 	struct aub_placement *placement = aub_placer_placement(placer, service);
 	guint count = aub_placement_list_health(placement, list,
-						HEALTH_ROWS_MOST, now_us);
+						HEALTH_ROWS_MAX, now_us);
 	struct aub_place_health *message;
 
 	message = (struct aub_place_health *)aub_message_new(
@@ -124,7 +127,8 @@
 		health->slowdown = list[i].slowdown;
 		g_ptr_array_add(message->rows, health);
 	}
-	aub_placer_tell_zones(placer, service, &message->base, &message->relay);
+	aub_placer_send_to_zones(placer, service, &message->base,
+				 &message->relay);
 	aub_message_free(&message->base);
 }
 
@@ -133,16 +137,17 @@
 			 gint64 now_us)
 {
 	struct aub_placement_state state;
-	struct aub_active *active =
-		g_hash_table_lookup(placer->active, service);
+	struct aub_probed_service *active =
+		g_hash_table_lookup(placer->probed_services, service);
 
 	aub_placement_get_state(aub_placer_placement(placer, service), now_us,
 				&state);
-	if (!active || state.refused == active->refused)
+	if (!active || state.refused == active->refused_logged)
 		return;
 	aub_log_begin(AUB_LOG_PLACEMENT);
 	aub_log_text("service", service);
-	aub_log_number("refused", (gint64)(state.refused - active->refused));
+	aub_log_number("refused",
+		       (gint64)(state.refused - active->refused_logged));
 	aub_log_number("queued", state.queued);
 	aub_log_number("granted", state.granted);
 	aub_log_number("up", state.up);
@@ -154,14 +159,15 @@
 	aub_log_number("slowdown_percent", state.slowdown_percent);
 	aub_log_number("burst_ms", state.burst_ms);
 	aub_log_end();
-	active->refused = state.refused;
+	active->refused_logged = state.refused;
 }
 
 /*
  * The first of each zone probes its upstreams, and passes on what the placer
  * says of all: few bytes cross zones.
  */
-bool aub_placer_is_first_of_zone(struct aub_placer *placer, const char *service)
+bool aub_placer_ranks_first_in_zone(struct aub_placer *placer,
+				    const char *service)
 {
 	const GPtrArray *ranked =
 		aub_peers_ranked(placer->options.peers, service);
@@ -182,7 +188,7 @@
 	void *key;
 	void *placement;
 
-	if (!aub_placer_is_settled(placer))
+	if (!aub_placer_startup_is_over(placer))
 		return;
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, &key, &placement)) {
@@ -190,23 +196,23 @@
 
 		aub_placement_admit(placement, now_us);
 
-		if (aub_placer_of(placer, service, now_us)) {
+		if (aub_placer_peer_for(placer, service, now_us)) {
 			send_outstanding(placer, service, now_us);
-			if (aub_placer_is_first_of_zone(placer, service))
-				aub_placer_wake_near(placer, service);
+			if (aub_placer_ranks_first_in_zone(placer, service))
+				aub_placer_probe_own_zone(placer, service);
 			continue;
 		}
 		if (!aub_peers_self(placer->options.peers)->ready)
 			continue;
-		aub_placer_wake_service(placer, service);
+		aub_placer_probe_service(placer, service);
 		send_health(placer, service, now_us);
-		aub_placer_round_rollout(placer, service);
+		aub_placer_refresh_rollout(placer, service);
 		log_refusals(placer, service, now_us);
 	}
 }
 
-void aub_placer_take_outstanding(struct aub_placer *placer,
-				 const struct aub_place_outstanding *message)
+void aub_placer_apply_outstanding(struct aub_placer *placer,
+				  const struct aub_place_outstanding *message)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_placement *placement =
@@ -214,46 +220,46 @@
 	guint64 *tickets = g_new(guint64, message->grants->len + 1);
 
 	for (guint i = 0; i < message->grants->len; i++) {
-		const struct aub_outstanding *held =
+		const struct aub_outstanding *grant =
 			g_ptr_array_index(message->grants, i);
 
-		tickets[i] = held->ticket;
-		aub_placement_adopt(placement, message->holder, held->ticket,
-				    held->upstream, held->target_ms, now);
+		tickets[i] = grant->ticket;
+		aub_placement_adopt(placement, message->holder, grant->ticket,
+				    grant->upstream, grant->target_ms, now);
 	}
 	aub_placement_reconcile(placement, message->holder, tickets,
 				message->grants->len, now);
 	g_free(tickets);
-	aub_placer_drain(placer, placement);
+	aub_placer_drain_queue(placer, placement);
 }
 
 /* Whoever places for a service itself goes by its own probes. */
-void aub_placer_take_health(struct aub_placer *placer,
-			    struct aub_place_health *message)
+void aub_placer_apply_health(struct aub_placer *placer,
+			     struct aub_place_health *message)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_placement *placement =
 		aub_placer_placement(placer, message->service);
-	const struct aub_active *active =
-		g_hash_table_lookup(placer->active, message->service);
+	const struct aub_probed_service *active =
+		g_hash_table_lookup(placer->probed_services, message->service);
 
 	if (message->relay &&
-	    aub_placer_is_first_of_zone(placer, message->service)) {
+	    aub_placer_ranks_first_in_zone(placer, message->service)) {
 		message->relay = false;
-		aub_peers_send_zone(placer->options.peers, &message->base);
+		aub_peers_send_to_zone(placer->options.peers, &message->base);
 	}
-	if (active && active->until_us > now)
+	if (active && active->all_until_us > now)
 		return;
 	aub_placement_reset_health(placement);
 	for (guint i = 0; i < message->rows->len; i++) {
-		const struct aub_place_health_row *told =
+		const struct aub_place_health_row *reported =
 			g_ptr_array_index(message->rows, i);
 		const struct aub_upstream_health health = {
-			.upstream = told->upstream,
-			.down = told->down,
-			.unknown = told->unknown,
-			.cold_ms = told->cold_ms,
-			.slowdown = told->slowdown,
+			.upstream = reported->upstream,
+			.down = reported->down,
+			.unknown = reported->unknown,
+			.cold_ms = reported->cold_ms,
+			.slowdown = reported->slowdown,
 		};
 
 		aub_placement_set_health(placement, &health, now);
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -6,11 +6,13 @@
 
 #include <string.h>
 
-#define ACTIVE_US (1500 * AUB_MS) /* after the last word that it places */
-#define PROBE_TICK_US (25 * AUB_MS)
-#define PROBE_MS 400 /* an upstream answers a probe at once */
-#define TELL_US (4 * AUB_MS) /* collects answers to probes sent together */
-#define PROBE_IDLE_US (8 * AUB_SECOND)
+#define PROBING_LEASE_US \
+	(1500 * AUB_MS) /* after the last word that it places */
+#define PROBE_TICK_PERIOD_US (25 * AUB_MS)
+#define PROBE_TIMEOUT_MS 400 /* an upstream answers a probe at once */
+#define REPORT_DELAY_US \
+	(4 * AUB_MS) /* collects answers to probes sent together */
+#define PROBE_CONNECTION_IDLE_US (8 * AUB_SECOND)
 
 struct probe {
 	struct aub_placer *placer;
@@ -42,7 +44,7 @@
 }
 
 /* Only changes: one that stays ill is probed ten times a second. */
-static void log_health(const struct probe *probe, const char *was,
+static void log_health(const struct probe *probe, const char *health_before,
 		       const char *now, enum aub_probe_end end,
 		       const struct aub_load *load)
 {
@@ -53,12 +55,12 @@
 		[AUB_PROBE_SILENT] = "silent",
 	};
 
-	if (!strcmp(was, now))
+	if (!strcmp(health_before, now))
 		return;
 	aub_log_begin(AUB_LOG_HEALTH);
 	aub_log_text("upstream", probe->upstream);
 	aub_log_text("service", probe->service);
-	aub_log_text("was", was);
+	aub_log_text("was", health_before);
 	aub_log_text("now", now);
 	aub_log_text("probe", names[end]);
 	aub_log_number("warmup_ms", load->warmup_ms);
@@ -66,58 +68,64 @@
 	aub_log_end();
 }
 
-static void on_tell(void *context, gint64 now_us)
+static void send_probe_results(void *context, gint64 now_us)
 {
 	struct aub_placer *placer = context;
 	GHashTableIter iter;
 	void *key;
 	void *value;
 
-	placer->tell_timer = 0;
-	g_hash_table_iter_init(&iter, placer->active);
+	placer->report_timer = 0;
+	g_hash_table_iter_init(&iter, placer->probed_services);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		struct aub_active *active = value;
-		struct aub_peer *peer = aub_placer_of(placer, key, now_us);
+		struct aub_probed_service *active = value;
+		struct aub_peer *peer =
+			aub_placer_peer_for(placer, key, now_us);
 
-		if (!active->probed)
+		if (!active->pending_results)
 			continue;
 		if (peer)
 			aub_peers_send(placer->options.peers, peer,
-				       &active->probed->base);
-		aub_message_free(&active->probed->base);
-		active->probed = NULL;
+				       &active->pending_results->base);
+		aub_message_free(&active->pending_results->base);
+		active->pending_results = NULL;
 	}
 }
 
 /* For the placer of the service, which is in another zone. */
-static void tell_later(struct aub_placer *placer, const struct probe *probe,
-		       enum aub_probe_end end, const struct aub_load *load)
+static void queue_probe_result(struct aub_placer *placer,
+			       const struct probe *probe,
+			       enum aub_probe_end end,
+			       const struct aub_load *load)
 {
-	struct aub_active *active =
-		g_hash_table_lookup(placer->active, probe->service);
+	struct aub_probed_service *active =
+		g_hash_table_lookup(placer->probed_services, probe->service);
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_probed *probed;
 
-	if (!active || active->until_us >= now)
+	if (!active || active->all_until_us >= now)
 		return;
-	if (!active->probed) {
-		active->probed = (struct aub_place_probed *)aub_message_new(
-			AUB_MESSAGE_PLACE_PROBED);
-		aub_string_set(&active->probed->service, probe->service);
+	if (!active->pending_results) {
+		active->pending_results =
+			(struct aub_place_probed *)aub_message_new(
+				AUB_MESSAGE_PLACE_PROBED);
+		aub_string_set(&active->pending_results->service,
+			       probe->service);
 	}
 	probed = aub_probed_new();
 	aub_string_set(&probed->upstream, probe->upstream);
 	probed->end = end;
-	probed->load = aub_load_tell(load);
-	g_ptr_array_add(active->probed->probed, probed);
-	if (!placer->tell_timer)
-		placer->tell_timer =
+	probed->load = aub_load_encode(load);
+	g_ptr_array_add(active->pending_results->probed, probed);
+	if (!placer->report_timer)
+		placer->report_timer =
 			aub_timer_at(placer->options.timers, "tell probes",
-				     now + TELL_US, on_tell, placer);
+				     now + REPORT_DELAY_US, send_probe_results,
+				     placer);
 }
 
-void aub_placer_take_probed(struct aub_placer *placer,
-			    const struct aub_place_probed *message)
+void aub_placer_apply_probe_results(struct aub_placer *placer,
+				    const struct aub_place_probed *message)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_placement *placement =
@@ -126,14 +134,14 @@
 	for (guint i = 0; i < message->probed->len; i++) {
 		const struct aub_probed *probed =
 			g_ptr_array_index(message->probed, i);
-		const struct aub_load load = aub_load_of(&probed->load);
+		const struct aub_load load = aub_load_decode(&probed->load);
 
 		if (probed->end <= AUB_PROBE_SILENT)
 			aub_placement_probe_told(
 				placement, probed->upstream,
 				(enum aub_probe_end)probed->end, &load, now);
 	}
-	aub_placer_drain(placer, placement);
+	aub_placer_drain_queue(placer, placement);
 }
 
 static void on_probed(enum aub_exchange_end end,
@@ -146,19 +154,19 @@
 		aub_placer_placement(placer, probe->service);
 	enum aub_probe_end ended = probe_end(probe, head);
 	struct aub_load load = AUB_LOAD_UNKNOWN;
-	const char *was;
+	const char *health_before;
 
 	if (head)
 		placer->options.platform->decode_load(head, &load);
-	was = aub_placement_health_name(placement, probe->upstream);
+	health_before = aub_placement_health_name(placement, probe->upstream);
 	aub_placement_probe_ended(placement, probe->upstream, ended, &load,
 				  aub_timer_now(placer->options.timers));
-	log_health(probe, was,
+	log_health(probe, health_before,
 		   aub_placement_health_name(placement, probe->upstream), ended,
 		   &load);
-	tell_later(placer, probe, ended, &load);
+	queue_probe_result(placer, probe, ended, &load);
 	probe_free(probe);
-	aub_placer_drain(placer, placement);
+	aub_placer_drain_queue(placer, placement);
 }
 
 static void probe_start(struct aub_placer *placer, const char *service,
@@ -170,8 +178,8 @@
 		.address = due->address,
 		.peer = "probe",
 		.path = due->path,
-		.timeout_ms = PROBE_MS,
-		.idle_us = PROBE_IDLE_US,
+		.timeout_ms = PROBE_TIMEOUT_MS,
+		.idle_us = PROBE_CONNECTION_IDLE_US,
 	};
 
 	placer->counts.probes++;
@@ -191,39 +199,41 @@
 	void *value;
 
 	placer->probe_timer = 0;
-	g_hash_table_iter_init(&iter, placer->active);
+	g_hash_table_iter_init(&iter, placer->probed_services);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
 		struct aub_placement *placement =
 			aub_placer_placement(placer, key);
-		const struct aub_active *active = value;
-		bool places = active->until_us >= now_us;
+		const struct aub_probed_service *active = value;
+		bool is_placer = active->all_until_us >= now_us;
 		struct aub_probe due;
 
-		if (!places && active->near_until_us < now_us) {
+		if (!is_placer && active->zone_until_us < now_us) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
 		while (aub_placement_probe_next(placement,
-						places ? NULL : placer->zone,
+						is_placer ? NULL : placer->zone,
 						now_us, &due))
 			probe_start(placer, key, &due);
 	}
-	if (g_hash_table_size(placer->active))
+	if (g_hash_table_size(placer->probed_services))
 		placer->probe_timer =
 			aub_timer_at(placer->options.timers, "probes",
-				     now_us + PROBE_TICK_US, on_probe_tick,
-				     placer);
+				     now_us + PROBE_TICK_PERIOD_US,
+				     on_probe_tick, placer);
 }
 
-static struct aub_active *wake(struct aub_placer *placer, const char *service)
+static struct aub_probed_service *activate_probing(struct aub_placer *placer,
+						   const char *service)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_active *active =
-		g_hash_table_lookup(placer->active, service);
+	struct aub_probed_service *active =
+		g_hash_table_lookup(placer->probed_services, service);
 
 	if (!active) {
-		active = g_new0(struct aub_active, 1);
-		g_hash_table_insert(placer->active, g_strdup(service), active);
+		active = g_new0(struct aub_probed_service, 1);
+		g_hash_table_insert(placer->probed_services, g_strdup(service),
+				    active);
 	}
 	if (!placer->probe_timer)
 		placer->probe_timer =
@@ -232,35 +242,35 @@
 	return active;
 }
 
-void aub_placer_wake_service(struct aub_placer *placer, const char *service)
+void aub_placer_probe_service(struct aub_placer *placer, const char *service)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_active *active = wake(placer, service);
+	struct aub_probed_service *active = activate_probing(placer, service);
 
-	if (active->until_us < now) {
+	if (active->all_until_us < now) {
 		aub_log_begin(AUB_LOG_PLACING);
 		aub_log_text("service", service);
 		aub_log_end();
 	}
-	active->until_us = now + ACTIVE_US;
+	active->all_until_us = now + PROBING_LEASE_US;
 }
 
-void aub_placer_wake_near(struct aub_placer *placer, const char *service)
+void aub_placer_probe_own_zone(struct aub_placer *placer, const char *service)
 {
-	wake(placer, service)->near_until_us =
-		aub_timer_now(placer->options.timers) + ACTIVE_US;
+	activate_probing(placer, service)->zone_until_us =
+		aub_timer_now(placer->options.timers) + PROBING_LEASE_US;
 }
 
-void aub_active_free(void *data)
+void aub_probed_service_free(void *data)
 {
-	struct aub_active *active = data;
+	struct aub_probed_service *active = data;
 
-	if (active->probed)
-		aub_message_free(&active->probed->base);
+	if (active->pending_results)
+		aub_message_free(&active->pending_results->base);
 	g_free(active);
 }
 
-void aub_placer_probes_stop(struct aub_placer *placer)
+void aub_placer_stop_probes(struct aub_placer *placer)
 {
 	/* Freeing one moves the last into its place: walk back. */
 	for (guint i = placer->probes->len; i > 0; i--) {
@@ -270,5 +280,5 @@
 		probe_free(probe);
 	}
 	g_ptr_array_unref(placer->probes);
-	g_hash_table_unref(placer->outstanding_told);
+	g_hash_table_unref(placer->outstanding_reported);
 }
--- a/src/coordination/placer_rollouts.c
+++ b/src/coordination/placer_rollouts.c
@@ -9,12 +9,14 @@
 #include <auburnstile/internal/decision_log.h>
 #include <auburnstile/internal/placer_parts.h>
 
-#define STEP_US (25 * AUB_MS)
-#define TELL_US (250 * AUB_MS) /* the evidence, while an order is open */
-#define AGE_SLACK_US (500 * AUB_MS) /* between two views of an order's age */
-#define STRENGTH_UNIT 100.0 /* on its way between gateways */
+#define STEP_PERIOD_US (25 * AUB_MS)
+#define EVIDENCE_PERIOD_US \
+	(250 * AUB_MS) /* the evidence, while an order is open */
+#define AGE_DIFFERENCE_MIN_US \
+	(500 * AUB_MS) /* between two views of an order's age */
+#define STRENGTH_SCALE 100.0 /* on its way between gateways */
 
-static void arm(struct aub_placer *placer);
+static void arm_rollout_timer(struct aub_placer *placer);
 
 static void log_rollout(const char *service, const struct aub_rollout *rollout,
 			gint64 now_us)
@@ -53,9 +55,9 @@
 static bool is_placer(struct aub_placer *placer, const char *service,
 		      gint64 now_us)
 {
-	return placer->settled &&
+	return placer->startup_over &&
 	       aub_peers_self(placer->options.peers)->ready &&
-	       !aub_placer_of(placer, service, now_us);
+	       !aub_placer_peer_for(placer, service, now_us);
 }
 
 static void fill_evidence(const struct aub_judge_route *route,
@@ -72,7 +74,7 @@
 
 		for (guint j = 0; j < AUB_JUDGE_ALTERNATIVES; j++) {
 			guint32 strength =
-				(guint32)(test->sums[j] * STRENGTH_UNIT);
+				(guint32)(test->sums[j] * STRENGTH_SCALE);
 
 			if (strength <= evidence->strength[i])
 				continue;
@@ -96,7 +98,7 @@
 	for (guint i = 0; i < G_N_ELEMENTS(evidence->strength); i++)
 		if (evidence->rate[i] < AUB_JUDGE_ALTERNATIVES)
 			route->tests[i / 2][i % 2].sums[evidence->rate[i]] =
-				evidence->strength[i] / STRENGTH_UNIT;
+				evidence->strength[i] / STRENGTH_SCALE;
 }
 
 /* How far the order of `service` is, and the evidence so far; NULL: none. */
@@ -133,13 +135,14 @@
 	return message;
 }
 
-void aub_placer_tell_rollout(struct aub_placer *placer, const char *service)
+void aub_placer_send_rollout(struct aub_placer *placer, const char *service)
 {
 	struct aub_place_rollout *message = rollout_message(placer, service);
 
 	if (!message)
 		return;
-	aub_placer_tell_zones(placer, service, &message->base, &message->relay);
+	aub_placer_send_to_zones(placer, service, &message->base,
+				 &message->relay);
 	aub_message_free(&message->base);
 }
 
@@ -148,10 +151,11 @@
  * the order has just been given, and nothing is known of the version. Enough:
  * whoever has known the order for longer tells it.
  */
-static void tell_placer(struct aub_placer *placer, const char *service,
-			gint64 now_us)
+static void send_rollout_to_placer(struct aub_placer *placer,
+				   const char *service, gint64 now_us)
 {
-	const struct aub_peer *peer = aub_placer_of(placer, service, now_us);
+	const struct aub_peer *peer =
+		aub_placer_peer_for(placer, service, now_us);
 	struct aub_place_rollout *message;
 
 	if (!peer)
@@ -161,8 +165,8 @@
 	aub_message_free(&message->base);
 }
 
-static void inherit(struct aub_placement *placement,
-		    const struct aub_place_rollout *message)
+static void apply_evidence(struct aub_placement *placement,
+			   const struct aub_place_rollout *message)
 {
 	struct aub_judge_route routes[AUB_JUDGE_ROUTES + 1];
 	guint count = MIN(message->evidence->len, G_N_ELEMENTS(routes));
@@ -174,16 +178,17 @@
 			      message->exposed, message->allowance);
 }
 
-static bool knows_more(const struct aub_rollout *rollout,
-		       const struct aub_place_rollout *message, gint64 now_us)
+static bool is_older_here(const struct aub_rollout *rollout,
+			  const struct aub_place_rollout *message,
+			  gint64 now_us)
 {
 	gint64 age_us = now_us - rollout->began_us;
 
-	return age_us - message->age_ms * AUB_MS > AGE_SLACK_US;
+	return age_us - message->age_ms * AUB_MS > AGE_DIFFERENCE_MIN_US;
 }
 
-void aub_placer_take_rollout(struct aub_placer *placer,
-			     struct aub_place_rollout *message)
+void aub_placer_apply_rollout(struct aub_placer *placer,
+			      struct aub_place_rollout *message)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_placement *placement =
@@ -196,9 +201,9 @@
 	enum aub_rollout_state before;
 
 	if (message->relay &&
-	    aub_placer_is_first_of_zone(placer, message->service)) {
+	    aub_placer_ranks_first_in_zone(placer, message->service)) {
 		message->relay = false;
-		aub_peers_send_zone(placer->options.peers, &message->base);
+		aub_peers_send_to_zone(placer->options.peers, &message->base);
 	}
 	if (message->state >= AUB_ROLLOUT_STATES ||
 	    !aub_placement_rollout(placement))
@@ -211,16 +216,17 @@
 	if (aub_placement_rollout(placement)->state != before)
 		log_rollout(message->service, aub_placement_rollout(placement),
 			    now);
-	if (knows_more(aub_placement_rollout(placement), message, now))
-		tell_placer(placer, message->service, now);
-	inherit(placement, message);
-	arm(placer);
-	aub_placer_drain(placer, placement);
+	if (is_older_here(aub_placement_rollout(placement), message, now))
+		send_rollout_to_placer(placer, message->service, now);
+	apply_evidence(placement, message);
+	arm_rollout_timer(placer);
+	aub_placer_drain_queue(placer, placement);
 }
 
 /* True where the state has to be looked at again soon. */
-static bool step(struct aub_placer *placer, const char *service,
-		 struct aub_placement *placement, bool tells, gint64 now_us)
+static bool rollout_step(struct aub_placer *placer, const char *service,
+			 struct aub_placement *placement, bool send_evidence,
+			 gint64 now_us)
 {
 	const struct aub_placer_options *options = &placer->options;
 	const struct aub_rollout *rollout = aub_placement_rollout(placement);
@@ -235,48 +241,52 @@
 	wanted =
 		places ? aub_placement_rollout_step(placement, now_us) : before;
 	if (places || wanted == AUB_ROLLOUT_ROLLED_BACK)
-		stored = options->rollout_wanted(service, wanted, places,
-						 options->context);
+		stored = options->store_rollout_state(service, wanted, places,
+						      options->context);
 	if (rollout->state != before)
 		log_rollout(service, rollout, now_us);
-	if (rollout->state != before || (places && tells)) {
-		aub_placer_tell_rollout(placer, service);
-		aub_placer_drain(placer, placement);
+	if (rollout->state != before || (places && send_evidence)) {
+		aub_placer_send_rollout(placer, service);
+		aub_placer_drain_queue(placer, placement);
 	}
 	if (rollout->state == AUB_ROLLOUT_ROLLED_BACK)
 		return !stored;
 	return places;
 }
 
-static void on_step(void *context, gint64 now_us)
+static void on_rollout_step(void *context, gint64 now_us)
 {
 	struct aub_placer *placer = context;
 	GHashTableIter iter;
 	void *key;
 	void *placement;
-	bool tells = now_us - placer->rollouts_told_us >= TELL_US;
-	bool more = false;
+	bool send_evidence =
+		now_us - placer->rollouts_sent_us >= EVIDENCE_PERIOD_US;
+	bool any_open = false;
 
-	if (tells)
-		placer->rollouts_told_us = now_us;
+	if (send_evidence)
+		placer->rollouts_sent_us = now_us;
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, &key, &placement))
-		more = step(placer, key, placement, tells, now_us) || more;
-	if (more)
+		any_open = rollout_step(placer, key, placement, send_evidence,
+					now_us) ||
+			   any_open;
+	if (any_open)
 		return;
 	aub_timer_cancel(placer->options.timers, placer->rollout_timer);
 	placer->rollout_timer = 0;
 }
 
-static void arm(struct aub_placer *placer)
+static void arm_rollout_timer(struct aub_placer *placer)
 {
 	if (!placer->rollout_timer)
 		placer->rollout_timer =
 			aub_timer_every(placer->options.timers, "rollouts",
-					STEP_US, on_step, placer);
+					STEP_PERIOD_US, on_rollout_step,
+					placer);
 }
 
-void aub_placer_round_rollout(struct aub_placer *placer, const char *service)
+void aub_placer_refresh_rollout(struct aub_placer *placer, const char *service)
 {
 	const struct aub_rollout *rollout =
 		aub_placement_rollout(aub_placer_placement(placer, service));
@@ -285,11 +295,11 @@
 		return;
 	/* While it is open each step tells, and more often. */
 	if (!aub_rollout_is_open(rollout))
-		aub_placer_tell_rollout(placer, service);
-	arm(placer);
+		aub_placer_send_rollout(placer, service);
+	arm_rollout_timer(placer);
 }
 
-void aub_placer_orders_known(struct aub_placer *placer)
+void aub_placer_set_orders_known(struct aub_placer *placer)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	GHashTableIter iter;
@@ -299,12 +309,13 @@
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &placement)) {
 		aub_placement_orders_known(placement, now);
-		aub_placer_drain(placer, placement);
+		aub_placer_drain_queue(placer, placement);
 	}
 }
 
-void aub_placer_order(struct aub_placer *placer, const char *service,
-		      const struct aub_rollout_record *record, bool unreadable)
+void aub_placer_update_order(struct aub_placer *placer, const char *service,
+			     const struct aub_rollout_record *record,
+			     bool unreadable)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_placement *placement = aub_placer_placement(placer, service);
@@ -321,12 +332,12 @@
 	if (rollout && (is_new || rollout->state != before))
 		log_rollout(service, rollout, now);
 	if (rollout)
-		arm(placer);
-	aub_placer_drain(placer, placement);
+		arm_rollout_timer(placer);
+	aub_placer_drain_queue(placer, placement);
 }
 
-void aub_placer_order_stored(struct aub_placer *placer, const char *service,
-			     const struct aub_rollout_record *record)
+void aub_placer_on_order_stored(struct aub_placer *placer, const char *service,
+				const struct aub_rollout_record *record)
 {
 	struct aub_placement *placement = aub_placer_placement(placer, service);
 	const struct aub_rollout *rollout = aub_placement_rollout(placement);
@@ -338,6 +349,6 @@
 		aub_placement_grant_slack(placement);
 		return;
 	}
-	aub_placer_order(placer, service, record, false);
-	aub_placer_tell_rollout(placer, service);
+	aub_placer_update_order(placer, service, record, false);
+	aub_placer_send_rollout(placer, service);
 }
--- a/src/coordination/placer_tickets.c
+++ b/src/coordination/placer_tickets.c
@@ -11,12 +11,12 @@
  * An answer takes 2 ms between zones. A placer whose processor share is used
  * up stands still for up to 100 ms: the next one is asked before that.
  */
-#define ASK_AGAIN_US (15 * AUB_MS)
-#define ASK_NEXT_US (50 * AUB_MS)
-#define ASK_MOST 2 /* placers asked before placing alone */
+#define RESEND_AFTER_US (15 * AUB_MS)
+#define NEXT_PLACER_AFTER_US (50 * AUB_MS)
+#define PLACERS_ASKED_MAX 2 /* placers asked before placing alone */
 /* At first for as long as a death takes to be seen within a zone. */
-#define SUSPECT_US (1000 * AUB_MS)
-#define SUSPECT_MOST_US (8000 * AUB_MS)
+#define SUSPICION_INITIAL_US (1000 * AUB_MS)
+#define SUSPICION_MAX_US (8000 * AUB_MS)
 
 /* Odd, so that tickets of one incarnation differ for 2^64 requests. */
 #define TICKET_STEP G_GUINT64_CONSTANT(0x9E3779B97F4A7C15)
@@ -31,25 +31,26 @@
 	g_free(ticket);
 }
 
-static struct aub_peer *target_of(struct aub_placer *placer,
-				  const struct aub_ticket *ticket)
+static struct aub_peer *next_placer(struct aub_placer *placer,
+				    const struct aub_ticket *ticket)
 {
 	const GPtrArray *ranked =
 		aub_peers_ranked(placer->options.peers, ticket->service);
 	gint64 now = aub_timer_now(placer->options.timers);
 
-	if (ticket->asked >= ASK_MOST)
+	if (ticket->placers_asked >= PLACERS_ASKED_MAX)
 		return NULL;
 	for (guint i = 0; i < ranked->len; i++) {
 		struct aub_peer *peer = g_ptr_array_index(ranked, i);
 
-		if (peer->self || peer->suspect_until_us <= now)
+		if (peer->self || peer->suspected_until_us <= now)
 			return peer;
 	}
 	return NULL;
 }
 
-static void ticket_ask(struct aub_placer *placer, struct aub_ticket *ticket);
+static void ticket_request(struct aub_placer *placer,
+			   struct aub_ticket *ticket);
 
 static const char *peer_name(const struct aub_placer *placer,
 			     guint64 incarnation)
@@ -66,8 +67,10 @@
  * Enough: a grant that is known here to be void goes back, and the request
  * asks anew without that upstream.
  */
-static bool is_void(struct aub_placer *placer, struct aub_ticket *ticket,
-		    const struct aub_decision *decision, guint64 from)
+static bool reject_stale_grant(struct aub_placer *placer,
+			       struct aub_ticket *ticket,
+			       const struct aub_decision *decision,
+			       guint64 from)
 {
 	const struct aub_attempt_report unused = {
 		.ticket = ticket->id,
@@ -84,29 +87,29 @@
 	ticket->granted_by = from;
 	aub_ticket_send_report(placer, ticket, &unused);
 	ticket->granted_by = 0;
-	ticket_ask(placer, ticket);
+	ticket_request(placer, ticket);
 	return true;
 }
 
 /* Pass a decision on to the request; the ticket ends unless it was granted. */
-void aub_ticket_settle(struct aub_placer *placer, struct aub_ticket *ticket,
-		       const struct aub_decision *decision, guint64 from)
+void aub_ticket_resolve(struct aub_placer *placer, struct aub_ticket *ticket,
+			const struct aub_decision *decision, guint64 from)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	aub_placed_callback *callback = ticket->placed;
+	aub_placement_result_callback *callback = ticket->callback;
 	void *context = ticket->context;
-	const struct aub_placed placed = {
+	const struct aub_placement_result placed = {
 		.verdict = decision->verdict,
 		.upstream = decision->upstream,
 		.address = decision->address,
 		.retry_after_ms = decision->retry_after_ms,
 		.placer = peer_name(placer, from),
-		.waited_us = now - ticket->since_us,
+		.waited_us = now - ticket->start_us,
 	};
 
-	if (is_void(placer, ticket, decision, from))
+	if (reject_stale_grant(placer, ticket, decision, from))
 		return;
-	ticket->placed = NULL;
+	ticket->callback = NULL;
 	ticket->granted_by = from;
 	if (decision->verdict == AUB_VERDICT_GRANTED)
 		ticket->upstream = g_strdup(decision->upstream);
@@ -115,8 +118,8 @@
 	callback(&placed, context);
 }
 
-static void fill_ask(const struct aub_placer *placer,
-		     const struct aub_ticket *ticket, struct aub_ask *ask)
+static void fill_request(const struct aub_placer *placer,
+			 const struct aub_ticket *ticket, struct aub_ask *ask)
 {
 	*ask = ticket->ask;
 	ask->ticket = ticket->id;
@@ -126,35 +129,35 @@
 	ask->avoid_count = ticket->avoid->len;
 }
 
-static void place_here(struct aub_placer *placer, struct aub_ticket *ticket,
-		       bool alone)
+static void place_locally(struct aub_placer *placer, struct aub_ticket *ticket,
+			  bool is_fallback)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_decision decision;
 	struct aub_ask ask;
 
-	fill_ask(placer, ticket, &ask);
-	ask.alone = alone;
-	if (alone)
-		placer->counts.placed_alone++;
+	fill_request(placer, ticket, &ask);
+	ask.alone = is_fallback;
+	if (is_fallback)
+		placer->counts.placed_in_fallback++;
 	else
-		aub_placer_wake_service(placer, ticket->service);
-	ticket->local = true;
+		aub_placer_probe_service(placer, ticket->service);
+	ticket->placed_locally = true;
 	aub_placement_ask(aub_placer_placement(placer, ticket->service), &ask,
 			  now, &decision);
 	placer->counts.placed_here++;
 	if (decision.verdict == AUB_VERDICT_QUEUED) {
 		ticket->queued = true;
-		ticket->next_us = G_MAXINT64;
+		ticket->next_action_us = G_MAXINT64;
 	} else {
-		aub_ticket_settle(placer, ticket, &decision,
-				  placer->options.incarnation);
+		aub_ticket_resolve(placer, ticket, &decision,
+				   placer->options.incarnation);
 	}
 }
 
 /* Nobody who ranks before `peer` is suspected. */
-static bool is_first_choice(struct aub_placer *placer, const char *service,
-			    const struct aub_peer *peer)
+static bool ranks_first(struct aub_placer *placer, const char *service,
+			const struct aub_peer *peer)
 {
 	const GPtrArray *ranked =
 		aub_peers_ranked(placer->options.peers, service);
@@ -162,8 +165,8 @@
 	return ranked->len && g_ptr_array_index(ranked, 0) == peer;
 }
 
-static void send_ask(struct aub_placer *placer, struct aub_ticket *ticket,
-		     const struct aub_peer *peer)
+static void send_request(struct aub_placer *placer, struct aub_ticket *ticket,
+			 const struct aub_peer *peer)
 {
 	struct aub_place_ask *message =
 		(struct aub_place_ask *)aub_message_new(AUB_MESSAGE_PLACE_ASK);
@@ -178,7 +181,7 @@
 	message->patience_ms = ticket->ask.patience_ms;
 	message->retry = ticket->ask.retry;
 	message->route = ticket->ask.route;
-	message->forward = is_first_choice(placer, ticket->service, peer);
+	message->forward = ranks_first(placer, ticket->service, peer);
 	ticket->forwardable = message->forward;
 	for (guint i = 0; i < ticket->avoid->len; i++)
 		g_ptr_array_add(message->avoid,
@@ -192,35 +195,36 @@
  * Another placer can be asked as soon as first heartbeats are back, though it
  * may turn out to be the wrong one; only who would place itself has to be sure.
  */
-static bool waits_to_settle(const struct aub_placer *placer,
-			    const struct aub_peer *peer, gint64 now_us)
+static bool must_wait_for_startup(const struct aub_placer *placer,
+				  const struct aub_peer *peer, gint64 now_us)
 {
-	if (placer->settled)
+	if (placer->startup_over)
 		return false;
-	return !peer || peer->self || !aub_placer_hears(placer, now_us);
+	return !peer || peer->self ||
+	       !aub_placer_heartbeats_are_due(placer, now_us);
 }
 
 /* Ask whoever is next; here, when nobody is left. */
-static void ticket_ask(struct aub_placer *placer, struct aub_ticket *ticket)
+static void ticket_request(struct aub_placer *placer, struct aub_ticket *ticket)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_peer *peer = target_of(placer, ticket);
+	struct aub_peer *peer = next_placer(placer, ticket);
 
 	ticket->queued = false;
-	if (waits_to_settle(placer, peer, now)) {
-		ticket->next_us = now + AUB_SETTLE_CHECK_US;
+	if (must_wait_for_startup(placer, peer, now)) {
+		ticket->next_action_us = now + AUB_STARTUP_CHECK_PERIOD_US;
 		return;
 	}
 	if (!peer || peer->self) {
-		place_here(placer, ticket, !peer);
+		place_locally(placer, ticket, !peer);
 		return;
 	}
-	ticket->asked++;
-	ticket->sends = 1;
-	ticket->placer = peer->incarnation;
+	ticket->placers_asked++;
+	ticket->sends_to_placer = 1;
+	ticket->asked_placer = peer->incarnation;
 	ticket->sent_us = now;
-	ticket->next_us = now + ASK_AGAIN_US;
-	send_ask(placer, ticket, peer);
+	ticket->next_action_us = now + RESEND_AFTER_US;
+	send_request(placer, ticket, peer);
 }
 
 /*
@@ -231,20 +235,23 @@
  */
 static void suspect(struct aub_peer *peer, gint64 now_us)
 {
-	bool heard = peer->heard_us > peer->suspect_until_us - peer->suspect_us;
+	bool answered_since = peer->last_heartbeat_us >
+			      peer->suspected_until_us - peer->suspicion_us;
 
 	/* Several requests may have waited through the same silence. */
-	if (peer->suspect_until_us > now_us)
+	if (peer->suspected_until_us > now_us)
 		return;
-	if (heard || !peer->suspect_us)
-		peer->suspect_us = SUSPECT_US;
+	if (answered_since || !peer->suspicion_us)
+		peer->suspicion_us = SUSPICION_INITIAL_US;
 	else
-		peer->suspect_us = MIN(2 * peer->suspect_us, SUSPECT_MOST_US);
-	peer->suspect_until_us = now_us + peer->suspect_us;
+		peer->suspicion_us =
+			MIN(2 * peer->suspicion_us, SUSPICION_MAX_US);
+	peer->suspected_until_us = now_us + peer->suspicion_us;
 }
 
-static void ask_next(struct aub_placer *placer, struct aub_ticket *ticket,
-		     struct aub_peer *peer, gint64 now_us)
+static void try_next_placer(struct aub_placer *placer,
+			    struct aub_ticket *ticket, struct aub_peer *peer,
+			    gint64 now_us)
 {
 	placer->counts.suspected++;
 	if (peer) {
@@ -252,32 +259,34 @@
 		aub_log_begin(AUB_LOG_PLACER_SUSPECTED);
 		aub_log_text("peer", peer->name);
 		aub_log_text("service", ticket->service);
-		aub_log_number("heard_ms", (now_us - peer->heard_us) / AUB_MS);
+		aub_log_number("heard_ms",
+			       (now_us - peer->last_heartbeat_us) / AUB_MS);
 		aub_log_end();
 	}
-	ticket_ask(placer, ticket);
+	ticket_request(placer, ticket);
 }
 
-static void ticket_due(struct aub_placer *placer, struct aub_ticket *ticket,
-		       gint64 now_us)
+static void process_due_ticket(struct aub_placer *placer,
+			       struct aub_ticket *ticket, gint64 now_us)
 {
-	struct aub_peer *peer =
-		aub_peers_by_incarnation(placer->options.peers, ticket->placer);
+	struct aub_peer *peer = aub_peers_by_incarnation(placer->options.peers,
+							 ticket->asked_placer);
 
-	if (!ticket->sends) {
-		ticket_ask(placer, ticket);
+	if (!ticket->sends_to_placer) {
+		ticket_request(placer, ticket);
 		return;
 	}
-	if (!ticket->queued && ticket->sends == 1 && peer && peer->alive) {
-		ticket->sends++;
-		ticket->next_us = ticket->sent_us + ASK_NEXT_US;
-		send_ask(placer, ticket, peer);
+	if (!ticket->queued && ticket->sends_to_placer == 1 && peer &&
+	    peer->alive) {
+		ticket->sends_to_placer++;
+		ticket->next_action_us = ticket->sent_us + NEXT_PLACER_AFTER_US;
+		send_request(placer, ticket, peer);
 		return;
 	}
-	ask_next(placer, ticket, peer, now_us);
+	try_next_placer(placer, ticket, peer, now_us);
 }
 
-void aub_tickets_due(struct aub_placer *placer, gint64 now_us)
+void aub_tickets_process_due(struct aub_placer *placer, gint64 now_us)
 {
 	GPtrArray *due = g_ptr_array_new();
 	GHashTableIter iter;
@@ -287,7 +296,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct aub_ticket *ticket = value;
 
-		if (ticket->placed && ticket->next_us <= now_us)
+		if (ticket->callback && ticket->next_action_us <= now_us)
 			g_ptr_array_add(due, GSIZE_TO_POINTER(ticket->id));
 	}
 	for (guint i = 0; i < due->len; i++) {
@@ -295,44 +304,47 @@
 		struct aub_ticket *ticket =
 			g_hash_table_lookup(placer->tickets, &id);
 
-		if (ticket && ticket->placed && ticket->next_us <= now_us)
-			ticket_due(placer, ticket, now_us);
+		if (ticket && ticket->callback &&
+		    ticket->next_action_us <= now_us)
+			process_due_ticket(placer, ticket, now_us);
 	}
 	g_ptr_array_unref(due);
 }
 
-guint64 aub_placer_ticket(struct aub_placer *placer)
+guint64 aub_placer_new_ticket(struct aub_placer *placer)
 {
-	placer->serial++;
-	return placer->options.incarnation + placer->serial * TICKET_STEP;
+	placer->ticket_serial++;
+	return placer->options.incarnation +
+	       placer->ticket_serial * TICKET_STEP;
 }
 
-void aub_placer_ask(struct aub_placer *placer, const char *service,
-		    const struct aub_ask *ask, guint64 id,
-		    aub_placed_callback *placed, void *context)
+void aub_placer_request(struct aub_placer *placer, const char *service,
+			const struct aub_ask *ask, guint64 id,
+			aub_placement_result_callback *placed, void *context)
 {
 	struct aub_ticket *ticket = g_new0(struct aub_ticket, 1);
 
 	ticket->id = id;
 	ticket->service = g_strdup(service);
 	ticket->ask = *ask;
-	ticket->placed = placed;
+	ticket->callback = placed;
 	ticket->context = context;
-	ticket->since_us = aub_timer_now(placer->options.timers);
+	ticket->start_us = aub_timer_now(placer->options.timers);
 	ticket->avoid = g_ptr_array_new_with_free_func(g_free);
 	for (guint i = 0; i < ask->avoid_count; i++)
 		g_ptr_array_add(ticket->avoid, g_strdup(ask->avoid[i]));
 	g_hash_table_insert(placer->tickets, &ticket->id, ticket);
-	placer->counts.asked++;
-	ticket_ask(placer, ticket);
-	aub_placer_arm(placer);
+	placer->counts.requested++;
+	ticket_request(placer, ticket);
+	aub_placer_arm_tick(placer);
 }
 
 void aub_ticket_send_report(struct aub_placer *placer,
 			    struct aub_ticket *ticket,
 			    const struct aub_attempt_report *report)
 {
-	guint64 to = ticket->granted_by ? ticket->granted_by : ticket->placer;
+	guint64 to =
+		ticket->granted_by ? ticket->granted_by : ticket->asked_placer;
 	struct aub_peer *peer =
 		aub_peers_by_incarnation(placer->options.peers, to);
 	struct aub_place_report *message;
@@ -345,19 +357,19 @@
 	aub_string_set(&message->service, ticket->service);
 	message->end = report->end;
 	message->elapsed_us = (guint64)report->elapsed_us;
-	message->load = aub_load_tell(&report->load);
+	message->load = aub_load_encode(&report->load);
 	aub_peers_send(placer->options.peers, peer, &message->base);
 	aub_message_free(&message->base);
 }
 
-void aub_placer_take_report(struct aub_placer *placer, const char *service,
-			    const struct aub_attempt_report *report)
+void aub_placer_apply_report(struct aub_placer *placer, const char *service,
+			     const struct aub_attempt_report *report)
 {
 	struct aub_placement *placement = aub_placer_placement(placer, service);
 
 	aub_placement_report(placement, report,
 			     aub_timer_now(placer->options.timers));
-	aub_placer_drain(placer, placement);
+	aub_placer_drain_queue(placer, placement);
 }
 
 void aub_placer_report(struct aub_placer *placer, guint64 id,
@@ -376,8 +388,8 @@
 	if (!ticket)
 		return;
 	g_hash_table_steal(placer->tickets, &id);
-	if (ticket->local)
-		aub_placer_take_report(placer, ticket->service, &report);
+	if (ticket->placed_locally)
+		aub_placer_apply_report(placer, ticket->service, &report);
 	else
 		aub_ticket_send_report(placer, ticket, &report);
 	aub_ticket_free(ticket);
--- a/src/coordination/store_enrol.c
+++ b/src/coordination/store_enrol.c
@@ -48,7 +48,7 @@
 		.peer = "enrol",
 		.path = path,
 		.body = sync->record,
-		.type = sync->options.platform->body_type,
+		.type = sync->options.platform->content_type,
 		.timeout_ms = AUB_STORE_CALL_MS,
 	};
 
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -45,7 +45,7 @@
 	static const char *const names[AUB_STORE_KINDS] = {
 		[AUB_STORE_ROUTING] = "configuration",
 		[AUB_STORE_UPSTREAMS] = "upstreams",
-		[AUB_STORE_ZONES_OUT] = "zones-out",
+		[AUB_STORE_EVACUATIONS] = "zones-out",
 		[AUB_STORE_ROLLOUTS] = "rollouts",
 		[AUB_STORE_MEMBERS] = "members",
 	};
@@ -276,7 +276,7 @@
 	enum aub_watch_duty now = duty(task);
 
 	if (task->kind == AUB_STORE_ROLLOUTS)
-		return is_followed(task) && now == AUB_WATCH_FIRST;
+		return is_followed(task) && now == AUB_WATCH_PRIMARY;
 	return is_followed(task) && now != AUB_WATCH_NONE;
 }
 
--- a/src/coordination/store_write.c
+++ b/src/coordination/store_write.c
@@ -41,7 +41,7 @@
 		.peer = aub_store_kind_name(kind),
 		.path = path,
 		.body = body,
-		.type = sync->options.platform->body_type,
+		.type = sync->options.platform->content_type,
 		.timeout_ms = AUB_STORE_CALL_MS,
 	};
 
--- a/tests/gateway_rig.h
+++ b/tests/gateway_fixture.h
@@ -2,8 +2,8 @@
  * A gateway with a stand-in store, stand-in upstreams and raw callers, all in
  * the test's own main loop.
  */
-#ifndef TESTS_GATEWAY_RIG_H
-#define TESTS_GATEWAY_RIG_H
+#ifndef TESTS_GATEWAY_FIXTURE_H
+#define TESTS_GATEWAY_FIXTURE_H
 
 #include "addresses.h"
 
@@ -49,13 +49,13 @@
 	guint status = 0;
 	guint answers = 0;
 	std::string body;
-	std::string last_id;
-	std::vector<std::string> ids; /* of all answers, in order */
-	std::vector<size_t> lengths; /* of their bodies */
+	std::string last_request_id;
+	std::vector<std::string> request_ids; /* of all answers, in order */
+	std::vector<size_t> body_lengths; /* of their bodies */
 	std::string retry_after;
 	bool keep_alive = false;
 	bool ended = false;
-	bool midway = false;
+	bool truncated = false;
 	enum aub_stream_end end = AUB_STREAM_EOF;
 
 	Caller(struct aub_poller *poller, const std::string &address)
@@ -76,22 +76,22 @@
 	}
 	~Caller()
 	{
-		leave();
+		disconnect();
 	}
 	void send(const std::string &text)
 	{
 		aub_http_stream_write(stream_, text.data(), text.size());
 		aub_http_stream_flush(stream_);
 	}
-	void leave()
+	void disconnect()
 	{
 		if (stream_)
 			aub_http_stream_free(stream_);
 		stream_ = NULL;
 	}
-	void hold(bool hold)
+	void set_reading_paused(bool set_reading_paused)
 	{
-		aub_http_stream_hold(stream_, hold);
+		aub_http_stream_hold(stream_, set_reading_paused);
 	}
 	bool done() const
 	{
@@ -109,8 +109,8 @@
 
 		self->status = head->status;
 		self->keep_alive = head->keep_alive;
-		self->last_id = id ? id : "";
-		self->ids.push_back(self->last_id);
+		self->last_request_id = id ? id : "";
+		self->request_ids.push_back(self->last_request_id);
 		self->retry_after = after ? after : "";
 		self->body.clear();
 	}
@@ -123,7 +123,7 @@
 		Caller *self = (Caller *)context;
 
 		self->answers++;
-		self->lengths.push_back(self->body.size());
+		self->body_lengths.push_back(self->body.size());
 		aub_http_stream_resume(self->stream_);
 	}
 	static void on_ended(enum aub_stream_end end, bool midway,
@@ -133,7 +133,7 @@
 
 		self->ended = true;
 		self->end = end;
-		self->midway = midway;
+		self->truncated = midway;
 	}
 };
 
@@ -146,7 +146,7 @@
 	std::vector<struct platform_upstream *> upstreams;
 	struct aub_node *node = NULL;
 	struct aub_node_settings settings = {};
-	std::vector<std::string> addresses;
+	std::vector<std::string> listen_addresses;
 	int max_attempts = 2;
 	int timeout_ms = 1000;
 	int version = 1;
@@ -162,7 +162,7 @@
 	void TearDown() override
 	{
 		aub_node_free(node);
-		aub_settings_clear(aub_node_setting_table, &settings);
+		aub_settings_clear(aub_node_settings_table, &settings);
 		for (struct platform_upstream *upstream : upstreams)
 			platform_upstream_free(upstream);
 		platform_store_free(store);
@@ -199,12 +199,14 @@
 			platform_upstream_new(poller, timers, id.c_str());
 
 		upstreams.push_back(upstream);
-		enter(upstream, "ready", zone);
+		register_upstream(upstream, "ready", zone);
 		return upstream;
 	}
-	void enter(struct platform_upstream *upstream, const std::string &state,
-		   const std::string &zone = "z1", int warmup_ms = 0,
-		   const std::string &release = "v1", int born = 7)
+	void register_upstream(struct platform_upstream *upstream,
+			       const std::string &state,
+			       const std::string &zone = "z1",
+			       int warmup_ms = 0,
+			       const std::string &release = "v1", int born = 7)
 	{
 		char *text = g_strdup_printf(
 			"{\"address\":\"%s\",\"details\":{\"service\":\"svc\","
@@ -218,19 +220,19 @@
 				   platform_upstream_id(upstream), text);
 		g_free(text);
 	}
-	void start()
+	void start_node()
 	{
 		GError *error = NULL;
 
 		for (int i = 0; i < 5; i++)
-			addresses.push_back(free_address());
+			listen_addresses.push_back(free_address());
 		settings.name = g_strdup("g1");
 		settings.zone = g_strdup("z1");
-		settings.callers = g_strdup(addresses[0].c_str());
-		settings.directory = g_strdup(addresses[1].c_str());
-		settings.readiness = g_strdup(addresses[2].c_str());
-		settings.peers = g_strdup(addresses[3].c_str());
-		settings.metrics = g_strdup(addresses[4].c_str());
+		settings.callers = g_strdup(listen_addresses[0].c_str());
+		settings.directory = g_strdup(listen_addresses[1].c_str());
+		settings.readiness = g_strdup(listen_addresses[2].c_str());
+		settings.peers = g_strdup(listen_addresses[3].c_str());
+		settings.metrics = g_strdup(listen_addresses[4].c_str());
 		settings.store = g_strdup(platform_store_address(store));
 		if (!seed.empty()) {
 			settings.seeds = g_new0(char *, 2);
@@ -247,7 +249,7 @@
 		ASSERT_NE(node, nullptr) << error->message;
 	}
 	/* What a body is that means `json`. */
-	static std::string packed(const std::string &json)
+	static std::string pack_json(const std::string &json)
 	{
 		GBytes *bytes = platform_body_pack(json.data(), json.size());
 		gsize length;
@@ -259,8 +261,8 @@
 		return body;
 	}
 	/* One whole GET; its status. */
-	guint get(const std::string &address, const std::string &target,
-		  std::string *body = NULL)
+	guint http_get(const std::string &address, const std::string &target,
+		       std::string *body = NULL)
 	{
 		Caller caller(poller, address);
 
@@ -270,11 +272,14 @@
 			*body = caller.body;
 		return caller.status;
 	}
-	void start_ready()
+	void start_and_wait_until_ready()
 	{
-		start();
+		start_node();
 		ASSERT_TRUE(run_until(
-			[&] { return get(addresses[2], "/ready") == 200; },
+			[&] {
+				return http_get(listen_addresses[2],
+						"/ready") == 200;
+			},
 			5000));
 		/* The placer has probed what there is. */
 		ASSERT_TRUE(run_until(
@@ -287,14 +292,14 @@
 			3000));
 		run_for(20);
 	}
-	std::unique_ptr<Caller> call(const std::string &method,
-				     const std::string &target,
-				     const std::string &id,
-				     const std::string &extra = "",
-				     int deadline_ms = 3000)
+	std::unique_ptr<Caller> send_request(const std::string &method,
+					     const std::string &target,
+					     const std::string &id,
+					     const std::string &extra = "",
+					     int deadline_ms = 3000)
 	{
 		std::unique_ptr<Caller> caller(
-			new Caller(poller, addresses[0]));
+			new Caller(poller, listen_addresses[0]));
 
 		caller->send(method + " " + target +
 			     " HTTP/1.1\r\nHost: site\r\nRequest-Id: " + id +
@@ -303,7 +308,8 @@
 			     "\r\n");
 		return caller;
 	}
-	bool answered(const std::unique_ptr<Caller> &caller, int ms = 4000)
+	bool wait_for_answer(const std::unique_ptr<Caller> &caller,
+			     int ms = 4000)
 	{
 		return run_until([&] { return caller->done(); }, ms);
 	}
--- a/tests/peer.h
+++ b/tests/scripted_server.h
@@ -2,8 +2,8 @@
  * A scripted HTTP peer in this process, for tests of clients: reads whole
  * requests off its connections and writes bytes as told, broken ones too.
  */
-#ifndef AUBURNSTILE_TESTS_PEER_H
-#define AUBURNSTILE_TESTS_PEER_H
+#ifndef AUBURNSTILE_TESTS_SCRIPTED_SERVER_H
+#define AUBURNSTILE_TESTS_SCRIPTED_SERVER_H
 
 #include <gio/gio.h>
 
@@ -11,20 +11,20 @@
 #include <string>
 #include <vector>
 
-struct PeerReply {
+struct ScriptedReply {
 	std::string bytes;
 	bool close = false; /* after the bytes */
 };
 
-class Peer
+class ScriptedServer
 {
       public:
-	std::function<PeerReply(const std::string &request)> script;
+	std::function<ScriptedReply(const std::string &request)> script;
 	std::vector<std::string> requests;
 	int connections = 0;
 	int closed = 0; /* connections that the other end closed */
 
-	Peer()
+	ScriptedServer()
 	{
 		GSocketListener *listener = g_socket_listener_new();
 		port = g_socket_listener_add_any_inet_port(listener, nullptr,
@@ -45,20 +45,20 @@
 				 this);
 	}
 
-	~Peer()
+	~ScriptedServer()
 	{
 		g_socket_service_stop(service);
 		g_socket_listener_close(G_SOCKET_LISTENER(service));
 		g_object_unref(service);
-		for (Line *line : lines)
-			drop(line);
+		for (Connection *state : open_connections)
+			close_connection(state);
 	}
 
 	/* Write late, on the newest connection. */
 	void write(const std::string &bytes)
 	{
 		GSocket *socket = g_socket_connection_get_socket(
-			lines.back()->connection);
+			open_connections.back()->connection);
 
 		g_socket_send(socket, bytes.data(), bytes.size(), nullptr,
 			      nullptr);
@@ -67,46 +67,47 @@
 	guint16 port;
 
       private:
-	struct Line {
-		Peer *peer;
+	struct Connection {
+		ScriptedServer *peer;
 		GSocketConnection *connection;
 		GSource *source;
 		std::string input;
 	};
 
 	GSocketService *service;
-	std::vector<Line *> lines;
+	std::vector<Connection *> open_connections;
 
-	static void drop(Line *line)
+	static void close_connection(Connection *state)
 	{
-		g_source_destroy(line->source);
-		g_source_unref(line->source);
-		g_io_stream_close(G_IO_STREAM(line->connection), nullptr,
+		g_source_destroy(state->source);
+		g_source_unref(state->source);
+		g_io_stream_close(G_IO_STREAM(state->connection), nullptr,
 				  nullptr);
-		g_object_unref(line->connection);
-		delete line;
+		g_object_unref(state->connection);
+		delete state;
 	}
 
 	static gboolean on_incoming(GSocketService *, GSocketConnection *c,
 				    GObject *, void *data)
 	{
-		Peer *peer = static_cast<Peer *>(data);
-		Line *line = new Line{ peer, c, nullptr, "" };
+		ScriptedServer *peer = static_cast<ScriptedServer *>(data);
+		Connection *state = new Connection{ peer, c, nullptr, "" };
 		GSocket *socket = g_socket_connection_get_socket(c);
 
 		g_object_ref(c);
 		g_socket_set_blocking(socket, FALSE);
-		line->source = g_socket_create_source(socket, G_IO_IN, nullptr);
-		g_source_set_callback(line->source, G_SOURCE_FUNC(on_readable),
-				      line, nullptr);
-		g_source_attach(line->source, nullptr);
-		peer->lines.push_back(line);
+		state->source =
+			g_socket_create_source(socket, G_IO_IN, nullptr);
+		g_source_set_callback(state->source, G_SOURCE_FUNC(on_readable),
+				      state, nullptr);
+		g_source_attach(state->source, nullptr);
+		peer->open_connections.push_back(state);
 		peer->connections++;
 		return TRUE;
 	}
 
 	/* One whole request off the front of `input`; "" if there is none. */
-	static std::string take(std::string &input)
+	static std::string take_request(std::string &input)
 	{
 		size_t end = input.find("\r\n\r\n");
 		if (end == std::string::npos)
@@ -124,30 +125,30 @@
 
 	static gboolean on_readable(GSocket *socket, GIOCondition, void *data)
 	{
-		Line *line = static_cast<Line *>(data);
-		Peer *peer = line->peer;
+		Connection *state = static_cast<Connection *>(data);
+		ScriptedServer *peer = state->peer;
 		char bytes[4096];
 		gssize count = g_socket_receive(socket, bytes, sizeof(bytes),
 						nullptr, nullptr);
-		bool over = count <= 0;
+		bool closing = count <= 0;
 
-		if (over)
+		if (closing)
 			peer->closed++;
 		else
-			line->input.append(bytes, count);
-		std::string request = over ? "" : take(line->input);
+			state->input.append(bytes, count);
+		std::string request = closing ? "" : take_request(state->input);
 		if (!request.empty()) {
 			peer->requests.push_back(request);
-			PeerReply reply = peer->script(request);
+			ScriptedReply reply = peer->script(request);
 			g_socket_send(socket, reply.bytes.data(),
 				      reply.bytes.size(), nullptr, nullptr);
-			over = reply.close;
+			closing = reply.close;
 		}
-		if (over) {
-			std::erase(peer->lines, line);
-			drop(line);
+		if (closing) {
+			std::erase(peer->open_connections, state);
+			close_connection(state);
 		}
-		return over ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
+		return closing ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
 	}
 };
 
--- a/tests/test_front.cc
+++ b/tests/test_front.cc
@@ -12,7 +12,7 @@
 
 #include "caller.h"
 #include "common/child.h"
-#include "peer.h"
+#include "scripted_server.h"
 
 static std::string at(guint port)
 {
@@ -62,7 +62,7 @@
 class Front : public testing::Test
 {
       protected:
-	Peer upstream;
+	ScriptedServer upstream;
 	std::vector<std::unique_ptr<Node>> nodes;
 	guint64 config_version = 1;
 	guint64 epoch = 1;
@@ -117,13 +117,13 @@
 			std::string load = "{\"boot_id\":1,\"state\":\"warm\","
 					   "\"busy\":0,\"slots\":4}";
 			if (request.rfind("GET /load", 0) == 0)
-				return PeerReply{
+				return ScriptedReply{
 					"HTTP/1.1 200 OK\r\nContent-Length: " +
 						std::to_string(load.size()) +
 						"\r\n\r\n" + load,
 					false
 				};
-			return PeerReply{ bytes, close };
+			return ScriptedReply{ bytes, close };
 		};
 	}
 
@@ -400,9 +400,9 @@
  */
 TEST_F(Front, ASilentEntryIsPassedBy)
 {
-	Peer silent;
+	ScriptedServer silent;
 
-	silent.script = [](const std::string &) { return PeerReply{}; };
+	silent.script = [](const std::string &) { return ScriptedReply{}; };
 	c_inner = at(silent.port);
 	owner = 2;
 	standby = 1;
