--- a/include/auburnstile/internal/gateway_parts.h
+++ b/include/auburnstile/internal/gateway_parts.h
@@ -225,12 +225,12 @@
 
 /* Counts a finished request in the metrics. */
 void aub_gateway_count_request(struct aub_gateway *gateway, const char *service,
-			       enum aub_request_outcome counter,
+			       enum aub_request_outcome outcome,
 			       const char *reason, gint64 elapsed_us);
 
 /* Counts a finished request in the metrics and logs it. */
 void aub_request_log(const struct aub_request *request,
-		     enum aub_request_outcome counter, guint status,
+		     enum aub_request_outcome outcome, guint status,
 		     const char *reason, const char *detail);
 
 G_END_DECLS
--- a/include/auburnstile/internal/placer.h
+++ b/include/auburnstile/internal/placer.h
@@ -57,8 +57,8 @@
 			  const struct aub_routing *routing);
 void aub_placer_update_upstream(struct aub_placer *placer, const char *id,
 				const struct aub_upstream_record *record);
-void aub_placer_set_zone_out(struct aub_placer *placer, const char *zone,
-			     bool out);
+void aub_placer_set_zone_evacuated(struct aub_placer *placer, const char *zone,
+				   bool evacuated);
 
 /* Called when all orders in the store have been read. */
 void aub_placer_set_orders_known(struct aub_placer *placer);
@@ -87,7 +87,7 @@
  * first.
  */
 void aub_placer_request(struct aub_placer *placer, const char *service,
-			const struct aub_ask *ask, guint64 id,
+			const struct aub_ask *request, guint64 id,
 			aub_placement_result_callback *placed, void *context);
 /* Cancels a request whose caller has disconnected before the decision. */
 void aub_placer_cancel(struct aub_placer *placer, guint64 ticket);
@@ -107,9 +107,9 @@
 	guint64 requested;
 	guint64 placed_here; /* as placer, for any gateway */
 	guint64 placed_in_fallback; /* no placer answered */
-	guint64 suspected; /* placers that did not answer in time */
+	guint64 placers_suspected; /* placers that did not answer in time */
 	guint64 forwarded; /* requests passed on to a higher-ranked gateway */
-	guint64 probes;
+	guint64 probes_sent;
 };
 const struct aub_placer_counts *aub_placer_get_counts(
 	const struct aub_placer *placer);
--- a/include/auburnstile/internal/placer_parts.h
+++ b/include/auburnstile/internal/placer_parts.h
@@ -10,7 +10,7 @@
 struct aub_ticket {
 	guint64 id;
 	char *service;
-	struct aub_ask ask; /* without its pointers */
+	struct aub_ask request; /* without its pointers */
 	GPtrArray *avoid; /* of char * */
 	/* NULL once it is decided */
 	aub_placement_result_callback *callback;
--- a/src/coordination/addresses.c
+++ b/src/coordination/addresses.c
@@ -100,13 +100,13 @@
 {
 	JsonBuilder *builder = json_builder_new();
 	JsonNode *root;
-	char *grant;
+	char *owner_grant;
 	char *json;
 
-	grant = aub_grant_make(endpoints->items[0].name,
-			       endpoints->items[0].incarnation,
-			       endpoints->options->wall_s,
-			       endpoints->options->random);
+	owner_grant = aub_grant_make(endpoints->items[0].name,
+				     endpoints->items[0].incarnation,
+				     endpoints->options->wall_s,
+				     endpoints->options->random);
 	json_builder_begin_object(builder);
 	json_builder_set_member_name(builder, "service");
 	json_builder_add_string_value(builder, service);
@@ -128,13 +128,13 @@
 						    VALID_STOPPING_MS :
 						    VALID_DEFAULT_MS);
 	json_builder_set_member_name(builder, "grant");
-	json_builder_add_string_value(builder, grant);
+	json_builder_add_string_value(builder, owner_grant);
 	json_builder_end_object(builder);
 	root = json_builder_get_root(builder);
 	json = json_to_string(root, FALSE);
 	json_node_unref(root);
 	g_object_unref(builder);
-	g_free(grant);
+	g_free(owner_grant);
 	return json;
 }
 
--- a/src/coordination/gateway.c
+++ b/src/coordination/gateway.c
@@ -63,12 +63,12 @@
 {
 	struct aub_metrics *metrics = gateway->options.metrics;
 
-	gateway->attempts_counter =
-		aub_metrics_counter(metrics, "auburnstile_attempts_total", NULL,
-				    "tries at upstreams");
+	gateway->attempts_counter = aub_metrics_counter(
+		metrics, "auburnstile_attempts_total", NULL,
+		"attempts to send a request to an upstream");
 	gateway->retries_counter =
 		aub_metrics_counter(metrics, "auburnstile_retries_total", NULL,
-				    "tries after a failed one");
+				    "attempts after a failed one");
 }
 
 /*
@@ -76,10 +76,10 @@
  * many routes there are.
  */
 void aub_gateway_count_request(struct aub_gateway *gateway, const char *service,
-			       enum aub_request_outcome counter,
+			       enum aub_request_outcome outcome,
 			       const char *reason, gint64 elapsed_us)
 {
-	static const char *const outcomes[AUB_REQUEST_OUTCOMES] = {
+	static const char *const outcome_names[AUB_REQUEST_OUTCOMES] = {
 		[AUB_REQUEST_ANSWERED] = "answered",
 		[AUB_REQUEST_REFUSED] = "refused",
 		[AUB_REQUEST_FAILED] = "failed",
@@ -88,22 +88,22 @@
 		[AUB_REQUEST_TRUNCATED] = "broken",
 	};
 	struct aub_metrics *metrics = gateway->options.metrics;
-	char *label =
-		aub_metrics_labels("service", service, "outcome",
-				   outcomes[counter], "reason", reason, NULL);
+	char *label = aub_metrics_labels("service", service, "outcome",
+					 outcome_names[outcome], "reason",
+					 reason, NULL);
 	char *service_label = aub_metrics_labels("service", service, NULL);
 
 	aub_metrics_add(metrics,
-			aub_metrics_counter(metrics,
-					    "auburnstile_requests_total", label,
-					    "requests by what became of them"),
+			aub_metrics_counter(
+				metrics, "auburnstile_requests_total", label,
+				"finished requests by outcome and reason"),
 			1);
-	aub_metrics_observe(
-		metrics,
-		aub_metrics_histogram(metrics, "auburnstile_request_us",
-				      service_label,
-				      "from a request's head to its answer"),
-		elapsed_us);
+	aub_metrics_observe(metrics,
+			    aub_metrics_histogram(
+				    metrics, "auburnstile_request_us",
+				    service_label,
+				    "time from a request's head to its answer"),
+			    elapsed_us);
 	g_free(label);
 	g_free(service_label);
 }
--- a/src/coordination/gateway_answer.c
+++ b/src/coordination/gateway_answer.c
@@ -73,7 +73,7 @@
 
 struct local_answer {
 	guint status;
-	enum aub_request_outcome counter;
+	enum aub_request_outcome outcome;
 	const char *reason;
 	const char *detail; /* for the log; may be NULL */
 	guint retry_after_ms; /* 0: none */
@@ -101,7 +101,7 @@
 	if (!request->is_head)
 		g_string_append(text, body);
 	g_free(body);
-	aub_request_log(request, local->counter, local->status, local->reason,
+	aub_request_log(request, local->outcome, local->status, local->reason,
 			local->detail);
 	aub_request_write(request, text->str, text->len);
 	g_string_free(text, TRUE);
@@ -114,7 +114,7 @@
 {
 	send_local_answer(request, &(struct local_answer){
 					   .status = 503,
-					   .counter = AUB_REQUEST_REFUSED,
+					   .outcome = AUB_REQUEST_REFUSED,
 					   .reason = reason,
 					   .retry_after_ms = retry_after_ms,
 				   });
@@ -125,7 +125,7 @@
 {
 	send_local_answer(request, &(struct local_answer){
 					   .status = status,
-					   .counter = AUB_REQUEST_DENIED,
+					   .outcome = AUB_REQUEST_DENIED,
 					   .reason = reason,
 				   });
 }
@@ -136,7 +136,7 @@
 {
 	send_local_answer(request, &(struct local_answer){
 					   .status = status,
-					   .counter = AUB_REQUEST_FAILED,
+					   .outcome = AUB_REQUEST_FAILED,
 					   .reason = reason,
 					   .detail = detail,
 				   });
@@ -167,15 +167,15 @@
 }
 
 void aub_request_log(const struct aub_request *request,
-		     enum aub_request_outcome counter, guint status,
+		     enum aub_request_outcome outcome, guint status,
 		     const char *reason, const char *detail)
 {
 	struct aub_gateway *gateway = request->gateway;
 	gint64 now = aub_timer_now(gateway->options.timers);
 
-	aub_gateway_count_request(gateway, request->service, counter, reason,
+	aub_gateway_count_request(gateway, request->service, outcome, reason,
 				  now - request->start_us);
-	aub_log_begin(counter == AUB_REQUEST_ANSWERED && status < 500 ?
+	aub_log_begin(outcome == AUB_REQUEST_ANSWERED && status < 500 ?
 			      AUB_LOG_REQUEST :
 			      AUB_LOG_REQUEST_TROUBLE);
 	aub_log_text("id", request->id);
--- a/src/coordination/gateway_attempt.c
+++ b/src/coordination/gateway_attempt.c
@@ -44,8 +44,8 @@
 	aub_log_end();
 }
 
-static void report_end(struct aub_upstream_attempt *attempt,
-		       enum aub_attempt_end end)
+static void report_attempt_end(struct aub_upstream_attempt *attempt,
+			       enum aub_attempt_end end)
 {
 	struct aub_gateway *gateway = attempt->request->gateway;
 	gint64 now = aub_timer_now(gateway->options.timers);
@@ -62,7 +62,7 @@
 {
 	aub_exchange_cancel(attempt->exchange);
 	attempt->exchange = NULL;
-	report_end(attempt, end);
+	report_attempt_end(attempt, end);
 	aub_attempt_free(attempt);
 }
 
@@ -158,7 +158,7 @@
 	enum aub_attempt_end end = attempt_end_of(attempt, exchange_end);
 
 	attempt->exchange = NULL;
-	report_end(attempt, end);
+	report_attempt_end(attempt, end);
 	if (end == AUB_END_OK || end == AUB_END_FAILED)
 		aub_request_on_attempt_complete(request, attempt);
 	else
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -162,7 +162,7 @@
 {
 	struct aub_gateway *gateway = request->gateway;
 	gint64 now = request_now_us(request);
-	const struct aub_ask ask = {
+	const struct aub_ask placement_request = {
 		.priority = request->route->priority,
 		.target_ms = request->route->target_ms,
 		.on_time_ms = on_time_wait_ms(request, now),
@@ -176,8 +176,9 @@
 
 	request->placement_pending = true;
 	request->ticket = aub_placer_new_ticket(gateway->options.placer);
-	aub_placer_request(gateway->options.placer, request->service, &ask,
-			   request->ticket, on_placed, request);
+	aub_placer_request(gateway->options.placer, request->service,
+			   &placement_request, request->ticket, on_placed,
+			   request);
 }
 
 /*
@@ -220,12 +221,13 @@
 static void record_crash(struct aub_request *request)
 {
 	struct aub_gateway *gateway = request->gateway;
-	guint64 mark = request_fingerprint(request);
-	guint crash_count = aub_crash_marks_lost(gateway->crash_marks, mark,
-						 request_now_us(request));
+	guint64 fingerprint = request_fingerprint(request);
+	guint crash_count =
+		aub_crash_marks_lost(gateway->crash_marks, fingerprint,
+				     request_now_us(request));
 
 	if (gateway->options.on_crash && crash_count > 1)
-		gateway->options.on_crash(mark, crash_count,
+		gateway->options.on_crash(fingerprint, crash_count,
 					  gateway->options.context);
 }
 
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -321,21 +321,21 @@
 static void on_stop_check(void *context, gint64 now_us)
 {
 	struct aub_node *node = context;
-	gint64 age_us = now_us - node->stop_start_us;
-	gint64 kill_us = (node->grace_ms - STOP_RESERVE_MS) * AUB_MS;
+	gint64 elapsed_us = now_us - node->stop_start_us;
+	gint64 exit_us = (node->grace_ms - STOP_RESERVE_MS) * AUB_MS;
 	gint64 accept_us =
 		(gint64)(STOP_ACCEPT_SHARE * node->grace_ms) * AUB_MS;
 	gint64 close_us = MIN(node->address_ms * AUB_MS * ADDRESS_CACHE_FACTOR,
 			      accept_us);
 
-	if (age_us >= close_us)
+	if (elapsed_us >= close_us)
 		aub_gateway_stop_accepting(node->gateway);
-	if ((age_us >= close_us &&
+	if ((elapsed_us >= close_us &&
 	     !aub_gateway_active_requests(node->gateway) &&
 	     !aub_gateway_open_connections(node->gateway)) ||
-	    age_us >= kill_us) {
+	    elapsed_us >= exit_us) {
 		aub_log_begin(AUB_LOG_STOP);
-		aub_log_number("ms", age_us / AUB_MS);
+		aub_log_number("ms", elapsed_us / AUB_MS);
 		aub_log_number("requests",
 			       aub_gateway_active_requests(node->gateway));
 		aub_log_end();
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -43,7 +43,7 @@
 	return aub_store_sync_lost_us(node->store) / AUB_MS;
 }
 
-static gint64 read_asked(const struct aub_node *node)
+static gint64 read_placement_requests(const struct aub_node *node)
 {
 	return (gint64)aub_placer_get_counts(node->placer)->requested;
 }
@@ -58,19 +58,19 @@
 	return (gint64)aub_placer_get_counts(node->placer)->placed_in_fallback;
 }
 
-static gint64 read_forwarded(const struct aub_node *node)
+static gint64 read_requests_forwarded(const struct aub_node *node)
 {
 	return (gint64)aub_placer_get_counts(node->placer)->forwarded;
 }
 
-static gint64 read_suspected(const struct aub_node *node)
+static gint64 read_placers_suspected(const struct aub_node *node)
 {
-	return (gint64)aub_placer_get_counts(node->placer)->suspected;
+	return (gint64)aub_placer_get_counts(node->placer)->placers_suspected;
 }
 
-static gint64 read_probes(const struct aub_node *node)
+static gint64 read_probes_sent(const struct aub_node *node)
 {
-	return (gint64)aub_placer_get_counts(node->placer)->probes;
+	return (gint64)aub_placer_get_counts(node->placer)->probes_sent;
 }
 
 static gint64 read_peers(const struct aub_node *node)
@@ -104,40 +104,44 @@
 }
 
 static const struct scalar scalars[] = {
-	{ "auburnstile_config_version", "configuration in force", false,
-	  read_version },
-	{ "auburnstile_requests_under_way", "now", false, read_requests },
-	{ "auburnstile_caller_connections", "open now", false,
-	  read_caller_connections },
+	{ "auburnstile_config_version", "version of the active configuration",
+	  false, read_version },
+	{ "auburnstile_requests_under_way", "requests in progress", false,
+	  read_requests },
+	{ "auburnstile_caller_connections", "open connections of callers",
+	  false, read_caller_connections },
 	{ "auburnstile_connections_opened_total",
-	  "to upstreams and to the store", true, read_connections_opened },
+	  "connections opened to upstreams and to the store", true,
+	  read_connections_opened },
 	{ "auburnstile_store_lost_ms",
-	  "since the store stopped answering; 0: it answers", false,
+	  "time since the store stopped answering; 0: it answers", false,
 	  read_store_outage_ms },
 	{ "auburnstile_placer_asked_total",
-	  "requests that asked for an upstream", true, read_asked },
-	{ "auburnstile_placer_decided_total", "asked here, by any gateway",
-	  true, read_placed_here },
-	{ "auburnstile_placer_alone_total", "placed for want of a placer", true,
+	  "placement requests of this gateway", true, read_placement_requests },
+	{ "auburnstile_placer_decided_total",
+	  "placement decisions made here, for any gateway", true,
+	  read_placed_here },
+	{ "auburnstile_placer_alone_total",
+	  "requests placed locally because no placer answered", true,
 	  read_placed_in_fallback },
 	{ "auburnstile_placer_forwarded_total",
-	  "asks passed on to a gateway that ranks first", true,
-	  read_forwarded },
+	  "placement requests forwarded to a gateway that ranks first", true,
+	  read_requests_forwarded },
 	{ "auburnstile_placer_suspected_total",
-	  "placers that did not answer in time", true, read_suspected },
-	{ "auburnstile_probes_total", "sent", true, read_probes },
-	{ "auburnstile_peers_alive", "other gateways heard lately", false,
-	  read_peers },
+	  "placers that did not answer in time", true, read_placers_suspected },
+	{ "auburnstile_probes_total", "health probes sent", true,
+	  read_probes_sent },
+	{ "auburnstile_peers_alive", "other gateways with recent heartbeats",
+	  false, read_peers },
 	{ "auburnstile_peer_datagrams_refused_total",
-	  "datagrams of peers that made no sense", true,
-	  read_datagrams_rejected },
+	  "malformed datagrams received", true, read_datagrams_rejected },
 	{ "auburnstile_peer_introductions_total",
-	  "of gateways that knew nobody", true, read_introductions },
+	  "introductions sent to gateways that knew no peers", true,
+	  read_introductions },
 	{ "auburnstile_records_refused_total",
-	  "objects of the store that made no sense", true,
-	  read_records_rejected },
-	{ "auburnstile_memory_peak_bytes", "-1: can't be told", false,
-	  read_memory },
+	  "store objects that could not be read", true, read_records_rejected },
+	{ "auburnstile_memory_peak_bytes", "peak resident memory; -1: unknown",
+	  false, read_memory },
 };
 
 /* Sets a counter or a gauge. Frees `labels`. */
@@ -167,7 +171,7 @@
 {
 	set_series(node, false, "auburnstile_upstreams",
 		   aub_metrics_labels("service", service, "state", state, NULL),
-		   "by state, as this gateway sees it", count);
+		   "upstreams by state, in this gateway's view", count);
 }
 
 static void export_placement(const char *service,
@@ -183,29 +187,31 @@
 	export_upstreams(node, service, "leaving", state->leaving);
 	export_upstreams(node, service, "held", state->held);
 	set_service_series(node, false, "auburnstile_queued", service,
-			   "requests that wait here for a slot", state->queued);
+			   "requests queued here for a slot", state->queued);
 	set_service_series(node, false, "auburnstile_granted", service,
-			   "slots in use by what was granted here",
+			   "slots in use by requests granted here",
 			   state->granted);
 	set_service_series(node, true, "auburnstile_asks_refused_total",
-			   service, "asks that got no upstream here",
+			   service, "placement requests refused here",
 			   (gint64)state->refused);
 	set_service_series(node, true, "auburnstile_cold_grants_total", service,
-			   "requests given to cold upstreams",
+			   "requests granted to upstreams in warm-up",
 			   (gint64)state->cold_grants);
-	set_service_series(node, false, "auburnstile_cold_limit_per_1000_s",
-			   service, "requests that one cold upstream is given",
-			   (gint64)(1000 * state->cold_per_s));
-	set_service_series(node, false, "auburnstile_upstream_full_percent",
-			   service,
-			   "of its slots that an upstream is kept to, learned",
-			   state->full_percent);
-	set_service_series(node, false, "auburnstile_upstream_slowdown_percent",
-			   service, "mean that upstreams tell; 100 is as usual",
-			   state->slowdown_percent);
+	set_service_series(
+		node, false, "auburnstile_cold_limit_per_1000_s", service,
+		"limit of requests per 1000 s to one upstream in warm-up",
+		(gint64)(1000 * state->cold_per_s));
+	set_service_series(
+		node, false, "auburnstile_upstream_full_percent", service,
+		"learned limit of an upstream's slots in use, in percent",
+		state->full_percent);
+	set_service_series(
+		node, false, "auburnstile_upstream_slowdown_percent", service,
+		"mean service time reported by upstreams; 100 is typical",
+		state->slowdown_percent);
 	set_service_series(node, false, "auburnstile_upstream_burst_ms",
 			   service,
-			   "for which what upstreams tell holds, learned",
+			   "learned length of interference bursts at upstreams",
 			   state->burst_ms);
 }
 
@@ -216,20 +222,22 @@
 	struct aub_node *node = context;
 
 	for (guint i = AUB_ROLLOUT_RUNNING; i < AUB_ROLLOUT_STATES; i++)
-		set_series(node, false, "auburnstile_rollout_state",
-			   aub_metrics_labels("service", service, "state",
-					      aub_rollout_state_name((
-						      enum aub_rollout_state)i),
-					      NULL),
-			   "1: the order is there, as this gateway sees it",
-			   state->rollout == i);
+		set_series(
+			node, false, "auburnstile_rollout_state",
+			aub_metrics_labels("service", service, "state",
+					   aub_rollout_state_name(
+						   (enum aub_rollout_state)i),
+					   NULL),
+			"1: current state of the order, in this gateway's view",
+			state->rollout == i);
 	set_service_series(node, false, "auburnstile_rollout_exposed", service,
-			   "requests placed here at the version of the order",
+			   "requests placed here on the order's version",
 			   (gint64)state->exposed);
 	set_service_series(node, false, "auburnstile_rollout_answers", service,
-			   "of the version, that judge it", state->judged);
+			   "answers of the new version that were judged",
+			   state->judged);
 	set_service_series(node, false, "auburnstile_rollout_bad_answers",
-			   service, "of these, failures and slow ones",
+			   service, "judged answers that failed or were slow",
 			   state->judged_bad);
 }
 
@@ -246,17 +254,17 @@
 			   aub_metrics_labels("kind", name, "result",
 					      aub_store_result_name(result),
 					      NULL),
-			   "by what they were about and how they ended",
+			   "calls of the store by object kind and result",
 			   (gint64)aub_store_sync_calls(node->store, kind,
 							result));
 	}
 	set_series(node, false, "auburnstile_store_age_ms",
 		   aub_metrics_labels("kind", name, NULL),
-		   "since the store itself told of it; -1: never",
+		   "time since the store last answered; -1: never",
 		   answered_us ? (now - answered_us) / AUB_MS : -1);
 }
 
-static void export_links(struct aub_node *node)
+static void export_peer_traffic(struct aub_node *node)
 {
 	const struct aub_peers_counts *counts =
 		aub_peers_get_counts(node->peers);
@@ -265,16 +273,18 @@
 
 	set_series(node, true, datagrams,
 		   aub_metrics_labels("to", "zone", NULL),
-		   "sent to other gateways",
+		   "datagrams sent to other gateways",
 		   (gint64)counts->own_zone_datagrams);
 	set_series(node, true, datagrams,
 		   aub_metrics_labels("to", "others", NULL),
-		   "sent to other gateways",
+		   "datagrams sent to other gateways",
 		   (gint64)counts->cross_zone_datagrams);
 	set_series(node, true, bytes, aub_metrics_labels("to", "zone", NULL),
-		   "of these datagrams", (gint64)counts->own_zone_bytes);
+		   "bytes of datagrams sent to other gateways",
+		   (gint64)counts->own_zone_bytes);
 	set_series(node, true, bytes, aub_metrics_labels("to", "others", NULL),
-		   "of these datagrams", (gint64)counts->cross_zone_bytes);
+		   "bytes of datagrams sent to other gateways",
+		   (gint64)counts->cross_zone_bytes);
 }
 
 static void export_log(struct aub_node *node)
@@ -288,7 +298,7 @@
 	for (guint i = 0; i < AUB_LOG_CLASSES; i++)
 		set_series(node, true, "auburnstile_log_dropped_total",
 			   aub_metrics_labels("class", names[i], NULL),
-			   "lines that found no room",
+			   "log lines dropped because the buffer was full",
 			   (gint64)aub_decision_log_dropped(
 				   (enum aub_log_class)i));
 }
@@ -309,7 +319,7 @@
 	}
 	for (guint i = 0; i < AUB_STORE_KINDS; i++)
 		export_store_kind(node, (enum aub_store_kind)i);
-	export_links(node);
+	export_peer_traffic(node);
 	export_log(node);
 	aub_placer_visit(node->placer, export_placement, node);
 	if (node->rollouts_enabled)
--- a/src/coordination/node_store.c
+++ b/src/coordination/node_store.c
@@ -120,8 +120,8 @@
 		aub_log_text("state", record->removed ? "in" : "out");
 		aub_log_number("revision", record->revision);
 		aub_log_end();
-		aub_placer_set_zone_out(node->placer, record->name,
-					!record->removed);
+		aub_placer_set_zone_evacuated(node->placer, record->name,
+					      !record->removed);
 		break;
 	case AUB_STORE_ROLLOUTS:
 		aub_node_apply_rollout_order(node, record);
--- a/src/coordination/peers.c
+++ b/src/coordination/peers.c
@@ -175,7 +175,7 @@
 			    peers, (struct aub_introduction *)message))
 			reject_datagram(
 				peers, from,
-				"introduction: addresses: a part of one");
+				"introduction: addresses: truncated address");
 		aub_message_free(message);
 		return;
 	}
@@ -190,12 +190,13 @@
 	for (guint i = 0; i < DATAGRAMS_PER_WAKEUP; i++) {
 		struct sockaddr_in from = { 0 };
 		socklen_t from_length = sizeof(from);
-		ssize_t got = recvfrom(peers->fd, data, sizeof(data), 0,
-				       (struct sockaddr *)&from, &from_length);
+		ssize_t received =
+			recvfrom(peers->fd, data, sizeof(data), 0,
+				 (struct sockaddr *)&from, &from_length);
 
-		if (got < 0)
+		if (received < 0)
 			return;
-		handle_datagram(peers, data, (gsize)got, &from);
+		handle_datagram(peers, data, (gsize)received, &from);
 	}
 }
 
@@ -291,9 +292,9 @@
 			     const struct aub_peer *peer, bool all,
 			     gint64 now_us)
 {
-	gint64 last = MAX(peer->last_heartbeat_us, peer->added_us);
+	gint64 last_seen_us = MAX(peer->last_heartbeat_us, peer->added_us);
 
-	if (now_us - last >= UNRESPONSIVE_AFTER_US)
+	if (now_us - last_seen_us >= UNRESPONSIVE_AFTER_US)
 		return peers->round % UNRESPONSIVE_PERIOD_ROUNDS == 0;
 	return all || !peer->last_heartbeat_us ||
 	       aub_peer_is_in_own_zone(peers, peer) ||
--- a/src/coordination/peers_rank.c
+++ b/src/coordination/peers_rank.c
@@ -142,22 +142,22 @@
 	bool (*is_eligible)(const struct aub_peer *peer))
 {
 	GHashTable *counts = g_hash_table_new(g_str_hash, g_str_equal);
-	GPtrArray *first = g_ptr_array_new();
+	GPtrArray *selected = g_ptr_array_new();
 
 	for (guint i = 0; i < ranked->len; i++) {
 		struct aub_peer *peer = g_ptr_array_index(ranked, i);
-		guint before = GPOINTER_TO_UINT(
+		guint zone_count = GPOINTER_TO_UINT(
 			g_hash_table_lookup(counts, peer->zone));
 
-		if (before >= per_zone_max ||
+		if (zone_count >= per_zone_max ||
 		    (is_eligible && !is_eligible(peer)))
 			continue;
 		g_hash_table_insert(counts, peer->zone,
-				    GUINT_TO_POINTER(before + 1));
-		g_ptr_array_add(first, peer);
+				    GUINT_TO_POINTER(zone_count + 1));
+		g_ptr_array_add(selected, peer);
 	}
 	g_hash_table_unref(counts);
-	return first;
+	return selected;
 }
 
 static bool reaches_store(const struct aub_peer *peer)
--- a/src/coordination/placer.c
+++ b/src/coordination/placer.c
@@ -180,12 +180,14 @@
 				const struct aub_upstream_record *record)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	const char *before =
+	const char *previous_service =
 		g_hash_table_lookup(placer->service_by_upstream, id);
 
-	if (before && (!record || strcmp(before, record->service) != 0))
-		aub_placement_register(aub_placer_placement(placer, before), id,
-				       NULL, now);
+	if (previous_service &&
+	    (!record || strcmp(previous_service, record->service) != 0))
+		aub_placement_register(aub_placer_placement(placer,
+							    previous_service),
+				       id, NULL, now);
 	if (!record) {
 		g_hash_table_remove(placer->service_by_upstream, id);
 		return;
@@ -196,20 +198,20 @@
 			       id, record, now);
 }
 
-void aub_placer_set_zone_out(struct aub_placer *placer, const char *zone,
-			     bool out)
+void aub_placer_set_zone_evacuated(struct aub_placer *placer, const char *zone,
+				   bool evacuated)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	GHashTableIter iter;
 	void *placement;
 
-	if (out)
+	if (evacuated)
 		g_hash_table_add(placer->evacuated_zones, g_strdup(zone));
 	else
 		g_hash_table_remove(placer->evacuated_zones, zone);
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &placement))
-		aub_placement_zone_out(placement, zone, out, now);
+		aub_placement_zone_out(placement, zone, evacuated, now);
 }
 
 struct aub_placer *aub_placer_new(const struct aub_placer_options *options)
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -71,9 +71,9 @@
  * first-ranked one also counts. It therefore forwards the request, once; the
  * decision is sent to the requesting gateway.
  */
-static bool forward_ask(struct aub_placer *placer,
-			const struct aub_peer *holder,
-			struct aub_place_ask *message)
+static bool forward_request(struct aub_placer *placer,
+			    const struct aub_peer *holder,
+			    struct aub_place_ask *message)
 {
 	struct aub_peer *first_ranked = NULL;
 
@@ -91,12 +91,13 @@
 	return true;
 }
 
-static void take_ask(struct aub_placer *placer, struct aub_place_ask *message)
+static void handle_request(struct aub_placer *placer,
+			   struct aub_place_ask *message)
 {
 	struct aub_placement *placement =
 		aub_placer_placement(placer, message->service);
 	GPtrArray *avoid;
-	struct aub_ask ask = {
+	struct aub_ask request = {
 		.ticket = message->ticket,
 		.holder = message->holder,
 		.zone = message->zone,
@@ -122,17 +123,17 @@
 			aub_peers_add(placer->options.peers, message->address);
 		return;
 	}
-	if (forward_ask(placer, holder, message))
+	if (forward_request(placer, holder, message))
 		return;
 	avoid = g_ptr_array_new();
 	for (guint i = 0; i < message->avoid->len; i++)
 		g_ptr_array_add(avoid, ((struct aub_name *)g_ptr_array_index(
 						message->avoid, i))
 					       ->name);
-	ask.avoid = (const char *const *)avoid->pdata;
-	ask.avoid_count = avoid->len;
+	request.avoid = (const char *const *)avoid->pdata;
+	request.avoid_count = avoid->len;
 	aub_placer_probe_service(placer, message->service);
-	aub_placement_ask(placement, &ask,
+	aub_placement_ask(placement, &request,
 			  aub_timer_now(placer->options.timers), &decision);
 	placer->counts.placed_here++;
 	send_decision(placer, &decision);
@@ -169,8 +170,8 @@
 		peer->suspicion_us = 0;
 }
 
-static void take_decision(struct aub_placer *placer,
-			  const struct aub_place_decision *message)
+static void handle_decision(struct aub_placer *placer,
+			    const struct aub_place_decision *message)
 {
 	struct aub_ticket *ticket =
 		g_hash_table_lookup(placer->tickets, &message->ticket);
@@ -186,9 +187,10 @@
 		return;
 	if (!ticket || !ticket->callback || ticket->placed_locally ||
 	    (ticket->asked_placer != message->placer && !ticket->forwardable)) {
-		bool same = ticket && ticket->granted_by == message->placer;
+		bool already_granted =
+			ticket && ticket->granted_by == message->placer;
 
-		if (decision.verdict == AUB_VERDICT_GRANTED && !same)
+		if (decision.verdict == AUB_VERDICT_GRANTED && !already_granted)
 			return_grant(placer, message);
 		return;
 	}
@@ -198,15 +200,15 @@
 	if (decision.verdict == AUB_VERDICT_QUEUED) {
 		ticket->queued = true;
 		ticket->next_action_us = ticket->sent_us +
-					 ticket->ask.patience_ms * AUB_MS +
+					 ticket->request.patience_ms * AUB_MS +
 					 AUB_DECISION_DELIVERY_SLACK_US;
 		return;
 	}
 	aub_ticket_resolve(placer, ticket, &decision, message->placer);
 }
 
-static void take_remote_report(struct aub_placer *placer,
-			       const struct aub_place_report *message)
+static void handle_report(struct aub_placer *placer,
+			  const struct aub_place_report *message)
 {
 	const struct aub_attempt_report report = {
 		.ticket = message->ticket,
@@ -234,13 +236,13 @@
 {
 	switch (message->type) {
 	case AUB_MESSAGE_PLACE_ASK:
-		take_ask(placer, (struct aub_place_ask *)message);
+		handle_request(placer, (struct aub_place_ask *)message);
 		break;
 	case AUB_MESSAGE_PLACE_DECISION:
-		take_decision(placer, (struct aub_place_decision *)message);
+		handle_decision(placer, (struct aub_place_decision *)message);
 		break;
 	case AUB_MESSAGE_PLACE_REPORT:
-		take_remote_report(placer, (struct aub_place_report *)message);
+		handle_report(placer, (struct aub_place_report *)message);
 		break;
 	case AUB_MESSAGE_PLACE_OUTSTANDING:
 		aub_placer_apply_outstanding(
--- a/src/coordination/placer_periodic.c
+++ b/src/coordination/placer_periodic.c
@@ -49,7 +49,7 @@
 			continue;
 		grant = aub_outstanding_new();
 		grant->ticket = ticket->id;
-		grant->target_ms = ticket->ask.target_ms;
+		grant->target_ms = ticket->request.target_ms;
 		aub_string_set(&grant->upstream, ticket->upstream);
 		g_ptr_array_add(message->grants, grant);
 	}
@@ -139,17 +139,17 @@
 			 gint64 now_us)
 {
 	struct aub_placement_state state;
-	struct aub_probed_service *active =
+	struct aub_probed_service *probed_service =
 		g_hash_table_lookup(placer->probed_services, service);
 
 	aub_placement_get_state(aub_placer_placement(placer, service), now_us,
 				&state);
-	if (!active || state.refused == active->refused_logged)
+	if (!probed_service || state.refused == probed_service->refused_logged)
 		return;
 	aub_log_begin(AUB_LOG_PLACEMENT);
 	aub_log_text("service", service);
-	aub_log_number("refused",
-		       (gint64)(state.refused - active->refused_logged));
+	aub_log_number("refused", (gint64)(state.refused -
+					   probed_service->refused_logged));
 	aub_log_number("queued", state.queued);
 	aub_log_number("granted", state.granted);
 	aub_log_number("up", state.up);
@@ -161,7 +161,7 @@
 	aub_log_number("slowdown_percent", state.slowdown_percent);
 	aub_log_number("burst_ms", state.burst_ms);
 	aub_log_end();
-	active->refused_logged = state.refused;
+	probed_service->refused_logged = state.refused;
 }
 
 /*
@@ -242,7 +242,7 @@
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_placement *placement =
 		aub_placer_placement(placer, message->service);
-	const struct aub_probed_service *active =
+	const struct aub_probed_service *probed_service =
 		g_hash_table_lookup(placer->probed_services, message->service);
 
 	if (message->relay &&
@@ -250,7 +250,7 @@
 		message->relay = false;
 		aub_peers_send_to_zone(placer->options.peers, &message->base);
 	}
-	if (active && active->all_until_us > now)
+	if (probed_service && probed_service->all_until_us > now)
 		return;
 	aub_placement_reset_health(placement);
 	for (guint i = 0; i < message->rows->len; i++) {
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /* probing continues for this long after the last activation */
-#define PROBING_LEASE_US (1500 * AUB_MS)
+#define PROBING_ACTIVE_US (1500 * AUB_MS)
 #define PROBE_TICK_PERIOD_US (25 * AUB_MS)
 #define PROBE_TIMEOUT_MS 400 /* a healthy upstream answers immediately */
 /* Batches the results of probes that were sent together. */
@@ -27,8 +27,8 @@
 	g_free(probe);
 }
 
-static enum aub_probe_end probe_end(const struct probe *probe,
-				    const struct aub_http_head *head)
+static enum aub_probe_end classify_probe(const struct probe *probe,
+					 const struct aub_http_head *head)
 {
 	const char *id;
 
@@ -78,17 +78,17 @@
 	placer->report_timer = 0;
 	g_hash_table_iter_init(&iter, placer->probed_services);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		struct aub_probed_service *active = value;
+		struct aub_probed_service *probed_service = value;
 		struct aub_peer *peer =
 			aub_placer_peer_for(placer, key, now_us);
 
-		if (!active->pending_results)
+		if (!probed_service->pending_results)
 			continue;
 		if (peer)
 			aub_peers_send(placer->options.peers, peer,
-				       &active->pending_results->base);
-		aub_message_free(&active->pending_results->base);
-		active->pending_results = NULL;
+				       &probed_service->pending_results->base);
+		aub_message_free(&probed_service->pending_results->base);
+		probed_service->pending_results = NULL;
 	}
 }
 
@@ -98,25 +98,25 @@
 			       enum aub_probe_end end,
 			       const struct aub_load *load)
 {
-	struct aub_probed_service *active =
+	struct aub_probed_service *probed_service =
 		g_hash_table_lookup(placer->probed_services, probe->service);
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_probed *probed;
 
-	if (!active || active->all_until_us >= now)
+	if (!probed_service || probed_service->all_until_us >= now)
 		return;
-	if (!active->pending_results) {
-		active->pending_results =
+	if (!probed_service->pending_results) {
+		probed_service->pending_results =
 			(struct aub_place_probed *)aub_message_new(
 				AUB_MESSAGE_PLACE_PROBED);
-		aub_string_set(&active->pending_results->service,
+		aub_string_set(&probed_service->pending_results->service,
 			       probe->service);
 	}
 	probed = aub_probed_new();
 	aub_string_set(&probed->upstream, probe->upstream);
 	probed->end = end;
 	probed->load = aub_load_encode(load);
-	g_ptr_array_add(active->pending_results->probed, probed);
+	g_ptr_array_add(probed_service->pending_results->probed, probed);
 	if (!placer->report_timer)
 		placer->report_timer =
 			aub_timer_at(placer->options.timers, "tell probes",
@@ -152,19 +152,19 @@
 	struct aub_placer *placer = probe->placer;
 	struct aub_placement *placement =
 		aub_placer_placement(placer, probe->service);
-	enum aub_probe_end ended = probe_end(probe, head);
+	enum aub_probe_end result = classify_probe(probe, head);
 	struct aub_load load = AUB_LOAD_UNKNOWN;
 	const char *health_before;
 
 	if (head)
 		placer->options.platform->decode_load(head, &load);
 	health_before = aub_placement_health_name(placement, probe->upstream);
-	aub_placement_probe_ended(placement, probe->upstream, ended, &load,
+	aub_placement_probe_ended(placement, probe->upstream, result, &load,
 				  aub_timer_now(placer->options.timers));
 	log_health(probe, health_before,
-		   aub_placement_health_name(placement, probe->upstream), ended,
-		   &load);
-	queue_probe_result(placer, probe, ended, &load);
+		   aub_placement_health_name(placement, probe->upstream),
+		   result, &load);
+	queue_probe_result(placer, probe, result, &load);
 	probe_free(probe);
 	aub_placer_drain_queue(placer, placement);
 }
@@ -182,7 +182,7 @@
 		.idle_us = PROBE_CONNECTION_IDLE_US,
 	};
 
-	placer->counts.probes++;
+	placer->counts.probes_sent++;
 	probe->placer = placer;
 	probe->service = g_strdup(service);
 	probe->upstream = g_strdup(due->upstream);
@@ -203,11 +203,11 @@
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
 		struct aub_placement *placement =
 			aub_placer_placement(placer, key);
-		const struct aub_probed_service *active = value;
-		bool is_placer = active->all_until_us >= now_us;
+		const struct aub_probed_service *probed_service = value;
+		bool is_placer = probed_service->all_until_us >= now_us;
 		struct aub_probe due;
 
-		if (!is_placer && active->zone_until_us < now_us) {
+		if (!is_placer && probed_service->zone_until_us < now_us) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
@@ -227,47 +227,48 @@
 						   const char *service)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_probed_service *active =
+	struct aub_probed_service *probed_service =
 		g_hash_table_lookup(placer->probed_services, service);
 
-	if (!active) {
-		active = g_new0(struct aub_probed_service, 1);
+	if (!probed_service) {
+		probed_service = g_new0(struct aub_probed_service, 1);
 		g_hash_table_insert(placer->probed_services, g_strdup(service),
-				    active);
+				    probed_service);
 	}
 	if (!placer->probe_timer)
 		placer->probe_timer =
 			aub_timer_at(placer->options.timers, "probes", now,
 				     on_probe_tick, placer);
-	return active;
+	return probed_service;
 }
 
 void aub_placer_probe_service(struct aub_placer *placer, const char *service)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_probed_service *active = activate_probing(placer, service);
+	struct aub_probed_service *probed_service =
+		activate_probing(placer, service);
 
-	if (active->all_until_us < now) {
+	if (probed_service->all_until_us < now) {
 		aub_log_begin(AUB_LOG_PLACING);
 		aub_log_text("service", service);
 		aub_log_end();
 	}
-	active->all_until_us = now + PROBING_LEASE_US;
+	probed_service->all_until_us = now + PROBING_ACTIVE_US;
 }
 
 void aub_placer_probe_own_zone(struct aub_placer *placer, const char *service)
 {
 	activate_probing(placer, service)->zone_until_us =
-		aub_timer_now(placer->options.timers) + PROBING_LEASE_US;
+		aub_timer_now(placer->options.timers) + PROBING_ACTIVE_US;
 }
 
 void aub_probed_service_free(void *data)
 {
-	struct aub_probed_service *active = data;
+	struct aub_probed_service *probed_service = data;
 
-	if (active->pending_results)
-		aub_message_free(&active->pending_results->base);
-	g_free(active);
+	if (probed_service->pending_results)
+		aub_message_free(&probed_service->pending_results->base);
+	g_free(probed_service);
 }
 
 void aub_placer_stop_probes(struct aub_placer *placer)
--- a/src/coordination/placer_rollouts.c
+++ b/src/coordination/placer_rollouts.c
@@ -14,7 +14,7 @@
 /* period of publishing evidence while an order is open */
 #define EVIDENCE_PERIOD_US (250 * AUB_MS)
 /* tolerated difference between two gateways' ages of an order */
-#define AGE_DIFFERENCE_MIN_US (500 * AUB_MS)
+#define AGE_TOLERANCE_US (500 * AUB_MS)
 #define STRENGTH_SCALE 100.0 /* fixed-point scale in messages */
 
 static void arm_rollout_timer(struct aub_placer *placer);
@@ -188,7 +188,7 @@
 {
 	gint64 age_us = now_us - rollout->began_us;
 
-	return age_us - message->age_ms * AUB_MS > AGE_DIFFERENCE_MIN_US;
+	return age_us - message->age_ms * AUB_MS > AGE_TOLERANCE_US;
 }
 
 void aub_placer_apply_rollout(struct aub_placer *placer,
@@ -202,7 +202,7 @@
 		.duration_ms = message->duration_ms,
 		.created = (gint64)message->created,
 	};
-	enum aub_rollout_state before;
+	enum aub_rollout_state state_before;
 
 	if (message->relay &&
 	    aub_placer_ranks_first_in_zone(placer, message->service)) {
@@ -212,12 +212,12 @@
 	if (message->state >= AUB_ROLLOUT_STATES ||
 	    !aub_placement_rollout(placement))
 		return;
-	before = aub_placement_rollout(placement)->state;
+	state_before = aub_placement_rollout(placement)->state;
 	if (!aub_placement_order_told(placement, &order,
 				      (enum aub_rollout_state)message->state,
 				      message->age_ms * AUB_MS, now))
 		return;
-	if (aub_placement_rollout(placement)->state != before)
+	if (aub_placement_rollout(placement)->state != state_before)
 		log_rollout(message->service, aub_placement_rollout(placement),
 			    now);
 	if (is_older_here(aub_placement_rollout(placement), message, now))
@@ -234,28 +234,30 @@
 {
 	const struct aub_placer_options *options = &placer->options;
 	const struct aub_rollout *rollout = aub_placement_rollout(placement);
-	bool places = is_placer(placer, service, now_us);
-	enum aub_rollout_state before;
-	enum aub_rollout_state wanted;
+	bool places_here = is_placer(placer, service, now_us);
+	enum aub_rollout_state state_before;
+	enum aub_rollout_state wanted_state;
 	bool stored = false;
 
 	if (!rollout || rollout->state == AUB_ROLLOUT_COMPLETED)
 		return false;
-	before = rollout->state;
-	wanted =
-		places ? aub_placement_rollout_step(placement, now_us) : before;
-	if (places || wanted == AUB_ROLLOUT_ROLLED_BACK)
-		stored = options->store_rollout_state(service, wanted, places,
+	state_before = rollout->state;
+	wanted_state = places_here ?
+			       aub_placement_rollout_step(placement, now_us) :
+			       state_before;
+	if (places_here || wanted_state == AUB_ROLLOUT_ROLLED_BACK)
+		stored = options->store_rollout_state(service, wanted_state,
+						      places_here,
 						      options->context);
-	if (rollout->state != before)
+	if (rollout->state != state_before)
 		log_rollout(service, rollout, now_us);
-	if (rollout->state != before || (places && send_evidence)) {
+	if (rollout->state != state_before || (places_here && send_evidence)) {
 		aub_placer_send_rollout(placer, service);
 		aub_placer_drain_queue(placer, placement);
 	}
 	if (rollout->state == AUB_ROLLOUT_ROLLED_BACK)
 		return !stored;
-	return places;
+	return places_here;
 }
 
 static void on_rollout_step(void *context, gint64 now_us)
@@ -326,14 +328,14 @@
 	const struct aub_rollout *rollout = aub_placement_rollout(placement);
 	bool is_new = !rollout || !record ||
 		      !aub_rollout_order_equal(&rollout->order, &record->order);
-	enum aub_rollout_state before =
+	enum aub_rollout_state state_before =
 		rollout ? rollout->state : AUB_ROLLOUT_NONE;
 
 	if (rollout && is_new)
 		log_ended(service, rollout, record ? "replaced" : "deleted");
 	aub_placement_order(placement, record, unreadable, now);
 	rollout = aub_placement_rollout(placement);
-	if (rollout && (is_new || rollout->state != before))
+	if (rollout && (is_new || rollout->state != state_before))
 		log_rollout(service, rollout, now);
 	if (rollout)
 		arm_rollout_timer(placer);
--- a/src/coordination/placer_tickets.c
+++ b/src/coordination/placer_tickets.c
@@ -122,14 +122,15 @@
 }
 
 static void fill_request(const struct aub_placer *placer,
-			 const struct aub_ticket *ticket, struct aub_ask *ask)
+			 const struct aub_ticket *ticket,
+			 struct aub_ask *request)
 {
-	*ask = ticket->ask;
-	ask->ticket = ticket->id;
-	ask->holder = placer->options.incarnation;
-	ask->zone = placer->zone;
-	ask->avoid = (const char *const *)ticket->avoid->pdata;
-	ask->avoid_count = ticket->avoid->len;
+	*request = ticket->request;
+	request->ticket = ticket->id;
+	request->holder = placer->options.incarnation;
+	request->zone = placer->zone;
+	request->avoid = (const char *const *)ticket->avoid->pdata;
+	request->avoid_count = ticket->avoid->len;
 }
 
 static void place_locally(struct aub_placer *placer, struct aub_ticket *ticket,
@@ -137,17 +138,17 @@
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_decision decision;
-	struct aub_ask ask;
+	struct aub_ask request;
 
-	fill_request(placer, ticket, &ask);
-	ask.alone = is_fallback;
+	fill_request(placer, ticket, &request);
+	request.alone = is_fallback;
 	if (is_fallback)
 		placer->counts.placed_in_fallback++;
 	else
 		aub_placer_probe_service(placer, ticket->service);
 	ticket->placed_locally = true;
-	aub_placement_ask(aub_placer_placement(placer, ticket->service), &ask,
-			  now, &decision);
+	aub_placement_ask(aub_placer_placement(placer, ticket->service),
+			  &request, now, &decision);
 	placer->counts.placed_here++;
 	if (decision.verdict == AUB_VERDICT_QUEUED) {
 		ticket->queued = true;
@@ -178,12 +179,12 @@
 	message->ticket = ticket->id;
 	aub_string_set(&message->service, ticket->service);
 	aub_string_set(&message->zone, placer->zone);
-	message->priority = ticket->ask.priority;
-	message->target_ms = ticket->ask.target_ms;
-	message->on_time_ms = ticket->ask.on_time_ms;
-	message->patience_ms = ticket->ask.patience_ms;
-	message->retry = ticket->ask.retry;
-	message->route = ticket->ask.route;
+	message->priority = ticket->request.priority;
+	message->target_ms = ticket->request.target_ms;
+	message->on_time_ms = ticket->request.on_time_ms;
+	message->patience_ms = ticket->request.patience_ms;
+	message->retry = ticket->request.retry;
+	message->route = ticket->request.route;
 	message->forward = ranks_first(placer, ticket->service, peer);
 	ticket->forwardable = message->forward;
 	for (guint i = 0; i < ticket->avoid->len; i++)
@@ -257,7 +258,7 @@
 			    struct aub_ticket *ticket, struct aub_peer *peer,
 			    gint64 now_us)
 {
-	placer->counts.suspected++;
+	placer->counts.placers_suspected++;
 	if (peer) {
 		suspect(peer, now_us);
 		aub_log_begin(AUB_LOG_PLACER_SUSPECTED);
@@ -323,20 +324,20 @@
 }
 
 void aub_placer_request(struct aub_placer *placer, const char *service,
-			const struct aub_ask *ask, guint64 id,
+			const struct aub_ask *request, guint64 id,
 			aub_placement_result_callback *placed, void *context)
 {
 	struct aub_ticket *ticket = g_new0(struct aub_ticket, 1);
 
 	ticket->id = id;
 	ticket->service = g_strdup(service);
-	ticket->ask = *ask;
+	ticket->request = *request;
 	ticket->callback = placed;
 	ticket->context = context;
 	ticket->start_us = aub_timer_now(placer->options.timers);
 	ticket->avoid = g_ptr_array_new_with_free_func(g_free);
-	for (guint i = 0; i < ask->avoid_count; i++)
-		g_ptr_array_add(ticket->avoid, g_strdup(ask->avoid[i]));
+	for (guint i = 0; i < request->avoid_count; i++)
+		g_ptr_array_add(ticket->avoid, g_strdup(request->avoid[i]));
 	g_hash_table_insert(placer->tickets, &ticket->id, ticket);
 	placer->counts.requested++;
 	ticket_request(placer, ticket);
--- a/tests/caller.h
+++ b/tests/caller.h
@@ -35,7 +35,7 @@
 	 * Appends the received bytes to `input`. Returns true once the other
 	 * end has closed the connection.
 	 */
-	bool ended()
+	bool is_closed()
 	{
 		char bytes[4096];
 		gssize count;
@@ -50,13 +50,13 @@
 	 * Runs the main loop until a complete answer or the end of the
 	 * connection has arrived; gives up after 5 s.
 	 */
-	std::string answer()
+	std::string read_answer()
 	{
 		gint64 end = g_get_monotonic_time() + 5000000;
 
 		input.clear();
 		while (g_get_monotonic_time() < end) {
-			if (ended() || whole())
+			if (is_closed() || has_complete_answer())
 				break;
 			g_main_context_iteration(nullptr, FALSE);
 		}
@@ -69,7 +69,7 @@
 	 * Returns whether the head and as much body as it announces have
 	 * arrived.
 	 */
-	bool whole() const
+	bool has_complete_answer() const
 	{
 		size_t end = input.find("\r\n\r\n");
 		if (end == std::string::npos)
--- a/tests/placer_fixture.h
+++ b/tests/placer_fixture.h
@@ -245,33 +245,33 @@
 	void request_placement(TestGateway &gateway, PlacementResult *result,
 			       guint patience_ms = 500)
 	{
-		struct aub_ask ask = {};
+		struct aub_ask request = {};
 
-		ask.target_ms = 600;
-		ask.on_time_ms = patience_ms;
-		ask.patience_ms = patience_ms;
+		request.target_ms = 600;
+		request.on_time_ms = patience_ms;
+		request.patience_ms = patience_ms;
 		*result = PlacementResult();
 		result->ticket = aub_placer_new_ticket(gateway.placer);
-		aub_placer_request(gateway.placer, "svc", &ask, result->ticket,
-				   on_placed, result);
+		aub_placer_request(gateway.placer, "svc", &request,
+				   result->ticket, on_placed, result);
 	}
 
 	/*
 	 * Sends four requests in sequence and expects a grant of `upstream` for
 	 * each.
 	 */
-	void expect_all_granted_to(TestGateway &asking,
+	void expect_all_granted_to(TestGateway &requester,
 				   const std::string &upstream)
 	{
 		PlacementResult result;
 
 		for (int i = 0; i < 4; i++) {
-			request_placement(asking, &result);
+			request_placement(requester, &result);
 			ASSERT_TRUE(
 				run_until([&] { return result.done; }, 2000));
 			EXPECT_EQ(result.verdict, AUB_VERDICT_GRANTED);
 			EXPECT_EQ(result.upstream, upstream);
-			aub_placer_report(asking.placer, result.ticket,
+			aub_placer_report(requester.placer, result.ticket,
 					  AUB_END_OK, 1000, NULL);
 		}
 	}
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -141,7 +141,7 @@
 		    "Auburnstile-Deadline-Ms: 1500\r\n"
 		    "Auburnstile-Retry-Budget: 900\r\n"
 		    "Content-Length: 3\r\n\r\nabc");
-	std::string answer = caller.answer();
+	std::string answer = caller.read_answer();
 
 	ASSERT_EQ(calls.size(), 1u);
 	EXPECT_STREQ(calls[0]->method, "POST");
@@ -170,18 +170,18 @@
 	caller.send("HEAD / HTTP/1.1\r\nHost: h\r\n\r\n");
 	until([&] { return !waiting.empty(); });
 	answer(200, "");
-	EXPECT_NE(caller.answer().find("HTTP/1.1 200"), std::string::npos);
+	EXPECT_NE(caller.read_answer().find("HTTP/1.1 200"), std::string::npos);
 	caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
 	until([&] { return !waiting.empty(); });
 	answer(204, "");
-	std::string no_content = caller.answer();
+	std::string no_content = caller.read_answer();
 	EXPECT_NE(no_content.find("HTTP/1.1 204"), std::string::npos);
 	EXPECT_NE(no_content.find("Connection: close"), std::string::npos);
 	Caller another(port());
 	another.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
 	until([&] { return !waiting.empty(); });
 	answer(200, "");
-	EXPECT_NE(another.answer().find("Content-Length: 0"),
+	EXPECT_NE(another.read_answer().find("Content-Length: 0"),
 		  std::string::npos);
 }
 
@@ -191,11 +191,11 @@
 
 	caller.send("GET /.auburnstile/addresses?service=calendar HTTP/1.1\r\n"
 		    "Host: h\r\n\r\n");
-	EXPECT_NE(caller.answer().find("{\"service\":\"calendar\"}"),
+	EXPECT_NE(caller.read_answer().find("{\"service\":\"calendar\"}"),
 		  std::string::npos);
 	caller.send("GET /.auburnstile/addresses?service=none HTTP/1.1\r\n"
 		    "Host: h\r\n\r\n");
-	EXPECT_NE(caller.answer().find("HTTP/1.1 404"), std::string::npos);
+	EXPECT_NE(caller.read_answer().find("HTTP/1.1 404"), std::string::npos);
 	EXPECT_TRUE(calls.empty());
 }
 
@@ -224,7 +224,7 @@
 	for (auto &[rest, status] : cases) {
 		Caller caller(port());
 		caller.send("POST /fees HTTP/1.1\r\nHost: h\r\n" + rest);
-		std::string answer = caller.answer();
+		std::string answer = caller.read_answer();
 		EXPECT_EQ(answer.rfind("HTTP/1.1 " + status, 0), 0u)
 			<< rest << answer;
 		EXPECT_NE(answer.find("Auburnstile-Outcome: not-run"),
@@ -253,12 +253,12 @@
 	{
 		Caller kept(port());
 		kept.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-		EXPECT_NE(kept.answer(), "");
+		EXPECT_NE(kept.read_answer(), "");
 		Caller closing(port());
 		closing.send("GET / HTTP/1.1\r\nHost: h\r\n"
 			     "Connection: close\r\n\r\n");
-		EXPECT_NE(closing.answer(), "");
-		until([&] { return closing.ended(); });
+		EXPECT_NE(closing.read_answer(), "");
+		until([&] { return closing.is_closed(); });
 		EXPECT_EQ(aub_caller_server_busy(server), 0u);
 	}
 	until([&] { return !aub_caller_server_connections(server); });
@@ -278,7 +278,7 @@
 	}
 	Caller caller(port());
 	caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	EXPECT_NE(caller.answer().find("hello"), std::string::npos);
+	EXPECT_NE(caller.read_answer().find("hello"), std::string::npos);
 	until([&] { return aub_caller_server_connections(server) <= 8; });
 }
 
@@ -292,6 +292,6 @@
 
 	header.send("GET / HTTP");
 	body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\na");
-	until([&] { return header.ended() && body.ended(); });
+	until([&] { return header.is_closed() && body.is_closed(); });
 	EXPECT_TRUE(calls.empty());
 }
--- a/tests/test_front.cc
+++ b/tests/test_front.cc
@@ -212,7 +212,7 @@
 	{
 		Caller caller(nodes[node]->port);
 		caller.send(request(line, key, body, more));
-		return caller.answer();
+		return caller.read_answer();
 	}
 
 	const gint64 issued_s = g_get_real_time() / AUB_SECOND;
@@ -286,8 +286,8 @@
 	second.send(request("POST /pay", key(0), "10"));
 	run_for(100);
 	EXPECT_EQ(ran(), 1u);
-	EXPECT_TRUE(says(first.answer(), "504", "unknown"));
-	EXPECT_TRUE(says(second.answer(), "504", "unknown"));
+	EXPECT_TRUE(says(first.read_answer(), "504", "unknown"));
+	EXPECT_TRUE(says(second.read_answer(), "504", "unknown"));
 	EXPECT_EQ(ran(), 1u);
 }
 
--- a/tests/test_peers.cc
+++ b/tests/test_peers.cc
@@ -345,13 +345,13 @@
 	TestGateway *gateway = start_gateway("a");
 	int fd = socket(AF_INET, SOCK_DGRAM, 0);
 	struct sockaddr_in to;
-	struct aub_introduction *half =
+	struct aub_introduction *malformed =
 		(struct aub_introduction *)aub_message_new(
 			AUB_MESSAGE_INTRODUCTION);
 
 	ASSERT_TRUE(aub_socket_address(gateway->address.c_str(), &to));
-	aub_bytes_set(&half->addresses, "1234567", 7);
-	GBytes *bytes = aub_message_encode(&half->base, NULL);
+	aub_bytes_set(&malformed->addresses, "1234567", 7);
+	GBytes *bytes = aub_message_encode(&malformed->base, NULL);
 	gsize length;
 	const void *data = g_bytes_get_data(bytes, &length);
 	sendto(fd, "nonsense", 8, 0, (struct sockaddr *)&to, sizeof(to));
@@ -364,7 +364,7 @@
 		1000));
 	EXPECT_EQ(aub_peers_all(gateway->peers)->len, 1u);
 	g_bytes_unref(bytes);
-	aub_message_free(&half->base);
+	aub_message_free(&malformed->base);
 	close(fd);
 }
 
--- a/tests/test_placer.cc
+++ b/tests/test_placer.cc
@@ -147,15 +147,15 @@
 	struct aub_placement_state state;
 
 	start_all({ "a", "b" });
-	TestGateway *stranger = start_gateway("stranger");
-	struct aub_place_ask *ask =
+	TestGateway *unknown_gateway = start_gateway("stranger");
+	struct aub_place_ask *request =
 		(struct aub_place_ask *)aub_message_new(AUB_MESSAGE_PLACE_ASK);
-	ask->holder = stranger->incarnation;
-	ask->ticket = 1;
-	ask->patience_ms = 500;
-	aub_string_set(&ask->service, "svc");
-	aub_string_set(&ask->address, stranger->address.c_str());
-	aub_placer_handle_message(gateways[0]->placer, &ask->base);
+	request->holder = unknown_gateway->incarnation;
+	request->ticket = 1;
+	request->patience_ms = 500;
+	aub_string_set(&request->service, "svc");
+	aub_string_set(&request->address, unknown_gateway->address.c_str());
+	aub_placer_handle_message(gateways[0]->placer, &request->base);
 	aub_placement_get_state(aub_placer_placement(gateways[0]->placer,
 						     "svc"),
 				g_get_monotonic_time(), &state);
@@ -166,7 +166,7 @@
 		[&] {
 			return aub_peers_by_incarnation(
 				       gateways[0]->peers,
-				       stranger->incarnation) != NULL;
+				       unknown_gateway->incarnation) != NULL;
 		},
 		500));
 }
@@ -220,7 +220,7 @@
 				  NULL);
 		run_for(20);
 	}
-	EXPECT_LE(aub_placer_get_counts(far->placer)->suspected, 2u);
+	EXPECT_LE(aub_placer_get_counts(far->placer)->placers_suspected, 2u);
 }
 
 /* Guards against a long suspicion of a placer that was slow once. */
@@ -230,19 +230,20 @@
 
 	start_all({ "a", "b", "c" });
 	TestGateway *placer = find_placer();
-	TestGateway *asking = other_gateway(placer);
+	TestGateway *requester = other_gateway(placer);
 	placer->drops_messages = true;
 	gint64 start_us = g_get_monotonic_time();
 	for (auto &result : results)
-		request_placement(*asking, &result, 2000);
+		request_placement(*requester, &result, 2000);
 	ASSERT_TRUE(run_until(
 		[&] {
-			return aub_placer_get_counts(asking->placer)
-				       ->suspected >= G_N_ELEMENTS(results);
+			return aub_placer_get_counts(requester->placer)
+				       ->placers_suspected >=
+			       G_N_ELEMENTS(results);
 		},
 		2000));
 	struct aub_peer *peer =
-		aub_peers_by_incarnation(asking->peers, placer->incarnation);
+		aub_peers_by_incarnation(requester->peers, placer->incarnation);
 	ASSERT_NE(peer, nullptr);
 	EXPECT_LT(peer->suspected_until_us, start_us + 1500 * AUB_MS);
 }
@@ -292,11 +293,11 @@
 	PlacementResult result;
 
 	start_all({ "a", "b", "c" });
-	TestGateway *asking = gateways[0].get();
+	TestGateway *requester = gateways[0].get();
 	for (auto &gateway : gateways)
-		if (gateway.get() != asking)
+		if (gateway.get() != requester)
 			gateway->drops_messages = true;
-	request_placement(*asking, &result);
+	request_placement(*requester, &result);
 	ASSERT_TRUE(run_until([&] { return result.done; }, 2000));
 	EXPECT_EQ(result.verdict, AUB_VERDICT_GRANTED);
 }
@@ -316,9 +317,9 @@
 		register_upstream(*gateway, second_upstream);
 	}
 	connect_all();
-	TestGateway *asking = other_gateway(find_placer());
-	register_upstream(*asking, first_upstream, true);
-	expect_all_granted_to(*asking, "u2");
+	TestGateway *requester = other_gateway(find_placer());
+	register_upstream(*requester, first_upstream, true);
+	expect_all_granted_to(*requester, "u2");
 }
 
 TEST_F(PlacerTest, ReturnsGrantOfLocallyUnknownUpstream)
@@ -336,9 +337,9 @@
 		register_upstream(*gateway, second_upstream);
 	connect_all();
 	TestGateway *placer = find_placer();
-	TestGateway *asking = other_gateway(placer);
+	TestGateway *requester = other_gateway(placer);
 	register_upstream(*placer, first_upstream);
-	expect_all_granted_to(*asking, "u2");
+	expect_all_granted_to(*requester, "u2");
 }
 
 TEST_F(PlacerTest, ReleasesGrantsOfDeadGateway)
@@ -351,19 +352,19 @@
 
 	start_all({ "a", "b", "c" });
 	TestGateway *placer = find_placer();
-	TestGateway *dying = other_gateway(placer);
+	TestGateway *dead_gateway = other_gateway(placer);
 	TestGateway *third = NULL;
 	for (auto &gateway : gateways)
-		if (gateway.get() != placer && gateway.get() != dying)
+		if (gateway.get() != placer && gateway.get() != dead_gateway)
 			third = gateway.get();
-	request_placement(*dying, &results[0], 3000);
-	request_placement(*dying, &results[1], 3000);
+	request_placement(*dead_gateway, &results[0], 3000);
+	request_placement(*dead_gateway, &results[1], 3000);
 	ASSERT_TRUE(
 		run_until([&] { return results[0].done && results[1].done; },
 			  2000));
-	stop_gateway(*dying);
+	stop_gateway(*dead_gateway);
 	for (size_t i = 0; i < gateways.size(); i++)
-		if (gateways[i].get() == dying)
+		if (gateways[i].get() == dead_gateway)
 			gateways.erase(gateways.begin() + (long)i);
 	request_placement(*third, &results[2], 4000);
 	ASSERT_TRUE(run_until([&] { return results[2].done; }, 4000));
@@ -386,11 +387,11 @@
 	}
 	connect_all();
 	TestGateway *placer = find_placer();
-	TestGateway *asking = other_gateway(placer);
+	TestGateway *requester = other_gateway(placer);
 	platform_upstream_set_down(first_upstream, true);
 	run_for(2500);
 	placer->drops_messages = true;
-	expect_all_granted_to(*asking, "u2");
+	expect_all_granted_to(*requester, "u2");
 }
 
 TEST_F(PlacerTest, ProbesThroughGatewayInUpstreamZone)
@@ -409,11 +410,11 @@
 	guint64 counts[2];
 	for (int i = 0; i < 2; i++)
 		counts[i] = aub_placer_get_counts(gateways[(size_t)i]->placer)
-				    ->probes;
+				    ->probes_sent;
 	run_for(1000);
 	for (int i = 0; i < 2; i++)
 		counts[i] = aub_placer_get_counts(gateways[(size_t)i]->placer)
-				    ->probes -
+				    ->probes_sent -
 			    counts[i];
 	EXPECT_GE(counts[0], 7u);
 	EXPECT_LE(counts[1], 2u);
--- a/tests/test_placer_rollouts.cc
+++ b/tests/test_placer_rollouts.cc
@@ -91,11 +91,11 @@
 {
 	start_with_both_versions({ "g1", "g2" });
 	TestGateway *placer = find_placer();
-	TestGateway *asking = other_gateway(placer);
+	TestGateway *requester = other_gateway(placer);
 	order(*placer, AUB_ROLLOUT_COMPLETED);
-	EXPECT_FALSE(may_send(*asking, "u2"));
+	EXPECT_FALSE(may_send(*requester, "u2"));
 	PlacementResult result;
-	request_placement(*asking, &result, 400);
+	request_placement(*requester, &result, 400);
 	ASSERT_TRUE(run_until([&] { return result.done; }, 2000));
 	EXPECT_NE(result.upstream, "u2");
 }
@@ -170,11 +170,11 @@
 	order(*placer);
 	run_for(700);
 	order(*other);
-	gint64 heard_us = placement(*other)->rollout.began_us;
+	gint64 start_before_us = placement(*other)->rollout.began_us;
 	EXPECT_TRUE(run_until(
 		[&] {
 			return placement(*other)->rollout.began_us <=
-			       heard_us - 600 * 1000;
+			       start_before_us - 600 * 1000;
 		},
 		1500));
 }
