--- a/src/coordination/peers.c
+++ b/src/coordination/peers.c
@@ -267,14 +267,13 @@
 
 static guint cross_zone_period_rounds(const struct aub_peers *peers)
 {
-	guint far = 0;
+	guint cross_zone_peers = 0;
 
 	for (guint i = 1; i < peers->all->len; i++)
-		far += !aub_peer_is_in_own_zone(peers,
-						g_ptr_array_index(peers->all,
-								  i));
+		cross_zone_peers += !aub_peer_is_in_own_zone(
+			peers, g_ptr_array_index(peers->all, i));
 	return MAX(CROSS_ZONE_PERIOD_MIN_ROUNDS,
-		   far / CROSS_ZONE_PEERS_PER_ROUND);
+		   cross_zone_peers / CROSS_ZONE_PEERS_PER_ROUND);
 }
 
 /* Returns the time without a heartbeat after which `peer` is dead. */
--- a/src/coordination/placer_tickets.c
+++ b/src/coordination/placer_tickets.c
@@ -159,7 +159,10 @@
 	}
 }
 
-/* Returns whether `peer` ranks first for `service`, regardless of suspicion. */
+/*
+ * Returns whether `peer` ranks first for `service`, so that no suspected peer
+ * was skipped.
+ */
 static bool ranks_first(struct aub_placer *placer, const char *service,
 			const struct aub_peer *peer)
 {
@@ -240,13 +243,13 @@
  */
 static void suspect(struct aub_peer *peer, gint64 now_us)
 {
-	bool answered_since = peer->last_heartbeat_us >
-			      peer->suspected_until_us - peer->suspicion_us;
+	bool heartbeat_since = peer->last_heartbeat_us >
+			       peer->suspected_until_us - peer->suspicion_us;
 
 	/* Several requests may have waited in the same unresponsive period. */
 	if (peer->suspected_until_us > now_us)
 		return;
-	if (answered_since || !peer->suspicion_us)
+	if (heartbeat_since || !peer->suspicion_us)
 		peer->suspicion_us = SUSPICION_INITIAL_US;
 	else
 		peer->suspicion_us =
