--- a/include/auburnstile/internal/placer_parts.h
+++ b/include/auburnstile/internal/placer_parts.h
@@ -95,8 +95,8 @@
  * Returns whether the process has run long enough to receive replies to its
  * first heartbeats.
  */
-bool aub_placer_heartbeats_are_due(const struct aub_placer *placer,
-				   gint64 now_us);
+bool aub_placer_first_replies_are_due(const struct aub_placer *placer,
+				      gint64 now_us);
 /*
  * Returns whether the start-up grace, in which the process discovers the other
  * gateways, is over.
--- a/src/coordination/gateway.c
+++ b/src/coordination/gateway.c
@@ -79,7 +79,7 @@
 			       enum aub_request_outcome outcome,
 			       const char *reason, gint64 elapsed_us)
 {
-	static const char *const outcome_names[AUB_REQUEST_OUTCOMES] = {
+	static const char *const outcomes[AUB_REQUEST_OUTCOMES] = {
 		[AUB_REQUEST_ANSWERED] = "answered",
 		[AUB_REQUEST_REFUSED] = "refused",
 		[AUB_REQUEST_FAILED] = "failed",
@@ -88,9 +88,9 @@
 		[AUB_REQUEST_TRUNCATED] = "broken",
 	};
 	struct aub_metrics *metrics = gateway->options.metrics;
-	char *label = aub_metrics_labels("service", service, "outcome",
-					 outcome_names[outcome], "reason",
-					 reason, NULL);
+	char *label =
+		aub_metrics_labels("service", service, "outcome",
+				   outcomes[outcome], "reason", reason, NULL);
 	char *service_label = aub_metrics_labels("service", service, NULL);
 
 	aub_metrics_add(metrics,
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -85,39 +85,39 @@
 static void request_placement(struct aub_request *request);
 
 static void log_not_placed(const struct aub_request *request,
-			   const struct aub_placement_result *placed)
+			   const struct aub_placement_result *result)
 {
 	aub_log_begin(AUB_LOG_NOT_PLACED);
 	aub_log_text("id", request->id);
 	aub_log_text("service", request->service);
-	aub_log_text("verdict", aub_verdict_name(placed->verdict));
-	aub_log_text("placer", placed->placer);
-	aub_log_number("waited_ms", placed->waited_us / AUB_MS);
-	aub_log_number("retry_after_ms", placed->retry_after_ms);
+	aub_log_text("verdict", aub_verdict_name(result->verdict));
+	aub_log_text("placer", result->placer);
+	aub_log_number("waited_ms", result->waited_us / AUB_MS);
+	aub_log_number("retry_after_ms", result->retry_after_ms);
 	aub_log_number("tried", request->tried_upstreams->len);
 	aub_log_end();
 }
 
-static void on_placed(const struct aub_placement_result *placed, void *context)
+static void on_placed(const struct aub_placement_result *result, void *context)
 {
 	struct aub_request *request = context;
 	struct aub_gateway *gateway = request->gateway;
 	struct aub_upstream_attempt *attempt;
 
 	request->placement_pending = false;
-	request->slot_wait_us += placed->waited_us;
-	if (placed->verdict != AUB_VERDICT_GRANTED) {
-		log_not_placed(request, placed);
+	request->slot_wait_us += result->waited_us;
+	if (result->verdict != AUB_VERDICT_GRANTED) {
+		log_not_placed(request, result);
 		finish_unanswered(request, HTTP_STATUS_BAD_GATEWAY,
-				  aub_verdict_name(placed->verdict),
-				  placed->placer, placed->retry_after_ms);
+				  aub_verdict_name(result->verdict),
+				  result->placer, result->retry_after_ms);
 		return;
 	}
 	aub_metrics_add(gateway->options.metrics, gateway->retries_counter,
 			request->tried_upstreams->len ? 1 : 0);
-	g_ptr_array_add(request->tried_upstreams, g_strdup(placed->upstream));
-	attempt = aub_attempt_start(request, request->ticket, placed->upstream,
-				    placed->address);
+	g_ptr_array_add(request->tried_upstreams, g_strdup(result->upstream));
+	attempt = aub_attempt_start(request, request->ticket, result->upstream,
+				    result->address);
 	if (request->body_length && !request->body_complete)
 		aub_http_stream_hold(request->caller->stream,
 				     aub_exchange_queued(attempt->exchange) >
--- a/src/coordination/placer.c
+++ b/src/coordination/placer.c
@@ -38,8 +38,8 @@
 	       CONNECTED_PERCENT * known;
 }
 
-bool aub_placer_heartbeats_are_due(const struct aub_placer *placer,
-				   gint64 now_us)
+bool aub_placer_first_replies_are_due(const struct aub_placer *placer,
+				      gint64 now_us)
 {
 	guint known = aub_peers_all(placer->options.peers)->len;
 	gint64 age_us = now_us - placer->start_us;
@@ -63,7 +63,7 @@
 	if (most_peers_are_alive(placer))
 		quiet_us = MIN(quiet_us, STARTUP_QUIET_CONNECTED_MAX_US);
 	return age_us >= STARTUP_MAX_US ||
-	       (aub_placer_heartbeats_are_due(placer, now_us) &&
+	       (aub_placer_first_replies_are_due(placer, now_us) &&
 		now_us - last_join_us >= quiet_us);
 }
 
--- a/src/coordination/placer_tickets.c
+++ b/src/coordination/placer_tickets.c
@@ -101,7 +101,7 @@
 	gint64 now = aub_timer_now(placer->options.timers);
 	aub_placement_result_callback *callback = ticket->callback;
 	void *context = ticket->context;
-	const struct aub_placement_result placed = {
+	const struct aub_placement_result result = {
 		.verdict = decision->verdict,
 		.upstream = decision->upstream,
 		.address = decision->address,
@@ -118,7 +118,7 @@
 		ticket->upstream = g_strdup(decision->upstream);
 	else
 		g_hash_table_remove(placer->tickets, &decision->ticket);
-	callback(&placed, context);
+	callback(&result, context);
 }
 
 static void fill_request(const struct aub_placer *placer,
@@ -209,7 +209,7 @@
 	if (placer->startup_over)
 		return false;
 	return !peer || peer->self ||
-	       !aub_placer_heartbeats_are_due(placer, now_us);
+	       !aub_placer_first_replies_are_due(placer, now_us);
 }
 
 /* Sends the request to the next placer; places locally if there is none. */
@@ -328,14 +328,14 @@
 
 void aub_placer_request(struct aub_placer *placer, const char *service,
 			const struct aub_ask *request, guint64 id,
-			aub_placement_result_callback *placed, void *context)
+			aub_placement_result_callback *result, void *context)
 {
 	struct aub_ticket *ticket = g_new0(struct aub_ticket, 1);
 
 	ticket->id = id;
 	ticket->service = g_strdup(service);
 	ticket->request = *request;
-	ticket->callback = placed;
+	ticket->callback = result;
 	ticket->context = context;
 	ticket->start_us = aub_timer_now(placer->options.timers);
 	ticket->avoid = g_ptr_array_new_with_free_func(g_free);
--- a/tests/test_placer.cc
+++ b/tests/test_placer.cc
@@ -108,7 +108,7 @@
 	ASSERT_TRUE(run_until(
 		[&] {
 			return aub_peers_count_alive(newcomer->peers) == 3 &&
-			       aub_placer_heartbeats_are_due(
+			       aub_placer_first_replies_are_due(
 				       newcomer->placer,
 				       g_get_monotonic_time());
 		},
