--- a/fuzz/fuzz_toml.c
+++ b/fuzz/fuzz_toml.c
@@ -61,7 +61,7 @@
 
 		g_assert(aub_inventory_service(it, service->name) == i);
 		g_assert(aub_inventory_route(it, service->path) == i);
-		aub_service_once_rule(service, "POST", service->path);
+		aub_service_at_most_once_rule(service, "POST", service->path);
 	}
 	for (guint i = 0; i < it->upstreams->len; i++) {
 		const struct aub_upstream *upstream = aub_upstream_at(it, i);
@@ -71,7 +71,7 @@
 		g_assert(upstream->zone < it->zones->len);
 		g_assert(upstream->host && upstream->port);
 		g_assert(upstream->cold_slots <= upstream->slots);
-		g_assert(aub_upstream_takes_new(it, (guint16)i));
+		g_assert(aub_upstream_accepts_new(it, (guint16)i));
 	}
 }
 
--- a/include/auburnstile/config.h
+++ b/include/auburnstile/config.h
@@ -22,11 +22,11 @@
 	guint64 version; /* store version, rising */
 	char *change;
 	char *author;
-	char *text; /* inventory TOML */
+	char *inventory_text; /* inventory TOML */
 	GPtrArray *zones_out; /* of char *, owned */
 	GPtrArray *vms_leaving;
 	GPtrArray *upstreams_leaving;
-	GPtrArray *recent; /* of char *: digests of earlier changes' ids */
+	GPtrArray *recent_changes; /* of char *: digests of earlier changes' ids */
 };
 
 struct aub_config *aub_config_new(void);
@@ -43,8 +43,8 @@
  * the recent ones. A digest stands for each, so that an id's own text is in
  * the object only while the edit is the newest.
  */
-#define AUB_CONFIG_RECENT 32 /* earlier edits remembered */
-void aub_config_change_set(struct aub_config *config, const char *change);
+#define AUB_CONFIG_RECENT_CHANGES_MAX 32 /* earlier edits remembered */
+void aub_config_set_change(struct aub_config *config, const char *change);
 
 /* True where the edit with this id is the newest, or an earlier one. */
 bool aub_config_has_change(const struct aub_config *config, const char *change);
--- a/include/auburnstile/dispatch.h
+++ b/include/auburnstile/dispatch.h
@@ -3,7 +3,7 @@
  * counts of its upstreams, cold starts, probes, retries, hedges, refusals.
  *
  * Plain decisions: no clock, socket, thread or random source. Events go in
- * with `now_us`; actions come out of aub_dispatcher_next() in order. Equal
+ * with `now_us`; actions come out of aub_dispatcher_next_action() in order. Equal
  * inputs give equal actions. Names, not handles, identify upstreams across
  * inventories; within one inventory the handle does.
  */
@@ -35,7 +35,7 @@
 struct aub_dispatch_request {
 	guint64 id;
 	gint64 deadline_us; /* monotonic */
-	bool once; /* may not be repeated: no hedge, no doubtful retry */
+	bool at_most_once; /* may not be repeated: no hedge, no doubtful retry */
 	guint32 retry_budget; /* attempts beyond the first, in 1/100 */
 	guint64 fingerprint; /* of method, path, body: for crash requests */
 	const char *zone; /* of the entry that relays it, for preference */
@@ -45,11 +45,11 @@
 enum aub_refusal {
 	AUB_REFUSAL_NONE,
 	AUB_REFUSAL_QUEUE_FULL,
-	AUB_REFUSAL_DEADLINE, /* can't be met; refused on arrival or waiting */
+	AUB_REFUSAL_DEADLINE_UNREACHABLE, /* can't be met; refused on arrival or waiting */
 	AUB_REFUSAL_NO_UPSTREAM, /* none may take it now */
-	AUB_REFUSAL_CRASHES, /* this request brought upstreams down */
+	AUB_REFUSAL_CRASHES_UPSTREAMS, /* this request brought upstreams down */
 	AUB_REFUSAL_NOT_OWNER,
-	AUB_REFUSAL_NO_BUDGET, /* failed, and no retry is left */
+	AUB_REFUSAL_RETRY_BUDGET_EXHAUSTED, /* failed, and no retry is left */
 	AUB_REFUSAL_STOPPING
 };
 
@@ -57,13 +57,13 @@
 	AUB_ATTEMPT_ANSWERED, /* whole answer, whatever its status */
 	AUB_ATTEMPT_SHED, /* the upstream's own refusal: provably not run */
 	AUB_ATTEMPT_NOT_CONNECTED, /* provably not run */
-	AUB_ATTEMPT_LOST, /* connection died or answer broken: may have run */
+	AUB_ATTEMPT_CONNECTION_LOST, /* connection died or answer broken: may have run */
 	AUB_ATTEMPT_TIMEOUT, /* deadline passed: may have run */
 	AUB_ATTEMPT_CANCELLED /* by an action of the dispatcher */
 };
 
 /* What an answer or probe told of the upstream; zeros where nothing. */
-struct aub_upstream_signs {
+struct aub_upstream_signals {
 	guint64 boot_id; /* changes with each start of the upstream */
 	bool cold; /* says that it is warming up */
 	bool draining; /* says that it takes nothing new */
@@ -103,14 +103,14 @@
 	guint64 probes;
 	guint64 probe_us; /* upstream time that probes took, by their cost */
 	guint64 ejections;
-	guint64 cold_turns; /* an upstream was seen to start cold */
-	guint64 deaths; /* an upstream went down with requests in flight */
+	guint64 cold_starts; /* an upstream was seen to start cold */
+	guint64 crash_count; /* an upstream went down with requests in flight */
 };
 
 /* A request that upstreams died under, for other entries to learn. */
 struct aub_crash_mark {
 	guint64 fingerprint;
-	guint32 deaths;
+	guint32 crash_count;
 	guint32 age_ms; /* since the last death */
 };
 
@@ -133,14 +133,14 @@
 
 /*
  * A role, from the view. A new owner treats slots as used by its
- * predecessor for `settle_us` (half of them, and none of cold upstreams).
+ * predecessor for `takeover_grace_us` (half of them, and none of cold upstreams).
  */
 void aub_dispatcher_set_role(struct aub_dispatcher *dispatcher,
-			     enum aub_dispatch_role role, gint64 settle_us,
+			     enum aub_dispatch_role role, gint64 takeover_grace_us,
 			     gint64 now_us);
 
 /* A request arrived. What becomes of it comes as actions. */
-void aub_dispatcher_arrive(struct aub_dispatcher *dispatcher,
+void aub_dispatcher_submit(struct aub_dispatcher *dispatcher,
 			   const struct aub_dispatch_request *request,
 			   gint64 now_us);
 
@@ -152,7 +152,7 @@
 void aub_dispatcher_attempt_done(struct aub_dispatcher *dispatcher,
 				 guint64 request, guint32 attempt,
 				 enum aub_attempt_result result,
-				 const struct aub_upstream_signs *signs,
+				 const struct aub_upstream_signals *signals,
 				 gint64 now_us);
 
 /* The caller went away: cancel attempts, forget the request. */
@@ -165,15 +165,15 @@
  */
 void aub_dispatcher_probe_done(struct aub_dispatcher *dispatcher,
 			       guint16 upstream, bool answered,
-			       const struct aub_upstream_signs *signs,
+			       const struct aub_upstream_signals *signals,
 			       guint32 reported_busy, gint64 now_us);
 
-/* Time passed. Call at or after aub_dispatcher_wake_us(). */
+/* Time passed. Call at or after aub_dispatcher_next_wakeup_us(). */
 void aub_dispatcher_tick(struct aub_dispatcher *dispatcher, gint64 now_us);
-gint64 aub_dispatcher_wake_us(const struct aub_dispatcher *dispatcher);
+gint64 aub_dispatcher_next_wakeup_us(const struct aub_dispatcher *dispatcher);
 
 /* Next action to carry out; false when there is none. */
-bool aub_dispatcher_next(struct aub_dispatcher *dispatcher,
+bool aub_dispatcher_next_action(struct aub_dispatcher *dispatcher,
 			 struct aub_action *action);
 
 /* Refuse new requests from now on; those inside finish. */
@@ -206,10 +206,10 @@
  * `limit` of them, and how many were written. Learning a mark that is known
  * already keeps the larger count and the younger age.
  */
-guint aub_dispatcher_crashes(const struct aub_dispatcher *dispatcher,
+guint aub_dispatcher_export_crash_marks(const struct aub_dispatcher *dispatcher,
 			     struct aub_crash_mark *list, guint limit,
 			     gint64 now_us);
-void aub_dispatcher_learn_crash(struct aub_dispatcher *dispatcher,
+void aub_dispatcher_import_crash_mark(struct aub_dispatcher *dispatcher,
 				const struct aub_crash_mark *mark,
 				gint64 now_us);
 
@@ -218,7 +218,7 @@
  * to be warm or cold, and for how long nothing was heard. Learning is for
  * dispatchers without a role; others go by what they see themselves.
  */
-struct aub_upstream_knowledge {
+struct aub_upstream_snapshot {
 	const char *name; /* borrowed */
 	guint64 boot_id;
 	bool cold;
@@ -226,15 +226,15 @@
 	guint32 age_ms;
 	guint32 mean_us;
 };
-guint aub_dispatcher_knowledge(const struct aub_dispatcher *dispatcher,
-			       struct aub_upstream_knowledge *list, guint limit,
+guint aub_dispatcher_export_upstreams(const struct aub_dispatcher *dispatcher,
+			       struct aub_upstream_snapshot *list, guint limit,
 			       gint64 now_us);
-void aub_dispatcher_learn(struct aub_dispatcher *dispatcher,
-			  const struct aub_upstream_knowledge *known,
+void aub_dispatcher_import_upstream(struct aub_dispatcher *dispatcher,
+			  const struct aub_upstream_snapshot *snapshot,
 			  gint64 now_us);
 
 /* Walks all invariants; aborts where one is broken. For tests. */
-void aub_dispatcher_check(const struct aub_dispatcher *dispatcher);
+void aub_dispatcher_check_invariants(const struct aub_dispatcher *dispatcher);
 
 const char *aub_refusal_name(enum aub_refusal refusal);
 const char *aub_policy_name(enum aub_policy policy);
--- a/include/auburnstile/internal/dispatch.h
+++ b/include/auburnstile/internal/dispatch.h
@@ -12,13 +12,13 @@
 #include <auburnstile/timer.h>
 
 /* How constants got their values: src/state/dispatch_notes.txt. */
-#define AUB_EJECT_SHARE 3 /* at most 1/3 of the upstreams are ejected */
-#define AUB_FREE_RETRIES 3 /* attempts that never reached an upstream */
-#define AUB_RETRY_PERCENT 15 /* retries among calls, service-wide */
-#define AUB_RETRY_BURST 10 /* retries */
-#define AUB_HEDGE_BURST 8 /* hedges */
-#define AUB_HEDGES_A_MEAN 3 /* hedges that cost one mean service time */
-#define AUB_CRASH_DEATHS 2 /* deaths after which a request is refused */
+#define AUB_EJECTED_UPSTREAMS_DIVISOR 3 /* at most 1/3 of the upstreams are ejected */
+#define AUB_UNREACHED_RETRIES_MAX 3 /* attempts that never reached an upstream */
+#define AUB_RETRY_BUDGET_PERCENT 15 /* retries among calls, service-wide */
+#define AUB_RETRY_BURST_MAX 10 /* retries */
+#define AUB_HEDGE_BURST_MAX 8 /* hedges */
+#define AUB_HEDGES_PER_MEAN_TIME 3 /* hedges that cost one mean service time */
+#define AUB_REFUSED_AFTER_CRASHES 2 /* deaths after which a request is refused */
 
 enum upstream_state {
 	UPSTREAM_UNKNOWN, /* nothing known yet: no more than when cold */
@@ -33,17 +33,17 @@
 	guint16 cold_slots;
 	guint16 zone;
 	guint32 probe_cost_us;
-	bool takes_new; /* by the inventory */
+	bool accepts_new; /* by the inventory */
 
 	GQueue running; /* of struct attempt, oldest first */
-	guint16 limit; /* slots, less what it shed */
+	guint16 concurrency_limit; /* slots, less what it shed */
 	guint32 limit_successes; /* answers since `limit` changed */
 
 	enum upstream_state state;
 	guint64 boot_id; /* 0: never told */
-	guint64 old_boot_id; /* the one before */
-	bool says_cold;
-	bool vouched; /* unknown, but a probe says warm */
+	guint64 previous_boot_id; /* the one before */
+	bool reports_cold;
+	bool probed_warm; /* unknown, but a probe says warm */
 	bool draining;
 	gint64 cold_since_us;
 	guint32 cold_successes;
@@ -51,17 +51,17 @@
 	gint64 mean_us; /* smoothed time of good answers, 0: none yet */
 	gint64 last_answer_us;
 	guint32 failed_permille; /* smoothed share of failed answers */
-	guint32 judged; /* answers since the last change of shut_times */
-	gint64 shut_until_us; /* ejected or unreachable until then */
-	gint64 linger_until_us; /* may still run what was given up */
-	guint32 shut_times; /* in a row: doubles the back-off */
-	bool trial; /* was shut: one request at a time until a success */
+	guint32 judged_answers; /* answers since the last change of backoff_count */
+	gint64 unavailable_until_us; /* ejected or unreachable until then */
+	gint64 cancel_grace_until_us; /* may still run what was given up */
+	guint32 backoff_count; /* in a row: doubles the back-off */
+	bool half_open; /* was shut: one request at a time until a success */
 	bool ejected; /* shut for its failed answers */
 
 	bool probing;
 	gint64 last_probe_us;
 	guint32 reported_busy;
-	GArray *lost; /* of struct lost_attempt: maybe victims of a death */
+	GArray *lost_attempts; /* of struct lost_attempt: maybe victims of a death */
 
 	guint64 sent;
 	guint64 answered;
@@ -88,18 +88,18 @@
 	guint64 id;
 	gint64 arrived_us;
 	gint64 deadline_us;
-	bool once;
+	bool at_most_once;
 	bool may_have_run;
-	bool final; /* its final action went out */
-	bool waiting; /* is in the queue */
+	bool finished; /* its final action went out */
+	bool queued; /* is in the queue */
 	bool hedged;
 	guint32 retry_budget; /* 1/100 */
-	guint32 free_retries;
+	guint32 unreached_retries;
 	guint32 attempts; /* sent so far */
 	guint64 fingerprint;
 	guint16 zone; /* handle, AUB_NO_HANDLE if not known */
 	GPtrArray *running; /* of struct attempt, owned */
-	struct upstream *avoid; /* where it failed last; may be NULL */
+	struct upstream *avoid_upstream; /* where it failed last; may be NULL */
 	GList link; /* in dispatcher->queue */
 	GSequenceIter *timer; /* lapse while waiting, hedge while running */
 	gint64 timer_us;
@@ -108,16 +108,16 @@
 struct crash_table;
 
 /* Tokens in thousandths; filled by calls or by time. */
-struct bucket {
+struct token_bucket {
 	gint64 tokens;
-	gint64 depth;
+	gint64 capacity;
 };
 
 struct aub_dispatcher {
 	enum aub_policy policy;
 	GRand *random;
 	enum aub_dispatch_role role;
-	gint64 settle_until_us;
+	gint64 takeover_grace_until_us;
 	bool stopping;
 	gint64 now_us; /* the newest moment heard of */
 
@@ -133,15 +133,15 @@
 	GQueue queue; /* of struct request, oldest first */
 	GSequence *timers; /* of struct request by timer_us, then id */
 	GQueue actions; /* of struct aub_action, owned */
-	guint turn; /* round robin */
+	guint round_robin_next; /* round robin */
 	guint probe_turn;
 
 	gint64 mean_us; /* smoothed time of good answers, all upstreams */
-	guint64 answers; /* good ones, that the mean was made of */
-	gint64 slow_us; /* time that hedge_percent of answers pass */
-	struct bucket retries;
-	struct bucket hedges;
-	struct bucket probes; /* in us of upstream time, thousandths */
+	guint64 latency_samples; /* good ones, that the mean was made of */
+	gint64 tail_latency_us; /* time that hedge_percent of answers pass */
+	struct token_bucket retries;
+	struct token_bucket hedges;
+	struct token_bucket probes; /* in us of upstream time, thousandths */
 	gint64 probes_filled_us;
 
 	struct crash_table *crashes;
@@ -149,40 +149,40 @@
 };
 
 /* dispatch.c */
-void dispatch_pump(struct aub_dispatcher *dispatcher, gint64 now_us);
+void dispatch_run_queue(struct aub_dispatcher *dispatcher, gint64 now_us);
 
 /* dispatch_attempt.c */
-void dispatch_act(struct aub_dispatcher *dispatcher,
+void dispatch_push_action(struct aub_dispatcher *dispatcher,
 		  const struct aub_action *action);
 void dispatch_send(struct aub_dispatcher *dispatcher, struct request *request,
 		   struct upstream *upstream, bool hedge, gint64 now_us);
 void dispatch_cancel(struct aub_dispatcher *dispatcher,
 		     struct request *request);
-guint request_active(const struct request *request);
+guint request_active_attempts(const struct request *request);
 void dispatch_refuse(struct aub_dispatcher *dispatcher, struct request *request,
 		     enum aub_refusal refusal, gint64 now_us);
-bool dispatch_forget_if_done(struct aub_dispatcher *dispatcher,
+bool dispatch_free_if_done(struct aub_dispatcher *dispatcher,
 			     struct request *request);
 void dispatch_attempt_done(struct aub_dispatcher *dispatcher,
 			   struct request *request, struct attempt *attempt,
 			   enum aub_attempt_result result,
-			   const struct aub_upstream_signs *signs,
+			   const struct aub_upstream_signals *signals,
 			   gint64 now_us);
 
 /* dispatch_queue.c */
-gint64 dispatch_drain_us(const struct aub_dispatcher *dispatcher,
+gint64 dispatch_queue_drain_us(const struct aub_dispatcher *dispatcher,
 			 gint64 now_us);
 void dispatch_enqueue(struct aub_dispatcher *dispatcher,
-		      struct request *request, bool first);
+		      struct request *request, bool at_head);
 void dispatch_dequeue(struct aub_dispatcher *dispatcher,
 		      struct request *request);
 void dispatch_timer_set(struct aub_dispatcher *dispatcher,
 			struct request *request, gint64 at_us);
 void dispatch_timer_clear(struct aub_dispatcher *dispatcher,
 			  struct request *request);
-struct request *dispatch_timer_due(struct aub_dispatcher *dispatcher,
+struct request *dispatch_timer_pop_due(struct aub_dispatcher *dispatcher,
 				   gint64 now_us);
-bool dispatch_hopeless(const struct aub_dispatcher *dispatcher,
+bool dispatch_cannot_meet_deadline(const struct aub_dispatcher *dispatcher,
 		       const struct aub_dispatch_request *request,
 		       gint64 now_us);
 
@@ -190,79 +190,79 @@
 struct upstream *upstream_new(const char *name);
 void upstream_free(gpointer data);
 guint upstream_in_flight(const struct upstream *upstream);
-void upstream_note_given_up(struct upstream *upstream,
+void upstream_on_attempt_abandoned(struct upstream *upstream,
 			    enum aub_attempt_result result, gint64 now_us);
 struct upstream *upstream_at(const struct aub_dispatcher *dispatcher, guint i);
 struct upstream *upstream_by_handle(const struct aub_dispatcher *dispatcher,
 				    guint16 handle);
 void upstreams_configure(struct aub_dispatcher *dispatcher, gint64 now_us);
-void upstream_open(struct upstream *upstream);
-bool upstream_usable(const struct upstream *upstream, gint64 now_us);
-guint upstream_allowed(const struct aub_dispatcher *dispatcher,
+void upstream_clear_backoff(struct upstream *upstream);
+bool upstream_is_available(const struct upstream *upstream, gint64 now_us);
+guint upstream_allowed_attempts(const struct aub_dispatcher *dispatcher,
 		       const struct upstream *upstream, gint64 now_us);
-bool upstream_overruns(const struct aub_dispatcher *dispatcher,
+bool upstream_is_overdue(const struct aub_dispatcher *dispatcher,
 		       const struct upstream *upstream, gint64 now_us);
 guint upstream_total_allowed(const struct aub_dispatcher *dispatcher,
 			     gint64 now_us);
 guint upstream_total_free(const struct aub_dispatcher *dispatcher,
 			  gint64 now_us);
-struct upstream *upstream_choose(struct aub_dispatcher *dispatcher,
+struct upstream *upstream_select(struct aub_dispatcher *dispatcher,
 				 const struct request *request, bool hedge,
 				 gint64 now_us);
-void upstream_note_time(struct aub_dispatcher *dispatcher,
-			struct upstream *upstream, gint64 took_us, bool whole);
-void upstream_note_result(struct aub_dispatcher *dispatcher,
+void upstream_record_latency(struct aub_dispatcher *dispatcher,
+			struct upstream *upstream, gint64 took_us, bool complete);
+void upstream_record_result(struct aub_dispatcher *dispatcher,
 			  struct upstream *upstream, bool failed,
 			  gint64 now_us);
-void upstream_note_shed(struct upstream *upstream, gint64 now_us);
-void upstream_note_unreachable(struct upstream *upstream, gint64 now_us);
-gint64 upstreams_wake_us(const struct aub_dispatcher *dispatcher);
-gint64 wake_after(gint64 now_us, gint64 at_us, gint64 wake_us);
+void upstream_on_shed(struct upstream *upstream, gint64 now_us);
+void upstream_on_unreachable(struct upstream *upstream, gint64 now_us);
+gint64 upstreams_next_wakeup_us(const struct aub_dispatcher *dispatcher);
+gint64 earliest_future_us(gint64 now_us, gint64 at_us, gint64 wake_us);
 
 /* dispatch_cold.c */
-guint cold_allowed(const struct upstream *upstream, gint64 now_us);
-void cold_begin(struct aub_dispatcher *dispatcher, struct upstream *upstream,
+guint warmup_allowed_attempts(const struct upstream *upstream, gint64 now_us);
+void warmup_begin(struct aub_dispatcher *dispatcher, struct upstream *upstream,
 		gint64 now_us);
-void cold_note_signs(struct aub_dispatcher *dispatcher,
+void warmup_on_signals(struct aub_dispatcher *dispatcher,
 		     struct upstream *upstream,
-		     const struct aub_upstream_signs *signs, gint64 now_us);
-void cold_note_answer(struct aub_dispatcher *dispatcher,
+		     const struct aub_upstream_signals *signals, gint64 now_us);
+void warmup_on_answer(struct aub_dispatcher *dispatcher,
 		      struct upstream *upstream, gint64 took_us, gint64 now_us);
-bool cold_stale(const struct upstream *upstream, gint64 now_us);
-void cold_doubt(struct upstream *upstream, gint64 now_us);
+bool warmup_state_is_stale(const struct upstream *upstream, gint64 now_us);
+void warmup_reset_to_unknown(struct upstream *upstream, gint64 now_us);
 
 /* dispatch_probe.c */
 void probe_configure(struct aub_dispatcher *dispatcher, gint64 now_us);
-void probe_pump(struct aub_dispatcher *dispatcher, gint64 now_us);
-gint64 probe_wake_us(const struct aub_dispatcher *dispatcher);
+void probe_send_due(struct aub_dispatcher *dispatcher, gint64 now_us);
+gint64 probe_next_wakeup_us(const struct aub_dispatcher *dispatcher);
 
 /* dispatch_crash.c */
 struct crash_table *crash_table_new(void);
 void crash_table_free(struct crash_table *table);
-guint crash_marks(const struct aub_dispatcher *dispatcher, guint64 fingerprint,
+guint crash_mark_count(const struct aub_dispatcher *dispatcher, guint64 fingerprint,
 		  gint64 now_us);
-bool crash_refuses(const struct aub_dispatcher *dispatcher, guint64 fingerprint,
+bool crash_must_refuse(const struct aub_dispatcher *dispatcher, guint64 fingerprint,
 		   gint64 now_us);
-void crash_note_lost(struct aub_dispatcher *dispatcher,
+void crash_on_connection_lost(struct aub_dispatcher *dispatcher,
 		     struct upstream *upstream, guint64 fingerprint,
 		     gint64 now_us);
-void crash_note_death(struct aub_dispatcher *dispatcher,
+void crash_on_upstream_crash(struct aub_dispatcher *dispatcher,
 		      struct upstream *upstream, gint64 now_us);
-void crash_note_alive(struct upstream *upstream, gint64 sent_us);
-void crash_note_success(struct aub_dispatcher *dispatcher, guint64 fingerprint,
+void crash_on_upstream_alive(struct upstream *upstream, gint64 sent_us);
+void crash_on_request_success(struct aub_dispatcher *dispatcher, guint64 fingerprint,
 			gint64 now_us);
 
 /* dispatch_hedge.c */
-void hedge_arm(struct aub_dispatcher *dispatcher, struct request *request,
+void hedge_schedule(struct aub_dispatcher *dispatcher, struct request *request,
 	       gint64 now_us);
-void hedge_due(struct aub_dispatcher *dispatcher, struct request *request,
+void hedge_on_timer(struct aub_dispatcher *dispatcher, struct request *request,
 	       gint64 now_us);
 
 /* dispatch_policy.c */
 guint dispatch_random(struct aub_dispatcher *dispatcher, guint below);
-struct upstream *policy_choose(struct aub_dispatcher *dispatcher,
+struct upstream *policy_select(struct aub_dispatcher *dispatcher,
 			       const struct request *request);
-bool bucket_take(struct bucket *bucket, gint64 tokens);
-void bucket_add(struct bucket *bucket, gint64 tokens);
+bool token_bucket_take(struct token_bucket *bucket, gint64 tokens);
+void token_bucket_add(struct token_bucket *bucket, gint64 tokens);
 
 #endif
--- a/include/auburnstile/internal/dispatch_probes.h
+++ b/include/auburnstile/internal/dispatch_probes.h
@@ -16,7 +16,7 @@
 	const char *upstream;
 	const struct aub_inventory *inventory; /* under which it was sent */
 	bool answered;
-	const struct aub_upstream_signs *signs;
+	const struct aub_upstream_signals *signs;
 	guint32 busy; /* requests at once, by its own report */
 };
 
--- a/include/auburnstile/internal/inventory_draft.h
+++ b/include/auburnstile/internal/inventory_draft.h
@@ -12,7 +12,7 @@
 G_BEGIN_DECLS
 
 /* Paths below this one are the system's own. */
-#define AUB_RESERVED_PATH "/.auburnstile"
+#define AUB_RESERVED_PATH_PREFIX "/.auburnstile"
 
 /* The TOML of one service or upstream, by the same index as its table. */
 struct aub_draft_origin {
@@ -28,7 +28,7 @@
 };
 
 /* Add a problem at `key` of an item, or at the item itself if absent. */
-void aub_draft_problem(struct aub_inventory_draft *draft,
+void aub_draft_add_problem(struct aub_inventory_draft *draft,
 		       const struct aub_draft_origin *origin, const char *key,
 		       const char *rule, const char *format, ...)
 	G_GNUC_PRINTF(5, 6);
@@ -41,7 +41,7 @@
 	AUB_FIELD_U16,
 	AUB_FIELD_U32,
 	AUB_FIELD_BOOLEAN,
-	AUB_FIELD_ELSEWHERE /* a list, or a name that is looked up */
+	AUB_FIELD_CUSTOM /* a list, or a name that is looked up */
 };
 
 struct aub_field {
@@ -67,27 +67,27 @@
 		    const char *label, aub_item_reader *read, void *context);
 
 /* Enter a name, which must be new; false (and reported) if it can't be. */
-bool aub_name_enter(struct aub_inventory_draft *draft,
+bool aub_name_register(struct aub_inventory_draft *draft,
 		    const struct aub_draft_origin *origin, GHashTable *names,
 		    const char *name, guint handle);
-bool aub_name_is_good(const char *name);
+bool aub_name_is_valid(const char *name);
 
 /* A name that must be in `names`; AUB_NO_HANDLE (and reported) if not. */
-guint16 aub_reference(struct aub_inventory_draft *draft,
+guint16 aub_reference_resolve(struct aub_inventory_draft *draft,
 		      const struct aub_draft_origin *origin, const char *key,
 		      const struct aub_toml_node *node, GHashTable *names,
 		      const char *kind);
 
 /* Report that `node`, the value of `key`, is not `wanted` ("a string"). */
-void aub_type_problem(struct aub_inventory_draft *draft,
+void aub_draft_add_type_problem(struct aub_inventory_draft *draft,
 		      const struct aub_draft_origin *origin, const char *key,
-		      const char *wanted, const struct aub_toml_node *node);
+		      const char *expected, const struct aub_toml_node *node);
 
 /* Check the rules that span items; inventory_check.c. */
 void aub_inventory_check(struct aub_inventory_draft *draft);
 
-/* An empty list of struct aub_once_rule that owns its strings. */
-GArray *aub_once_rules_new(void);
+/* An empty list of struct aub_at_most_once_rule that owns its strings. */
+GArray *aub_at_most_once_rules_new(void);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/keeper.h
+++ b/include/auburnstile/internal/keeper.h
@@ -47,7 +47,7 @@
  * its end, unless aub_keeper_leave() came first. For KEPT, `*kept` is the
  * kept answer, owned by the caller.
  */
-enum aub_key_verdict aub_keeper_begin(struct aub_keeper *keeper,
+enum aub_key_decision aub_keeper_begin(struct aub_keeper *keeper,
 				      const struct aub_call *call,
 				      aub_keeper_waiter *waiter, void *context,
 				      struct aub_answer **kept);
--- a/include/auburnstile/internal/log_events.h
+++ b/include/auburnstile/internal/log_events.h
@@ -14,7 +14,7 @@
 G_BEGIN_DECLS
 
 /* Events kept at most; one takes some 250 bytes, 50 MB in all. */
-#define AUB_LOG_EVENTS_MOST 200000
+#define AUB_LOG_EVENTS_MAX 200000
 
 struct aub_log_events;
 
@@ -24,11 +24,11 @@
 	const struct aub_timeline_filter *filter);
 void aub_log_events_free(struct aub_log_events *events);
 
-/* As aub_log_story_take(): false where it is no line of a log. */
-bool aub_log_events_take(struct aub_log_events *events, const char *line);
+/* As aub_request_trace_add_line(): false where it is no line of a log. */
+bool aub_log_events_add_line(struct aub_log_events *events, const char *line);
 
 /* Events past the limit. */
-guint64 aub_log_events_left_out(const struct aub_log_events *events);
+guint64 aub_log_events_dropped(const struct aub_log_events *events);
 
 /* How a line named `event` is shown; -1: it has no place there. For tests. */
 int aub_log_events_type(const char *event);
--- a/include/auburnstile/internal/log_story.h
+++ b/include/auburnstile/internal/request_trace.h
@@ -13,26 +13,26 @@
 
 G_BEGIN_DECLS
 
-struct aub_log_story;
+struct aub_request_trace;
 
 /* `id` as the caller sent it; copied. Owned by the caller. */
-struct aub_log_story *aub_log_story_new(const char *id);
-void aub_log_story_free(struct aub_log_story *story);
+struct aub_request_trace *aub_request_trace_new(const char *id);
+void aub_request_trace_free(struct aub_request_trace *trace);
 
 /*
  * Take a line in; what stands before its first brace is ignored. False where
  * it is no line of a log (broken, foreign or cut off).
  */
-bool aub_log_story_take(struct aub_log_story *story, const char *line);
+bool aub_request_trace_add_line(struct aub_request_trace *trace, const char *line);
 
 /* The second reading: lines about what is in the story by now. */
-void aub_log_story_take_context(struct aub_log_story *story, const char *line);
+void aub_request_trace_add_context_line(struct aub_request_trace *trace, const char *line);
 
 /* Lines of the request itself. */
-guint aub_log_story_size(const struct aub_log_story *story);
+guint aub_request_trace_size(const struct aub_request_trace *trace);
 
 /* The story in causal order, a line each; g_free. */
-char *aub_log_story_text(struct aub_log_story *story);
+char *aub_request_trace_text(struct aub_request_trace *trace);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/timeline.h
+++ b/include/auburnstile/internal/timeline.h
@@ -39,10 +39,10 @@
  * Add a process and return its handle. Another incarnation is another
  * process. `zone` may be "".
  */
-guint aub_timeline_process(struct aub_timeline *timeline, const char *name,
+guint aub_timeline_add_process(struct aub_timeline *timeline, const char *name,
 			   const char *zone, guint64 incarnation);
 /* Add an event; those of one process in the order of their sequences. */
-void aub_timeline_add(struct aub_timeline *timeline, guint process,
+void aub_timeline_add_event(struct aub_timeline *timeline, guint process,
 		      const struct aub_event *event);
 
 /* Bring all into order. Once, after everything was added. */
@@ -68,7 +68,7 @@
 		       const GPtrArray *entries);
 
 /* What became of one request, in sentences. */
-char *aub_timeline_narrate(const struct aub_timeline *timeline,
+char *aub_timeline_describe_request(const struct aub_timeline *timeline,
 			   guint64 request);
 
 G_END_DECLS
--- a/include/auburnstile/internal/timeline_parts.h
+++ b/include/auburnstile/internal/timeline_data.h
@@ -38,7 +38,7 @@
 struct aub_timeline_merge {
 	struct aub_timeline *timeline;
 	GArray *nodes; /* of struct aub_timeline_node */
-	guint *base; /* node number of each process's first event */
+	guint *first_node; /* node number of each process's first event */
 };
 
 static inline struct aub_timeline_lane *aub_timeline_lane_at(
@@ -66,7 +66,7 @@
 }
 
 /* Find the causes of events among those of other processes. */
-void aub_timeline_tie(struct aub_timeline_merge *merge);
+void aub_timeline_link_causes(struct aub_timeline_merge *merge);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/upstream_client.h
+++ b/include/auburnstile/internal/upstream_client.h
@@ -40,7 +40,7 @@
  * `error` says why a result is not ANSWERED.
  */
 typedef void aub_attempt_callback(enum aub_attempt_result result,
-				  const struct aub_upstream_signs *signs,
+				  const struct aub_upstream_signals *signs,
 				  struct aub_answer *answer,
 				  const GError *error, void *context);
 
@@ -67,7 +67,7 @@
  * handle is as that of aub_upstream_send().
  */
 typedef void aub_probe_callback(bool answered,
-				const struct aub_upstream_signs *signs,
+				const struct aub_upstream_signals *signs,
 				guint32 busy, void *context);
 struct aub_attempt *aub_upstream_probe(struct aub_upstream_client *client,
 				       gint64 timeout_us,
--- a/include/auburnstile/inventory.h
+++ b/include/auburnstile/inventory.h
@@ -44,7 +44,7 @@
 };
 
 /* Requests that must run at most once: a method and a path prefix. */
-struct aub_once_rule {
+struct aub_at_most_once_rule {
 	char *method; /* "POST", or "*" for any */
 	char *path; /* prefix, "/" for all */
 	bool key_required; /* refuse such a request without a key */
@@ -53,7 +53,7 @@
 struct aub_service {
 	char *name;
 	char *path; /* route: longest matching path prefix, "/fees" */
-	GArray *once; /* of struct aub_once_rule */
+	GArray *at_most_once; /* of struct aub_at_most_once_rule */
 	GArray *zones; /* of guint16: zones it may run in; empty = all */
 	guint32 queue_limit; /* waiting requests at most */
 	guint32 deadline_ms; /* where the caller names none */
@@ -106,19 +106,19 @@
 			    const char *path);
 
 /* The rule under which a request may run at most once; borrowed, or NULL. */
-const struct aub_once_rule *aub_service_once_rule(
+const struct aub_at_most_once_rule *aub_service_at_most_once_rule(
 	const struct aub_service *service, const char *method,
 	const char *path);
 
 /* True where new requests may go: neither it, its VM nor its zone leaves. */
-bool aub_upstream_takes_new(const struct aub_inventory *inventory,
+bool aub_upstream_accepts_new(const struct aub_inventory *inventory,
 			    guint16 upstream);
 
 /*
  * The text with `version = N` as its first line, in place of one it may
  * have; N 0 only takes it away. Owned by the caller.
  */
-char *aub_inventory_text_version(const char *text, guint64 version);
+char *aub_inventory_text_set_version(const char *text, guint64 version);
 
 #define aub_zone_at(i, n) (&g_array_index((i)->zones, struct aub_zone, (n)))
 #define aub_vm_at(i, n) (&g_array_index((i)->vms, struct aub_vm, (n)))
--- a/include/auburnstile/key_table.h
+++ b/include/auburnstile/key_table.h
@@ -2,7 +2,7 @@
  * Keys of requests that may run at most once, and their kept answers.
  *
  * One entry incarnation keeps each key: the one the key's grant names. No
- * clock: `now_us` comes in. A key once begun is remembered for `keep_us`
+ * clock: `now_us` comes in. A key once begun is remembered for `retention_us`
  * after its end; the table refuses new keys rather than forget one early.
  *
  * Grant: "ENTRY.INCARNATION.ISSUED.RANDOM", numbers in hex. Key: grant "/"
@@ -16,31 +16,31 @@
 G_BEGIN_DECLS
 
 #define AUB_FINGERPRINT_BYTES 32 /* SHA-256 */
-#define AUB_KEY_LIMIT 200 /* bytes of a key */
+#define AUB_KEY_BYTES_MAX 200 /* bytes of a key */
 
 struct aub_key_table;
 
-enum aub_key_verdict {
+enum aub_key_decision {
 	AUB_KEY_NEW, /* recorded as running: run it now */
 	AUB_KEY_RUNNING, /* the first one still runs: wait for its end */
-	AUB_KEY_KEPT, /* `record` holds the outcome */
+	AUB_KEY_RECORDED, /* `record` holds the outcome */
 	AUB_KEY_MISMATCH, /* bound to another request or caller */
 	AUB_KEY_FULL, /* no room: not run */
-	AUB_KEY_GRANT_OVER, /* too old to begin under, and nothing was run */
+	AUB_KEY_GRANT_EXPIRED, /* too old to begin under, and nothing was run */
 	AUB_KEY_FORGOTTEN /* so old that it may have been run and forgotten */
 };
 
 /* `limit_bytes` bounds keys and kept answers together. */
-struct aub_key_table *aub_key_table_new(gsize limit_bytes, gint64 keep_us);
+struct aub_key_table *aub_key_table_new(gsize limit_bytes, gint64 retention_us);
 void aub_key_table_free(struct aub_key_table *table);
 
 /*
  * `grant_age_us` is the age of the key's grant. Keys begin under grants of at
- * most half of `keep_us`, so that one is never forgotten while its grant
+ * most half of `retention_us`, so that one is never forgotten while its grant
  * could begin it once more; clocks may differ by the other half.
  * `*record` is set for KEPT; borrowed until the next call.
  */
-enum aub_key_verdict aub_key_table_begin(
+enum aub_key_decision aub_key_table_begin(
 	struct aub_key_table *table, const char *key,
 	const guint8 fingerprint[AUB_FINGERPRINT_BYTES], gint64 grant_age_us,
 	gint64 now_us, const struct aub_key_record **record);
--- a/programs/ctl/change.c
+++ b/programs/ctl/change.c
@@ -199,7 +199,7 @@
 static int apply_text(struct ctl_options *options, const char *text,
 		      guint64 base)
 {
-	char *plain = aub_inventory_text_version(text, 0);
+	char *plain = aub_inventory_text_set_version(text, 0);
 	JsonObject *body = json_object_new();
 	struct ctl_answer answer = { 0 };
 	char *change = change_new();
--- a/programs/ctl/edit.c
+++ b/programs/ctl/edit.c
@@ -99,8 +99,8 @@
 	struct aub_config *edited =
 		config ? aub_config_copy(config) : aub_config_new();
 
-	g_free(edited->text);
-	edited->text = aub_inventory_text_version(text, 0);
+	g_free(edited->inventory_text);
+	edited->inventory_text = aub_inventory_text_set_version(text, 0);
 	return edited;
 }
 
@@ -195,7 +195,7 @@
 	if (options->format == CTL_JSON) {
 		ctl_print_json(answer);
 	} else if (config) {
-		text = aub_inventory_text_version(config->text, version);
+		text = aub_inventory_text_set_version(config->inventory_text, version);
 		g_print("%s", text);
 		g_free(text);
 	} else {
--- a/programs/ctl/events.c
+++ b/programs/ctl/events.c
@@ -53,7 +53,7 @@
 
 	if (!process || !list)
 		return 0;
-	handle = aub_timeline_process(timeline, process, zone,
+	handle = aub_timeline_add_process(timeline, process, zone,
 				      (guint64)aub_json_integer(page,
 								"incarnation"));
 	for (guint i = 0; i < json_array_get_length(list); i++) {
@@ -64,7 +64,7 @@
 			continue;
 		last = (guint64)aub_json_integer(object, "sequence");
 		if (event_read(object, &event))
-			aub_timeline_add(timeline, handle, &event);
+			aub_timeline_add_event(timeline, handle, &event);
 	}
 	return last;
 }
@@ -213,7 +213,7 @@
 		return code;
 	text = options->format == CTL_JSON ?
 		       explain_json(timeline, request) :
-		       aub_timeline_narrate(timeline, request);
+		       aub_timeline_describe_request(timeline, request);
 	if (*text) {
 		code = write_out(options, text);
 	} else {
--- a/programs/ctl/logs.c
+++ b/programs/ctl/logs.c
@@ -8,7 +8,7 @@
 #include "ctl.h"
 
 #include <auburnstile/internal/log_events.h>
-#include <auburnstile/internal/log_story.h>
+#include <auburnstile/internal/request_trace.h>
 
 #include <errno.h>
 #include <stdio.h>
@@ -94,19 +94,19 @@
 
 static bool take_own(const char *line, void *context)
 {
-	return aub_log_story_take(context, line);
+	return aub_request_trace_add_line(context, line);
 }
 
 static bool take_context(const char *line, void *context)
 {
-	aub_log_story_take_context(context, line);
+	aub_request_trace_add_context_line(context, line);
 	return true;
 }
 
 int ctl_explain_logs(const struct ctl_options *options, const char *id,
 		     char **files, guint count)
 {
-	struct aub_log_story *story = aub_log_story_new(id);
+	struct aub_request_trace *story = aub_request_trace_new(id);
 	struct reading own = { .take = take_own, .context = story };
 	struct reading around = { .take = take_context,
 				  .context = story,
@@ -116,26 +116,26 @@
 
 	if (!read_all(&own, files, count))
 		goto out;
-	if (!aub_log_story_size(story)) {
+	if (!aub_request_trace_size(story)) {
 		g_printerr("auburnstilectl: no line of request %s\n", id);
 		goto out;
 	}
 	if (!read_all(&around, files, count))
 		goto out;
-	text = aub_log_story_text(story);
+	text = aub_request_trace_text(story);
 	g_print("%s", text);
 	g_free(text);
 	code = CTL_OK;
 out:
 	reading_end(&own);
 	reading_end(&around);
-	aub_log_story_free(story);
+	aub_request_trace_free(story);
 	return code;
 }
 
 static bool take_event(const char *line, void *context)
 {
-	return aub_log_events_take(context, line);
+	return aub_log_events_add_line(context, line);
 }
 
 struct aub_timeline *ctl_timeline_of_logs(const struct ctl_options *options,
@@ -148,11 +148,11 @@
 
 	if (read_all(&reading, files, count)) {
 		aub_timeline_merge(timeline);
-		if (aub_log_events_left_out(events))
+		if (aub_log_events_dropped(events))
 			g_printerr("auburnstilectl: %" G_GUINT64_FORMAT
 				   " further events left out; narrow by "
 				   "--since, --until or --process\n",
-				   aub_log_events_left_out(events));
+				   aub_log_events_dropped(events));
 	} else {
 		aub_timeline_free(timeline);
 		timeline = NULL;
--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -8,8 +8,8 @@
 
 /* HTTP statuses of refusals; 503 where the table says nothing. */
 static const guint refusal_status[] = {
-	[AUB_REFUSAL_DEADLINE] = 504,
-	[AUB_REFUSAL_CRASHES] = 422,
+	[AUB_REFUSAL_DEADLINE_UNREACHABLE] = 504,
+	[AUB_REFUSAL_CRASHES_UPSTREAMS] = 422,
 };
 
 struct aub_answer *aub_answer_not_run(guint status, const char *reason,
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -227,7 +227,7 @@
 				g_strdup_printf("%08x%08x", g_random_int(),
 						g_random_int());
 		}
-		aub_config_change_set(config, apply->change);
+		aub_config_set_change(config, apply->change);
 		aub_string_set(&config->author, apply->author);
 		g_free(apply->json);
 		apply->json = aub_config_serialize(config);
--- a/src/coordination/control_edit.c
+++ b/src/coordination/control_edit.c
@@ -81,7 +81,7 @@
 	inventory = aub_inventory_parse(text, strlen(text), "inventory", error);
 	if (!inventory)
 		return false;
-	aub_string_set(&config->text, text);
+	aub_string_set(&config->inventory_text, text);
 	prune(config->zones_out, inventory, zone_exists);
 	prune(config->vms_leaving, inventory, vm_exists);
 	prune(config->upstreams_leaving, inventory, upstream_exists);
--- a/src/coordination/dispatch_probes.c
+++ b/src/coordination/dispatch_probes.c
@@ -53,7 +53,7 @@
 	g_free(probes);
 }
 
-static void on_done(bool answered, const struct aub_upstream_signs *signs,
+static void on_done(bool answered, const struct aub_upstream_signals *signs,
 		    guint32 busy, void *context)
 {
 	struct probe *probe = context;
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -269,13 +269,13 @@
 	[AUB_ATTEMPT_ANSWERED] = "answered",
 	[AUB_ATTEMPT_SHED] = "shed",
 	[AUB_ATTEMPT_NOT_CONNECTED] = "not-connected",
-	[AUB_ATTEMPT_LOST] = "lost",
+	[AUB_ATTEMPT_CONNECTION_LOST] = "lost",
 	[AUB_ATTEMPT_TIMEOUT] = "timeout",
 	[AUB_ATTEMPT_CANCELLED] = "cancelled",
 };
 
 static void on_attempt_done(enum aub_attempt_result result,
-			    const struct aub_upstream_signs *signs,
+			    const struct aub_upstream_signals *signs,
 			    struct aub_answer *answer, const GError *error,
 			    void *context)
 {
@@ -435,7 +435,7 @@
 static void set_timer(struct service *service)
 {
 	struct aub_timer_service *timers = service->task->options.timers;
-	gint64 wake_us = aub_dispatcher_wake_us(service->dispatcher);
+	gint64 wake_us = aub_dispatcher_next_wakeup_us(service->dispatcher);
 
 	if (wake_us == service->timer_us)
 		return;
@@ -454,7 +454,7 @@
 	if (service->draining)
 		return;
 	service->draining = true;
-	while (aub_dispatcher_next(service->dispatcher, &action))
+	while (aub_dispatcher_next_action(service->dispatcher, &action))
 		carry_out(service, &action);
 	service->draining = false;
 	set_timer(service);
@@ -480,7 +480,7 @@
 	struct aub_dispatch_request arrival = {
 		.id = call->id,
 		.deadline_us = now_us + call->deadline_ms * AUB_MS,
-		.once = call->once,
+		.at_most_once = call->once,
 		.retry_budget = call->retry_budget,
 		.fingerprint = aub_call_fingerprint(call),
 		.zone = zone,
@@ -502,7 +502,7 @@
 	request->callback = callback;
 	request->context = context;
 	g_hash_table_insert(service->requests, &request->id, request);
-	aub_dispatcher_arrive(service->dispatcher, &arrival, now_us);
+	aub_dispatcher_submit(service->dispatcher, &arrival, now_us);
 	drain(service);
 }
 
--- a/src/coordination/front.c
+++ b/src/coordination/front.c
@@ -163,7 +163,7 @@
 	struct aub_call *call = request->call;
 	const struct aub_inventory *inventory;
 	const struct aub_service *service;
-	const struct aub_once_rule *rule;
+	const struct aub_at_most_once_rule *rule;
 	guint16 handle;
 
 	inventory = aub_entry_view_inventory(front->options.view);
@@ -178,7 +178,7 @@
 	}
 	service = aub_service_at(inventory, handle);
 	aub_string_set(&call->service, service->name);
-	rule = aub_service_once_rule(service, call->method, call->path);
+	rule = aub_service_at_most_once_rule(service, call->method, call->path);
 	if (rule && rule->key_required && !*call->key) {
 		front_refuse(request, 428, "key-required", 0);
 		return false;
@@ -232,7 +232,7 @@
 					      request->deadline_us,
 					      on_wait_over, request);
 		break;
-	case AUB_KEY_KEPT:
+	case AUB_KEY_RECORDED:
 		front_finish(request, kept);
 		break;
 	case AUB_KEY_MISMATCH:
@@ -241,7 +241,7 @@
 	case AUB_KEY_FULL:
 		front_refuse(request, 503, "keys-full", RETRY_LATER_MS);
 		break;
-	case AUB_KEY_GRANT_OVER:
+	case AUB_KEY_GRANT_EXPIRED:
 		front_refuse(request, 409, "grant-over", 0);
 		break;
 	case AUB_KEY_FORGOTTEN:
--- a/src/coordination/keeper.c
+++ b/src/coordination/keeper.c
@@ -185,7 +185,7 @@
 	return g_get_real_time() - issued_s * AUB_SECOND;
 }
 
-enum aub_key_verdict aub_keeper_begin(struct aub_keeper *keeper,
+enum aub_key_decision aub_keeper_begin(struct aub_keeper *keeper,
 				      const struct aub_call *call,
 				      aub_keeper_waiter *waiter, void *context,
 				      struct aub_answer **kept)
@@ -193,7 +193,7 @@
 	const struct aub_key_record *record = NULL;
 	guint8 fingerprint[AUB_FINGERPRINT_BYTES];
 	const char *authorization;
-	enum aub_key_verdict verdict;
+	enum aub_key_decision verdict;
 	const char *cookie;
 
 	authorization = aub_headers_find(call->headers, "Authorization");
@@ -204,7 +204,7 @@
 	verdict = aub_key_table_begin(keeper->table, call->key, fingerprint,
 				      grant_age_us(call->key), now(keeper),
 				      &record);
-	if (verdict == AUB_KEY_KEPT)
+	if (verdict == AUB_KEY_RECORDED)
 		*kept = kept_answer(record);
 	else if (verdict == AUB_KEY_RUNNING)
 		add_waiter(keeper, call->key, waiter, context);
@@ -332,7 +332,7 @@
 	       keys->records->len < PART_RECORDS) {
 		struct aub_key_record *record = keeper->records->pdata[next++];
 
-		bytes += record->body.length + AUB_KEY_LIMIT;
+		bytes += record->body.length + AUB_KEY_BYTES_MAX;
 		g_ptr_array_add(keys->records, record);
 	}
 	keys->last = next == keeper->records->len;
--- a/src/coordination/states.c
+++ b/src/coordination/states.c
@@ -11,10 +11,10 @@
 			  const struct aub_dispatcher *dispatcher,
 			  gint64 now_us)
 {
-	struct aub_upstream_knowledge *list =
-		g_new(struct aub_upstream_knowledge, UPSTREAMS);
+	struct aub_upstream_snapshot *list =
+		g_new(struct aub_upstream_snapshot, UPSTREAMS);
 	guint count =
-		aub_dispatcher_knowledge(dispatcher, list, UPSTREAMS, now_us);
+		aub_dispatcher_export_upstreams(dispatcher, list, UPSTREAMS, now_us);
 
 	for (guint i = 0; i < count; i++) {
 		struct aub_upstream_state *state = aub_upstream_state_new();
@@ -39,13 +39,13 @@
 			const struct aub_dispatcher *dispatcher, gint64 now_us)
 {
 	struct aub_crash_mark list[CRASHES];
-	guint count = aub_dispatcher_crashes(dispatcher, list, CRASHES, now_us);
+	guint count = aub_dispatcher_export_crash_marks(dispatcher, list, CRASHES, now_us);
 
 	for (guint i = 0; i < count; i++) {
 		struct aub_crash_record *record = aub_crash_record_new();
 
 		record->fingerprint = list[i].fingerprint;
-		record->deaths = list[i].deaths;
+		record->deaths = list[i].crash_count;
 		record->age_ms = list[i].age_ms;
 		g_ptr_array_add(states->crashes, record);
 	}
@@ -59,11 +59,11 @@
 			states->crashes->pdata[i];
 		struct aub_crash_mark mark = {
 			.fingerprint = record->fingerprint,
-			.deaths = record->deaths,
+			.crash_count = record->deaths,
 			.age_ms = record->age_ms,
 		};
 
-		aub_dispatcher_learn_crash(dispatcher, &mark, now_us);
+		aub_dispatcher_import_crash_mark(dispatcher, &mark, now_us);
 	}
 }
 
@@ -85,7 +85,7 @@
 	for (guint i = 0; i < states->upstreams->len; i++) {
 		const struct aub_upstream_state *state =
 			states->upstreams->pdata[i];
-		struct aub_upstream_knowledge known = {
+		struct aub_upstream_snapshot known = {
 			.name = state->name,
 			.boot_id = state->boot_id,
 			.cold = state->cold,
@@ -94,7 +94,7 @@
 			.mean_us = state->mean_us,
 		};
 
-		aub_dispatcher_learn(dispatcher, &known, now_us);
+		aub_dispatcher_import_upstream(dispatcher, &known, now_us);
 	}
 	learn_crashes(dispatcher, states, now_us);
 }
--- a/src/state/config.c
+++ b/src/state/config.c
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-static GPtrArray *names_new(void)
+static GPtrArray *name_list_new(void)
 {
 	return g_ptr_array_new_with_free_func(g_free);
 }
@@ -26,11 +26,11 @@
 
 	config->change = g_strdup("");
 	config->author = g_strdup("");
-	config->text = g_strdup("");
-	config->zones_out = names_new();
-	config->vms_leaving = names_new();
-	config->upstreams_leaving = names_new();
-	config->recent = names_new();
+	config->inventory_text = g_strdup("");
+	config->zones_out = name_list_new();
+	config->vms_leaving = name_list_new();
+	config->upstreams_leaving = name_list_new();
+	config->recent_changes = name_list_new();
 	return config;
 }
 
@@ -41,14 +41,14 @@
 	copy->version = config->version;
 	copy->change = g_strdup(config->change);
 	copy->author = g_strdup(config->author);
-	copy->text = g_strdup(config->text);
+	copy->inventory_text = g_strdup(config->inventory_text);
 	copy->zones_out = g_ptr_array_copy(config->zones_out, name_copy, NULL);
 	copy->vms_leaving =
 		g_ptr_array_copy(config->vms_leaving, name_copy, NULL);
 	copy->upstreams_leaving =
 		g_ptr_array_copy(config->upstreams_leaving, name_copy, NULL);
-	copy->recent = g_ptr_array_copy(config->recent, name_copy, NULL);
-	g_ptr_array_set_free_func(copy->recent, g_free);
+	copy->recent_changes = g_ptr_array_copy(config->recent_changes, name_copy, NULL);
+	g_ptr_array_set_free_func(copy->recent_changes, g_free);
 	g_ptr_array_set_free_func(copy->zones_out, g_free);
 	g_ptr_array_set_free_func(copy->vms_leaving, g_free);
 	g_ptr_array_set_free_func(copy->upstreams_leaving, g_free);
@@ -61,33 +61,33 @@
 		return;
 	g_free(config->change);
 	g_free(config->author);
-	g_free(config->text);
+	g_free(config->inventory_text);
 	g_ptr_array_unref(config->zones_out);
 	g_ptr_array_unref(config->vms_leaving);
 	g_ptr_array_unref(config->upstreams_leaving);
-	g_ptr_array_unref(config->recent);
+	g_ptr_array_unref(config->recent_changes);
 	g_free(config);
 }
 
-#define DIGEST_LENGTH 16 /* hex digits kept of an id's digest */
+#define DIGEST_HEX_DIGITS 16 /* hex digits kept of an id's digest */
 
 static char *change_digest(const char *change)
 {
 	char *digest =
 		g_compute_checksum_for_string(G_CHECKSUM_SHA256, change, -1);
 
-	digest[DIGEST_LENGTH] = '\0';
+	digest[DIGEST_HEX_DIGITS] = '\0';
 	return digest;
 }
 
-void aub_config_change_set(struct aub_config *config, const char *change)
+void aub_config_set_change(struct aub_config *config, const char *change)
 {
 	char *copy = g_strdup(change);
 
 	if (*config->change)
-		g_ptr_array_add(config->recent, change_digest(config->change));
-	while (config->recent->len > AUB_CONFIG_RECENT)
-		g_ptr_array_remove_index(config->recent, 0);
+		g_ptr_array_add(config->recent_changes, change_digest(config->change));
+	while (config->recent_changes->len > AUB_CONFIG_RECENT_CHANGES_MAX)
+		g_ptr_array_remove_index(config->recent_changes, 0);
 	g_free(config->change);
 	config->change = copy;
 }
@@ -103,8 +103,8 @@
 	bool found = strcmp(config->change, change) == 0;
 	char *digest = change_digest(change);
 
-	for (guint i = 0; i < config->recent->len && !found; i++)
-		found = strcmp(config->recent->pdata[i], digest) == 0;
+	for (guint i = 0; i < config->recent_changes->len && !found; i++)
+		found = strcmp(config->recent_changes->pdata[i], digest) == 0;
 	g_free(digest);
 	return found;
 }
@@ -163,12 +163,12 @@
 	config->version = version;
 	good = string_read(object, "change", &config->change, error) &&
 	       string_read(object, "author", &config->author, error) &&
-	       string_read(object, "inventory", &config->text, error) &&
+	       string_read(object, "inventory", &config->inventory_text, error) &&
 	       names_read(object, "zones_out", config->zones_out, error) &&
 	       names_read(object, "vms_leaving", config->vms_leaving, error) &&
 	       names_read(object, "upstreams_leaving",
 			  config->upstreams_leaving, error) &&
-	       names_read(object, "recent_changes", config->recent, error);
+	       names_read(object, "recent_changes", config->recent_changes, error);
 	json_object_unref(object);
 	if (!good)
 		g_clear_pointer(&config, aub_config_free);
@@ -191,11 +191,11 @@
 
 	json_object_set_string_member(object, "change", config->change);
 	json_object_set_string_member(object, "author", config->author);
-	json_object_set_string_member(object, "inventory", config->text);
+	json_object_set_string_member(object, "inventory", config->inventory_text);
 	names_write(object, "zones_out", config->zones_out);
 	names_write(object, "vms_leaving", config->vms_leaving);
 	names_write(object, "upstreams_leaving", config->upstreams_leaving);
-	names_write(object, "recent_changes", config->recent);
+	names_write(object, "recent_changes", config->recent_changes);
 	return aub_json_print(object);
 }
 
@@ -203,7 +203,7 @@
  * Names that the inventory no longer has are passed over: what is gone takes
  * no requests, and the mark must not stop the rest from coming into force.
  */
-static void marks_apply(const struct aub_config *config,
+static void apply_drain_marks(const struct aub_config *config,
 			struct aub_inventory *inventory)
 {
 	guint16 handle;
@@ -234,16 +234,16 @@
 	struct aub_inventory *inventory;
 	char *source;
 
-	if (!*config->text)
+	if (!*config->inventory_text)
 		return aub_inventory_new();
 	source = g_strdup_printf("configuration %" G_GUINT64_FORMAT,
 				 config->version);
-	inventory = aub_inventory_parse(config->text, strlen(config->text),
+	inventory = aub_inventory_parse(config->inventory_text, strlen(config->inventory_text),
 					source, error);
 	g_free(source);
 	if (!inventory)
 		return NULL;
 	inventory->version = config->version;
-	marks_apply(config, inventory);
+	apply_drain_marks(config, inventory);
 	return inventory;
 }
--- a/src/state/config_diff.c
+++ b/src/state/config_diff.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 /* One kind of item, described the same way on both sides. */
-struct kind {
+struct item_kind {
 	const char *name;
 	const char *const *keys; /* NULL-terminated */
 	guint (*count)(const struct aub_inventory *inventory);
@@ -20,7 +20,7 @@
 	char **(*describe)(const struct aub_inventory *inventory, guint index);
 };
 
-static char *number(guint value)
+static char *number_text(guint value)
 {
 	return g_strdup_printf("%u", value);
 }
@@ -91,17 +91,17 @@
 	return aub_service_at(inventory, index)->name;
 }
 
-static gint by_text(gconstpointer left, gconstpointer right)
+static gint compare_text(gconstpointer left, gconstpointer right)
 {
 	return strcmp(*(char *const *)left, *(char *const *)right);
 }
 
 /* Sorted and joined, "none" when empty; takes the list over. */
-static char *joined(GPtrArray *list, const char *none)
+static char *join_sorted(GPtrArray *list, const char *none)
 {
 	char *text;
 
-	g_ptr_array_sort(list, by_text);
+	g_ptr_array_sort(list, compare_text);
 	if (!list->len)
 		g_ptr_array_add(list, g_strdup(none));
 	g_ptr_array_add(list, NULL);
@@ -121,16 +121,16 @@
 		g_ptr_array_add(list,
 				g_strdup(aub_zone_at(inventory, zone)->name));
 	}
-	return joined(list, "all");
+	return join_sorted(list, "all");
 }
 
-static char *once_text(const struct aub_service *service)
+static char *at_most_once_text(const struct aub_service *service)
 {
 	GPtrArray *list = g_ptr_array_new_with_free_func(g_free);
 
-	for (guint i = 0; i < service->once->len; i++) {
-		const struct aub_once_rule *rule =
-			&g_array_index(service->once, struct aub_once_rule, i);
+	for (guint i = 0; i < service->at_most_once->len; i++) {
+		const struct aub_at_most_once_rule *rule =
+			&g_array_index(service->at_most_once, struct aub_at_most_once_rule, i);
 
 		g_ptr_array_add(list, g_strconcat(rule->method, " ", rule->path,
 						  rule->key_required ?
@@ -138,7 +138,7 @@
 							  "",
 						  NULL));
 	}
-	return joined(list, "none");
+	return join_sorted(list, "none");
 }
 
 static char **service_describe(const struct aub_inventory *inventory,
@@ -149,13 +149,13 @@
 
 	values[0] = g_strdup(service->path);
 	values[1] = zones_text(inventory, service);
-	values[2] = once_text(service);
-	values[3] = number(service->queue_limit);
-	values[4] = number(service->deadline_ms);
-	values[5] = number(service->body_limit);
-	values[6] = number(service->cold_ms);
-	values[7] = number(service->probe_budget_us);
-	values[8] = number(service->hedge_percent);
+	values[2] = at_most_once_text(service);
+	values[3] = number_text(service->queue_limit);
+	values[4] = number_text(service->deadline_ms);
+	values[5] = number_text(service->body_limit);
+	values[6] = number_text(service->cold_ms);
+	values[7] = number_text(service->probe_budget_us);
+	values[8] = number_text(service->hedge_percent);
 	return values;
 }
 
@@ -179,22 +179,22 @@
 static char **upstream_describe(const struct aub_inventory *inventory,
 				guint index)
 {
-	const struct aub_upstream *it = aub_upstream_at(inventory, index);
+	const struct aub_upstream *upstream = aub_upstream_at(inventory, index);
 	char **values = values_new(8);
 
-	values[0] = g_strdup(aub_service_at(inventory, it->service)->name);
-	values[1] = g_strdup(aub_vm_at(inventory, it->vm)->name);
-	values[2] = g_strdup_printf(strchr(it->host, ':') ? "[%s]:%u" : "%s:%u",
-				    it->host, it->port);
-	values[3] = number(it->slots);
-	values[4] = number(it->cold_slots);
-	values[5] = number(it->connections);
-	values[6] = number(it->probe_cost_us);
-	values[7] = g_strdup(it->leaving ? "leaving" : "in");
+	values[0] = g_strdup(aub_service_at(inventory, upstream->service)->name);
+	values[1] = g_strdup(aub_vm_at(inventory, upstream->vm)->name);
+	values[2] = g_strdup_printf(strchr(upstream->host, ':') ? "[%s]:%u" : "%s:%u",
+				    upstream->host, upstream->port);
+	values[3] = number_text(upstream->slots);
+	values[4] = number_text(upstream->cold_slots);
+	values[5] = number_text(upstream->connections);
+	values[6] = number_text(upstream->probe_cost_us);
+	values[7] = g_strdup(upstream->leaving ? "leaving" : "in");
 	return values;
 }
 
-static const struct kind kinds[] = {
+static const struct item_kind item_kinds[] = {
 	{ "zone", zone_keys, zone_count, zone_item, aub_inventory_zone,
 	  zone_describe },
 	{ "vm", vm_keys, vm_count, vm_item, aub_inventory_vm, vm_describe },
@@ -204,7 +204,7 @@
 	  aub_inventory_upstream, upstream_describe },
 };
 
-static void added(const struct kind *kind, const struct aub_inventory *to,
+static void append_added(const struct item_kind *kind, const struct aub_inventory *to,
 		  guint index, GString *lines)
 {
 	char **values = kind->describe(to, index);
@@ -218,7 +218,7 @@
 	g_strfreev(values);
 }
 
-static void changed(const struct kind *kind, const struct aub_inventory *from,
+static void append_changed(const struct item_kind *kind, const struct aub_inventory *from,
 		    guint old, const struct aub_inventory *to, guint new,
 		    GString *lines)
 {
@@ -235,7 +235,7 @@
 	g_strfreev(after);
 }
 
-static void kind_diff(const struct kind *kind, const struct aub_inventory *from,
+static void append_kind_diff(const struct item_kind *kind, const struct aub_inventory *from,
 		      const struct aub_inventory *to, GString *lines)
 {
 	for (guint i = 0; i < kind->count(from); i++) {
@@ -249,13 +249,13 @@
 		guint16 old = kind->find(from, kind->item(to, i));
 
 		if (old == AUB_NO_HANDLE)
-			added(kind, to, i, lines);
+			append_added(kind, to, i, lines);
 		else
-			changed(kind, from, old, to, i, lines);
+			append_changed(kind, from, old, to, i, lines);
 	}
 }
 
-static struct aub_inventory *side(const struct aub_config *config,
+static struct aub_inventory *inventory_or_empty(const struct aub_config *config,
 				  GError **error)
 {
 	return config ? aub_config_inventory(config, error) :
@@ -265,20 +265,20 @@
 char *aub_config_diff(const struct aub_config *from,
 		      const struct aub_config *to, GError **error)
 {
-	struct aub_inventory *before = side(from, error);
+	struct aub_inventory *before = inventory_or_empty(from, error);
 	struct aub_inventory *after;
 	GString *lines;
 
 	if (!before)
 		return NULL;
-	after = side(to, error);
+	after = inventory_or_empty(to, error);
 	if (!after) {
 		aub_inventory_unref(before);
 		return NULL;
 	}
 	lines = g_string_new(NULL);
-	for (guint i = 0; i < G_N_ELEMENTS(kinds); i++)
-		kind_diff(&kinds[i], before, after, lines);
+	for (guint i = 0; i < G_N_ELEMENTS(item_kinds); i++)
+		append_kind_diff(&item_kinds[i], before, after, lines);
 	if (!lines->len && strcmp(before->text, after->text) != 0)
 		g_string_append(lines, "inventory: comments or layout only\n");
 	aub_inventory_unref(before);
--- a/src/state/dispatch.c
+++ b/src/state/dispatch.c
@@ -25,9 +25,9 @@
 					    request_free);
 	d->timers = g_sequence_new(NULL);
 	d->crashes = crash_table_new();
-	d->retries.depth = 1000 * (gint64)AUB_RETRY_BURST;
-	d->retries.tokens = d->retries.depth;
-	d->hedges.depth = 1000 * (gint64)AUB_HEDGE_BURST;
+	d->retries.capacity = 1000 * (gint64)AUB_RETRY_BURST_MAX;
+	d->retries.tokens = d->retries.capacity;
+	d->hedges.capacity = 1000 * (gint64)AUB_HEDGE_BURST_MAX;
 	return d;
 }
 
@@ -51,12 +51,12 @@
 }
 
 /* True where the service could take a request, if not at this moment. */
-static bool any_takes_new(const struct aub_dispatcher *d)
+static bool any_upstream_accepts_new(const struct aub_dispatcher *d)
 {
 	for (guint i = 0; i < d->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(d, i);
 
-		if (u->takes_new && !u->draining)
+		if (u->accepts_new && !u->draining)
 			return true;
 	}
 	return false;
@@ -68,21 +68,21 @@
 }
 
 /* Requests of every kind leave here, and only here, for an upstream. */
-static bool pump_one(struct aub_dispatcher *d, struct request *request,
+static bool dispatch_one(struct aub_dispatcher *d, struct request *request,
 		     gint64 now_us)
 {
 	struct upstream *u;
 
-	if (crash_refuses(d, request->fingerprint, now_us)) {
-		dispatch_refuse(d, request, AUB_REFUSAL_CRASHES, now_us);
+	if (crash_must_refuse(d, request->fingerprint, now_us)) {
+		dispatch_refuse(d, request, AUB_REFUSAL_CRASHES_UPSTREAMS, now_us);
 		return true;
 	}
-	if (!any_takes_new(d)) {
+	if (!any_upstream_accepts_new(d)) {
 		dispatch_refuse(d, request, AUB_REFUSAL_NO_UPSTREAM, now_us);
 		return true;
 	}
-	u = is_baseline(d) ? policy_choose(d, request) :
-			     upstream_choose(d, request, false, now_us);
+	u = is_baseline(d) ? policy_select(d, request) :
+			     upstream_select(d, request, false, now_us);
 	if (!u)
 		return false;
 	dispatch_dequeue(d, request);
@@ -90,17 +90,17 @@
 	return true;
 }
 
-void dispatch_pump(struct aub_dispatcher *dispatcher, gint64 now_us)
+void dispatch_run_queue(struct aub_dispatcher *dispatcher, gint64 now_us)
 {
 	struct aub_dispatcher *d = dispatcher;
 
 	while (d->queue.length)
-		if (!pump_one(d, d->queue.head->data, now_us))
+		if (!dispatch_one(d, d->queue.head->data, now_us))
 			break;
-	probe_pump(d, now_us);
+	probe_send_due(d, now_us);
 }
 
-static void refuse_waiting(struct aub_dispatcher *d, enum aub_refusal refusal,
+static void refuse_queued(struct aub_dispatcher *d, enum aub_refusal refusal,
 			   gint64 now_us)
 {
 	while (d->queue.length)
@@ -113,35 +113,35 @@
 {
 	struct aub_dispatcher *d = dispatcher;
 	struct aub_inventory *before = d->inventory;
-	const struct aub_service *line = aub_service_at(inventory, service);
+	const struct aub_service *settings = aub_service_at(inventory, service);
 
 	d->now_us = MAX(d->now_us, now_us);
 	d->inventory = aub_inventory_ref(inventory);
 	d->service = service;
-	d->queue_limit = line->queue_limit;
-	d->probe_budget_us = line->probe_budget_us;
-	d->cold_us = line->cold_ms * AUB_MS;
-	d->hedge_percent = line->hedge_percent;
+	d->queue_limit = settings->queue_limit;
+	d->probe_budget_us = settings->probe_budget_us;
+	d->cold_us = settings->cold_ms * AUB_MS;
+	d->hedge_percent = settings->hedge_percent;
 	upstreams_configure(d, now_us);
 	probe_configure(d, now_us);
 	if (before)
 		aub_inventory_unref(before);
-	dispatch_pump(d, now_us);
+	dispatch_run_queue(d, now_us);
 }
 
 /* What was learnt a moment ago still holds; older knowledge may not. */
-static void doubt_stale(struct aub_dispatcher *d, gint64 now_us)
+static void reset_stale_upstreams(struct aub_dispatcher *d, gint64 now_us)
 {
 	for (guint i = 0; i < d->upstreams->len; i++) {
 		struct upstream *u = upstream_at(d, i);
 
-		if (cold_stale(u, now_us))
-			cold_doubt(u, now_us);
+		if (warmup_state_is_stale(u, now_us))
+			warmup_reset_to_unknown(u, now_us);
 	}
 }
 
 void aub_dispatcher_set_role(struct aub_dispatcher *dispatcher,
-			     enum aub_dispatch_role role, gint64 settle_us,
+			     enum aub_dispatch_role role, gint64 takeover_grace_us,
 			     gint64 now_us)
 {
 	struct aub_dispatcher *d = dispatcher;
@@ -150,18 +150,18 @@
 	d->now_us = MAX(d->now_us, now_us);
 	if (role == before)
 		return;
-	probe_pump(d, now_us);
+	probe_send_due(d, now_us);
 	d->role = role;
 	if (role == AUB_DISPATCH_OWNER)
-		d->settle_until_us = now_us + settle_us;
+		d->takeover_grace_until_us = now_us + takeover_grace_us;
 	if (before == AUB_DISPATCH_NONE)
-		doubt_stale(d, now_us);
+		reset_stale_upstreams(d, now_us);
 	if (role == AUB_DISPATCH_NONE && !is_baseline(d))
-		refuse_waiting(d, AUB_REFUSAL_NOT_OWNER, now_us);
-	dispatch_pump(d, now_us);
+		refuse_queued(d, AUB_REFUSAL_NOT_OWNER, now_us);
+	dispatch_run_queue(d, now_us);
 }
 
-static enum aub_refusal refuse_arrival(
+static enum aub_refusal admission_refusal(
 	const struct aub_dispatcher *d,
 	const struct aub_dispatch_request *request, gint64 now_us)
 {
@@ -169,12 +169,12 @@
 		return AUB_REFUSAL_STOPPING;
 	if (d->role == AUB_DISPATCH_NONE && !is_baseline(d))
 		return AUB_REFUSAL_NOT_OWNER;
-	if (crash_refuses(d, request->fingerprint, now_us))
-		return AUB_REFUSAL_CRASHES;
-	if (!any_takes_new(d))
+	if (crash_must_refuse(d, request->fingerprint, now_us))
+		return AUB_REFUSAL_CRASHES_UPSTREAMS;
+	if (!any_upstream_accepts_new(d))
 		return AUB_REFUSAL_NO_UPSTREAM;
-	if (dispatch_hopeless(d, request, now_us))
-		return AUB_REFUSAL_DEADLINE;
+	if (dispatch_cannot_meet_deadline(d, request, now_us))
+		return AUB_REFUSAL_DEADLINE_UNREACHABLE;
 	if (d->queue.length >= d->queue_limit &&
 	    upstream_total_free(d, now_us) == 0 && !is_baseline(d))
 		return AUB_REFUSAL_QUEUE_FULL;
@@ -190,7 +190,7 @@
 	request->id = given->id;
 	request->arrived_us = now_us;
 	request->deadline_us = given->deadline_us;
-	request->once = given->once;
+	request->at_most_once = given->at_most_once;
 	request->retry_budget = given->retry_budget;
 	request->fingerprint = given->fingerprint;
 	request->zone = AUB_NO_HANDLE;
@@ -202,27 +202,27 @@
 	return request;
 }
 
-void aub_dispatcher_arrive(struct aub_dispatcher *dispatcher,
+void aub_dispatcher_submit(struct aub_dispatcher *dispatcher,
 			   const struct aub_dispatch_request *request,
 			   gint64 now_us)
 {
 	struct aub_dispatcher *d = dispatcher;
 	enum aub_refusal refusal;
-	struct request *own;
+	struct request *tracked;
 
 	d->now_us = MAX(d->now_us, now_us);
 	g_return_if_fail(!g_hash_table_contains(d->requests, &request->id));
 	d->counts.arrived++;
-	refusal = refuse_arrival(d, request, now_us);
-	own = request_new(d, request, now_us);
+	refusal = admission_refusal(d, request, now_us);
+	tracked = request_new(d, request, now_us);
 	if (refusal != AUB_REFUSAL_NONE) {
-		dispatch_refuse(d, own, refusal, now_us);
+		dispatch_refuse(d, tracked, refusal, now_us);
 		return;
 	}
-	bucket_add(&d->retries, 10 * (gint64)AUB_RETRY_PERCENT);
-	bucket_add(&d->hedges, 10 * (gint64)d->hedge_percent);
-	dispatch_enqueue(d, own, false);
-	dispatch_pump(d, now_us);
+	token_bucket_add(&d->retries, 10 * (gint64)AUB_RETRY_BUDGET_PERCENT);
+	token_bucket_add(&d->hedges, 10 * (gint64)d->hedge_percent);
+	dispatch_enqueue(d, tracked, false);
+	dispatch_run_queue(d, now_us);
 }
 
 static struct attempt *attempt_find(const struct request *request,
@@ -240,39 +240,39 @@
 void aub_dispatcher_attempt_done(struct aub_dispatcher *dispatcher,
 				 guint64 request, guint32 attempt,
 				 enum aub_attempt_result result,
-				 const struct aub_upstream_signs *signs,
+				 const struct aub_upstream_signals *signals,
 				 gint64 now_us)
 {
 	struct aub_dispatcher *d = dispatcher;
-	struct request *own = g_hash_table_lookup(d->requests, &request);
-	struct attempt *ended;
+	struct request *tracked = g_hash_table_lookup(d->requests, &request);
+	struct attempt *found;
 
 	d->now_us = MAX(d->now_us, now_us);
-	if (!own)
+	if (!tracked)
 		return;
-	ended = attempt_find(own, attempt);
-	if (!ended)
+	found = attempt_find(tracked, attempt);
+	if (!found)
 		return;
-	dispatch_attempt_done(d, own, ended, result, signs, now_us);
-	dispatch_pump(d, now_us);
+	dispatch_attempt_done(d, tracked, found, result, signals, now_us);
+	dispatch_run_queue(d, now_us);
 }
 
 void aub_dispatcher_abandon(struct aub_dispatcher *dispatcher, guint64 request,
 			    gint64 now_us)
 {
 	struct aub_dispatcher *d = dispatcher;
-	struct request *own = g_hash_table_lookup(d->requests, &request);
+	struct request *tracked = g_hash_table_lookup(d->requests, &request);
 
 	d->now_us = MAX(d->now_us, now_us);
-	if (!own || own->final)
+	if (!tracked || tracked->finished)
 		return;
-	if (own->waiting)
-		dispatch_dequeue(d, own);
-	dispatch_timer_clear(d, own);
-	own->final = true;
-	dispatch_cancel(d, own);
-	dispatch_forget_if_done(d, own);
-	dispatch_pump(d, now_us);
+	if (tracked->queued)
+		dispatch_dequeue(d, tracked);
+	dispatch_timer_clear(d, tracked);
+	tracked->finished = true;
+	dispatch_cancel(d, tracked);
+	dispatch_free_if_done(d, tracked);
+	dispatch_run_queue(d, now_us);
 }
 
 void aub_dispatcher_tick(struct aub_dispatcher *dispatcher, gint64 now_us)
@@ -281,22 +281,22 @@
 	struct request *request;
 
 	d->now_us = MAX(d->now_us, now_us);
-	for (request = dispatch_timer_due(d, now_us); request;
-	     request = dispatch_timer_due(d, now_us)) {
-		if (request->waiting)
-			dispatch_refuse(d, request, AUB_REFUSAL_DEADLINE,
+	for (request = dispatch_timer_pop_due(d, now_us); request;
+	     request = dispatch_timer_pop_due(d, now_us)) {
+		if (request->queued)
+			dispatch_refuse(d, request, AUB_REFUSAL_DEADLINE_UNREACHABLE,
 					now_us);
 		else
-			hedge_due(d, request, now_us);
+			hedge_on_timer(d, request, now_us);
 	}
-	dispatch_pump(d, now_us);
+	dispatch_run_queue(d, now_us);
 }
 
-gint64 aub_dispatcher_wake_us(const struct aub_dispatcher *dispatcher)
+gint64 aub_dispatcher_next_wakeup_us(const struct aub_dispatcher *dispatcher)
 {
 	const struct aub_dispatcher *d = dispatcher;
 	GSequenceIter *first = g_sequence_get_begin_iter(d->timers);
-	gint64 wake = MIN(probe_wake_us(d), upstreams_wake_us(d));
+	gint64 wake = MIN(probe_next_wakeup_us(d), upstreams_next_wakeup_us(d));
 
 	if (!g_sequence_iter_is_end(first)) {
 		const struct request *request = g_sequence_get(first);
@@ -306,7 +306,7 @@
 	return wake;
 }
 
-bool aub_dispatcher_next(struct aub_dispatcher *dispatcher,
+bool aub_dispatcher_next_action(struct aub_dispatcher *dispatcher,
 			 struct aub_action *action)
 {
 	struct aub_action *next = g_queue_pop_head(&dispatcher->actions);
@@ -352,11 +352,11 @@
 		list[i] = (struct aub_upstream_status){
 			.name = u->name,
 			.in_flight = (guint16)upstream_in_flight(u),
-			.allowed = (guint16)upstream_allowed(d, u, d->now_us),
+			.allowed = (guint16)upstream_allowed_attempts(d, u, d->now_us),
 			.cold = u->state != UPSTREAM_WARM,
-			.suspect = u->trial || d->now_us < u->shut_until_us ||
-				   upstream_overruns(d, u, d->now_us),
-			.draining = u->draining || !u->takes_new,
+			.suspect = u->half_open || d->now_us < u->unavailable_until_us ||
+				   upstream_is_overdue(d, u, d->now_us),
+			.draining = u->draining || !u->accepts_new,
 			.sent = u->sent,
 			.answered = u->answered,
 			.lost = u->lost_count,
--- a/src/state/dispatch_attempt.c
+++ b/src/state/dispatch_attempt.c
@@ -7,13 +7,13 @@
  */
 #include <auburnstile/internal/dispatch.h>
 
-#define RETRY_TOKEN 1000
-#define RETRY_ATTEMPT 100 /* of the retry budget, 1/100 */
-#define FIRST_TRY_LEAST_US (250 * AUB_MS)
+#define RETRY_COST_MILLITOKENS 1000
+#define RETRY_BUDGET_UNITS_PER_ATTEMPT 100 /* of the retry budget, 1/100 */
+#define FIRST_ATTEMPT_TIMEOUT_MIN_US (250 * AUB_MS)
 #define RETRY_AFTER_CRASH_MS 30000
-#define RETRY_AFTER_MS 1000
+#define RETRY_AFTER_DEFAULT_MS 1000
 
-void dispatch_act(struct aub_dispatcher *dispatcher,
+void dispatch_push_action(struct aub_dispatcher *dispatcher,
 		  const struct aub_action *action)
 {
 	g_queue_push_tail(&dispatcher->actions,
@@ -21,7 +21,7 @@
 }
 
 /* Attempts that were not cancelled. */
-guint request_active(const struct request *request)
+guint request_active_attempts(const struct request *request)
 {
 	guint active = 0;
 
@@ -43,9 +43,9 @@
 {
 	gint64 left = request->deadline_us - now_us;
 
-	if (request->once || request->retry_budget < RETRY_ATTEMPT)
+	if (request->at_most_once || request->retry_budget < RETRY_BUDGET_UNITS_PER_ATTEMPT)
 		return request->deadline_us;
-	if (left / 2 < FIRST_TRY_LEAST_US)
+	if (left / 2 < FIRST_ATTEMPT_TIMEOUT_MIN_US)
 		return request->deadline_us;
 	return now_us + left / 2;
 }
@@ -65,7 +65,7 @@
 	g_ptr_array_add(request->running, attempt);
 	upstream->sent++;
 	dispatcher->counts.sent++;
-	dispatch_act(dispatcher,
+	dispatch_push_action(dispatcher,
 		     &(struct aub_action){
 			     .type = AUB_ACTION_SEND,
 			     .request = request->id,
@@ -75,7 +75,7 @@
 			     .hedge = hedge,
 		     });
 	if (!hedge)
-		hedge_arm(dispatcher, request, now_us);
+		hedge_schedule(dispatcher, request, now_us);
 }
 
 static void attempt_free(struct attempt *attempt)
@@ -94,7 +94,7 @@
 		if (attempt->cancelled)
 			continue;
 		attempt->cancelled = true;
-		dispatch_act(dispatcher,
+		dispatch_push_action(dispatcher,
 			     &(struct aub_action){
 				     .type = AUB_ACTION_CANCEL,
 				     .request = request->id,
@@ -107,21 +107,21 @@
 static void request_finish(struct aub_dispatcher *dispatcher,
 			   struct request *request, struct aub_action *action)
 {
-	g_assert(!request->final);
-	if (request->waiting)
+	g_assert(!request->finished);
+	if (request->queued)
 		dispatch_dequeue(dispatcher, request);
 	dispatch_timer_clear(dispatcher, request);
-	request->final = true;
+	request->finished = true;
 	action->request = request->id;
-	dispatch_act(dispatcher, action);
+	dispatch_push_action(dispatcher, action);
 	dispatch_cancel(dispatcher, request);
 }
 
 /* Forget a request once its last attempt is reported; true if it was. */
-bool dispatch_forget_if_done(struct aub_dispatcher *dispatcher,
+bool dispatch_free_if_done(struct aub_dispatcher *dispatcher,
 			     struct request *request)
 {
-	if (!request->final || request->running->len)
+	if (!request->finished || request->running->len)
 		return false;
 	g_hash_table_remove(dispatcher->requests, &request->id);
 	return true;
@@ -133,16 +133,16 @@
 	gint64 drain_ms;
 
 	switch (refusal) {
-	case AUB_REFUSAL_CRASHES:
+	case AUB_REFUSAL_CRASHES_UPSTREAMS:
 		return RETRY_AFTER_CRASH_MS;
 	case AUB_REFUSAL_NO_UPSTREAM:
-		return RETRY_AFTER_MS;
+		return RETRY_AFTER_DEFAULT_MS;
 	case AUB_REFUSAL_NOT_OWNER:
 	case AUB_REFUSAL_STOPPING:
 		return 1;
 	default:
-		drain_ms = dispatch_drain_us(dispatcher, now_us) / AUB_MS;
-		return (guint32)CLAMP(drain_ms, 1, 60 * (gint64)RETRY_AFTER_MS);
+		drain_ms = dispatch_queue_drain_us(dispatcher, now_us) / AUB_MS;
+		return (guint32)CLAMP(drain_ms, 1, 60 * (gint64)RETRY_AFTER_DEFAULT_MS);
 	}
 }
 
@@ -168,7 +168,7 @@
 		dispatcher->counts.refused++;
 	}
 	request_finish(dispatcher, request, &action);
-	dispatch_forget_if_done(dispatcher, request);
+	dispatch_free_if_done(dispatcher, request);
 }
 
 static void request_deliver(struct aub_dispatcher *dispatcher,
@@ -184,65 +184,65 @@
 	if (hedge)
 		dispatcher->counts.hedges_won++;
 	request_finish(dispatcher, request, &action);
-	dispatch_forget_if_done(dispatcher, request);
+	dispatch_free_if_done(dispatcher, request);
 }
 
-static void note_answered(struct aub_dispatcher *dispatcher, struct upstream *u,
+static void on_answered(struct aub_dispatcher *dispatcher, struct upstream *u,
 			  const struct request *request,
-			  const struct aub_upstream_signs *signs,
+			  const struct aub_upstream_signals *signals,
 			  gint64 sent_us, gint64 now_us)
 {
-	bool failed = signs && signs->failed;
+	bool failed = signals && signals->failed;
 	guint64 boot_id = u->boot_id;
 	gint64 took_us = now_us - sent_us;
 
 	u->answered++;
 	u->last_answer_us = now_us;
-	cold_note_signs(dispatcher, u, signs, now_us);
+	warmup_on_signals(dispatcher, u, signals, now_us);
 	if (u->boot_id == boot_id)
-		crash_note_alive(u, sent_us);
-	crash_note_success(dispatcher, request->fingerprint, now_us);
-	upstream_note_result(dispatcher, u, failed, now_us);
+		crash_on_upstream_alive(u, sent_us);
+	crash_on_request_success(dispatcher, request->fingerprint, now_us);
+	upstream_record_result(dispatcher, u, failed, now_us);
 	if (failed)
 		return;
-	cold_note_answer(dispatcher, u, took_us, now_us);
-	upstream_note_time(dispatcher, u, took_us, true);
+	warmup_on_answer(dispatcher, u, took_us, now_us);
+	upstream_record_latency(dispatcher, u, took_us, true);
 }
 
-static void note_ended(struct aub_dispatcher *dispatcher, struct upstream *u,
+static void on_attempt_ended(struct aub_dispatcher *dispatcher, struct upstream *u,
 		       const struct request *request,
 		       enum aub_attempt_result result,
-		       const struct aub_upstream_signs *signs, gint64 sent_us,
+		       const struct aub_upstream_signals *signals, gint64 sent_us,
 		       gint64 now_us)
 {
 	gint64 took_us = now_us - sent_us;
 
 	switch (result) {
 	case AUB_ATTEMPT_ANSWERED:
-		note_answered(dispatcher, u, request, signs, sent_us, now_us);
+		on_answered(dispatcher, u, request, signals, sent_us, now_us);
 		break;
 	case AUB_ATTEMPT_SHED:
-		cold_note_signs(dispatcher, u, signs, now_us);
+		warmup_on_signals(dispatcher, u, signals, now_us);
 		if (!u->draining)
-			upstream_note_shed(u, now_us);
+			upstream_on_shed(u, now_us);
 		break;
 	case AUB_ATTEMPT_NOT_CONNECTED:
-		crash_note_death(dispatcher, u, now_us);
-		upstream_note_unreachable(u, now_us);
+		crash_on_upstream_crash(dispatcher, u, now_us);
+		upstream_on_unreachable(u, now_us);
 		break;
-	case AUB_ATTEMPT_LOST:
+	case AUB_ATTEMPT_CONNECTION_LOST:
 		u->lost_count++;
-		cold_doubt(u, now_us);
-		crash_note_lost(dispatcher, u, request->fingerprint, now_us);
+		warmup_reset_to_unknown(u, now_us);
+		crash_on_connection_lost(dispatcher, u, request->fingerprint, now_us);
 		break;
 	case AUB_ATTEMPT_TIMEOUT:
 		u->lost_count++;
-		upstream_note_time(dispatcher, u, took_us, false);
-		if (took_us > 2 * dispatcher->slow_us)
-			upstream_note_result(dispatcher, u, true, now_us);
+		upstream_record_latency(dispatcher, u, took_us, false);
+		if (took_us > 2 * dispatcher->tail_latency_us)
+			upstream_record_result(dispatcher, u, true, now_us);
 		break;
 	default:
-		upstream_note_time(dispatcher, u, took_us, false);
+		upstream_record_latency(dispatcher, u, took_us, false);
 		break;
 	}
 }
@@ -251,10 +251,10 @@
 static bool retry_budget_take(struct request *request)
 {
 	guint32 odds = (guint32)((request->id * 0x9E3779B97F4A7C15u) >> 32) %
-		       RETRY_ATTEMPT;
+		       RETRY_BUDGET_UNITS_PER_ATTEMPT;
 
-	if (request->retry_budget >= RETRY_ATTEMPT) {
-		request->retry_budget -= RETRY_ATTEMPT;
+	if (request->retry_budget >= RETRY_BUDGET_UNITS_PER_ATTEMPT) {
+		request->retry_budget -= RETRY_BUDGET_UNITS_PER_ATTEMPT;
 		return true;
 	}
 	if (odds >= request->retry_budget)
@@ -271,70 +271,70 @@
 	bool never_reached = result == AUB_ATTEMPT_NOT_CONNECTED ||
 			     (result == AUB_ATTEMPT_SHED && u->draining);
 
-	if (request->may_have_run && request->once)
+	if (request->may_have_run && request->at_most_once)
 		return false;
 	if (now_us >= request->deadline_us)
 		return false;
-	if (crash_refuses(dispatcher, request->fingerprint, now_us))
+	if (crash_must_refuse(dispatcher, request->fingerprint, now_us))
 		return false;
-	if (never_reached && request->free_retries < AUB_FREE_RETRIES) {
-		request->free_retries++;
+	if (never_reached && request->unreached_retries < AUB_UNREACHED_RETRIES_MAX) {
+		request->unreached_retries++;
 		return true;
 	}
-	return bucket_take(&dispatcher->retries, RETRY_TOKEN) &&
+	return token_bucket_take(&dispatcher->retries, RETRY_COST_MILLITOKENS) &&
 	       retry_budget_take(request);
 }
 
-static void request_failed(struct aub_dispatcher *dispatcher,
+static void on_attempt_failed(struct aub_dispatcher *dispatcher,
 			   struct request *request, struct upstream *u,
 			   enum aub_attempt_result result, gint64 now_us)
 {
-	enum aub_refusal why = AUB_REFUSAL_NO_BUDGET;
+	enum aub_refusal refusal = AUB_REFUSAL_RETRY_BUDGET_EXHAUSTED;
 
 	if (result != AUB_ATTEMPT_SHED && result != AUB_ATTEMPT_NOT_CONNECTED)
 		request->may_have_run = true;
-	if (request_active(request))
+	if (request_active_attempts(request))
 		return;
 	if (may_retry(dispatcher, request, u, result, now_us)) {
 		dispatcher->counts.retries++;
-		request->avoid = u;
+		request->avoid_upstream = u;
 		dispatch_timer_clear(dispatcher, request);
 		dispatch_enqueue(dispatcher, request, true);
 		return;
 	}
-	if (crash_refuses(dispatcher, request->fingerprint, now_us))
-		why = AUB_REFUSAL_CRASHES;
+	if (crash_must_refuse(dispatcher, request->fingerprint, now_us))
+		refusal = AUB_REFUSAL_CRASHES_UPSTREAMS;
 	else if (now_us >= request->deadline_us)
-		why = AUB_REFUSAL_DEADLINE;
-	dispatch_refuse(dispatcher, request, why, now_us);
+		refusal = AUB_REFUSAL_DEADLINE_UNREACHABLE;
+	dispatch_refuse(dispatcher, request, refusal, now_us);
 }
 
 void dispatch_attempt_done(struct aub_dispatcher *dispatcher,
 			   struct request *request, struct attempt *attempt,
 			   enum aub_attempt_result result,
-			   const struct aub_upstream_signs *signs,
+			   const struct aub_upstream_signals *signals,
 			   gint64 now_us)
 {
 	struct upstream *u = attempt->upstream;
 	guint32 number = attempt->number;
 	bool hedge = attempt->hedge;
 	gint64 sent_us = attempt->sent_us;
-	bool failed = signs && signs->failed;
+	bool failed = signals && signals->failed;
 
 	if (result == AUB_ATTEMPT_CANCELLED && !attempt->cancelled)
-		result = AUB_ATTEMPT_LOST;
-	else if (result == AUB_ATTEMPT_LOST && attempt->cancelled)
+		result = AUB_ATTEMPT_CONNECTION_LOST;
+	else if (result == AUB_ATTEMPT_CONNECTION_LOST && attempt->cancelled)
 		result = AUB_ATTEMPT_CANCELLED;
 	attempt_free(attempt);
-	upstream_note_given_up(u, result, now_us);
-	note_ended(dispatcher, u, request, result, signs, sent_us, now_us);
-	if (request->final) {
-		dispatch_forget_if_done(dispatcher, request);
+	upstream_on_attempt_abandoned(u, result, now_us);
+	on_attempt_ended(dispatcher, u, request, result, signals, sent_us, now_us);
+	if (request->finished) {
+		dispatch_free_if_done(dispatcher, request);
 		return;
 	}
 	if (result != AUB_ATTEMPT_ANSWERED)
-		request_failed(dispatcher, request, u, result, now_us);
-	else if (failed && request_active(request))
+		on_attempt_failed(dispatcher, request, u, result, now_us);
+	else if (failed && request_active_attempts(request))
 		request->may_have_run = true; /* its twin may do better */
 	else
 		request_deliver(dispatcher, request, number, hedge);
--- a/src/state/dispatch_check.c
+++ b/src/state/dispatch_check.c
@@ -10,22 +10,22 @@
 	g_assert(attempt->number >= 1);
 	g_assert(attempt->number <= request->attempts);
 	g_assert(g_list_find(attempt->upstream->running.head, attempt));
-	if (request->final)
+	if (request->finished)
 		g_assert(attempt->cancelled);
 }
 
 static void check_request(const struct aub_dispatcher *dispatcher,
 			  const struct request *request)
 {
-	g_assert(request->waiting ==
+	g_assert(request->queued ==
 		 (g_list_find(dispatcher->queue.head, request) != NULL));
-	if (request->waiting)
-		g_assert(!request->final && request->timer);
-	if (request->final)
+	if (request->queued)
+		g_assert(!request->finished && request->timer);
+	if (request->finished)
 		g_assert(!request->timer && request->running->len);
-	if (!request->final)
-		g_assert(request->waiting != (request_active(request) > 0));
-	if (request->once)
+	if (!request->finished)
+		g_assert(request->queued != (request_active_attempts(request) > 0));
+	if (request->at_most_once)
 		g_assert(request->running->len <= 1);
 	for (guint i = 0; i < request->running->len; i++)
 		check_attempt(request, request->running->pdata[i]);
@@ -42,12 +42,12 @@
 		g_assert(attempt->sent_us >= before);
 		before = attempt->sent_us;
 	}
-	g_assert(upstream->limit <= upstream->slots);
+	g_assert(upstream->concurrency_limit <= upstream->slots);
 	if (upstream->handle == AUB_NO_HANDLE)
-		g_assert(!upstream->takes_new);
+		g_assert(!upstream->accepts_new);
 }
 
-void aub_dispatcher_check(const struct aub_dispatcher *dispatcher)
+void aub_dispatcher_check_invariants(const struct aub_dispatcher *dispatcher)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -71,5 +71,5 @@
 	g_assert_cmpuint(timers, ==,
 			 (guint)g_sequence_get_length(dispatcher->timers));
 	g_assert(dispatcher->probes.tokens >= 0);
-	g_assert(dispatcher->probes.tokens <= dispatcher->probes.depth);
+	g_assert(dispatcher->probes.tokens <= dispatcher->probes.capacity);
 }
--- a/src/state/dispatch_crash.c
+++ b/src/state/dispatch_crash.c
@@ -10,29 +10,29 @@
 #include <auburnstile/internal/dispatch.h>
 
 #define SUSPICION_US (2 * AUB_SECOND) /* counts unconfirmed that long */
-#define CONFIRM_US (30 * AUB_SECOND) /* can be confirmed that long */
-#define HOLD_BASE_US (30 * AUB_SECOND) /* refusal; doubles with deaths */
-#define HOLD_MOST_US (3600 * AUB_SECOND)
-#define CRASH_LIMIT 1024 /* fingerprints remembered */
-#define INNOCENT_LIMIT 4096
-#define INNOCENT_US (60 * AUB_SECOND)
+#define CONFIRMATION_WINDOW_US (30 * AUB_SECOND) /* can be confirmed that long */
+#define REFUSAL_BASE_US (30 * AUB_SECOND) /* refusal; doubles with deaths */
+#define REFUSAL_MAX_US (3600 * AUB_SECOND)
+#define CRASH_FINGERPRINTS_MAX 1024 /* fingerprints remembered */
+#define KNOWN_GOOD_FINGERPRINTS_MAX 4096
+#define KNOWN_GOOD_MAX_AGE_US (60 * AUB_SECOND)
 
 struct crash {
 	guint64 fingerprint;
-	guint32 deaths;
+	guint32 crash_count;
 	gint64 last_us;
 };
 
-struct innocent {
+struct known_good {
 	guint64 fingerprint;
 	gint64 at_us;
 };
 
 struct crash_table {
 	GHashTable *crashes; /* fingerprint -> struct crash, owned */
-	GHashTable *innocents; /* fingerprint -> struct innocent in `ring` */
-	struct innocent ring[INNOCENT_LIMIT];
-	guint next;
+	GHashTable *known_good; /* fingerprint -> struct known_good in `ring` */
+	struct known_good known_good_ring[KNOWN_GOOD_FINGERPRINTS_MAX];
+	guint ring_next;
 };
 
 struct crash_table *crash_table_new(void)
@@ -41,27 +41,27 @@
 
 	table->crashes = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					       NULL, g_free);
-	table->innocents = g_hash_table_new(g_int64_hash, g_int64_equal);
+	table->known_good = g_hash_table_new(g_int64_hash, g_int64_equal);
 	return table;
 }
 
 void crash_table_free(struct crash_table *table)
 {
 	g_hash_table_unref(table->crashes);
-	g_hash_table_unref(table->innocents);
+	g_hash_table_unref(table->known_good);
 	g_free(table);
 }
 
-static gint64 crash_hold_us(const struct crash *crash)
+static gint64 crash_refusal_us(const struct crash *crash)
 {
-	guint doublings = crash->deaths > AUB_CRASH_DEATHS ?
-				  crash->deaths - AUB_CRASH_DEATHS :
+	guint doublings = crash->crash_count > AUB_REFUSED_AFTER_CRASHES ?
+				  crash->crash_count - AUB_REFUSED_AFTER_CRASHES :
 				  0;
 
-	return MIN(HOLD_BASE_US << MIN(doublings, 10), HOLD_MOST_US);
+	return MIN(REFUSAL_BASE_US << MIN(doublings, 10), REFUSAL_MAX_US);
 }
 
-static guint suspicions(const struct aub_dispatcher *dispatcher,
+static guint fresh_suspicions(const struct aub_dispatcher *dispatcher,
 			guint64 fingerprint, gint64 now_us)
 {
 	guint marks = 0;
@@ -69,9 +69,9 @@
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(dispatcher, i);
 
-		for (guint n = 0; n < u->lost->len; n++) {
+		for (guint n = 0; n < u->lost_attempts->len; n++) {
 			const struct lost_attempt *lost =
-				&g_array_index(u->lost, struct lost_attempt, n);
+				&g_array_index(u->lost_attempts, struct lost_attempt, n);
 
 			if (lost->fingerprint == fingerprint &&
 			    now_us - lost->at_us < SUSPICION_US) {
@@ -84,7 +84,7 @@
 }
 
 /* Upstreams that went down, or may have, under this request. */
-guint crash_marks(const struct aub_dispatcher *dispatcher, guint64 fingerprint,
+guint crash_mark_count(const struct aub_dispatcher *dispatcher, guint64 fingerprint,
 		  gint64 now_us)
 {
 	const struct crash *crash;
@@ -92,10 +92,10 @@
 
 	if (!fingerprint)
 		return 0;
-	marks = suspicions(dispatcher, fingerprint, now_us);
+	marks = fresh_suspicions(dispatcher, fingerprint, now_us);
 	crash = g_hash_table_lookup(dispatcher->crashes->crashes, &fingerprint);
-	if (crash && now_us - crash->last_us < crash_hold_us(crash))
-		marks += crash->deaths;
+	if (crash && now_us - crash->last_us < crash_refusal_us(crash))
+		marks += crash->crash_count;
 	return marks;
 }
 
@@ -104,28 +104,28 @@
  * Symptom: the whole service goes down, one upstream after the other.
  * Enough: two deaths are the most it gets, then a trial after long pauses.
  */
-bool crash_refuses(const struct aub_dispatcher *dispatcher, guint64 fingerprint,
+bool crash_must_refuse(const struct aub_dispatcher *dispatcher, guint64 fingerprint,
 		   gint64 now_us)
 {
-	return crash_marks(dispatcher, fingerprint, now_us) >= AUB_CRASH_DEATHS;
+	return crash_mark_count(dispatcher, fingerprint, now_us) >= AUB_REFUSED_AFTER_CRASHES;
 }
 
-static bool is_innocent(const struct crash_table *table, guint64 fingerprint,
+static bool is_known_good(const struct crash_table *table, guint64 fingerprint,
 			gint64 now_us)
 {
-	const struct innocent *known =
-		g_hash_table_lookup(table->innocents, &fingerprint);
+	const struct known_good *known =
+		g_hash_table_lookup(table->known_good, &fingerprint);
 
-	return known && now_us - known->at_us < INNOCENT_US;
+	return known && now_us - known->at_us < KNOWN_GOOD_MAX_AGE_US;
 }
 
 /* Innocence once lost is to be shown anew. */
-static void forget_innocent(struct crash_table *table, guint64 fingerprint)
+static void known_good_remove(struct crash_table *table, guint64 fingerprint)
 {
-	g_hash_table_remove(table->innocents, &fingerprint);
+	g_hash_table_remove(table->known_good, &fingerprint);
 }
 
-void crash_note_lost(struct aub_dispatcher *dispatcher,
+void crash_on_connection_lost(struct aub_dispatcher *dispatcher,
 		     struct upstream *upstream, guint64 fingerprint,
 		     gint64 now_us)
 {
@@ -133,11 +133,11 @@
 
 	if (!fingerprint)
 		return;
-	if (is_innocent(dispatcher->crashes, fingerprint, now_us)) {
-		forget_innocent(dispatcher->crashes, fingerprint);
+	if (is_known_good(dispatcher->crashes, fingerprint, now_us)) {
+		known_good_remove(dispatcher->crashes, fingerprint);
 		return;
 	}
-	g_array_append_val(upstream->lost, lost);
+	g_array_append_val(upstream->lost_attempts, lost);
 }
 
 static void expire_crashes(struct crash_table *table, gint64 now_us)
@@ -149,7 +149,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct crash *crash = value;
 
-		if (now_us - crash->last_us > 4 * crash_hold_us(crash))
+		if (now_us - crash->last_us > 4 * crash_refusal_us(crash))
 			g_hash_table_iter_remove(&iter);
 	}
 }
@@ -162,7 +162,7 @@
 	if (crash)
 		return crash;
 	expire_crashes(table, now_us);
-	if (g_hash_table_size(table->crashes) >= CRASH_LIMIT)
+	if (g_hash_table_size(table->crashes) >= CRASH_FINGERPRINTS_MAX)
 		return NULL;
 	crash = g_new0(struct crash, 1);
 	crash->fingerprint = fingerprint;
@@ -171,7 +171,7 @@
 	return crash;
 }
 
-static bool blamed_before(const GArray *lost, guint n)
+static bool occurs_before(const GArray *lost, guint n)
 {
 	guint64 fingerprint =
 		g_array_index(lost, struct lost_attempt, n).fingerprint;
@@ -184,69 +184,69 @@
 }
 
 /* It went down: what was lost on it shortly before bears a death each. */
-void crash_note_death(struct aub_dispatcher *dispatcher,
+void crash_on_upstream_crash(struct aub_dispatcher *dispatcher,
 		      struct upstream *upstream, gint64 now_us)
 {
-	if (!upstream->lost->len)
+	if (!upstream->lost_attempts->len)
 		return;
-	dispatcher->counts.deaths++;
-	for (guint i = 0; i < upstream->lost->len; i++) {
+	dispatcher->counts.crash_count++;
+	for (guint i = 0; i < upstream->lost_attempts->len; i++) {
 		const struct lost_attempt *lost =
-			&g_array_index(upstream->lost, struct lost_attempt, i);
+			&g_array_index(upstream->lost_attempts, struct lost_attempt, i);
 		struct crash *crash;
 
-		if (now_us - lost->at_us > CONFIRM_US ||
-		    blamed_before(upstream->lost, i))
+		if (now_us - lost->at_us > CONFIRMATION_WINDOW_US ||
+		    occurs_before(upstream->lost_attempts, i))
 			continue;
 		crash = crash_find(dispatcher->crashes, lost->fingerprint,
 				   now_us);
 		if (!crash)
 			continue;
-		crash->deaths++;
+		crash->crash_count++;
 		crash->last_us = now_us;
 	}
-	g_array_set_size(upstream->lost, 0);
+	g_array_set_size(upstream->lost_attempts, 0);
 }
 
 /* The same start answered a request sent at `sent_us`: it lived on. */
-void crash_note_alive(struct upstream *upstream, gint64 sent_us)
+void crash_on_upstream_alive(struct upstream *upstream, gint64 sent_us)
 {
-	for (guint i = upstream->lost->len; i > 0; i--) {
+	for (guint i = upstream->lost_attempts->len; i > 0; i--) {
 		const struct lost_attempt *lost =
-			&g_array_index(upstream->lost, struct lost_attempt,
+			&g_array_index(upstream->lost_attempts, struct lost_attempt,
 				       i - 1);
 
 		if (lost->at_us <= sent_us)
-			g_array_remove_index_fast(upstream->lost, i - 1);
+			g_array_remove_index_fast(upstream->lost_attempts, i - 1);
 	}
 }
 
-void crash_note_success(struct aub_dispatcher *dispatcher, guint64 fingerprint,
+void crash_on_request_success(struct aub_dispatcher *dispatcher, guint64 fingerprint,
 			gint64 now_us)
 {
 	struct crash_table *table = dispatcher->crashes;
-	struct innocent *known;
+	struct known_good *known;
 
 	if (!fingerprint)
 		return;
 	if (g_hash_table_size(table->crashes))
 		g_hash_table_remove(table->crashes, &fingerprint);
-	known = g_hash_table_lookup(table->innocents, &fingerprint);
+	known = g_hash_table_lookup(table->known_good, &fingerprint);
 	if (!known) {
-		known = &table->ring[table->next];
-		table->next = (table->next + 1) % INNOCENT_LIMIT;
-		if (g_hash_table_lookup(table->innocents,
+		known = &table->known_good_ring[table->ring_next];
+		table->ring_next = (table->ring_next + 1) % KNOWN_GOOD_FINGERPRINTS_MAX;
+		if (g_hash_table_lookup(table->known_good,
 					&known->fingerprint) == known)
-			g_hash_table_remove(table->innocents,
+			g_hash_table_remove(table->known_good,
 					    &known->fingerprint);
 		known->fingerprint = fingerprint;
-		g_hash_table_insert(table->innocents, &known->fingerprint,
+		g_hash_table_insert(table->known_good, &known->fingerprint,
 				    known);
 	}
 	known->at_us = now_us;
 }
 
-guint aub_dispatcher_crashes(const struct aub_dispatcher *dispatcher,
+guint aub_dispatcher_export_crash_marks(const struct aub_dispatcher *dispatcher,
 			     struct aub_crash_mark *list, guint limit,
 			     gint64 now_us)
 {
@@ -261,14 +261,14 @@
 
 		list[count++] = (struct aub_crash_mark){
 			.fingerprint = crash->fingerprint,
-			.deaths = crash->deaths,
+			.crash_count = crash->crash_count,
 			.age_ms = (guint32)CLAMP(age_ms, 0, G_MAXUINT32),
 		};
 	}
 	return count;
 }
 
-void aub_dispatcher_learn_crash(struct aub_dispatcher *dispatcher,
+void aub_dispatcher_import_crash_mark(struct aub_dispatcher *dispatcher,
 				const struct aub_crash_mark *mark,
 				gint64 now_us)
 {
@@ -280,6 +280,6 @@
 	crash = crash_find(dispatcher->crashes, mark->fingerprint, now_us);
 	if (!crash)
 		return;
-	crash->last_us = crash->deaths ? MAX(crash->last_us, last_us) : last_us;
-	crash->deaths = MAX(crash->deaths, mark->deaths);
+	crash->last_us = crash->crash_count ? MAX(crash->last_us, last_us) : last_us;
+	crash->crash_count = MAX(crash->crash_count, mark->crash_count);
 }
--- a/src/state/dispatch_hedge.c
+++ b/src/state/dispatch_hedge.c
@@ -8,48 +8,48 @@
  */
 #include <auburnstile/internal/dispatch.h>
 
-#define HEDGE_TOKEN (1000 / AUB_HEDGES_A_MEAN)
-#define HEDGE_ATTEMPT 100 /* of the retry budget, 1/100 */
+#define HEDGE_COST_MILLITOKENS (1000 / AUB_HEDGES_PER_MEAN_TIME)
+#define RETRY_BUDGET_UNITS_PER_ATTEMPT 100 /* of the retry budget, 1/100 */
 
-static bool hedgeable(const struct aub_dispatcher *dispatcher,
+static bool may_hedge(const struct aub_dispatcher *dispatcher,
 		      const struct request *request)
 {
 	return dispatcher->policy == AUB_POLICY_AUBURNSTILE &&
-	       dispatcher->hedge_percent && !request->once &&
-	       !request->hedged && request->retry_budget >= HEDGE_ATTEMPT;
+	       dispatcher->hedge_percent && !request->at_most_once &&
+	       !request->hedged && request->retry_budget >= RETRY_BUDGET_UNITS_PER_ATTEMPT;
 }
 
 /* Its first attempt just went out: come back when it is unusually late. */
-void hedge_arm(struct aub_dispatcher *dispatcher, struct request *request,
+void hedge_schedule(struct aub_dispatcher *dispatcher, struct request *request,
 	       gint64 now_us)
 {
-	if (!hedgeable(dispatcher, request) || !dispatcher->slow_us)
+	if (!may_hedge(dispatcher, request) || !dispatcher->tail_latency_us)
 		return;
-	dispatch_timer_set(dispatcher, request, now_us + dispatcher->slow_us);
+	dispatch_timer_set(dispatcher, request, now_us + dispatcher->tail_latency_us);
 }
 
-void hedge_due(struct aub_dispatcher *dispatcher, struct request *request,
+void hedge_on_timer(struct aub_dispatcher *dispatcher, struct request *request,
 	       gint64 now_us)
 {
 	struct upstream *upstream;
 
-	if (request_active(request) != 1 || !hedgeable(dispatcher, request))
+	if (request_active_attempts(request) != 1 || !may_hedge(dispatcher, request))
 		return;
 	if (now_us + dispatcher->mean_us >= request->deadline_us)
 		return;
-	if (crash_marks(dispatcher, request->fingerprint, now_us))
+	if (crash_mark_count(dispatcher, request->fingerprint, now_us))
 		return;
 	upstream = dispatcher->queue.length ?
 			   NULL :
-			   upstream_choose(dispatcher, request, true, now_us);
-	if (!upstream || !bucket_take(&dispatcher->hedges, HEDGE_TOKEN)) {
+			   upstream_select(dispatcher, request, true, now_us);
+	if (!upstream || !token_bucket_take(&dispatcher->hedges, HEDGE_COST_MILLITOKENS)) {
 		dispatch_timer_set(dispatcher, request,
 				   now_us + MAX(dispatcher->mean_us / 2,
 						AUB_MS));
 		return;
 	}
 	request->hedged = true;
-	request->retry_budget -= HEDGE_ATTEMPT;
+	request->retry_budget -= RETRY_BUDGET_UNITS_PER_ATTEMPT;
 	dispatcher->counts.hedges++;
 	dispatch_send(dispatcher, request, upstream, true, now_us);
 }
--- a/src/state/dispatch_policy.c
+++ b/src/state/dispatch_policy.c
@@ -18,11 +18,11 @@
 static const char *const refusal_names[] = {
 	[AUB_REFUSAL_NONE] = "none",
 	[AUB_REFUSAL_QUEUE_FULL] = "queue-full",
-	[AUB_REFUSAL_DEADLINE] = "deadline",
+	[AUB_REFUSAL_DEADLINE_UNREACHABLE] = "deadline",
 	[AUB_REFUSAL_NO_UPSTREAM] = "no-upstream",
-	[AUB_REFUSAL_CRASHES] = "crashes",
+	[AUB_REFUSAL_CRASHES_UPSTREAMS] = "crashes",
 	[AUB_REFUSAL_NOT_OWNER] = "not-owner",
-	[AUB_REFUSAL_NO_BUDGET] = "no-budget",
+	[AUB_REFUSAL_RETRY_BUDGET_EXHAUSTED] = "no-budget",
 	[AUB_REFUSAL_STOPPING] = "stopping",
 };
 
@@ -54,7 +54,7 @@
 	return (guint)g_rand_int_range(dispatcher->random, 0, (gint32)below);
 }
 
-bool bucket_take(struct bucket *bucket, gint64 tokens)
+bool token_bucket_take(struct token_bucket *bucket, gint64 tokens)
 {
 	if (bucket->tokens < tokens)
 		return false;
@@ -62,9 +62,9 @@
 	return true;
 }
 
-void bucket_add(struct bucket *bucket, gint64 tokens)
+void token_bucket_add(struct token_bucket *bucket, gint64 tokens)
 {
-	bucket->tokens = MIN(bucket->tokens + tokens, bucket->depth);
+	bucket->tokens = MIN(bucket->tokens + tokens, bucket->capacity);
 }
 
 static struct upstream *least_reported(struct aub_dispatcher *dispatcher,
@@ -94,7 +94,7 @@
 }
 
 /* A baseline's choice; NULL when no upstream takes anything new. */
-struct upstream *policy_choose(struct aub_dispatcher *dispatcher,
+struct upstream *policy_select(struct aub_dispatcher *dispatcher,
 			       const struct request *request)
 {
 	struct upstream *chosen = NULL;
@@ -103,16 +103,16 @@
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		struct upstream *u = dispatcher->upstreams->pdata[i];
 
-		if (u->takes_new && !u->draining && u != request->avoid)
+		if (u->accepts_new && !u->draining && u != request->avoid_upstream)
 			g_ptr_array_add(open, u);
 	}
-	if (!open->len && request->avoid && request->avoid->takes_new)
-		g_ptr_array_add(open, request->avoid);
+	if (!open->len && request->avoid_upstream && request->avoid_upstream->accepts_new)
+		g_ptr_array_add(open, request->avoid_upstream);
 	if (!open->len)
 		goto out;
 	switch (dispatcher->policy) {
 	case AUB_POLICY_ROUND_ROBIN:
-		chosen = open->pdata[dispatcher->turn++ % open->len];
+		chosen = open->pdata[dispatcher->round_robin_next++ % open->len];
 		break;
 	case AUB_POLICY_LEAST_REPORTED:
 		chosen = least_reported(dispatcher, open);
--- a/src/state/dispatch_probe.c
+++ b/src/state/dispatch_probe.c
@@ -9,10 +9,10 @@
 #include <auburnstile/internal/dispatch.h>
 
 #define PROBE_TIMEOUT_US (500 * AUB_MS)
-#define REPORT_PERIOD_US (100 * AUB_MS) /* baseline least-reported */
+#define LEAST_REPORTED_PROBE_PERIOD_US (100 * AUB_MS) /* baseline least-reported */
 #define NEVER G_MAXINT64
 
-static gint64 owner_rate(const struct aub_dispatcher *dispatcher)
+static gint64 probe_rate_us_per_second(const struct aub_dispatcher *dispatcher)
 {
 	gint64 budget = dispatcher->probe_budget_us;
 
@@ -25,15 +25,15 @@
 
 void probe_configure(struct aub_dispatcher *dispatcher, gint64 now_us)
 {
-	gint64 dearest = 0;
+	gint64 highest_cost_us = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++)
-		dearest =
-			MAX(dearest, upstream_at(dispatcher, i)->probe_cost_us);
-	dispatcher->probes.depth =
-		1000 * MAX(dearest, dispatcher->probe_budget_us / 8);
+		highest_cost_us =
+			MAX(highest_cost_us, upstream_at(dispatcher, i)->probe_cost_us);
+	dispatcher->probes.capacity =
+		1000 * MAX(highest_cost_us, dispatcher->probe_budget_us / 8);
 	dispatcher->probes.tokens =
-		MIN(dispatcher->probes.tokens, dispatcher->probes.depth);
+		MIN(dispatcher->probes.tokens, dispatcher->probes.capacity);
 	if (!dispatcher->probes_filled_us)
 		dispatcher->probes_filled_us = now_us;
 }
@@ -46,8 +46,8 @@
 	if (elapsed <= 0)
 		return;
 	elapsed = MIN(elapsed, 10 * AUB_SECOND);
-	bucket_add(&dispatcher->probes,
-		   elapsed * owner_rate(dispatcher) / 1000);
+	token_bucket_add(&dispatcher->probes,
+		   elapsed * probe_rate_us_per_second(dispatcher) / 1000);
 	dispatcher->probes_filled_us = now_us;
 }
 
@@ -70,13 +70,13 @@
 {
 	gint64 now_us = dispatcher->now_us;
 
-	if (u->lost->len)
+	if (u->lost_attempts->len)
 		return 100 * AUB_MS;
 	if (u->draining)
 		return AUB_SECOND;
-	if (upstream_in_flight(u) || now_us < u->shut_until_us)
+	if (upstream_in_flight(u) || now_us < u->unavailable_until_us)
 		return NEVER;
-	if (u->trial)
+	if (u->half_open)
 		return 500 * AUB_MS;
 	if (u->state == UPSTREAM_UNKNOWN && dispatcher->queue.length)
 		return 100 * AUB_MS;
@@ -90,10 +90,10 @@
 {
 	gint64 period;
 
-	if (!u->takes_new || u->probing)
+	if (!u->accepts_new || u->probing)
 		return NEVER;
 	if (dispatcher->policy == AUB_POLICY_LEAST_REPORTED)
-		return u->last_probe_us + REPORT_PERIOD_US;
+		return u->last_probe_us + LEAST_REPORTED_PROBE_PERIOD_US;
 	period = probe_period(dispatcher, u);
 	if (period == NEVER)
 		return NEVER;
@@ -118,7 +118,7 @@
 	return next;
 }
 
-void probe_pump(struct aub_dispatcher *dispatcher, gint64 now_us)
+void probe_send_due(struct aub_dispatcher *dispatcher, gint64 now_us)
 {
 	struct upstream *u;
 
@@ -126,7 +126,7 @@
 	if (!may_probe(dispatcher))
 		return;
 	for (u = probe_next(dispatcher); u; u = probe_next(dispatcher)) {
-		if (!bucket_take(&dispatcher->probes,
+		if (!token_bucket_take(&dispatcher->probes,
 				 1000 * (gint64)u->probe_cost_us))
 			return;
 		u->probing = true;
@@ -134,7 +134,7 @@
 		u->last_probe_us = now_us;
 		dispatcher->counts.probes++;
 		dispatcher->counts.probe_us += u->probe_cost_us;
-		dispatch_act(dispatcher,
+		dispatch_push_action(dispatcher,
 			     &(struct aub_action){
 				     .type = AUB_ACTION_PROBE,
 				     .upstream = u->handle,
@@ -143,12 +143,12 @@
 	}
 }
 
-static gint64 affordable_us(const struct aub_dispatcher *dispatcher,
+static gint64 probe_affordable_at_us(const struct aub_dispatcher *dispatcher,
 			    const struct upstream *u)
 {
 	gint64 missing =
 		1000 * (gint64)u->probe_cost_us - dispatcher->probes.tokens;
-	gint64 rate = owner_rate(dispatcher);
+	gint64 rate = probe_rate_us_per_second(dispatcher);
 
 	if (missing <= 0)
 		return dispatcher->probes_filled_us;
@@ -158,7 +158,7 @@
 }
 
 /* When the next probe is due and paid for; G_MAXINT64 for never. */
-gint64 probe_wake_us(const struct aub_dispatcher *dispatcher)
+gint64 probe_next_wakeup_us(const struct aub_dispatcher *dispatcher)
 {
 	gint64 wake = NEVER;
 
@@ -170,7 +170,7 @@
 
 		if (due == NEVER)
 			continue;
-		due = MAX(due, affordable_us(dispatcher, u));
+		due = MAX(due, probe_affordable_at_us(dispatcher, u));
 		wake = MIN(wake, MAX(due, dispatcher->now_us + 1));
 	}
 	return wake;
@@ -178,27 +178,27 @@
 
 static void probe_answered(struct aub_dispatcher *dispatcher,
 			   struct upstream *u,
-			   const struct aub_upstream_signs *signs,
+			   const struct aub_upstream_signals *signals,
 			   gint64 now_us)
 {
 	guint64 boot_id = u->boot_id;
 
-	cold_note_signs(dispatcher, u, signs, now_us);
-	if (!signs || !signs->boot_id || signs->boot_id != boot_id)
+	warmup_on_signals(dispatcher, u, signals, now_us);
+	if (!signals || !signals->boot_id || signals->boot_id != boot_id)
 		boot_id = 0;
 	if (boot_id)
-		crash_note_alive(u, u->last_probe_us);
-	if (u->state != UPSTREAM_UNKNOWN || !signs || signs->cold)
+		crash_on_upstream_alive(u, u->last_probe_us);
+	if (u->state != UPSTREAM_UNKNOWN || !signals || signals->cold)
 		return;
 	if (boot_id)
 		u->state = UPSTREAM_WARM;
 	else
-		u->vouched = true;
+		u->probed_warm = true;
 }
 
 void aub_dispatcher_probe_done(struct aub_dispatcher *dispatcher,
 			       guint16 upstream, bool answered,
-			       const struct aub_upstream_signs *signs,
+			       const struct aub_upstream_signals *signals,
 			       guint32 reported_busy, gint64 now_us)
 {
 	struct upstream *u = upstream_by_handle(dispatcher, upstream);
@@ -209,10 +209,10 @@
 	u->probing = false;
 	u->reported_busy = reported_busy;
 	if (answered) {
-		probe_answered(dispatcher, u, signs, now_us);
+		probe_answered(dispatcher, u, signals, now_us);
 	} else if (!upstream_in_flight(u)) {
-		crash_note_death(dispatcher, u, now_us);
-		upstream_note_unreachable(u, now_us);
+		crash_on_upstream_crash(dispatcher, u, now_us);
+		upstream_on_unreachable(u, now_us);
 	}
-	dispatch_pump(dispatcher, now_us);
+	dispatch_run_queue(dispatcher, now_us);
 }
--- a/src/state/dispatch_queue.c
+++ b/src/state/dispatch_queue.c
@@ -8,7 +8,7 @@
 #include <auburnstile/internal/dispatch.h>
 
 /* Time until all that waits now has left, at the current drain rate, us. */
-gint64 dispatch_drain_us(const struct aub_dispatcher *dispatcher, gint64 now_us)
+gint64 dispatch_queue_drain_us(const struct aub_dispatcher *dispatcher, gint64 now_us)
 {
 	guint slots = upstream_total_allowed(dispatcher, now_us);
 
@@ -23,7 +23,7 @@
  * Enough: with others ahead of it, it must have the queue's time and a slow
  * answer's left; with none ahead it is always tried, so estimates heal.
  */
-bool dispatch_hopeless(const struct aub_dispatcher *dispatcher,
+bool dispatch_cannot_meet_deadline(const struct aub_dispatcher *dispatcher,
 		       const struct aub_dispatch_request *request,
 		       gint64 now_us)
 {
@@ -33,7 +33,7 @@
 		return true;
 	if (!dispatcher->queue.length)
 		return false;
-	return dispatch_drain_us(dispatcher, now_us) + dispatcher->slow_us >
+	return dispatch_queue_drain_us(dispatcher, now_us) + dispatcher->tail_latency_us >
 	       left;
 }
 
@@ -68,7 +68,7 @@
 }
 
 /* Takes out and returns a request whose timer is due; NULL for none. */
-struct request *dispatch_timer_due(struct aub_dispatcher *dispatcher,
+struct request *dispatch_timer_pop_due(struct aub_dispatcher *dispatcher,
 				   gint64 now_us)
 {
 	GSequenceIter *first = g_sequence_get_begin_iter(dispatcher->timers);
@@ -84,13 +84,13 @@
 }
 
 void dispatch_enqueue(struct aub_dispatcher *dispatcher,
-		      struct request *request, bool first)
+		      struct request *request, bool at_head)
 {
 	gint64 left = request->deadline_us - request->arrived_us;
 	gint64 need = MIN(dispatcher->mean_us, left / 2);
 
-	request->waiting = true;
-	if (first)
+	request->queued = true;
+	if (at_head)
 		g_queue_push_head_link(&dispatcher->queue, &request->link);
 	else
 		g_queue_push_tail_link(&dispatcher->queue, &request->link);
@@ -101,6 +101,6 @@
 		      struct request *request)
 {
 	g_queue_unlink(&dispatcher->queue, &request->link);
-	request->waiting = false;
+	request->queued = false;
 	dispatch_timer_clear(dispatcher, request);
 }
--- a/src/state/dispatch_upstream.c
+++ b/src/state/dispatch_upstream.c
@@ -4,28 +4,28 @@
  */
 #include <auburnstile/internal/dispatch.h>
 
-#define OVERRUN_FACTOR 4 /* times the mean: a running attempt is suspect */
-#define MEAN_OVER 64 /* answers in the service's smoothed mean */
-#define UNHEDGED_PERCENT 1 /* makes the slow mark, without hedges */
-#define OTHER_ZONE_US 1000 /* what another zone costs, as service time */
-#define LINGER_US (100 * AUB_MS) /* until a busy upstream sees a close */
-#define EJECT_PERMILLE 500 /* failed answers that eject */
-#define EJECT_ANSWERS 5 /* answers judged before an ejection */
-#define FORGIVE_ANSWERS 32 /* good ones that reset the back-off */
-#define SHED_REGROW 16 /* answers until a shed slot is tried again */
+#define OVERDUE_MEAN_FACTOR 4 /* times the mean: a running attempt is suspect */
+#define MEAN_WINDOW_ANSWERS 64 /* answers in the service's smoothed mean */
+#define TAIL_PERCENT_WITHOUT_HEDGES 1 /* makes the slow mark, without hedges */
+#define CROSS_ZONE_COST_US 1000 /* what another zone costs, as service time */
+#define CANCEL_GRACE_US (100 * AUB_MS) /* until a busy upstream sees a close */
+#define EJECT_FAILED_PERMILLE_MIN 500 /* failed answers that eject */
+#define EJECT_ANSWERS_MIN 5 /* answers judged before an ejection */
+#define BACKOFF_RESET_ANSWERS 32 /* good ones that reset the back-off */
+#define LIMIT_GROWTH_ANSWERS 16 /* answers until a shed slot is tried again */
 #define EJECT_BASE_US (1 * AUB_SECOND)
-#define EJECT_MOST_US (30 * AUB_SECOND)
+#define EJECT_MAX_US (30 * AUB_SECOND)
 #define UNREACHABLE_BASE_US (50 * AUB_MS)
-#define UNREACHABLE_MOST_US (2 * AUB_SECOND)
+#define UNREACHABLE_MAX_US (2 * AUB_SECOND)
 #define SHED_BASE_US (5 * AUB_MS)
-#define SHED_MOST_US (500 * AUB_MS)
+#define SHED_MAX_US (500 * AUB_MS)
 
 struct upstream *upstream_new(const char *name)
 {
 	struct upstream *u = g_new0(struct upstream, 1);
 
 	u->name = g_strdup(name);
-	u->lost = g_array_new(FALSE, FALSE, sizeof(struct lost_attempt));
+	u->lost_attempts = g_array_new(FALSE, FALSE, sizeof(struct lost_attempt));
 	return u;
 }
 
@@ -33,7 +33,7 @@
 {
 	struct upstream *u = data;
 
-	g_array_free(u->lost, TRUE);
+	g_array_free(u->lost_attempts, TRUE);
 	g_free(u->name);
 	g_free(u);
 }
@@ -57,7 +57,7 @@
 	return NULL;
 }
 
-static struct upstream *take_by_name(GPtrArray *list, const char *name)
+static struct upstream *steal_by_name(GPtrArray *list, const char *name)
 {
 	for (guint i = 0; i < list->len; i++) {
 		struct upstream *u = list->pdata[i];
@@ -72,27 +72,27 @@
 			       struct upstream *u, guint16 handle,
 			       gint64 now_us)
 {
-	const struct aub_upstream *line =
+	const struct aub_upstream *settings =
 		aub_upstream_at(dispatcher->inventory, handle);
-	bool takes_new = aub_upstream_takes_new(dispatcher->inventory, handle);
+	bool accepts_new = aub_upstream_accepts_new(dispatcher->inventory, handle);
 
-	if (u->slots != line->slots)
-		u->limit = line->slots;
+	if (u->slots != settings->slots)
+		u->concurrency_limit = settings->slots;
 	u->handle = handle;
-	u->slots = line->slots;
-	if (takes_new && !u->takes_new) {
-		upstream_open(u);
+	u->slots = settings->slots;
+	if (accepts_new && !u->accepts_new) {
+		upstream_clear_backoff(u);
 		u->draining = false;
-		cold_doubt(u, now_us);
+		warmup_reset_to_unknown(u, now_us);
 	}
-	u->cold_slots = line->cold_slots;
-	u->zone = line->zone;
-	u->probe_cost_us = line->probe_cost_us;
-	u->takes_new = takes_new;
+	u->cold_slots = settings->cold_slots;
+	u->zone = settings->zone;
+	u->probe_cost_us = settings->probe_cost_us;
+	u->accepts_new = accepts_new;
 	u->probing = false;
 }
 
-static void forget_upstream(struct aub_dispatcher *dispatcher,
+static void upstream_remove(struct aub_dispatcher *dispatcher,
 			    struct upstream *u)
 {
 	GHashTableIter iter;
@@ -102,8 +102,8 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct request *request = value;
 
-		if (request->avoid == u)
-			request->avoid = NULL;
+		if (request->avoid_upstream == u)
+			request->avoid_upstream = NULL;
 	}
 	upstream_free(u);
 }
@@ -112,19 +112,19 @@
 void upstreams_configure(struct aub_dispatcher *dispatcher, gint64 now_us)
 {
 	GPtrArray *before = dispatcher->upstreams;
-	const GArray *lines = dispatcher->inventory->upstreams;
+	const GArray *upstreams = dispatcher->inventory->upstreams;
 
 	dispatcher->upstreams = g_ptr_array_new();
-	for (guint i = 0; i < lines->len; i++) {
-		const struct aub_upstream *line =
-			&g_array_index(lines, struct aub_upstream, i);
+	for (guint i = 0; i < upstreams->len; i++) {
+		const struct aub_upstream *settings =
+			&g_array_index(upstreams, struct aub_upstream, i);
 		struct upstream *u;
 
-		if (line->service != dispatcher->service)
+		if (settings->service != dispatcher->service)
 			continue;
-		u = take_by_name(before, line->name);
+		u = steal_by_name(before, settings->name);
 		if (!u)
-			u = upstream_new(line->name);
+			u = upstream_new(settings->name);
 		upstream_configure(dispatcher, u, (guint16)i, now_us);
 		g_ptr_array_add(dispatcher->upstreams, u);
 	}
@@ -132,20 +132,20 @@
 		struct upstream *u = before->pdata[i];
 
 		if (!u->running.length) {
-			forget_upstream(dispatcher, u);
+			upstream_remove(dispatcher, u);
 			continue;
 		}
 		u->handle = AUB_NO_HANDLE;
-		u->takes_new = false;
+		u->accepts_new = false;
 		g_ptr_array_add(dispatcher->upstreams, u);
 	}
 	g_ptr_array_free(before, TRUE);
 }
 
-bool upstream_usable(const struct upstream *upstream, gint64 now_us)
+bool upstream_is_available(const struct upstream *upstream, gint64 now_us)
 {
-	return upstream->takes_new && !upstream->draining &&
-	       now_us >= upstream->shut_until_us;
+	return upstream->accepts_new && !upstream->draining &&
+	       now_us >= upstream->unavailable_until_us;
 }
 
 /*
@@ -153,18 +153,18 @@
  * Symptom: their exact counts add up to twice the slots.
  * Enough: who is new, or stands in, takes half, and nothing that is cold.
  */
-static guint share_allowed(const struct aub_dispatcher *dispatcher,
+static guint limit_by_role(const struct aub_dispatcher *dispatcher,
 			   const struct upstream *upstream, guint allowed,
 			   gint64 now_us)
 {
 	bool shared = dispatcher->role == AUB_DISPATCH_STANDBY ||
-		      now_us < dispatcher->settle_until_us;
+		      now_us < dispatcher->takeover_grace_until_us;
 
 	if (dispatcher->role == AUB_DISPATCH_NONE)
 		return 0;
 	if (!shared)
 		return allowed;
-	if (upstream->state == UPSTREAM_WARM || upstream->vouched)
+	if (upstream->state == UPSTREAM_WARM || upstream->probed_warm)
 		return MIN(allowed, upstream->slots / 2);
 	return 0;
 }
@@ -175,29 +175,29 @@
  * yet, holds two where it bears one, and falls over with all it has. One that
  * is not known to be warm gets nothing new until it must have seen the end.
  */
-void upstream_note_given_up(struct upstream *upstream,
+void upstream_on_attempt_abandoned(struct upstream *upstream,
 			    enum aub_attempt_result result, gint64 now_us)
 {
 	if (result == AUB_ATTEMPT_CANCELLED || result == AUB_ATTEMPT_TIMEOUT)
-		upstream->linger_until_us = now_us + LINGER_US;
+		upstream->cancel_grace_until_us = now_us + CANCEL_GRACE_US;
 }
 
 /* Attempts that may run on it at once, now. */
-guint upstream_allowed(const struct aub_dispatcher *dispatcher,
+guint upstream_allowed_attempts(const struct aub_dispatcher *dispatcher,
 		       const struct upstream *upstream, gint64 now_us)
 {
 	guint allowed;
 
-	if (!upstream_usable(upstream, now_us))
+	if (!upstream_is_available(upstream, now_us))
 		return 0;
 	if (upstream->state != UPSTREAM_WARM &&
-	    now_us < upstream->linger_until_us)
+	    now_us < upstream->cancel_grace_until_us)
 		return 0;
-	allowed = cold_allowed(upstream, now_us);
-	allowed = MIN(allowed, upstream->limit);
-	if (upstream->trial)
+	allowed = warmup_allowed_attempts(upstream, now_us);
+	allowed = MIN(allowed, upstream->concurrency_limit);
+	if (upstream->half_open)
 		allowed = MIN(allowed, 1);
-	return share_allowed(dispatcher, upstream, allowed, now_us);
+	return limit_by_role(dispatcher, upstream, allowed, now_us);
 }
 
 /* Free slots of all upstreams that may take a request now. */
@@ -208,7 +208,7 @@
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(dispatcher, i);
-		guint allowed = upstream_allowed(dispatcher, u, now_us);
+		guint allowed = upstream_allowed_attempts(dispatcher, u, now_us);
 		guint in_flight = upstream_in_flight(u);
 
 		total += allowed > in_flight ? allowed - in_flight : 0;
@@ -222,7 +222,7 @@
 	guint total = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++)
-		total += upstream_allowed(dispatcher,
+		total += upstream_allowed_attempts(dispatcher,
 					  upstream_at(dispatcher, i), now_us);
 	return total;
 }
@@ -233,15 +233,15 @@
  * Enough: what runs on it for too long shows it before any answer does, and
  * its free slots are taken last until a quick answer.
  */
-bool upstream_overruns(const struct aub_dispatcher *dispatcher,
+bool upstream_is_overdue(const struct aub_dispatcher *dispatcher,
 		       const struct upstream *upstream, gint64 now_us)
 {
 	const GList *head = upstream->running.head;
 	const struct attempt *oldest = head ? head->data : NULL;
-	gint64 usual = MAX(upstream->mean_us, dispatcher->mean_us);
+	gint64 typical_us = MAX(upstream->mean_us, dispatcher->mean_us);
 
-	return oldest && usual &&
-	       now_us - oldest->sent_us > OVERRUN_FACTOR * usual;
+	return oldest && typical_us &&
+	       now_us - oldest->sent_us > OVERDUE_MEAN_FACTOR * typical_us;
 }
 
 /* Lower is better: class first, then expected time, then how busy. */
@@ -261,10 +261,10 @@
 		score.cost_us = dispatcher->mean_us;
 	score.cost_us += score.cost_us * busy / (2 * (gint64)u->slots);
 	if (request->zone != AUB_NO_HANDLE && request->zone != u->zone)
-		score.cost_us += OTHER_ZONE_US;
-	if (upstream_overruns(dispatcher, u, now_us))
+		score.cost_us += CROSS_ZONE_COST_US;
+	if (upstream_is_overdue(dispatcher, u, now_us))
 		score.class = 1;
-	if (u == request->avoid)
+	if (u == request->avoid_upstream)
 		score.class = 2;
 	return score;
 }
@@ -284,7 +284,7 @@
  * The best free slot for a request, NULL when none is free. A hedge goes to
  * no upstream that is suspect or runs the request already.
  */
-struct upstream *upstream_choose(struct aub_dispatcher *dispatcher,
+struct upstream *upstream_select(struct aub_dispatcher *dispatcher,
 				 const struct request *request, bool hedge,
 				 gint64 now_us)
 {
@@ -299,7 +299,7 @@
 		struct score score;
 
 		if (upstream_in_flight(u) >=
-		    upstream_allowed(dispatcher, u, now_us))
+		    upstream_allowed_attempts(dispatcher, u, now_us))
 			continue;
 		score = upstream_score(dispatcher, u, request, now_us);
 		if (hedge && (score.class || runs_on(request, u)))
@@ -314,82 +314,82 @@
 	return best;
 }
 
-static void note_slow_mark(struct aub_dispatcher *dispatcher, gint64 took_us,
-			   bool whole)
+static void update_tail_latency(struct aub_dispatcher *dispatcher, gint64 took_us,
+			   bool complete)
 {
 	gint64 percent = dispatcher->hedge_percent ? dispatcher->hedge_percent :
-						     UNHEDGED_PERCENT;
-	gint64 share = MIN(AUB_HEDGES_A_MEAN * percent, 50);
-	gint64 step = MAX(dispatcher->slow_us / 32, 20);
+						     TAIL_PERCENT_WITHOUT_HEDGES;
+	gint64 share = MIN(AUB_HEDGES_PER_MEAN_TIME * percent, 50);
+	gint64 step = MAX(dispatcher->tail_latency_us / 32, 20);
 
-	if (!dispatcher->slow_us) {
-		dispatcher->slow_us = 3 * took_us;
+	if (!dispatcher->tail_latency_us) {
+		dispatcher->tail_latency_us = 3 * took_us;
 		return;
 	}
-	if (took_us > dispatcher->slow_us)
-		dispatcher->slow_us += step * (100 - share) / 100;
-	else if (whole)
-		dispatcher->slow_us -= step * share / 100;
-	dispatcher->slow_us = MAX(dispatcher->slow_us, 100);
+	if (took_us > dispatcher->tail_latency_us)
+		dispatcher->tail_latency_us += step * (100 - share) / 100;
+	else if (complete)
+		dispatcher->tail_latency_us -= step * share / 100;
+	dispatcher->tail_latency_us = MAX(dispatcher->tail_latency_us, 100);
 }
 
 /* A good answer took `took_us`, or (`whole` false) would have taken more. */
-void upstream_note_time(struct aub_dispatcher *dispatcher,
-			struct upstream *upstream, gint64 took_us, bool whole)
+void upstream_record_latency(struct aub_dispatcher *dispatcher,
+			struct upstream *upstream, gint64 took_us, bool complete)
 {
-	note_slow_mark(dispatcher, took_us, whole);
-	if (!whole && took_us < upstream->mean_us)
+	update_tail_latency(dispatcher, took_us, complete);
+	if (!complete && took_us < upstream->mean_us)
 		return;
 	if (!upstream->mean_us)
 		upstream->mean_us = MAX(took_us, 1);
-	dispatcher->answers++;
+	dispatcher->latency_samples++;
 	upstream->mean_us += (took_us - upstream->mean_us) / 16;
 	dispatcher->mean_us += (took_us - dispatcher->mean_us) /
-			       (gint64)MIN(dispatcher->answers, MEAN_OVER);
+			       (gint64)MIN(dispatcher->latency_samples, MEAN_WINDOW_ANSWERS);
 	dispatcher->mean_us = MAX(dispatcher->mean_us, 1);
 }
 
 /* Everything that kept it from work is lifted. */
-void upstream_open(struct upstream *upstream)
+void upstream_clear_backoff(struct upstream *upstream)
 {
-	upstream->shut_until_us = 0;
-	upstream->shut_times = 0;
-	upstream->trial = false;
+	upstream->unavailable_until_us = 0;
+	upstream->backoff_count = 0;
+	upstream->half_open = false;
 	upstream->ejected = false;
 	upstream->failed_permille = 0;
-	upstream->judged = 0;
-	upstream->limit = upstream->slots;
+	upstream->judged_answers = 0;
+	upstream->concurrency_limit = upstream->slots;
 }
 
-static void upstream_shut(struct upstream *upstream, gint64 base_us,
-			  gint64 most_us, gint64 now_us)
+static void upstream_back_off(struct upstream *upstream, gint64 base_us,
+			  gint64 max_us, gint64 now_us)
 {
-	gint64 wait = base_us << MIN(upstream->shut_times, 10);
+	gint64 wait = base_us << MIN(upstream->backoff_count, 10);
 
-	upstream->shut_until_us = now_us + MIN(wait, most_us);
-	upstream->shut_times++;
-	upstream->judged = 0;
-	upstream->trial = true;
+	upstream->unavailable_until_us = now_us + MIN(wait, max_us);
+	upstream->backoff_count++;
+	upstream->judged_answers = 0;
+	upstream->half_open = true;
 }
 
-void upstream_note_unreachable(struct upstream *upstream, gint64 now_us)
+void upstream_on_unreachable(struct upstream *upstream, gint64 now_us)
 {
-	cold_doubt(upstream, now_us);
-	if (now_us < upstream->shut_until_us)
+	warmup_reset_to_unknown(upstream, now_us);
+	if (now_us < upstream->unavailable_until_us)
 		return; /* several attempts, one failure */
-	upstream_shut(upstream, UNREACHABLE_BASE_US, UNREACHABLE_MOST_US,
+	upstream_back_off(upstream, UNREACHABLE_BASE_US, UNREACHABLE_MAX_US,
 		      now_us);
 }
 
 /* It refused although a slot was thought free: someone else uses it. */
-void upstream_note_shed(struct upstream *upstream, gint64 now_us)
+void upstream_on_shed(struct upstream *upstream, gint64 now_us)
 {
 	guint in_flight = upstream_in_flight(upstream);
 
-	upstream->limit = (guint16)CLAMP(in_flight, 1, upstream->slots);
+	upstream->concurrency_limit = (guint16)CLAMP(in_flight, 1, upstream->slots);
 	upstream->limit_successes = 0;
-	if (now_us >= upstream->shut_until_us)
-		upstream_shut(upstream, SHED_BASE_US, SHED_MOST_US, now_us);
+	if (now_us >= upstream->unavailable_until_us)
+		upstream_back_off(upstream, SHED_BASE_US, SHED_MAX_US, now_us);
 }
 
 /* True if it fails far more than its peers and few enough are ejected. */
@@ -403,7 +403,7 @@
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(dispatcher, i);
 
-		if (u == upstream || !u->takes_new)
+		if (u == upstream || !u->accepts_new)
 			continue;
 		others++;
 		if (u->ejected)
@@ -411,7 +411,7 @@
 		else
 			failed += u->failed_permille;
 	}
-	if (ejected >= (others + 1) / AUB_EJECT_SHARE)
+	if (ejected >= (others + 1) / AUB_EJECTED_UPSTREAMS_DIVISOR)
 		return false;
 	return others > ejected &&
 	       2 * failed / (others - ejected) < upstream->failed_permille;
@@ -423,62 +423,62 @@
  * Enough: its errors count for no speed and eject it, with back-off; a share
  * bounds the ejected, since errors of the requests' own eject nobody.
  */
-void upstream_note_result(struct aub_dispatcher *dispatcher,
+void upstream_record_result(struct aub_dispatcher *dispatcher,
 			  struct upstream *upstream, bool failed, gint64 now_us)
 {
 	gint32 target = failed ? 1000 : 0;
 
 	upstream->failed_permille +=
 		(target - (gint32)upstream->failed_permille) / 8;
-	upstream->judged++;
+	upstream->judged_answers++;
 	if (!failed) {
-		upstream->trial = false;
+		upstream->half_open = false;
 		upstream->ejected = false;
-		if (upstream->judged >= FORGIVE_ANSWERS)
-			upstream->shut_times = 0;
+		if (upstream->judged_answers >= BACKOFF_RESET_ANSWERS)
+			upstream->backoff_count = 0;
 		upstream->limit_successes++;
-		if (upstream->limit < upstream->slots &&
-		    upstream->limit_successes >= SHED_REGROW) {
-			upstream->limit++;
+		if (upstream->concurrency_limit < upstream->slots &&
+		    upstream->limit_successes >= LIMIT_GROWTH_ANSWERS) {
+			upstream->concurrency_limit++;
 			upstream->limit_successes = 0;
 		}
 		return;
 	}
-	if (upstream->trial && upstream->ejected) {
-		upstream_shut(upstream, EJECT_BASE_US, EJECT_MOST_US, now_us);
+	if (upstream->half_open && upstream->ejected) {
+		upstream_back_off(upstream, EJECT_BASE_US, EJECT_MAX_US, now_us);
 		return;
 	}
-	if (upstream->failed_permille < EJECT_PERMILLE ||
-	    upstream->judged < EJECT_ANSWERS ||
+	if (upstream->failed_permille < EJECT_FAILED_PERMILLE_MIN ||
+	    upstream->judged_answers < EJECT_ANSWERS_MIN ||
 	    !may_eject(dispatcher, upstream))
 		return;
-	upstream_shut(upstream, EJECT_BASE_US, EJECT_MOST_US, now_us);
+	upstream_back_off(upstream, EJECT_BASE_US, EJECT_MAX_US, now_us);
 	upstream->ejected = true;
 	dispatcher->counts.ejections++;
 }
 
 /* The earlier of two moments, where `at_us` counts if it is to come. */
-gint64 wake_after(gint64 now_us, gint64 at_us, gint64 wake_us)
+gint64 earliest_future_us(gint64 now_us, gint64 at_us, gint64 wake_us)
 {
 	return at_us > now_us ? MIN(at_us, wake_us) : wake_us;
 }
 
 /* When something that waits may become sendable; G_MAXINT64 for never. */
-gint64 upstreams_wake_us(const struct aub_dispatcher *dispatcher)
+gint64 upstreams_next_wakeup_us(const struct aub_dispatcher *dispatcher)
 {
 	gint64 now_us = dispatcher->now_us;
 	gint64 wake_us = G_MAXINT64;
 
 	if (!dispatcher->queue.length)
 		return wake_us;
-	wake_us = wake_after(now_us, dispatcher->settle_until_us, wake_us);
+	wake_us = earliest_future_us(now_us, dispatcher->takeover_grace_until_us, wake_us);
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(dispatcher, i);
 
-		if (!u->takes_new)
+		if (!u->accepts_new)
 			continue;
-		wake_us = wake_after(now_us, u->shut_until_us, wake_us);
-		wake_us = wake_after(now_us, u->linger_until_us, wake_us);
+		wake_us = earliest_future_us(now_us, u->unavailable_until_us, wake_us);
+		wake_us = earliest_future_us(now_us, u->cancel_grace_until_us, wake_us);
 	}
 	return wake_us;
 }
--- a/src/state/dispatch_cold.c
+++ b/src/state/dispatch_warmup.c
@@ -8,18 +8,18 @@
  */
 #include <auburnstile/internal/dispatch.h>
 
-#define SLOW_FIRST_ANSWER 4 /* times the service's mean */
-#define MEAN_ANSWERS 64 /* before which the mean says little */
-#define IDLE_DOUBT_US (1 * AUB_SECOND)
+#define SLOW_ANSWER_MEAN_FACTOR 4 /* times the service's mean */
+#define MEAN_SAMPLES_MIN 64 /* before which the mean says little */
+#define WARM_STATE_MAX_AGE_US (1 * AUB_SECOND)
 
-static guint cold_base(const struct upstream *upstream)
+static guint warmup_base_share(const struct upstream *upstream)
 {
 	return CLAMP(upstream->cold_slots, 1, upstream->slots);
 }
 
-static guint cold_grown(const struct upstream *upstream)
+static guint warmup_grown_share(const struct upstream *upstream)
 {
-	guint grown = cold_base(upstream) + upstream->cold_successes;
+	guint grown = warmup_base_share(upstream) + upstream->cold_successes;
 
 	return MIN(grown, upstream->slots);
 }
@@ -29,92 +29,92 @@
  * Symptom: the next swing falls on it in full, and it falls over.
  * Enough: after a silence it gets the cold share until one answer confirms.
  */
-bool cold_stale(const struct upstream *upstream, gint64 now_us)
+bool warmup_state_is_stale(const struct upstream *upstream, gint64 now_us)
 {
-	gint64 heard = MAX(upstream->last_answer_us, upstream->last_probe_us);
+	gint64 last_seen_us = MAX(upstream->last_answer_us, upstream->last_probe_us);
 
-	return now_us - heard > IDLE_DOUBT_US;
+	return now_us - last_seen_us > WARM_STATE_MAX_AGE_US;
 }
 
 /* Requests at once that its warmth allows, whoever sends them. */
-guint cold_allowed(const struct upstream *upstream, gint64 now_us)
+guint warmup_allowed_attempts(const struct upstream *upstream, gint64 now_us)
 {
 	switch (upstream->state) {
 	case UPSTREAM_WARM:
-		if (cold_stale(upstream, now_us))
-			return cold_base(upstream);
+		if (warmup_state_is_stale(upstream, now_us))
+			return warmup_base_share(upstream);
 		return upstream->slots;
 	case UPSTREAM_COLD:
-		return cold_grown(upstream);
+		return warmup_grown_share(upstream);
 	default:
-		return cold_base(upstream);
+		return warmup_base_share(upstream);
 	}
 }
 
-void cold_begin(struct aub_dispatcher *dispatcher, struct upstream *upstream,
+void warmup_begin(struct aub_dispatcher *dispatcher, struct upstream *upstream,
 		gint64 now_us)
 {
 	if (upstream->state != UPSTREAM_COLD)
-		dispatcher->counts.cold_turns++;
+		dispatcher->counts.cold_starts++;
 	upstream->state = UPSTREAM_COLD;
-	upstream->vouched = false;
-	upstream->says_cold = false;
+	upstream->probed_warm = false;
+	upstream->reports_cold = false;
 	upstream->cold_since_us = now_us;
 	upstream->cold_successes = 0;
 }
 
 /* A connection was lost or refused: it may have started anew. */
-void cold_doubt(struct upstream *upstream, gint64 now_us)
+void warmup_reset_to_unknown(struct upstream *upstream, gint64 now_us)
 {
-	upstream->vouched = false;
+	upstream->probed_warm = false;
 	if (upstream->state == UPSTREAM_WARM)
 		upstream->state = UPSTREAM_UNKNOWN;
 	upstream->cold_since_us = now_us;
 	upstream->cold_successes = 0;
 }
 
-static void note_boot(struct aub_dispatcher *dispatcher,
+static void on_boot_id(struct aub_dispatcher *dispatcher,
 		      struct upstream *upstream, guint64 boot_id, gint64 now_us)
 {
 	guint64 before = upstream->boot_id;
 
 	if (!boot_id || boot_id == before)
 		return;
-	upstream->old_boot_id = before;
+	upstream->previous_boot_id = before;
 	upstream->boot_id = boot_id;
 	if (!before)
 		return;
-	crash_note_death(dispatcher, upstream, now_us);
-	upstream_open(upstream);
-	cold_begin(dispatcher, upstream, now_us);
+	crash_on_upstream_crash(dispatcher, upstream, now_us);
+	upstream_clear_backoff(upstream);
+	warmup_begin(dispatcher, upstream, now_us);
 }
 
 /* What an answer or a probe told of its state; `signs` may be NULL. */
-void cold_note_signs(struct aub_dispatcher *dispatcher,
+void warmup_on_signals(struct aub_dispatcher *dispatcher,
 		     struct upstream *upstream,
-		     const struct aub_upstream_signs *signs, gint64 now_us)
+		     const struct aub_upstream_signals *signals, gint64 now_us)
 {
-	if (!signs)
+	if (!signals)
 		return;
-	if (!signs->boot_id && !signs->cold && !signs->draining)
+	if (!signals->boot_id && !signals->cold && !signals->draining)
 		return;
-	if (signs->boot_id && signs->boot_id == upstream->old_boot_id)
+	if (signals->boot_id && signals->boot_id == upstream->previous_boot_id)
 		return; /* a late word of the start before */
-	note_boot(dispatcher, upstream, signs->boot_id, now_us);
-	upstream->draining = signs->draining;
-	if (signs->cold && upstream->state != UPSTREAM_COLD)
-		cold_begin(dispatcher, upstream, now_us);
-	if (upstream->says_cold && !signs->cold)
+	on_boot_id(dispatcher, upstream, signals->boot_id, now_us);
+	upstream->draining = signals->draining;
+	if (signals->cold && upstream->state != UPSTREAM_COLD)
+		warmup_begin(dispatcher, upstream, now_us);
+	if (upstream->reports_cold && !signals->cold)
 		upstream->cold_since_us = now_us - dispatcher->cold_us;
-	upstream->says_cold = signs->cold;
+	upstream->reports_cold = signals->cold;
 }
 
 /* A good answer came after `took_us`. */
-void cold_note_answer(struct aub_dispatcher *dispatcher,
+void warmup_on_answer(struct aub_dispatcher *dispatcher,
 		      struct upstream *upstream, gint64 took_us, gint64 now_us)
 {
-	bool slow = dispatcher->answers >= MEAN_ANSWERS &&
-		    took_us > SLOW_FIRST_ANSWER * dispatcher->mean_us;
+	bool slow = dispatcher->latency_samples >= MEAN_SAMPLES_MIN &&
+		    took_us > SLOW_ANSWER_MEAN_FACTOR * dispatcher->mean_us;
 
 	if (upstream->state == UPSTREAM_UNKNOWN && slow)
 		return; /* perhaps cold, and doesn't say so */
@@ -123,33 +123,33 @@
 	if (upstream->state != UPSTREAM_COLD)
 		return;
 	if (slow && upstream->cold_successes) {
-		cold_begin(dispatcher, upstream, now_us);
+		warmup_begin(dispatcher, upstream, now_us);
 		return;
 	}
-	if (upstream->says_cold ||
+	if (upstream->reports_cold ||
 	    now_us - upstream->cold_since_us < dispatcher->cold_us)
 		return;
 	upstream->cold_successes++;
-	if (cold_grown(upstream) == upstream->slots)
+	if (warmup_grown_share(upstream) == upstream->slots)
 		upstream->state = UPSTREAM_WARM;
 }
 
-guint aub_dispatcher_knowledge(const struct aub_dispatcher *dispatcher,
-			       struct aub_upstream_knowledge *list, guint limit,
+guint aub_dispatcher_export_upstreams(const struct aub_dispatcher *dispatcher,
+			       struct aub_upstream_snapshot *list, guint limit,
 			       gint64 now_us)
 {
 	guint count = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(dispatcher, i);
-		gint64 heard = MAX(u->last_answer_us, u->last_probe_us);
-		gint64 age_ms = (now_us - heard) / AUB_MS;
+		gint64 last_seen_us = MAX(u->last_answer_us, u->last_probe_us);
+		gint64 age_ms = (now_us - last_seen_us) / AUB_MS;
 
 		if (count == limit)
 			break;
-		if (u->state == UPSTREAM_UNKNOWN || !u->takes_new)
+		if (u->state == UPSTREAM_UNKNOWN || !u->accepts_new)
 			continue;
-		list[count++] = (struct aub_upstream_knowledge){
+		list[count++] = (struct aub_upstream_snapshot){
 			.name = u->name,
 			.boot_id = u->boot_id,
 			.cold = u->state == UPSTREAM_COLD,
@@ -176,25 +176,25 @@
  * Enough: the stand-by has heard of each within a second, and the first
  * answer, with its boot id, corrects what changed since.
  */
-void aub_dispatcher_learn(struct aub_dispatcher *dispatcher,
-			  const struct aub_upstream_knowledge *known,
+void aub_dispatcher_import_upstream(struct aub_dispatcher *dispatcher,
+			  const struct aub_upstream_snapshot *snapshot,
 			  gint64 now_us)
 {
-	struct upstream *u = find_by_name(dispatcher, known->name);
+	struct upstream *u = find_by_name(dispatcher, snapshot->name);
 
 	if (!u || dispatcher->role != AUB_DISPATCH_NONE)
 		return;
-	if (known->boot_id && known->boot_id != u->boot_id) {
-		u->old_boot_id = u->boot_id;
-		u->boot_id = known->boot_id;
+	if (snapshot->boot_id && snapshot->boot_id != u->boot_id) {
+		u->previous_boot_id = u->boot_id;
+		u->boot_id = snapshot->boot_id;
 	}
-	u->draining = known->draining;
-	u->last_answer_us = now_us - (gint64)known->age_ms * AUB_MS;
-	u->mean_us = known->mean_us;
-	if (!dispatcher->answers)
-		dispatcher->mean_us = known->mean_us;
-	if (known->cold && u->state != UPSTREAM_COLD)
-		cold_begin(dispatcher, u, now_us);
-	else if (!known->cold)
+	u->draining = snapshot->draining;
+	u->last_answer_us = now_us - (gint64)snapshot->age_ms * AUB_MS;
+	u->mean_us = snapshot->mean_us;
+	if (!dispatcher->latency_samples)
+		dispatcher->mean_us = snapshot->mean_us;
+	if (snapshot->cold && u->state != UPSTREAM_COLD)
+		warmup_begin(dispatcher, u, now_us);
+	else if (!snapshot->cold)
 		u->state = UPSTREAM_WARM;
 }
--- a/src/state/inventory.c
+++ b/src/state/inventory.c
@@ -22,9 +22,9 @@
 	g_free(vm->name);
 }
 
-static void once_clear(gpointer data)
+static void at_most_once_clear(gpointer data)
 {
-	struct aub_once_rule *rule = data;
+	struct aub_at_most_once_rule *rule = data;
 
 	g_free(rule->method);
 	g_free(rule->path);
@@ -36,8 +36,8 @@
 
 	g_free(service->name);
 	g_free(service->path);
-	if (service->once)
-		g_array_unref(service->once);
+	if (service->at_most_once)
+		g_array_unref(service->at_most_once);
 	if (service->zones)
 		g_array_unref(service->zones);
 }
@@ -58,9 +58,9 @@
 	return table;
 }
 
-GArray *aub_once_rules_new(void)
+GArray *aub_at_most_once_rules_new(void)
 {
-	return table_new(sizeof(struct aub_once_rule), once_clear);
+	return table_new(sizeof(struct aub_at_most_once_rule), at_most_once_clear);
 }
 
 static GHashTable *names_new(void)
@@ -110,7 +110,7 @@
 	g_free(inventory);
 }
 
-static guint16 find(GHashTable *names, const char *name)
+static guint16 find_handle(GHashTable *names, const char *name)
 {
 	guint handle = GPOINTER_TO_UINT(g_hash_table_lookup(names, name));
 
@@ -120,25 +120,25 @@
 guint16 aub_inventory_zone(const struct aub_inventory *inventory,
 			   const char *name)
 {
-	return find(inventory->zone_names, name);
+	return find_handle(inventory->zone_names, name);
 }
 
 guint16 aub_inventory_vm(const struct aub_inventory *inventory,
 			 const char *name)
 {
-	return find(inventory->vm_names, name);
+	return find_handle(inventory->vm_names, name);
 }
 
 guint16 aub_inventory_service(const struct aub_inventory *inventory,
 			      const char *name)
 {
-	return find(inventory->service_names, name);
+	return find_handle(inventory->service_names, name);
 }
 
 guint16 aub_inventory_upstream(const struct aub_inventory *inventory,
 			       const char *name)
 {
-	return find(inventory->upstream_names, name);
+	return find_handle(inventory->upstream_names, name);
 }
 
 guint16 aub_inventory_route(const struct aub_inventory *inventory,
@@ -161,18 +161,18 @@
 	return best;
 }
 
-const struct aub_once_rule *aub_service_once_rule(
+const struct aub_at_most_once_rule *aub_service_at_most_once_rule(
 	const struct aub_service *service, const char *method, const char *path)
 {
-	const struct aub_once_rule *found = NULL;
+	const struct aub_at_most_once_rule *found = NULL;
 	char *canonical;
 
-	if (!service->once->len)
+	if (!service->at_most_once->len)
 		return NULL;
 	canonical = aub_path_canonical(path);
-	for (guint i = 0; i < service->once->len && !found; i++) {
-		const struct aub_once_rule *rule =
-			&g_array_index(service->once, struct aub_once_rule, i);
+	for (guint i = 0; i < service->at_most_once->len && !found; i++) {
+		const struct aub_at_most_once_rule *rule =
+			&g_array_index(service->at_most_once, struct aub_at_most_once_rule, i);
 
 		if (strcmp(rule->method, "*") != 0 &&
 		    g_ascii_strcasecmp(rule->method, method) != 0)
@@ -184,11 +184,11 @@
 	return found;
 }
 
-bool aub_upstream_takes_new(const struct aub_inventory *inventory,
+bool aub_upstream_accepts_new(const struct aub_inventory *inventory,
 			    guint16 upstream)
 {
-	const struct aub_upstream *it = aub_upstream_at(inventory, upstream);
+	const struct aub_upstream *upstream_row = aub_upstream_at(inventory, upstream);
 
-	return !it->leaving && !aub_vm_at(inventory, it->vm)->leaving &&
-	       !aub_zone_at(inventory, it->zone)->out;
+	return !upstream_row->leaving && !aub_vm_at(inventory, upstream_row->vm)->leaving &&
+	       !aub_zone_at(inventory, upstream_row->zone)->out;
 }
--- a/src/state/inventory_check.c
+++ b/src/state/inventory_check.c
@@ -29,25 +29,25 @@
 	for (guint i = 0; i < services->len; i++) {
 		struct aub_service *service =
 			aub_service_at(draft->inventory, i);
-		const char *other = g_hash_table_lookup(paths, service->path);
+		const char *previous = g_hash_table_lookup(paths, service->path);
 
 		if (!*service->path)
 			continue;
-		if (other)
-			aub_draft_problem(draft, service_origin(draft, i),
+		if (previous)
+			aub_draft_add_problem(draft, service_origin(draft, i),
 					  "path", "path-twice",
 					  "\"%s\" is already routed to service "
 					  "\"%s\"",
-					  service->path, other);
+					  service->path, previous);
 		else
 			g_hash_table_insert(paths, service->path,
 					    service->name);
-		if (aub_path_below(service->path, AUB_RESERVED_PATH))
-			aub_draft_problem(draft, service_origin(draft, i),
+		if (aub_path_below(service->path, AUB_RESERVED_PATH_PREFIX))
+			aub_draft_add_problem(draft, service_origin(draft, i),
 					  "path", "path-reserved",
 					  "paths below \"%s\" are the "
 					  "system's own",
-					  AUB_RESERVED_PATH);
+					  AUB_RESERVED_PATH_PREFIX);
 	}
 	g_hash_table_unref(paths);
 }
@@ -56,8 +56,8 @@
  * A rule works on requests that are routed to its service: below both the
  * rule's and the service's path, and not taken by a longer route.
  */
-static bool once_matches(const struct aub_inventory *inventory, guint service,
-			 const struct aub_once_rule *rule)
+static bool rule_can_match(const struct aub_inventory *inventory, guint service,
+			 const struct aub_at_most_once_rule *rule)
 {
 	const char *path = aub_service_at(inventory, service)->path;
 
@@ -66,7 +66,7 @@
 	return aub_inventory_route(inventory, rule->path) == service;
 }
 
-static bool method_is_good(const char *method)
+static bool method_is_valid(const char *method)
 {
 	gsize length = strlen(method);
 
@@ -76,14 +76,14 @@
 	       strspn(method, "ABCDEFGHIJKLMNOPQRSTUVWXYZ") == length;
 }
 
-static void check_once(struct aub_inventory_draft *draft, guint handle)
+static void check_at_most_once_rules(struct aub_inventory_draft *draft, guint handle)
 {
 	const struct aub_draft_origin *origin = service_origin(draft, handle);
 	struct aub_service *service = aub_service_at(draft->inventory, handle);
 
-	for (guint i = 0; i < service->once->len; i++) {
-		const struct aub_once_rule *rule =
-			&g_array_index(service->once, struct aub_once_rule, i);
+	for (guint i = 0; i < service->at_most_once->len; i++) {
+		const struct aub_at_most_once_rule *rule =
+			&g_array_index(service->at_most_once, struct aub_at_most_once_rule, i);
 		const struct aub_toml_node *list =
 			aub_toml_member(origin->node, "once");
 		struct aub_draft_origin at = { .node = origin->node };
@@ -92,13 +92,13 @@
 			g_strdup_printf("%s.once[#%u]", origin->label, i + 1);
 		if (i < aub_toml_size(list))
 			at.node = aub_toml_item(list, i);
-		if (!method_is_good(rule->method))
-			aub_draft_problem(draft, &at, "method", "method",
+		if (!method_is_valid(rule->method))
+			aub_draft_add_problem(draft, &at, "method", "method",
 					  "\"%s\" is no method such as POST, "
 					  "nor \"*\"",
 					  rule->method);
-		if (!once_matches(draft->inventory, handle, rule))
-			aub_draft_problem(draft, &at, "path", "once-unmatched",
+		if (!rule_can_match(draft->inventory, handle, rule))
+			aub_draft_add_problem(draft, &at, "path", "once-unmatched",
 					  "no request to service \"%s\" (path "
 					  "\"%s\") has a path below \"%s\"",
 					  service->name, service->path,
@@ -119,33 +119,33 @@
 {
 	const struct aub_inventory *inventory = draft->inventory;
 	const struct aub_draft_origin *origin = upstream_origin(draft, handle);
-	const struct aub_upstream *it = aub_upstream_at(inventory, handle);
+	const struct aub_upstream *upstream = aub_upstream_at(inventory, handle);
 	const struct aub_service *service;
 
-	if (it->cold_slots > it->slots)
-		aub_draft_problem(draft, origin, "cold_slots", "cold-slots",
+	if (upstream->cold_slots > upstream->slots)
+		aub_draft_add_problem(draft, origin, "cold_slots", "cold-slots",
 				  "%u when cold is more than its %u slots",
-				  it->cold_slots, it->slots);
-	if (it->connections < it->slots)
-		aub_draft_problem(draft, origin, "connections", "connections",
+				  upstream->cold_slots, upstream->slots);
+	if (upstream->connections < upstream->slots)
+		aub_draft_add_problem(draft, origin, "connections", "connections",
 				  "%u connections can't fill %u slots",
-				  it->connections, it->slots);
-	if (it->service == AUB_NO_HANDLE)
+				  upstream->connections, upstream->slots);
+	if (upstream->service == AUB_NO_HANDLE)
 		return;
-	service = aub_service_at(inventory, it->service);
+	service = aub_service_at(inventory, upstream->service);
 	if (service->probe_budget_us &&
-	    it->probe_cost_us > service->probe_budget_us)
-		aub_draft_problem(draft, origin, "probe_cost_us",
+	    upstream->probe_cost_us > service->probe_budget_us)
+		aub_draft_add_problem(draft, origin, "probe_cost_us",
 				  "probe-budget",
 				  "one probe of %u us is more than the %u us a "
 				  "second that service \"%s\" allows",
-				  it->probe_cost_us, service->probe_budget_us,
+				  upstream->probe_cost_us, service->probe_budget_us,
 				  service->name);
-	if (it->zone != AUB_NO_HANDLE && !has_zone(service, it->zone))
-		aub_draft_problem(draft, origin, "vm", "zone-restriction",
+	if (upstream->zone != AUB_NO_HANDLE && !has_zone(service, upstream->zone))
+		aub_draft_add_problem(draft, origin, "vm", "zone-restriction",
 				  "its zone \"%s\" is none of those that "
 				  "service \"%s\" may run in",
-				  aub_zone_at(inventory, it->zone)->name,
+				  aub_zone_at(inventory, upstream->zone)->name,
 				  service->name);
 }
 
@@ -155,25 +155,25 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 
 	for (guint i = 0; i < draft->inventory->upstreams->len; i++) {
-		const struct aub_upstream *it =
+		const struct aub_upstream *upstream =
 			aub_upstream_at(draft->inventory, i);
-		const char *other;
+		const char *previous;
 		char *address;
 
-		if (!it->host)
+		if (!upstream->host)
 			continue;
-		address = g_strdup_printf("%s:%u", it->host, it->port);
-		other = g_hash_table_lookup(seen, address);
-		if (other) {
-			aub_draft_problem(draft, upstream_origin(draft, i),
+		address = g_strdup_printf("%s:%u", upstream->host, upstream->port);
+		previous = g_hash_table_lookup(seen, address);
+		if (previous) {
+			aub_draft_add_problem(draft, upstream_origin(draft, i),
 					  "address", "address-twice",
 					  "\"%s\" already belongs to upstream "
 					  "\"%s\"",
-					  address, other);
+					  address, previous);
 			g_free(address);
 			continue;
 		}
-		g_hash_table_insert(seen, address, it->name);
+		g_hash_table_insert(seen, address, upstream->name);
 	}
 	g_hash_table_unref(seen);
 }
@@ -191,7 +191,7 @@
 	}
 	for (guint i = 0; i < inventory->services->len; i++)
 		if (!counts[i])
-			aub_draft_problem(draft, service_origin(draft, i), NULL,
+			aub_draft_add_problem(draft, service_origin(draft, i), NULL,
 					  "no-upstream",
 					  "no upstream serves it");
 	g_free(counts);
@@ -208,7 +208,7 @@
 				 "there is no service in it");
 	check_paths(draft);
 	for (guint i = 0; i < draft->services->len; i++)
-		check_once(draft, i);
+		check_at_most_once_rules(draft, i);
 	for (guint i = 0; i < draft->upstreams->len; i++)
 		check_upstream(draft, i);
 	check_addresses(draft);
--- a/src/state/inventory_fields.c
+++ b/src/state/inventory_fields.c
@@ -9,12 +9,12 @@
 #include <string.h>
 
 /* Kept whole in events, logs and metrics: one less than AUB_EVENT_NAME. */
-#define NAME_LIMIT 23
+#define NAME_BYTES_MAX 23
 
 /* Handles are 16 bits, and AUB_NO_HANDLE is none. */
-#define TABLE_LIMIT (G_MAXUINT16 - 1)
+#define TABLE_ROWS_MAX (G_MAXUINT16 - 1)
 
-void aub_draft_problem(struct aub_inventory_draft *draft,
+void aub_draft_add_problem(struct aub_inventory_draft *draft,
 		       const struct aub_draft_origin *origin, const char *key,
 		       const char *rule, const char *format, ...)
 {
@@ -37,19 +37,19 @@
 	g_free(field);
 }
 
-void aub_type_problem(struct aub_inventory_draft *draft,
+void aub_draft_add_type_problem(struct aub_inventory_draft *draft,
 		      const struct aub_draft_origin *origin, const char *key,
-		      const char *wanted, const struct aub_toml_node *node)
+		      const char *expected, const struct aub_toml_node *node)
 {
-	aub_draft_problem(draft, origin, key, "type", "must be %s, not %s",
-			  wanted, aub_toml_type_name(aub_toml_type(node)));
+	aub_draft_add_problem(draft, origin, key, "type", "must be %s, not %s",
+			  expected, aub_toml_type_name(aub_toml_type(node)));
 }
 
-bool aub_name_is_good(const char *name)
+bool aub_name_is_valid(const char *name)
 {
 	gsize length = strlen(name);
 
-	return length >= 1 && length <= NAME_LIMIT && g_ascii_isalnum(*name) &&
+	return length >= 1 && length <= NAME_BYTES_MAX && g_ascii_isalnum(*name) &&
 	       strspn(name, "abcdefghijklmnopqrstuvwxyz"
 			    "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 			    "0123456789._-") == length;
@@ -65,13 +65,13 @@
 	/* A slash at the end is a matter of taste; nothing else is. */
 	if (*value != '/' || strncmp(canonical, value, length) != 0 ||
 	    (value[length] && strcmp(value + length, "/") != 0))
-		aub_draft_problem(
+		aub_draft_add_problem(
 			draft, origin, key, "path",
 			"\"%s\" is not a plain path such as \"/fees\"", value);
 	*out = canonical;
 }
 
-static void text_read(struct aub_inventory_draft *draft,
+static void string_read(struct aub_inventory_draft *draft,
 		      const struct aub_draft_origin *origin,
 		      const struct aub_field *field,
 		      const struct aub_toml_node *node, char **out)
@@ -79,23 +79,23 @@
 	const char *value;
 
 	if (!aub_toml_string(node, &value)) {
-		aub_type_problem(draft, origin, field->key, "a string", node);
+		aub_draft_add_type_problem(draft, origin, field->key, "a string", node);
 		return;
 	}
 	if (field->type == AUB_FIELD_PATH) {
 		path_read(draft, origin, field->key, value, out);
 		return;
 	}
-	if (field->type == AUB_FIELD_NAME && !aub_name_is_good(value))
-		aub_draft_problem(
+	if (field->type == AUB_FIELD_NAME && !aub_name_is_valid(value))
+		aub_draft_add_problem(
 			draft, origin, field->key, "name",
 			"\"%s\" must be 1 to %d of a-z A-Z 0-9 . _ -, "
 			"the first a letter or digit",
-			value, NAME_LIMIT);
+			value, NAME_BYTES_MAX);
 	*out = g_strdup(value);
 }
 
-static void number_read(struct aub_inventory_draft *draft,
+static void integer_read(struct aub_inventory_draft *draft,
 			const struct aub_draft_origin *origin,
 			const struct aub_field *field,
 			const struct aub_toml_node *node, void *out)
@@ -103,9 +103,9 @@
 	gint64 value;
 
 	if (!aub_toml_integer(node, &value))
-		aub_type_problem(draft, origin, field->key, "an integer", node);
+		aub_draft_add_type_problem(draft, origin, field->key, "an integer", node);
 	else if (value < field->minimum || value > field->maximum)
-		aub_draft_problem(draft, origin, field->key, "range",
+		aub_draft_add_problem(draft, origin, field->key, "range",
 				  "%" G_GINT64_FORMAT
 				  " is out of range: %" G_GINT64_FORMAT
 				  " to %" G_GINT64_FORMAT,
@@ -116,22 +116,22 @@
 		*(guint32 *)out = (guint32)value;
 }
 
-struct key_check {
+struct check_known_key {
 	struct aub_inventory_draft *draft;
 	const struct aub_draft_origin *origin;
 	const struct aub_field *fields;
 };
 
-static void key_check(const char *key, const struct aub_toml_node *node,
+static void check_known_key(const char *key, const struct aub_toml_node *node,
 		      void *context)
 {
-	const struct key_check *check = context;
+	const struct check_known_key *check = context;
 	const struct aub_field *field = check->fields;
 
 	while (field->key && strcmp(field->key, key) != 0)
 		field++;
 	if (!field->key)
-		aub_draft_problem(check->draft, check->origin, key,
+		aub_draft_add_problem(check->draft, check->origin, key,
 				  "unknown-key", "there is no such key here");
 }
 
@@ -139,17 +139,17 @@
 		     const struct aub_draft_origin *origin,
 		     const struct aub_field *fields, void *out)
 {
-	struct key_check check = { draft, origin, fields };
+	struct check_known_key check = { draft, origin, fields };
 
-	aub_toml_visit(origin->node, key_check, &check);
+	aub_toml_visit(origin->node, check_known_key, &check);
 	for (const struct aub_field *field = fields; field->key; field++) {
 		const struct aub_toml_node *node =
 			aub_toml_member(origin->node, field->key);
-		void *place = (guint8 *)out + field->offset;
+		void *target = (guint8 *)out + field->offset;
 
 		if (!node) {
 			if (field->required)
-				aub_draft_problem(draft, origin, field->key,
+				aub_draft_add_problem(draft, origin, field->key,
 						  "missing",
 						  "this key is needed");
 			continue;
@@ -158,36 +158,36 @@
 		case AUB_FIELD_NAME:
 		case AUB_FIELD_PATH:
 		case AUB_FIELD_STRING:
-			text_read(draft, origin, field, node, place);
+			string_read(draft, origin, field, node, target);
 			break;
 		case AUB_FIELD_U16:
 		case AUB_FIELD_U32:
-			number_read(draft, origin, field, node, place);
+			integer_read(draft, origin, field, node, target);
 			break;
 		case AUB_FIELD_BOOLEAN:
-			if (!aub_toml_boolean(node, place))
-				aub_type_problem(draft, origin, field->key,
+			if (!aub_toml_boolean(node, target))
+				aub_draft_add_type_problem(draft, origin, field->key,
 						 "true or false", node);
 			break;
-		case AUB_FIELD_ELSEWHERE:
+		case AUB_FIELD_CUSTOM:
 			break;
 		}
 	}
 }
 
-bool aub_name_enter(struct aub_inventory_draft *draft,
+bool aub_name_register(struct aub_inventory_draft *draft,
 		    const struct aub_draft_origin *origin, GHashTable *names,
 		    const char *name, guint handle)
 {
 	if (!name)
 		return false;
-	if (handle > TABLE_LIMIT) {
-		aub_draft_problem(draft, origin, NULL, "size",
-				  "more than %u of these", TABLE_LIMIT);
+	if (handle > TABLE_ROWS_MAX) {
+		aub_draft_add_problem(draft, origin, NULL, "size",
+				  "more than %u of these", TABLE_ROWS_MAX);
 		return false;
 	}
 	if (g_hash_table_contains(names, name)) {
-		aub_draft_problem(draft, origin, "name", "duplicate",
+		aub_draft_add_problem(draft, origin, "name", "duplicate",
 				  "\"%s\" is there twice", name);
 		return false;
 	}
@@ -196,7 +196,7 @@
 	return true;
 }
 
-guint16 aub_reference(struct aub_inventory_draft *draft,
+guint16 aub_reference_resolve(struct aub_inventory_draft *draft,
 		      const struct aub_draft_origin *origin, const char *key,
 		      const struct aub_toml_node *node, GHashTable *names,
 		      const char *kind)
@@ -207,12 +207,12 @@
 	if (!node)
 		return AUB_NO_HANDLE;
 	if (!aub_toml_string(node, &name)) {
-		aub_type_problem(draft, origin, key, "a string", node);
+		aub_draft_add_type_problem(draft, origin, key, "a string", node);
 		return AUB_NO_HANDLE;
 	}
 	handle = GPOINTER_TO_UINT(g_hash_table_lookup(names, name));
 	if (!handle) {
-		aub_draft_problem(draft, origin, key, "reference",
+		aub_draft_add_problem(draft, origin, key, "reference",
 				  "there is no %s \"%s\"", kind, name);
 		return AUB_NO_HANDLE;
 	}
@@ -228,22 +228,22 @@
 	if (!list)
 		return;
 	if (aub_toml_type(list) != AUB_TOML_ARRAY) {
-		aub_type_problem(draft, parent, key, "a list of tables", list);
+		aub_draft_add_type_problem(draft, parent, key, "a list of tables", list);
 		return;
 	}
 	for (guint i = 0; i < aub_toml_size(list); i++) {
 		const struct aub_toml_node *node = aub_toml_item(list, i);
-		const struct aub_toml_node *named;
+		const struct aub_toml_node *name_node;
 		struct aub_draft_origin origin = { .node = node };
 		const char *name;
 
 		if (aub_toml_type(node) != AUB_TOML_TABLE) {
-			aub_type_problem(draft, parent, key, "a list of tables",
+			aub_draft_add_type_problem(draft, parent, key, "a list of tables",
 					 node);
 			continue;
 		}
-		named = aub_toml_member(node, "name");
-		if (named && aub_toml_string(named, &name))
+		name_node = aub_toml_member(node, "name");
+		if (name_node && aub_toml_string(name_node, &name))
 			origin.label = g_strdup_printf("%s[%s]", label, name);
 		else
 			origin.label = g_strdup_printf("%s[#%u]", label, i + 1);
--- a/src/state/inventory_parse.c
+++ b/src/state/inventory_parse.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 /* The store holds a megabyte; escaped as JSON the text may double. */
-#define TEXT_LIMIT (480u << 10)
+#define TEXT_BYTES_MAX (480u << 10)
 
 /* A service and what its upstreams have unless they say otherwise. */
 struct service_draft {
@@ -22,14 +22,14 @@
 	{ "name", AUB_FIELD_NAME, true, offsetof(struct aub_zone, name), 0, 0 },
 	{ "region", AUB_FIELD_NAME, true, offsetof(struct aub_zone, region), 0,
 	  0 },
-	{ "vms", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ NULL, AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
+	{ "vms", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ NULL, AUB_FIELD_CUSTOM, false, 0, 0, 0 },
 };
 
 static const struct aub_field vm_fields[] = {
 	{ "name", AUB_FIELD_NAME, true, offsetof(struct aub_vm, name), 0, 0 },
-	{ "zone", AUB_FIELD_ELSEWHERE, true, 0, 0, 0 },
-	{ NULL, AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
+	{ "zone", AUB_FIELD_CUSTOM, true, 0, 0, 0 },
+	{ NULL, AUB_FIELD_CUSTOM, false, 0, 0, 0 },
 };
 
 #define SERVICE(member) offsetof(struct service_draft, service.member)
@@ -39,9 +39,9 @@
 static const struct aub_field service_fields[] = {
 	{ "name", AUB_FIELD_NAME, true, SERVICE(name), 0, 0 },
 	{ "path", AUB_FIELD_PATH, true, SERVICE(path), 0, 0 },
-	{ "zones", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ "once", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ "upstreams", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
+	{ "zones", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ "once", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ "upstreams", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
 	{ "queue_limit", AUB_FIELD_U32, false, SERVICE(queue_limit), 1,
 	  100000 },
 	{ "deadline_ms", AUB_FIELD_U32, false, SERVICE(deadline_ms), 1,
@@ -58,40 +58,40 @@
 	{ "cold_slots", AUB_FIELD_U16, false, DEFAULT(cold_slots), 1, 4096 },
 	{ "probe_cost_us", AUB_FIELD_U32, false, DEFAULT(probe_cost_us), 1,
 	  1000000 },
-	{ NULL, AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
+	{ NULL, AUB_FIELD_CUSTOM, false, 0, 0, 0 },
 };
 
-static const struct aub_field once_fields[] = {
+static const struct aub_field at_most_once_fields[] = {
 	{ "method", AUB_FIELD_STRING, true,
-	  offsetof(struct aub_once_rule, method), 0, 0 },
-	{ "path", AUB_FIELD_PATH, true, offsetof(struct aub_once_rule, path), 0,
+	  offsetof(struct aub_at_most_once_rule, method), 0, 0 },
+	{ "path", AUB_FIELD_PATH, true, offsetof(struct aub_at_most_once_rule, path), 0,
 	  0 },
 	{ "key_required", AUB_FIELD_BOOLEAN, false,
-	  offsetof(struct aub_once_rule, key_required), 0, 0 },
-	{ NULL, AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
+	  offsetof(struct aub_at_most_once_rule, key_required), 0, 0 },
+	{ NULL, AUB_FIELD_CUSTOM, false, 0, 0, 0 },
 };
 
 static const struct aub_field upstream_fields[] = {
 	{ "name", AUB_FIELD_NAME, true, UPSTREAM(name), 0, 0 },
-	{ "service", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ "vm", AUB_FIELD_ELSEWHERE, true, 0, 0, 0 },
-	{ "address", AUB_FIELD_ELSEWHERE, true, 0, 0, 0 },
+	{ "service", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ "vm", AUB_FIELD_CUSTOM, true, 0, 0, 0 },
+	{ "address", AUB_FIELD_CUSTOM, true, 0, 0, 0 },
 	{ "slots", AUB_FIELD_U16, false, UPSTREAM(slots), 1, 4096 },
 	{ "connections", AUB_FIELD_U16, false, UPSTREAM(connections), 1,
 	  60000 },
 	{ "cold_slots", AUB_FIELD_U16, false, UPSTREAM(cold_slots), 1, 4096 },
 	{ "probe_cost_us", AUB_FIELD_U32, false, UPSTREAM(probe_cost_us), 1,
 	  1000000 },
-	{ NULL, AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
+	{ NULL, AUB_FIELD_CUSTOM, false, 0, 0, 0 },
 };
 
 static const struct aub_field top_fields[] = {
-	{ "version", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ "zone", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ "vm", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ "service", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ "upstream", AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
-	{ NULL, AUB_FIELD_ELSEWHERE, false, 0, 0, 0 },
+	{ "version", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ "zone", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ "vm", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ "service", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ "upstream", AUB_FIELD_CUSTOM, false, 0, 0, 0 },
+	{ NULL, AUB_FIELD_CUSTOM, false, 0, 0, 0 },
 };
 
 static void vm_add(struct aub_inventory_draft *draft,
@@ -101,7 +101,7 @@
 	struct aub_inventory *inventory = draft->inventory;
 	struct aub_vm vm = { .name = name, .zone = zone };
 
-	if (aub_name_enter(draft, origin, inventory->vm_names, name,
+	if (aub_name_register(draft, origin, inventory->vm_names, name,
 			   inventory->vms->len))
 		g_array_append_val(inventory->vms, vm);
 	else
@@ -118,7 +118,7 @@
 	if (!list)
 		return;
 	if (aub_toml_type(list) != AUB_TOML_ARRAY) {
-		aub_type_problem(draft, origin, "vms", "a list of names", list);
+		aub_draft_add_type_problem(draft, origin, "vms", "a list of names", list);
 		return;
 	}
 	for (guint i = 0; i < aub_toml_size(list); i++) {
@@ -126,10 +126,10 @@
 		struct aub_draft_origin at = { node, origin->label };
 
 		if (!aub_toml_string(node, &name))
-			aub_type_problem(draft, origin, "vms",
+			aub_draft_add_type_problem(draft, origin, "vms",
 					 "a list of names", node);
-		else if (!aub_name_is_good(name))
-			aub_draft_problem(draft, &at, "vms", "name",
+		else if (!aub_name_is_valid(name))
+			aub_draft_add_problem(draft, &at, "vms", "name",
 					  "\"%s\" is no good name", name);
 		else
 			vm_add(draft, &at, g_strdup(name), zone);
@@ -144,7 +144,7 @@
 	guint handle = inventory->zones->len;
 
 	aub_fields_read(draft, origin, zone_fields, &zone);
-	if (!aub_name_enter(draft, origin, inventory->zone_names, zone.name,
+	if (!aub_name_register(draft, origin, inventory->zone_names, zone.name,
 			    handle)) {
 		g_free(zone.name);
 		g_free(zone.region);
@@ -160,20 +160,20 @@
 	struct aub_vm vm = { 0 };
 
 	aub_fields_read(draft, origin, vm_fields, &vm);
-	vm.zone = aub_reference(draft, origin, "zone",
+	vm.zone = aub_reference_resolve(draft, origin, "zone",
 				aub_toml_member(origin->node, "zone"),
 				draft->inventory->zone_names, "zone");
 	if (vm.name)
 		vm_add(draft, origin, vm.name, vm.zone);
 }
 
-static void once_read(struct aub_inventory_draft *draft,
+static void at_most_once_rule_read(struct aub_inventory_draft *draft,
 		      const struct aub_draft_origin *origin, void *context)
 {
-	struct aub_once_rule rule = { 0 };
+	struct aub_at_most_once_rule rule = { 0 };
 	GArray *rules = context;
 
-	aub_fields_read(draft, origin, once_fields, &rule);
+	aub_fields_read(draft, origin, at_most_once_fields, &rule);
 	if (rule.method && rule.path) {
 		g_array_append_val(rules, rule);
 		return;
@@ -192,13 +192,13 @@
 	if (!list)
 		return;
 	if (aub_toml_type(list) != AUB_TOML_ARRAY || !aub_toml_size(list)) {
-		aub_draft_problem(draft, origin, "zones", "type",
+		aub_draft_add_problem(draft, origin, "zones", "type",
 				  "must be a list of at least one zone");
 		return;
 	}
 	for (guint i = 0; i < aub_toml_size(list); i++) {
 		guint16 zone =
-			aub_reference(draft, origin, "zones",
+			aub_reference_resolve(draft, origin, "zones",
 				      aub_toml_item(list, i),
 				      draft->inventory->zone_names, "zone");
 
@@ -224,10 +224,10 @@
 	if (!node)
 		return;
 	if (!aub_toml_string(node, &text))
-		aub_type_problem(draft, origin, "address", "\"ip:port\"", node);
+		aub_draft_add_type_problem(draft, origin, "address", "\"ip:port\"", node);
 	else if (!aub_address_parse(text, &upstream->host, &upstream->port) ||
 		 !upstream->port)
-		aub_draft_problem(draft, origin, "address", "address",
+		aub_draft_add_problem(draft, origin, "address", "address",
 				  "\"%s\" is not \"ip:port\" with an IP number",
 				  text);
 }
@@ -241,14 +241,14 @@
 
 	if (context->service == AUB_NO_HANDLE) {
 		if (!node)
-			aub_draft_problem(draft, origin, "service", "missing",
+			aub_draft_add_problem(draft, origin, "service", "missing",
 					  "this key is needed");
-		return aub_reference(draft, origin, "service", node,
+		return aub_reference_resolve(draft, origin, "service", node,
 				     draft->inventory->service_names,
 				     "service");
 	}
 	if (node)
-		aub_draft_problem(draft, origin, "service", "unknown-key",
+		aub_draft_add_problem(draft, origin, "service", "unknown-key",
 				  "it is already listed in a service");
 	return context->service;
 }
@@ -258,7 +258,7 @@
 {
 	struct aub_inventory *inventory = draft->inventory;
 	const struct upstream_context *context = data;
-	struct aub_draft_origin kept = { origin->node, NULL };
+	struct aub_draft_origin retained = { origin->node, NULL };
 	struct aub_upstream upstream = { .slots = 1,
 					 .connections = 1,
 					 .cold_slots = 1,
@@ -270,22 +270,22 @@
 					 service);
 	upstream.service = service;
 	aub_fields_read(draft, origin, upstream_fields, &upstream);
-	upstream.vm = aub_reference(draft, origin, "vm",
+	upstream.vm = aub_reference_resolve(draft, origin, "vm",
 				    aub_toml_member(origin->node, "vm"),
 				    inventory->vm_names, "VM");
 	upstream.zone = upstream.vm == AUB_NO_HANDLE ?
 				AUB_NO_HANDLE :
 				aub_vm_at(inventory, upstream.vm)->zone;
 	upstream_address_read(draft, origin, &upstream);
-	if (!aub_name_enter(draft, origin, inventory->upstream_names,
+	if (!aub_name_register(draft, origin, inventory->upstream_names,
 			    upstream.name, inventory->upstreams->len)) {
 		g_free(upstream.name);
 		g_free(upstream.host);
 		return;
 	}
-	kept.label = g_strdup(origin->label);
+	retained.label = g_strdup(origin->label);
 	g_array_append_val(inventory->upstreams, upstream);
-	g_array_append_val(draft->upstreams, kept);
+	g_array_append_val(draft->upstreams, retained);
 }
 
 static const struct service_draft service_default = {
@@ -305,31 +305,31 @@
 			 const struct aub_draft_origin *origin, void *defaults)
 {
 	struct aub_inventory *inventory = draft->inventory;
-	struct aub_draft_origin kept = { origin->node, NULL };
-	struct service_draft it = service_default;
+	struct aub_draft_origin retained = { origin->node, NULL };
+	struct service_draft parsed = service_default;
 	char *label = g_strconcat(origin->label, ".once", NULL);
 
-	it.service.once = aub_once_rules_new();
-	it.service.zones = g_array_new(FALSE, FALSE, sizeof(guint16));
-	aub_fields_read(draft, origin, service_fields, &it);
-	aub_items_read(draft, origin, "once", label, once_read,
-		       it.service.once);
-	service_zones_read(draft, origin, it.service.zones);
+	parsed.service.at_most_once = aub_at_most_once_rules_new();
+	parsed.service.zones = g_array_new(FALSE, FALSE, sizeof(guint16));
+	aub_fields_read(draft, origin, service_fields, &parsed);
+	aub_items_read(draft, origin, "once", label, at_most_once_rule_read,
+		       parsed.service.at_most_once);
+	service_zones_read(draft, origin, parsed.service.zones);
 	g_free(label);
-	if (!it.service.path)
-		it.service.path = g_strdup("");
-	if (!aub_name_enter(draft, origin, inventory->service_names,
-			    it.service.name, inventory->services->len)) {
-		g_array_unref(it.service.once);
-		g_array_unref(it.service.zones);
-		g_free(it.service.name);
-		g_free(it.service.path);
+	if (!parsed.service.path)
+		parsed.service.path = g_strdup("");
+	if (!aub_name_register(draft, origin, inventory->service_names,
+			    parsed.service.name, inventory->services->len)) {
+		g_array_unref(parsed.service.at_most_once);
+		g_array_unref(parsed.service.zones);
+		g_free(parsed.service.name);
+		g_free(parsed.service.path);
 		return;
 	}
-	kept.label = g_strdup(origin->label);
-	g_array_append_val(inventory->services, it.service);
-	g_array_append_val((GArray *)defaults, it.defaults);
-	g_array_append_val(draft->services, kept);
+	retained.label = g_strdup(origin->label);
+	g_array_append_val(inventory->services, parsed.service);
+	g_array_append_val((GArray *)defaults, parsed.defaults);
+	g_array_append_val(draft->services, retained);
 }
 
 static void upstreams_read(struct aub_inventory_draft *draft,
@@ -408,10 +408,10 @@
 	struct aub_inventory_draft draft = { 0 };
 	struct aub_toml *document;
 
-	if (length > TEXT_LIMIT) {
+	if (length > TEXT_BYTES_MAX) {
 		aub_error_set(error, AUB_ERROR_INVALID, "check inventory",
 			      source, "%" G_GSIZE_FORMAT " bytes, at most %u",
-			      length, TEXT_LIMIT);
+			      length, TEXT_BYTES_MAX);
 		return NULL;
 	}
 	document = aub_toml_parse(text, length, source, error);
@@ -436,7 +436,7 @@
 	return draft.inventory;
 }
 
-static bool version_line(const char *line, gsize length)
+static bool is_version_line(const char *line, gsize length)
 {
 	gsize i = 0;
 
@@ -451,10 +451,10 @@
 	return i < length && line[i] == '=';
 }
 
-char *aub_inventory_text_version(const char *text, guint64 version)
+char *aub_inventory_text_set_version(const char *text, guint64 version)
 {
 	GString *result = g_string_new(NULL);
-	bool top = true;
+	bool in_header = true;
 
 	if (version)
 		g_string_append_printf(result,
@@ -462,13 +462,13 @@
 				       version);
 	while (*text) {
 		gsize length = strcspn(text, "\n");
-		gsize whole = length + (text[length] == '\n');
+		gsize line_length = length + (text[length] == '\n');
 
 		/* The first table header ends the top of the file. */
-		top = top && *text != '[';
-		if (!top || !version_line(text, length))
-			g_string_append_len(result, text, (gssize)whole);
-		text += whole;
+		in_header = in_header && *text != '[';
+		if (!in_header || !is_version_line(text, length))
+			g_string_append_len(result, text, (gssize)line_length);
+		text += line_length;
 	}
 	return g_string_free(result, FALSE);
 }
--- a/src/state/key_table.c
+++ b/src/state/key_table.c
@@ -12,13 +12,13 @@
 
 #include <string.h>
 
-#define ENTRY_COST 256 /* bytes: its structs and its places in tables */
+#define ENTRY_OVERHEAD_BYTES 256 /* bytes: its structs and its places in tables */
 
 struct key_entry {
 	struct aub_key_record *record; /* its key is the table's */
 	bool running;
-	gsize cost; /* without the kept answer */
-	gsize answer_cost;
+	gsize overhead_bytes; /* without the kept answer */
+	gsize answer_bytes;
 	gint64 expires_us; /* once it no longer runs */
 	GList link; /* in table->ended */
 	GList answer_link; /* in table->answers while its answer is kept */
@@ -26,11 +26,11 @@
 
 struct aub_key_table {
 	GHashTable *entries; /* key -> struct key_entry, owned */
-	GQueue ended; /* of struct key_entry, first to expire first */
+	GQueue completed; /* of struct key_entry, first to expire first */
 	GQueue answers; /* of struct key_entry, the oldest answer first */
-	gsize limit;
+	gsize limit_bytes;
 	gsize bytes;
-	gint64 keep_us;
+	gint64 retention_us;
 };
 
 static void key_entry_free(gpointer data)
@@ -41,14 +41,14 @@
 	g_free(entry);
 }
 
-struct aub_key_table *aub_key_table_new(gsize limit_bytes, gint64 keep_us)
+struct aub_key_table *aub_key_table_new(gsize limit_bytes, gint64 retention_us)
 {
 	struct aub_key_table *table = g_new0(struct aub_key_table, 1);
 
 	table->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       key_entry_free);
-	table->limit = limit_bytes;
-	table->keep_us = keep_us;
+	table->limit_bytes = limit_bytes;
+	table->retention_us = retention_us;
 	return table;
 }
 
@@ -60,28 +60,28 @@
 	g_free(table);
 }
 
-static void answer_forget(struct aub_key_table *table, struct key_entry *entry)
+static void release_answer(struct aub_key_table *table, struct key_entry *entry)
 {
-	if (!entry->answer_cost)
+	if (!entry->answer_bytes)
 		return;
 	g_queue_unlink(&table->answers, &entry->answer_link);
-	table->bytes -= entry->answer_cost;
-	entry->answer_cost = 0;
+	table->bytes -= entry->answer_bytes;
+	entry->answer_bytes = 0;
 }
 
 static void entry_remove(struct aub_key_table *table, struct key_entry *entry)
 {
 	if (!entry->running)
-		g_queue_unlink(&table->ended, &entry->link);
-	answer_forget(table, entry);
-	table->bytes -= entry->cost;
+		g_queue_unlink(&table->completed, &entry->link);
+	release_answer(table, entry);
+	table->bytes -= entry->overhead_bytes;
 	g_hash_table_remove(table->entries, entry->record->key);
 }
 
-static void expire(struct aub_key_table *table, gint64 now_us)
+static void expire_entries(struct aub_key_table *table, gint64 now_us)
 {
-	while (table->ended.head) {
-		struct key_entry *entry = table->ended.head->data;
+	while (table->completed.head) {
+		struct key_entry *entry = table->completed.head->data;
 
 		if (entry->expires_us > now_us)
 			return;
@@ -97,17 +97,17 @@
 /* Drop the oldest answers until `bytes` fit; false when they can't. */
 static bool make_room(struct aub_key_table *table, gsize bytes)
 {
-	while (table->bytes + bytes > table->limit && table->answers.head) {
+	while (table->bytes + bytes > table->limit_bytes && table->answers.head) {
 		struct key_entry *entry = table->answers.head->data;
 		struct aub_key_record *record = entry->record;
 
-		answer_forget(table, entry);
+		release_answer(table, entry);
 		g_ptr_array_foreach(record->headers, free_header, NULL);
 		g_ptr_array_set_size(record->headers, 0);
 		aub_bytes_set(&record->body, NULL, 0);
 		record->stripped = true;
 	}
-	return table->bytes + bytes <= table->limit;
+	return table->bytes + bytes <= table->limit_bytes;
 }
 
 static struct key_entry *entry_add(struct aub_key_table *table,
@@ -117,26 +117,26 @@
 
 	entry->record = record;
 	entry->running = true;
-	entry->cost = ENTRY_COST + strlen(record->key);
+	entry->overhead_bytes = ENTRY_OVERHEAD_BYTES + strlen(record->key);
 	entry->link.data = entry;
 	entry->answer_link.data = entry;
-	table->bytes += entry->cost;
+	table->bytes += entry->overhead_bytes;
 	g_hash_table_insert(table->entries, record->key, entry);
 	return entry;
 }
 
 /* It no longer runs. Almost always the last to expire, so look from there. */
-static void entry_end(struct aub_key_table *table, struct key_entry *entry,
+static void entry_complete(struct aub_key_table *table, struct key_entry *entry,
 		      gint64 expires_us)
 {
-	GList *after = table->ended.tail;
+	GList *after = table->completed.tail;
 
 	entry->running = false;
 	entry->expires_us = expires_us;
 	while (after &&
 	       ((struct key_entry *)after->data)->expires_us > expires_us)
 		after = after->prev;
-	g_queue_insert_after_link(&table->ended, after, &entry->link);
+	g_queue_insert_after_link(&table->completed, after, &entry->link);
 }
 
 /*
@@ -144,7 +144,7 @@
  * Symptom: it would read the answer to somebody else's payment.
  * Enough: the digest covers content and credentials, and must be equal.
  */
-static bool bound_to(const struct aub_key_record *record,
+static bool fingerprint_matches(const struct aub_key_record *record,
 		     const guint8 fingerprint[AUB_FINGERPRINT_BYTES])
 {
 	guint8 difference = 0;
@@ -161,61 +161,61 @@
  * Symptom: the payment runs a second time.
  * Enough: by then its grant is too old to begin anything under it.
  */
-static enum aub_key_verdict judge_age(const struct aub_key_table *table,
+static enum aub_key_decision check_grant_age(const struct aub_key_table *table,
 				      gint64 grant_age_us)
 {
-	gint64 begin_us = table->keep_us / 2;
+	gint64 begin_us = table->retention_us / 2;
 
-	if (grant_age_us >= table->keep_us)
+	if (grant_age_us >= table->retention_us)
 		return AUB_KEY_FORGOTTEN;
 	if (grant_age_us > begin_us || grant_age_us < -begin_us)
-		return AUB_KEY_GRANT_OVER;
+		return AUB_KEY_GRANT_EXPIRED;
 	return AUB_KEY_NEW;
 }
 
-enum aub_key_verdict aub_key_table_begin(
+enum aub_key_decision aub_key_table_begin(
 	struct aub_key_table *table, const char *key,
 	const guint8 fingerprint[AUB_FINGERPRINT_BYTES], gint64 grant_age_us,
 	gint64 now_us, const struct aub_key_record **record)
 {
-	enum aub_key_verdict verdict;
+	enum aub_key_decision decision;
 	struct key_entry *entry;
-	struct aub_key_record *fresh;
+	struct aub_key_record *new_record;
 
-	expire(table, now_us);
+	expire_entries(table, now_us);
 	entry = g_hash_table_lookup(table->entries, key);
 	if (entry) {
-		if (!bound_to(entry->record, fingerprint))
+		if (!fingerprint_matches(entry->record, fingerprint))
 			return AUB_KEY_MISMATCH;
 		if (entry->running)
 			return AUB_KEY_RUNNING;
 		*record = entry->record;
-		return AUB_KEY_KEPT;
+		return AUB_KEY_RECORDED;
 	}
-	verdict = judge_age(table, grant_age_us);
-	if (verdict != AUB_KEY_NEW)
-		return verdict;
-	if (!make_room(table, ENTRY_COST + strlen(key)))
+	decision = check_grant_age(table, grant_age_us);
+	if (decision != AUB_KEY_NEW)
+		return decision;
+	if (!make_room(table, ENTRY_OVERHEAD_BYTES + strlen(key)))
 		return AUB_KEY_FULL;
-	fresh = aub_key_record_new();
-	aub_string_set(&fresh->key, key);
-	aub_bytes_set(&fresh->fingerprint, fingerprint, AUB_FINGERPRINT_BYTES);
-	fresh->outcome = AUB_OUTCOME_UNKNOWN;
-	entry_add(table, fresh);
+	new_record = aub_key_record_new();
+	aub_string_set(&new_record->key, key);
+	aub_bytes_set(&new_record->fingerprint, fingerprint, AUB_FINGERPRINT_BYTES);
+	new_record->outcome = AUB_OUTCOME_UNKNOWN;
+	entry_add(table, new_record);
 	return AUB_KEY_NEW;
 }
 
-static gsize answer_cost(const GPtrArray *headers, const struct aub_bytes *body)
+static gsize answer_bytes(const GPtrArray *headers, const struct aub_bytes *body)
 {
-	gsize cost = body->length;
+	gsize overhead_bytes = body->length;
 
 	for (guint i = 0; headers && i < headers->len; i++) {
 		const struct aub_header *header = headers->pdata[i];
 
-		cost += sizeof(*header) + sizeof(gpointer) +
+		overhead_bytes += sizeof(*header) + sizeof(gpointer) +
 			strlen(header->name) + strlen(header->value);
 	}
-	return cost;
+	return overhead_bytes;
 }
 
 static void copy_headers(GPtrArray *to, const GPtrArray *from)
@@ -229,21 +229,21 @@
 }
 
 /* Keep headers and body if there can be room, else neither. */
-static void keep_answer(struct aub_key_table *table, struct key_entry *entry,
+static void retain_answer(struct aub_key_table *table, struct key_entry *entry,
 			const GPtrArray *headers, const struct aub_bytes *body)
 {
-	gsize cost = answer_cost(headers, body);
+	gsize overhead_bytes = answer_bytes(headers, body);
 
-	if (!make_room(table, cost)) {
+	if (!make_room(table, overhead_bytes)) {
 		entry->record->stripped = true;
 		return;
 	}
-	if (!cost)
+	if (!overhead_bytes)
 		return;
 	copy_headers(entry->record->headers, headers);
 	aub_bytes_set(&entry->record->body, body->data, body->length);
-	entry->answer_cost = cost;
-	table->bytes += cost;
+	entry->answer_bytes = overhead_bytes;
+	table->bytes += overhead_bytes;
 	g_queue_push_tail_link(&table->answers, &entry->answer_link);
 }
 
@@ -260,8 +260,8 @@
 	}
 	entry->record->outcome = answer->outcome;
 	entry->record->status = answer->status;
-	entry_end(table, entry, now_us + table->keep_us);
-	keep_answer(table, entry, answer->headers, &answer->body);
+	entry_complete(table, entry, now_us + table->retention_us);
+	retain_answer(table, entry, answer->headers, &answer->body);
 }
 
 static struct aub_key_record *record_copy(const struct aub_key_record *from)
@@ -288,7 +288,7 @@
 	g_hash_table_iter_init(&iter, table->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct key_entry *entry = value;
-		gint64 left_us = entry->running ? table->keep_us :
+		gint64 left_us = entry->running ? table->retention_us :
 						  entry->expires_us - now_us;
 		struct aub_key_record *record;
 
@@ -310,14 +310,14 @@
 {
 	struct key_entry *entry;
 
-	expire(table, now_us);
+	expire_entries(table, now_us);
 	if (!record->keep_ms ||
 	    g_hash_table_contains(table->entries, record->key))
 		return;
 	entry = entry_add(table, record_copy(record));
-	entry_end(table, entry, now_us + (gint64)record->keep_ms * AUB_MS);
+	entry_complete(table, entry, now_us + (gint64)record->keep_ms * AUB_MS);
 	if (!record->stripped)
-		keep_answer(table, entry, record->headers, &record->body);
+		retain_answer(table, entry, record->headers, &record->body);
 }
 
 guint aub_key_table_count(const struct aub_key_table *table)
@@ -349,7 +349,7 @@
 }
 
 /* Cut the last ".HEX" off `text`; false where there is none. */
-static bool cut_hex(char *text, guint64 *number)
+static bool split_hex_suffix(char *text, guint64 *number)
 {
 	char *dot = strrchr(text, '.');
 
@@ -367,12 +367,12 @@
 	guint64 random;
 	guint64 issued;
 
-	if (strlen(key) > AUB_KEY_LIMIT || !printable(key) || !slash ||
+	if (strlen(key) > AUB_KEY_BYTES_MAX || !printable(key) || !slash ||
 	    !slash[1])
 		goto invalid;
 	grant = g_strndup(key, (gsize)(slash - key));
-	if (!cut_hex(grant, &random) || !cut_hex(grant, &issued) ||
-	    issued > G_MAXUINT32 || !cut_hex(grant, incarnation) || !*grant)
+	if (!split_hex_suffix(grant, &random) || !split_hex_suffix(grant, &issued) ||
+	    issued > G_MAXUINT32 || !split_hex_suffix(grant, incarnation) || !*grant)
 		goto invalid;
 	*issued_s = (gint64)issued;
 	*entry = grant;
@@ -381,7 +381,7 @@
 	g_free(grant);
 	aub_error_set(error, AUB_ERROR_INVALID, "parse key", NULL,
 		      "want GRANT/TEXT in at most %d printable characters",
-		      AUB_KEY_LIMIT);
+		      AUB_KEY_BYTES_MAX);
 	return false;
 }
 
--- a/src/state/log_events.c
+++ b/src/state/log_events.c
@@ -15,7 +15,7 @@
 	const char *zone;
 	const char *peer;
 	const char *number;
-	bool of_request; /* shown only where that request is asked for */
+	bool per_request; /* shown only where that request is asked for */
 };
 
 static const struct mapping mappings[] = {
@@ -58,9 +58,9 @@
 	struct aub_timeline *timeline;
 	const struct aub_timeline_filter *filter;
 	GHashTable *processes; /* node -> handle of its newest start + 1 */
-	guint64 serial;
-	guint64 taken;
-	guint64 left_out;
+	guint64 last_sequence;
+	guint64 kept_count;
+	guint64 dropped_count;
 };
 
 struct aub_log_events *aub_log_events_new(
@@ -83,7 +83,7 @@
 	g_free(events);
 }
 
-static const struct mapping *mapping_of(const char *event)
+static const struct mapping *find_mapping(const char *event)
 {
 	for (guint i = 0; i < G_N_ELEMENTS(mappings); i++)
 		if (!strcmp(mappings[i].event, event))
@@ -93,7 +93,7 @@
 
 int aub_log_events_type(const char *event)
 {
-	const struct mapping *mapping = mapping_of(event);
+	const struct mapping *mapping = find_mapping(event);
 
 	return mapping ? (int)mapping->type : -1;
 }
@@ -108,10 +108,10 @@
 }
 
 /* A request's id is the caller's own; only one in hex can be asked for. */
-static guint64 request_of(JsonObject *object, const struct mapping *mapping)
+static guint64 request_id_of(JsonObject *object, const struct mapping *mapping)
 {
 	const char *id =
-		mapping->of_request ? aub_json_string(object, "id") : NULL;
+		mapping->per_request ? aub_json_string(object, "id") : NULL;
 	guint64 request = 0;
 
 	if (id)
@@ -127,10 +127,10 @@
 	char *text = g_strconcat(mapping->event, fields, NULL);
 
 	event->type = mapping->type;
-	event->sequence = ++events->serial;
+	event->sequence = ++events->last_sequence;
 	event->wall_us = aub_json_integer(object, "t") * 1000;
 	event->monotonic_us = event->wall_us;
-	event->request = request_of(object, mapping);
+	event->request = request_id_of(object, mapping);
 	if (mapping->number)
 		event->number = aub_json_integer(object, mapping->number);
 	copy_field(object, mapping->upstream, event->upstream,
@@ -143,7 +143,7 @@
 }
 
 /* A process that starts again is another one. */
-static guint process_of(struct aub_log_events *events, JsonObject *object)
+static guint process_handle_of(struct aub_log_events *events, JsonObject *object)
 {
 	const char *node = aub_json_string(object, "node");
 	guint known =
@@ -155,7 +155,7 @@
 		zone = aub_json_string(object, "zone");
 	else if (known)
 		return known - 1;
-	handle = aub_timeline_process(events->timeline, node, zone ? zone : "",
+	handle = aub_timeline_add_process(events->timeline, node, zone ? zone : "",
 				      (guint64)aub_json_integer(object,
 								"incarnation"));
 	g_hash_table_insert(events->processes, g_strdup(node),
@@ -163,7 +163,7 @@
 	return handle;
 }
 
-static bool is_wanted(const struct aub_log_events *events,
+static bool matches_filter(const struct aub_log_events *events,
 		      const struct mapping *mapping, JsonObject *object,
 		      const struct aub_event *event)
 {
@@ -171,7 +171,7 @@
 
 	if (filter->request)
 		return event->request == filter->request;
-	if (mapping->of_request)
+	if (mapping->per_request)
 		return false;
 	return (!filter->process ||
 		!strcmp(filter->process, aub_json_string(object, "node"))) &&
@@ -181,7 +181,7 @@
 	       (!filter->until_us || event->wall_us <= filter->until_us);
 }
 
-bool aub_log_events_take(struct aub_log_events *events, const char *line)
+bool aub_log_events_add_line(struct aub_log_events *events, const char *line)
 {
 	JsonObject *object = aub_log_line_parse(line);
 	const struct mapping *mapping;
@@ -189,27 +189,27 @@
 
 	if (!object)
 		return false;
-	mapping = mapping_of(aub_json_string(object, "event"));
+	mapping = find_mapping(aub_json_string(object, "event"));
 	if (!mapping) {
 		json_object_unref(object);
 		return false;
 	}
 	event_fill(events, object, mapping, &event);
-	if (is_wanted(events, mapping, object, &event)) {
-		guint process = process_of(events, object);
+	if (matches_filter(events, mapping, object, &event)) {
+		guint process = process_handle_of(events, object);
 
-		if (events->taken < AUB_LOG_EVENTS_MOST) {
-			events->taken++;
-			aub_timeline_add(events->timeline, process, &event);
+		if (events->kept_count < AUB_LOG_EVENTS_MAX) {
+			events->kept_count++;
+			aub_timeline_add_event(events->timeline, process, &event);
 		} else {
-			events->left_out++;
+			events->dropped_count++;
 		}
 	}
 	json_object_unref(object);
 	return true;
 }
 
-guint64 aub_log_events_left_out(const struct aub_log_events *events)
+guint64 aub_log_events_dropped(const struct aub_log_events *events)
 {
-	return events->left_out;
+	return events->dropped_count;
 }
--- a/src/state/timeline.c
+++ b/src/state/timeline.c
@@ -1,11 +1,11 @@
 /*
  * The merge of many processes' events into one order.
  */
-#include <auburnstile/internal/timeline_parts.h>
+#include <auburnstile/internal/timeline_data.h>
 
 #include <string.h>
 
-static void process_clear(gpointer data)
+static void lane_clear(gpointer data)
 {
 	struct aub_timeline_lane *process = data;
 
@@ -20,7 +20,7 @@
 
 	timeline->lanes =
 		g_array_new(FALSE, FALSE, sizeof(struct aub_timeline_lane));
-	g_array_set_clear_func(timeline->lanes, process_clear);
+	g_array_set_clear_func(timeline->lanes, lane_clear);
 	timeline->entries =
 		g_array_new(FALSE, FALSE, sizeof(struct aub_timeline_entry));
 	return timeline;
@@ -35,10 +35,10 @@
 	g_free(timeline);
 }
 
-guint aub_timeline_process(struct aub_timeline *timeline, const char *name,
+guint aub_timeline_add_process(struct aub_timeline *timeline, const char *name,
 			   const char *zone, guint64 incarnation)
 {
-	struct aub_timeline_lane fresh = { .incarnation = incarnation };
+	struct aub_timeline_lane added = { .incarnation = incarnation };
 
 	for (guint i = 0; i < timeline->lanes->len; i++)
 		if (strcmp(aub_timeline_lane_at(timeline, i)->name, name) ==
@@ -46,14 +46,14 @@
 		    aub_timeline_lane_at(timeline, i)->incarnation ==
 			    incarnation)
 			return i;
-	fresh.name = g_strdup(name);
-	fresh.zone = g_strdup(zone ? zone : "");
-	fresh.events = g_array_new(FALSE, FALSE, sizeof(struct aub_event));
-	g_array_append_val(timeline->lanes, fresh);
+	added.name = g_strdup(name);
+	added.zone = g_strdup(zone ? zone : "");
+	added.events = g_array_new(FALSE, FALSE, sizeof(struct aub_event));
+	g_array_append_val(timeline->lanes, added);
 	return timeline->lanes->len - 1;
 }
 
-void aub_timeline_add(struct aub_timeline *timeline, guint process,
+void aub_timeline_add_event(struct aub_timeline *timeline, guint process,
 		      const struct aub_event *event)
 {
 	g_array_append_val(aub_timeline_lane_at(timeline, process)->events,
@@ -63,7 +63,7 @@
 static void nodes_fill(struct aub_timeline_merge *merge)
 {
 	for (guint p = 0; p < merge->timeline->lanes->len; p++) {
-		merge->base[p] = merge->nodes->len;
+		merge->first_node[p] = merge->nodes->len;
 		for (guint i = 0;
 		     i < aub_timeline_lane_at(merge->timeline, p)->events->len;
 		     i++) {
@@ -86,7 +86,7 @@
  * none: after a round a process has had its say, and the merge keeps the
  * order that offsets can't.
  */
-static void offsets_estimate(struct aub_timeline_merge *merge)
+static void estimate_offsets(struct aub_timeline_merge *merge)
 {
 	for (guint round = 0; round < merge->timeline->lanes->len; round++) {
 		bool changed = false;
@@ -95,13 +95,13 @@
 			const struct aub_timeline_node *node =
 				aub_timeline_node_at(merge, i);
 			struct aub_timeline_lane *to;
-			gint64 least;
+			gint64 earliest_us;
 
 			if (node->cause == AUB_NO_NODE)
 				continue;
 			to = aub_timeline_lane_at(merge->timeline,
 						  node->process);
-			least = aub_timeline_event_at(merge, node->cause)
+			earliest_us = aub_timeline_event_at(merge, node->cause)
 					->wall_us +
 				aub_timeline_lane_at(
 					merge->timeline,
@@ -110,10 +110,10 @@
 					->offset_us;
 			if (aub_timeline_event_at(merge, i)->wall_us +
 				    to->offset_us >=
-			    least)
+			    earliest_us)
 				continue;
 			to->offset_us =
-				least -
+				earliest_us -
 				aub_timeline_event_at(merge, i)->wall_us;
 			changed = true;
 		}
@@ -177,55 +177,55 @@
 	}
 }
 
-struct front {
+struct merge_state {
 	struct heap heap;
 	guint *next; /* by process: index of its next event */
-	bool *parked; /* its next event waits for a cause */
-	gint64 *floor; /* by process: time of what was output last */
+	bool *blocked; /* its next event waits for a cause */
+	gint64 *last_time_us; /* by process: time of what was output last */
 };
 
 /* Put a process's next event into the heap, or park it for its cause. */
 static void process_advance(struct aub_timeline_merge *merge,
-			    struct front *front, guint process)
+			    struct merge_state *state, guint process)
 {
-	struct aub_timeline_lane *it =
+	struct aub_timeline_lane *lane =
 		aub_timeline_lane_at(merge->timeline, process);
 	struct aub_timeline_node *node;
 	gint64 time_us;
 
-	if (front->next[process] >= it->events->len)
+	if (state->next[process] >= lane->events->len)
 		return;
-	node = aub_timeline_node_at(merge, merge->base[process] +
-						   front->next[process]);
+	node = aub_timeline_node_at(merge, merge->first_node[process] +
+						   state->next[process]);
 	if (node->cause != AUB_NO_NODE &&
 	    !aub_timeline_node_at(merge, node->cause)->done) {
-		front->parked[process] = true;
+		state->blocked[process] = true;
 		return;
 	}
-	time_us = g_array_index(it->events, struct aub_event, node->index)
+	time_us = g_array_index(lane->events, struct aub_event, node->index)
 			  .wall_us +
-		  it->offset_us;
+		  lane->offset_us;
 	if (node->cause != AUB_NO_NODE)
 		time_us =
 			MAX(time_us,
 			    aub_timeline_node_at(merge, node->cause)->time_us);
-	node->time_us = MAX(time_us, front->floor[process]);
-	heap_push(&front->heap, process, node->time_us);
+	node->time_us = MAX(time_us, state->last_time_us[process]);
+	heap_push(&state->heap, process, node->time_us);
 }
 
 /*
  * Every process waits for another: the ties contradict the sequences (an
  * event's request id was used twice, say). Let the earliest one go on.
  */
-static bool unpark(struct aub_timeline_merge *merge, struct front *front)
+static bool unblock_earliest(struct aub_timeline_merge *merge, struct merge_state *state)
 {
 	guint best = AUB_NO_NODE;
 	gint64 earliest = G_MAXINT64;
 
 	for (guint p = 0; p < merge->timeline->lanes->len; p++) {
-		guint node = merge->base[p] + front->next[p];
+		guint node = merge->first_node[p] + state->next[p];
 
-		if (!front->parked[p])
+		if (!state->blocked[p])
 			continue;
 		if (aub_timeline_event_at(merge, node)->wall_us < earliest) {
 			earliest = aub_timeline_event_at(merge, node)->wall_us;
@@ -234,14 +234,14 @@
 	}
 	if (best == AUB_NO_NODE)
 		return false;
-	aub_timeline_node_at(merge, merge->base[best] + front->next[best])
+	aub_timeline_node_at(merge, merge->first_node[best] + state->next[best])
 		->cause = AUB_NO_NODE;
-	front->parked[best] = false;
-	process_advance(merge, front, best);
+	state->blocked[best] = false;
+	process_advance(merge, state, best);
 	return true;
 }
 
-static void wake_effects(struct aub_timeline_merge *merge, struct front *front,
+static void unblock_effects(struct aub_timeline_merge *merge, struct merge_state *state,
 			 const struct aub_timeline_node *node)
 {
 	guint effect = node->first_effect;
@@ -251,19 +251,19 @@
 			aub_timeline_node_at(merge, effect);
 		guint process = waiting->process;
 
-		if (front->parked[process] &&
-		    merge->base[process] + front->next[process] == effect) {
-			front->parked[process] = false;
-			process_advance(merge, front, process);
+		if (state->blocked[process] &&
+		    merge->first_node[process] + state->next[process] == effect) {
+			state->blocked[process] = false;
+			process_advance(merge, state, process);
 		}
 		effect = waiting->next_effect;
 	}
 }
 
-static void output(struct aub_timeline_merge *merge, struct front *front,
+static void emit_event(struct aub_timeline_merge *merge, struct merge_state *state,
 		   guint process)
 {
-	guint index = merge->base[process] + front->next[process]++;
+	guint index = merge->first_node[process] + state->next[process]++;
 	struct aub_timeline_node *node = aub_timeline_node_at(merge, index);
 	struct aub_timeline_entry entry = {
 		.process = process,
@@ -272,36 +272,36 @@
 	};
 
 	node->done = true;
-	front->floor[process] = node->time_us;
+	state->last_time_us[process] = node->time_us;
 	g_array_append_val(merge->timeline->entries, entry);
-	process_advance(merge, front, process);
-	wake_effects(merge, front, node);
+	process_advance(merge, state, process);
+	unblock_effects(merge, state, node);
 }
 
-static void order(struct aub_timeline_merge *merge)
+static void merge_events(struct aub_timeline_merge *merge)
 {
 	guint count = merge->timeline->lanes->len;
-	struct front front = {
+	struct merge_state state = {
 		.heap = { .process = g_new0(guint, count + 1),
 			  .key = g_new0(gint64, count + 1) },
 		.next = g_new0(guint, count + 1),
-		.parked = g_new0(bool, count + 1),
-		.floor = g_new0(gint64, count + 1),
+		.blocked = g_new0(bool, count + 1),
+		.last_time_us = g_new0(gint64, count + 1),
 	};
 
 	for (guint p = 0; p < count; p++) {
-		front.floor[p] = G_MININT64;
-		process_advance(merge, &front, p);
+		state.last_time_us[p] = G_MININT64;
+		process_advance(merge, &state, p);
 	}
 	do {
-		while (front.heap.count)
-			output(merge, &front, heap_pop(&front.heap));
-	} while (unpark(merge, &front));
-	g_free(front.heap.process);
-	g_free(front.heap.key);
-	g_free(front.next);
-	g_free(front.parked);
-	g_free(front.floor);
+		while (state.heap.count)
+			emit_event(merge, &state, heap_pop(&state.heap));
+	} while (unblock_earliest(merge, &state));
+	g_free(state.heap.process);
+	g_free(state.heap.key);
+	g_free(state.next);
+	g_free(state.blocked);
+	g_free(state.last_time_us);
 }
 
 void aub_timeline_merge(struct aub_timeline *timeline)
@@ -310,15 +310,15 @@
 		.timeline = timeline,
 		.nodes = g_array_new(FALSE, FALSE,
 				     sizeof(struct aub_timeline_node)),
-		.base = g_new0(guint, timeline->lanes->len + 1),
+		.first_node = g_new0(guint, timeline->lanes->len + 1),
 	};
 
 	nodes_fill(&merge);
-	aub_timeline_tie(&merge);
-	offsets_estimate(&merge);
-	order(&merge);
+	aub_timeline_link_causes(&merge);
+	estimate_offsets(&merge);
+	merge_events(&merge);
 	g_array_unref(merge.nodes);
-	g_free(merge.base);
+	g_free(merge.first_node);
 }
 
 guint aub_timeline_process_count(const struct aub_timeline *timeline)
@@ -338,7 +338,7 @@
 	return aub_timeline_lane_at(timeline, process)->offset_us;
 }
 
-static bool passes(const struct aub_timeline *timeline,
+static bool matches_filter(const struct aub_timeline *timeline,
 		   const struct aub_timeline_entry *entry,
 		   const struct aub_timeline_filter *filter)
 {
@@ -366,7 +366,7 @@
 			&g_array_index(timeline->entries,
 				       struct aub_timeline_entry, i);
 
-		if (passes(timeline, entry, filter))
+		if (matches_filter(timeline, entry, filter))
 			g_ptr_array_add(list, entry);
 	}
 	return list;
