--- a/src/state/timeline_ties.c
+++ b/src/state/timeline_causality.c
@@ -1,12 +1,12 @@
 /*
  * Which event of one process caused which event of another.
  */
-#include <auburnstile/internal/timeline_parts.h>
+#include <auburnstile/internal/timeline_data.h>
 
 #include <string.h>
 
 /* Does `name`, as an event gives it, mean this process? */
-static bool names_process(const char *name, const char *process)
+static bool name_matches_process(const char *name, const char *process)
 {
 	const char *dash = strchr(process, '-');
 
@@ -21,7 +21,7 @@
 }
 
 /* Tie an effect to its cause, if neither is tied already. */
-static void tie(struct aub_timeline_merge *merge, guint cause, guint effect)
+static void link_cause(struct aub_timeline_merge *merge, guint cause, guint effect)
 {
 	struct aub_timeline_node *from = aub_timeline_node_at(merge, cause);
 	struct aub_timeline_node *to = aub_timeline_node_at(merge, effect);
@@ -32,7 +32,7 @@
 }
 
 /* The first untied arrival that a relay can have led to, or AUB_NO_NODE. */
-static guint arrival_of(const struct aub_timeline_merge *merge,
+static guint find_arrival(const struct aub_timeline_merge *merge,
 			const GArray *list, guint relay)
 {
 	const char *target = relay_target(aub_timeline_event_at(merge, relay));
@@ -47,7 +47,7 @@
 		    node->cause == AUB_NO_NODE &&
 		    node->process !=
 			    aub_timeline_node_at(merge, relay)->process &&
-		    names_process(target, aub_timeline_lane_at(merge->timeline,
+		    name_matches_process(target, aub_timeline_lane_at(merge->timeline,
 							       node->process)
 						  ->name))
 			return index;
@@ -56,7 +56,7 @@
 }
 
 /* The last event of a type among a request's events at one process. */
-static guint last_of(const struct aub_timeline_merge *merge, const GArray *list,
+static guint find_last(const struct aub_timeline_merge *merge, const GArray *list,
 		     guint process, enum aub_event_type type)
 {
 	for (guint i = list->len; i > 0; i--) {
@@ -69,43 +69,43 @@
 	return AUB_NO_NODE;
 }
 
-#define GATEWAY_TIMEOUT 504
+#define HTTP_GATEWAY_TIMEOUT 504
 
 /*
  * The way back: an end that was only passed on comes after the end at the
  * process that gave it. Where the relaying process had an end of its own
  * (refused, sent it itself, ran out of time) nothing can be said.
  */
-static void tie_return(struct aub_timeline_merge *merge, const GArray *list,
+static void link_response(struct aub_timeline_merge *merge, const GArray *list,
 		       guint relay, guint arrival)
 {
 	guint from = aub_timeline_node_at(merge, relay)->process;
 	guint to = aub_timeline_node_at(merge, arrival)->process;
-	guint effect = last_of(merge, list, from, AUB_EVENT_FINISHED);
-	guint cause = last_of(merge, list, to, AUB_EVENT_FINISHED);
-	const struct aub_event *passed;
-	const struct aub_event *given;
+	guint effect = find_last(merge, list, from, AUB_EVENT_FINISHED);
+	guint cause = find_last(merge, list, to, AUB_EVENT_FINISHED);
+	const struct aub_event *relayed;
+	const struct aub_event *original;
 
 	if (effect == AUB_NO_NODE || cause == AUB_NO_NODE ||
 	    aub_timeline_node_at(merge, effect)->cause != AUB_NO_NODE ||
-	    last_of(merge, list, from, AUB_EVENT_RELAYED) != relay ||
-	    last_of(merge, list, from, AUB_EVENT_REFUSED) != AUB_NO_NODE ||
-	    last_of(merge, list, from, AUB_EVENT_DISPATCHED) != AUB_NO_NODE)
+	    find_last(merge, list, from, AUB_EVENT_RELAYED) != relay ||
+	    find_last(merge, list, from, AUB_EVENT_REFUSED) != AUB_NO_NODE ||
+	    find_last(merge, list, from, AUB_EVENT_DISPATCHED) != AUB_NO_NODE)
 		return;
-	passed = aub_timeline_event_at(merge, effect);
-	given = aub_timeline_event_at(merge, cause);
-	if (passed->number != given->number ||
-	    passed->number == GATEWAY_TIMEOUT ||
-	    strcmp(passed->text, given->text) != 0)
+	relayed = aub_timeline_event_at(merge, effect);
+	original = aub_timeline_event_at(merge, cause);
+	if (relayed->number != original->number ||
+	    relayed->number == HTTP_GATEWAY_TIMEOUT ||
+	    strcmp(relayed->text, original->text) != 0)
 		return;
-	tie(merge, cause, effect);
+	link_cause(merge, cause, effect);
 }
 
 /*
  * Each arrival of a request at one process is the effect of a relay at
  * another one that named it; the first relay belongs to the first arrival.
  */
-static void tie_request(struct aub_timeline_merge *merge, const GArray *list)
+static void link_request(struct aub_timeline_merge *merge, const GArray *list)
 {
 	for (guint i = 0; i < list->len; i++) {
 		guint relay = g_array_index(list, guint, i);
@@ -114,16 +114,16 @@
 		if (aub_timeline_event_at(merge, relay)->type !=
 		    AUB_EVENT_RELAYED)
 			continue;
-		arrival = arrival_of(merge, list, relay);
+		arrival = find_arrival(merge, list, relay);
 		if (arrival == AUB_NO_NODE)
 			continue;
-		tie(merge, relay, arrival);
-		tie_return(merge, list, relay, arrival);
+		link_cause(merge, relay, arrival);
+		link_response(merge, list, relay, arrival);
 	}
 }
 
 /* The events of each request, those of one process in their order. */
-void aub_timeline_tie(struct aub_timeline_merge *merge)
+void aub_timeline_link_causes(struct aub_timeline_merge *merge)
 {
 	GHashTable *requests =
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
@@ -147,6 +147,6 @@
 	}
 	g_hash_table_iter_init(&iterator, requests);
 	while (g_hash_table_iter_next(&iterator, NULL, &list))
-		tie_request(merge, list);
+		link_request(merge, list);
 	g_hash_table_unref(requests);
 }
--- a/src/state/timeline_text.c
+++ b/src/state/timeline_text.c
@@ -2,7 +2,7 @@
  * The time line as text and JSON, and one request in sentences.
  */
 #include <auburnstile/internal/json.h>
-#include <auburnstile/internal/timeline_parts.h>
+#include <auburnstile/internal/timeline_data.h>
 
 #include <string.h>
 
@@ -25,7 +25,7 @@
 	return text;
 }
 
-static void event_line(const struct aub_timeline *timeline,
+static void append_event_text(const struct aub_timeline *timeline,
 		       const struct aub_timeline_entry *entry, GString *out)
 {
 	const struct aub_event *event = &entry->event;
@@ -59,11 +59,11 @@
 	GString *out = g_string_new(NULL);
 
 	for (guint i = 0; i < entries->len; i++)
-		event_line(timeline, entries->pdata[i], out);
+		append_event_text(timeline, entries->pdata[i], out);
 	return g_string_free(out, FALSE);
 }
 
-static void event_json(const struct aub_timeline *timeline,
+static void append_event_json(const struct aub_timeline *timeline,
 		       const struct aub_timeline_entry *entry, GString *out)
 {
 	const struct aub_event *event = &entry->event;
@@ -113,14 +113,14 @@
 	g_string_append(out, "],\"events\":[");
 	for (guint i = 0; i < entries->len; i++) {
 		g_string_append(out, i ? ",\n" : "\n");
-		event_json(timeline, entries->pdata[i], out);
+		append_event_json(timeline, entries->pdata[i], out);
 	}
 	g_string_append(out, "]}\n");
 	return g_string_free(out, FALSE);
 }
 
 /* A sentence an event: %U upstream, %N number, %T text or peer. */
-static const char *const sentences[AUB_EVENT_TYPE_COUNT] = {
+static const char *const sentence_templates[AUB_EVENT_TYPE_COUNT] = {
 	[AUB_EVENT_ARRIVED] = "the request came in: %T",
 	[AUB_EVENT_RELAYED] = "it is handed to entry %T",
 	[AUB_EVENT_DISPATCHED] = "attempt %N goes to upstream %U",
@@ -134,13 +134,13 @@
 	[AUB_EVENT_FAILED] = "an attempt fails: %T",
 };
 
-static void sentence_append(const struct aub_event *event, GString *out)
+static void append_sentence(const struct aub_event *event, GString *out)
 {
-	const char *form = sentences[event->type] ?
-				   sentences[event->type] :
+	const char *template = sentence_templates[event->type] ?
+				   sentence_templates[event->type] :
 				   aub_event_type_name(event->type);
 
-	for (const char *c = form; *c; c++) {
+	for (const char *c = template; *c; c++) {
 		if (*c != '%') {
 			g_string_append_c(out, *c);
 			continue;
@@ -160,7 +160,7 @@
 }
 
 /* Whether it ran, from the last answer that went out. */
-static void conclusion_append(const GPtrArray *entries, GString *out)
+static void append_conclusion(const GPtrArray *entries, GString *out)
 {
 	const struct aub_timeline_entry *first = entries->pdata[0];
 	const struct aub_timeline_entry *last = NULL;
@@ -188,7 +188,7 @@
 			       sent, sent == 1 ? "" : "s", last->event.text);
 }
 
-char *aub_timeline_narrate(const struct aub_timeline *timeline, guint64 request)
+char *aub_timeline_describe_request(const struct aub_timeline *timeline, guint64 request)
 {
 	struct aub_timeline_filter filter = { .request = request };
 	GPtrArray *entries = aub_timeline_select(timeline, &filter);
@@ -215,10 +215,10 @@
 			out, "%+10.3f ms  %-16s ",
 			(double)(entry->time_us - start->time_us) / 1000,
 			aub_timeline_process_name(timeline, entry->process));
-		sentence_append(&entry->event, out);
+		append_sentence(&entry->event, out);
 		g_string_append_c(out, '\n');
 	}
-	conclusion_append(entries, out);
+	append_conclusion(entries, out);
 	g_ptr_array_unref(entries);
 	return g_string_free(out, FALSE);
 }
--- a/src/transport/upstream_client.c
+++ b/src/transport/upstream_client.c
@@ -155,7 +155,7 @@
 static void finish_probe(struct aub_attempt *attempt,
 			 enum aub_attempt_result result)
 {
-	struct aub_upstream_signs signs = { 0 };
+	struct aub_upstream_signals signs = { 0 };
 	bool answered = false;
 	guint32 busy = 0;
 
@@ -170,7 +170,7 @@
 static void finish(struct aub_attempt *attempt, enum aub_attempt_result result,
 		   const GError *error)
 {
-	struct aub_upstream_signs signs = { 0 };
+	struct aub_upstream_signals signs = { 0 };
 	struct aub_answer *answer = NULL;
 
 	if (result == AUB_ATTEMPT_ANSWERED || result == AUB_ATTEMPT_SHED)
@@ -180,7 +180,7 @@
 	if (result == AUB_ATTEMPT_ANSWERED && attempt->callback)
 		answer = make_answer(attempt);
 	if (attempt->pooled &&
-	    (result == AUB_ATTEMPT_TIMEOUT || result == AUB_ATTEMPT_LOST))
+	    (result == AUB_ATTEMPT_TIMEOUT || result == AUB_ATTEMPT_CONNECTION_LOST))
 		renew_session(attempt->client);
 	if (attempt->callback)
 		attempt->callback(result, &signs, answer, error,
@@ -204,7 +204,7 @@
 	else if (attempt->timed_out)
 		result = AUB_ATTEMPT_TIMEOUT;
 	else
-		result = AUB_ATTEMPT_LOST;
+		result = AUB_ATTEMPT_CONNECTION_LOST;
 	finish(attempt, result, error);
 }
 
--- a/src/transport/upstream_signs.c
+++ b/src/transport/upstream_signs.c
@@ -8,7 +8,7 @@
 
 #define LOAD_LIMIT 4096 /* bytes of a load object */
 
-void aub_signs_read(SoupMessage *message, struct aub_upstream_signs *signs)
+void aub_signs_read(SoupMessage *message, struct aub_upstream_signals *signs)
 {
 	SoupMessageHeaders *headers;
 	const char *state;
@@ -44,7 +44,7 @@
 }
 
 bool aub_signs_parse_load(const void *data, gsize length,
-			  struct aub_upstream_signs *signs, guint32 *busy)
+			  struct aub_upstream_signals *signs, guint32 *busy)
 {
 	JsonParser *parser = json_parser_new();
 	JsonObject *object;
--- a/tests/dispatch_rig.h
+++ b/tests/dispatch_fixture.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-struct rig_options {
+struct fixture_options {
 	guint upstreams = 3;
 	guint slots = 2;
 	guint cold_slots = 1;
@@ -22,27 +22,27 @@
 	enum aub_policy policy = AUB_POLICY_AUBURNSTILE;
 };
 
-class DispatchRig
+class DispatchFixture
 {
       public:
 	struct aub_dispatcher *d;
 	gint64 now = 1000 * AUB_SECOND;
-	struct rig_options options;
+	struct fixture_options options;
 
-	explicit DispatchRig(const rig_options &wanted = rig_options(),
-			     bool own = true)
-	    : options(wanted)
+	explicit DispatchFixture(const fixture_options &given = fixture_options(),
+			     bool as_owner = true)
+	    : options(given)
 	{
-		struct aub_dispatcher_options made = {};
+		struct aub_dispatcher_options dispatcher_options = {};
 
-		made.policy = options.policy;
-		made.seed = 7;
-		d = aub_dispatcher_new(&made);
+		dispatcher_options.policy = options.policy;
+		dispatcher_options.seed = 7;
+		d = aub_dispatcher_new(&dispatcher_options);
 		configure();
-		if (own)
+		if (as_owner)
 			aub_dispatcher_set_role(d, AUB_DISPATCH_OWNER, 0, now);
 	}
-	~DispatchRig()
+	~DispatchFixture()
 	{
 		aub_dispatcher_free(d);
 	}
@@ -69,29 +69,29 @@
 		aub_inventory_unref(inventory);
 	}
 	void arrive(guint64 id, bool once = false, guint32 budget = 100,
-		    gint64 left_us = 5 * AUB_SECOND, guint64 fingerprint = 0)
+		    gint64 timeout_us = 5 * AUB_SECOND, guint64 fingerprint = 0)
 	{
 		struct aub_dispatch_request request = {};
 
 		request.id = id;
-		request.deadline_us = now + left_us;
-		request.once = once;
+		request.deadline_us = now + timeout_us;
+		request.at_most_once = once;
 		request.retry_budget = budget;
 		request.fingerprint = fingerprint;
-		aub_dispatcher_arrive(d, &request, now);
+		aub_dispatcher_submit(d, &request, now);
 	}
 	std::vector<struct aub_action> take()
 	{
 		std::vector<struct aub_action> list;
 		struct aub_action action;
 
-		while (aub_dispatcher_next(d, &action))
+		while (aub_dispatcher_next_action(d, &action))
 			list.push_back(action);
-		aub_dispatcher_check(d);
+		aub_dispatcher_check_invariants(d);
 		return list;
 	}
 	/* The one action that is to come. */
-	struct aub_action one()
+	struct aub_action take_one()
 	{
 		auto list = take();
 
@@ -100,27 +100,27 @@
 	}
 	void done(const struct aub_action &sent,
 		  enum aub_attempt_result result = AUB_ATTEMPT_ANSWERED,
-		  guint64 boot = 1, bool cold = false, bool failed = false,
+		  guint64 boot_id = 1, bool cold = false, bool failed = false,
 		  bool draining = false)
 	{
-		struct aub_upstream_signs signs = { boot, cold, draining,
+		struct aub_upstream_signals signals = { boot_id, cold, draining,
 						    failed };
-		bool told = result == AUB_ATTEMPT_ANSWERED ||
+		bool reported = result == AUB_ATTEMPT_ANSWERED ||
 			    result == AUB_ATTEMPT_SHED;
 
 		aub_dispatcher_attempt_done(d, sent.request, sent.attempt,
-					    result, told ? &signs : nullptr,
+					    result, reported ? &signals : nullptr,
 					    now);
 	}
-	void probed(const struct aub_action &probe, bool answered = true,
-		    guint64 boot = 1, bool cold = false)
+	void probe_done(const struct aub_action &probe, bool answered = true,
+		    guint64 boot_id = 1, bool cold = false)
 	{
-		struct aub_upstream_signs signs = { boot, cold, false, false };
+		struct aub_upstream_signals signals = { boot_id, cold, false, false };
 
 		aub_dispatcher_probe_done(d, probe.upstream, answered,
-					  answered ? &signs : nullptr, 0, now);
+					  answered ? &signals : nullptr, 0, now);
 	}
-	void pass(gint64 us)
+	void advance_time(gint64 us)
 	{
 		now += us;
 		aub_dispatcher_tick(d, now);
@@ -144,15 +144,15 @@
 	}
 	/* Answer all that is sent, until nothing comes; boot ids by upstream.
 	 */
-	void serve(const std::map<guint16, guint64> &boots = {})
+	void serve(const std::map<guint16, guint64> &boot_ids = {})
 	{
 		for (auto list = take(); !list.empty(); list = take())
 			for (const auto &action : list)
 				if (action.type == AUB_ACTION_SEND)
 					done(action, AUB_ATTEMPT_ANSWERED,
-					     boots.empty() ?
+					     boot_ids.empty() ?
 						     1 :
-						     boots.at(action.upstream));
+						     boot_ids.at(action.upstream));
 	}
 	guint64 warm_id = 1u << 30;
 
@@ -195,12 +195,12 @@
 	return n;
 }
 
-static inline struct aub_upstream_status status(DispatchRig &rig,
+static inline struct aub_upstream_status status(DispatchFixture &fixture,
 						guint upstream)
 {
 	struct aub_upstream_status list[64];
 
-	g_assert_cmpuint(aub_dispatcher_status(rig.d, list, 64), >, upstream);
+	g_assert_cmpuint(aub_dispatcher_status(fixture.d, list, 64), >, upstream);
 	return list[upstream];
 }
 
--- a/tests/test_config.cc
+++ b/tests/test_config.cc
@@ -21,8 +21,8 @@
 {
 	struct aub_config *config = aub_config_new();
 
-	g_free(config->text);
-	config->text = g_strdup(text.c_str());
+	g_free(config->inventory_text);
+	config->inventory_text = g_strdup(text.c_str());
 	return config;
 }
 
@@ -54,7 +54,7 @@
 
 	ASSERT_NE(back, nullptr) << error->message;
 	EXPECT_EQ(back->version, 9u);
-	EXPECT_STREQ(back->text, config->text);
+	EXPECT_STREQ(back->inventory_text, config->inventory_text);
 	EXPECT_STREQ(back->change, "c-1");
 	EXPECT_STREQ((char *)back->zones_out->pdata[0], "b");
 	EXPECT_STREQ((char *)back->vms_leaving->pdata[0], "a1");
@@ -70,8 +70,8 @@
 	struct aub_config *config = make("");
 	GError *error = nullptr;
 
-	for (int i = 0; i < AUB_CONFIG_RECENT + 3; i++)
-		aub_config_change_set(config,
+	for (int i = 0; i < AUB_CONFIG_RECENT_CHANGES_MAX + 3; i++)
+		aub_config_set_change(config,
 				      ("change-" + std::to_string(i)).c_str());
 	char *json = aub_config_serialize(config);
 	struct aub_config *back =
--- a/tests/test_dispatch.cc
+++ b/tests/test_dispatch.cc
@@ -1,21 +1,21 @@
 /* The dispatcher's single decisions; mixes are in test_dispatch_state.cc. */
 #include <gtest/gtest.h>
 
-#include "dispatch_rig.h"
+#include "dispatch_fixture.h"
 
 #include <set>
 
 TEST(Dispatch, SendsToFreeSlotsOnlyAndInOrder)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm();
 	for (guint64 id = 1; id <= 8; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
+		fixture.arrive(id);
+	auto sent = fixture.take();
 	ASSERT_EQ(sent.size(), 6u);
-	EXPECT_EQ(aub_dispatcher_queued(rig.d), 2u);
-	rig.done(sent[0]);
-	auto next = rig.take();
+	EXPECT_EQ(aub_dispatcher_queued(fixture.d), 2u);
+	fixture.done(sent[0]);
+	auto next = fixture.take();
 	ASSERT_EQ(next.size(), 2u);
 	EXPECT_EQ(next[0].type, AUB_ACTION_DELIVER);
 	EXPECT_EQ(next[0].request, 1u);
@@ -26,27 +26,27 @@
 
 TEST(Dispatch, SpreadsOverTheLeastBusy)
 {
-	DispatchRig rig;
+	DispatchFixture fixture;
 	std::set<guint16> used;
-	rig.warm();
+	fixture.warm();
 	for (guint64 id = 1; id <= 3; id++)
-		rig.arrive(id);
-	for (const auto &action : rig.take())
+		fixture.arrive(id);
+	for (const auto &action : fixture.take())
 		used.insert(action.upstream);
 	EXPECT_EQ(used.size(), 3u);
 }
 
 TEST(Dispatch, FullQueueRefusesAtOnceWithAReturnTime)
 {
-	rig_options options;
+	fixture_options options;
 	options.queue_limit = 2;
-	DispatchRig rig(options);
-	rig.warm();
+	DispatchFixture fixture(options);
+	fixture.warm();
 	for (guint64 id = 1; id <= 8; id++)
-		rig.arrive(id);
-	rig.take();
-	rig.arrive(9);
-	auto action = rig.one();
+		fixture.arrive(id);
+	fixture.take();
+	fixture.arrive(9);
+	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
 	EXPECT_EQ(action.refusal, AUB_REFUSAL_QUEUE_FULL);
 	EXPECT_GE(action.retry_after_ms, 1u);
@@ -54,30 +54,30 @@
 
 TEST(Dispatch, DeadlineThatCannotBeMetIsRefusedOnArrival)
 {
-	DispatchRig rig;
-	rig.warm(20 * AUB_MS);
+	DispatchFixture fixture;
+	fixture.warm(20 * AUB_MS);
 	for (guint64 id = 1; id <= 20; id++)
-		rig.arrive(id);
-	rig.take();
-	rig.arrive(21, false, 0, 50 * AUB_MS);
-	auto action = rig.one();
+		fixture.arrive(id);
+	fixture.take();
+	fixture.arrive(21, false, 0, 50 * AUB_MS);
+	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
-	EXPECT_EQ(action.refusal, AUB_REFUSAL_DEADLINE);
+	EXPECT_EQ(action.refusal, AUB_REFUSAL_DEADLINE_UNREACHABLE);
 }
 
 TEST(Dispatch, DeadlineThatLapsesWaitingIsRefusedNotRun)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm();
 	for (guint64 id = 1; id <= 7; id++)
-		rig.arrive(id, false, 0, AUB_SECOND);
-	rig.take();
-	EXPECT_LE(aub_dispatcher_wake_us(rig.d), rig.now + AUB_SECOND);
-	rig.pass(AUB_SECOND);
-	auto action = rig.one();
+		fixture.arrive(id, false, 0, AUB_SECOND);
+	fixture.take();
+	EXPECT_LE(aub_dispatcher_next_wakeup_us(fixture.d), fixture.now + AUB_SECOND);
+	fixture.advance_time(AUB_SECOND);
+	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
 	EXPECT_EQ(action.request, 7u);
-	EXPECT_EQ(action.refusal, AUB_REFUSAL_DEADLINE);
+	EXPECT_EQ(action.refusal, AUB_REFUSAL_DEADLINE_UNREACHABLE);
 }
 
 /*
@@ -86,40 +86,40 @@
  */
 TEST(Dispatch, LostOnceIsUnknownAndNeverSentAgain)
 {
-	DispatchRig rig;
-	rig.warm();
-	rig.arrive(1, true, 500);
-	rig.done(rig.one(), AUB_ATTEMPT_LOST);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_UNKNOWN);
-	EXPECT_EQ(aub_dispatcher_pending(rig.d), 0u);
+	DispatchFixture fixture;
+	fixture.warm();
+	fixture.arrive(1, true, 500);
+	fixture.done(fixture.take_one(), AUB_ATTEMPT_CONNECTION_LOST);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_UNKNOWN);
+	EXPECT_EQ(aub_dispatcher_pending(fixture.d), 0u);
 }
 
 TEST(Dispatch, OnceIsSentAgainWhereItProvablyDidNotRun)
 {
-	DispatchRig rig;
-	rig.warm();
-	rig.arrive(1, true, 100);
-	auto first = rig.one();
-	rig.done(first, AUB_ATTEMPT_NOT_CONNECTED);
-	auto second = rig.one();
+	DispatchFixture fixture;
+	fixture.warm();
+	fixture.arrive(1, true, 100);
+	auto first = fixture.take_one();
+	fixture.done(first, AUB_ATTEMPT_NOT_CONNECTED);
+	auto second = fixture.take_one();
 	EXPECT_EQ(second.type, AUB_ACTION_SEND);
 	EXPECT_NE(second.upstream, first.upstream);
-	rig.done(second, AUB_ATTEMPT_SHED);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_SEND);
+	fixture.done(second, AUB_ATTEMPT_SHED);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_SEND);
 }
 
 TEST(Dispatch, RepeatableIsSentAgainWithinItsBudget)
 {
-	DispatchRig rig;
-	rig.warm();
-	rig.arrive(1, false, 100);
-	auto first = rig.one();
-	rig.done(first, AUB_ATTEMPT_LOST);
-	auto second = rig.one();
+	DispatchFixture fixture;
+	fixture.warm();
+	fixture.arrive(1, false, 100);
+	auto first = fixture.take_one();
+	fixture.done(first, AUB_ATTEMPT_CONNECTION_LOST);
+	auto second = fixture.take_one();
 	ASSERT_EQ(second.type, AUB_ACTION_SEND);
 	EXPECT_NE(second.upstream, first.upstream);
-	rig.done(second, AUB_ATTEMPT_LOST);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_UNKNOWN);
+	fixture.done(second, AUB_ATTEMPT_CONNECTION_LOST);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_UNKNOWN);
 }
 
 /*
@@ -128,41 +128,41 @@
  */
 TEST(Dispatch, RetriesAreAShareOfCalls)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 10;
-	DispatchRig rig(options);
+	DispatchFixture fixture(options);
 	struct aub_dispatch_counts before;
 	struct aub_dispatch_counts counts;
-	rig.warm();
-	aub_dispatcher_counts(rig.d, &before);
+	fixture.warm();
+	aub_dispatcher_counts(fixture.d, &before);
 	for (guint64 id = 1; id <= 1000; id++) {
-		rig.arrive(id, false, 500);
-		for (auto list = rig.take(); !list.empty(); list = rig.take())
+		fixture.arrive(id, false, 500);
+		for (auto list = fixture.take(); !list.empty(); list = fixture.take())
 			for (const auto &action : list)
 				if (action.type == AUB_ACTION_SEND)
-					rig.done(action, AUB_ATTEMPT_SHED);
-		rig.pass(AUB_SECOND);
+					fixture.done(action, AUB_ATTEMPT_SHED);
+		fixture.advance_time(AUB_SECOND);
 	}
-	aub_dispatcher_counts(rig.d, &counts);
+	aub_dispatcher_counts(fixture.d, &counts);
 	EXPECT_LE(counts.sent - before.sent, 1200u);
 	EXPECT_EQ(counts.refused - before.refused, 1000u);
 }
 
 TEST(Dispatch, AbandonedIsCancelledAndItsSlotKeptUntilReported)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
-	DispatchRig rig(options);
-	rig.warm();
-	rig.arrive(1);
-	rig.arrive(2);
-	auto sent = rig.take();
-	aub_dispatcher_abandon(rig.d, 1, rig.now);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_CANCEL);
-	rig.arrive(3);
-	EXPECT_TRUE(rig.take().empty());
-	rig.done(sent[0], AUB_ATTEMPT_CANCELLED);
-	EXPECT_EQ(rig.one().request, 3u);
+	DispatchFixture fixture(options);
+	fixture.warm();
+	fixture.arrive(1);
+	fixture.arrive(2);
+	auto sent = fixture.take();
+	aub_dispatcher_abandon(fixture.d, 1, fixture.now);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_CANCEL);
+	fixture.arrive(3);
+	EXPECT_TRUE(fixture.take().empty());
+	fixture.done(sent[0], AUB_ATTEMPT_CANCELLED);
+	EXPECT_EQ(fixture.take_one().request, 3u);
 }
 
 /*
@@ -171,59 +171,59 @@
  */
 TEST(Dispatch, ColdStartGetsItsShareUntilWarmedUp)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
 	options.slots = 6;
 	options.cold_slots = 2;
-	DispatchRig rig(options);
-	rig.warm();
+	DispatchFixture fixture(options);
+	fixture.warm();
 	for (guint64 id = 1; id <= 12; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
+		fixture.arrive(id);
+	auto sent = fixture.take();
 	ASSERT_EQ(sent.size(), 6u);
 	for (guint i = 0; i < 4; i++) {
-		rig.done(sent[i], AUB_ATTEMPT_ANSWERED, 2);
-		EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 0u);
+		fixture.done(sent[i], AUB_ATTEMPT_ANSWERED, 2);
+		EXPECT_EQ(count(fixture.take(), AUB_ACTION_SEND), 0u);
 	}
-	EXPECT_TRUE(status(rig, 0).cold);
-	rig.done(sent[4], AUB_ATTEMPT_ANSWERED, 2);
-	auto next = rig.take();
+	EXPECT_TRUE(status(fixture, 0).cold);
+	fixture.done(sent[4], AUB_ATTEMPT_ANSWERED, 2);
+	auto next = fixture.take();
 	EXPECT_EQ(count(next, AUB_ACTION_SEND), 1u);
-	EXPECT_EQ(status(rig, 0).in_flight, 2u);
-	rig.pass(999 * AUB_MS);
-	EXPECT_EQ(status(rig, 0).allowed, 2u);
-	rig.pass(AUB_MS);
+	EXPECT_EQ(status(fixture, 0).in_flight, 2u);
+	fixture.advance_time(999 * AUB_MS);
+	EXPECT_EQ(status(fixture, 0).allowed, 2u);
+	fixture.advance_time(AUB_MS);
 	for (guint i = 0; i < 4; i++) {
 		for (const auto &action : next)
 			if (action.type == AUB_ACTION_SEND)
-				rig.done(action, AUB_ATTEMPT_ANSWERED, 2);
-		next = rig.take();
+				fixture.done(action, AUB_ATTEMPT_ANSWERED, 2);
+		next = fixture.take();
 	}
-	rig.arrive(30);
-	EXPECT_GE(status(rig, 0).allowed, 4u);
+	fixture.arrive(30);
+	EXPECT_GE(status(fixture, 0).allowed, 4u);
 }
 
 TEST(Dispatch, ColdByItsOwnWordStaysSmallAndOpensOnItsWord)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
 	options.slots = 4;
-	DispatchRig rig(options);
-	rig.arrive(1);
-	rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, true);
-	rig.take();
-	rig.now += 5 * AUB_SECOND;
-	rig.arrive(2);
-	rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, true);
-	rig.take();
-	EXPECT_EQ(status(rig, 0).allowed, 1u);
+	DispatchFixture fixture(options);
+	fixture.arrive(1);
+	fixture.done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, true);
+	fixture.take();
+	fixture.now += 5 * AUB_SECOND;
+	fixture.arrive(2);
+	fixture.done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, true);
+	fixture.take();
+	EXPECT_EQ(status(fixture, 0).allowed, 1u);
 	for (guint64 id = 3; id < 6; id++) {
-		rig.arrive(id);
-		rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, false);
-		rig.take();
+		fixture.arrive(id);
+		fixture.done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, false);
+		fixture.take();
 	}
-	EXPECT_EQ(status(rig, 0).allowed, 4u);
-	EXPECT_FALSE(status(rig, 0).cold);
+	EXPECT_EQ(status(fixture, 0).allowed, 4u);
+	EXPECT_FALSE(status(fixture, 0).cold);
 }
 
 /*
@@ -233,41 +233,41 @@
  */
 TEST(Dispatch, ColdGetsNothingNewUntilItMustHaveSeenACancel)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
 	options.slots = 4;
-	DispatchRig rig(options);
-	rig.arrive(1);
-	rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, true);
-	rig.take();
-	rig.arrive(2);
-	auto sent = rig.one();
+	DispatchFixture fixture(options);
+	fixture.arrive(1);
+	fixture.done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, true);
+	fixture.take();
+	fixture.arrive(2);
+	auto sent = fixture.take_one();
 	ASSERT_EQ(sent.type, AUB_ACTION_SEND);
-	aub_dispatcher_abandon(rig.d, 2, rig.now);
-	rig.take();
-	rig.done(sent, AUB_ATTEMPT_CANCELLED);
-	rig.arrive(3);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 0u);
-	EXPECT_LE(aub_dispatcher_wake_us(rig.d), rig.now + 100 * AUB_MS);
-	rig.pass(100 * AUB_MS);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 1u);
+	aub_dispatcher_abandon(fixture.d, 2, fixture.now);
+	fixture.take();
+	fixture.done(sent, AUB_ATTEMPT_CANCELLED);
+	fixture.arrive(3);
+	EXPECT_EQ(count(fixture.take(), AUB_ACTION_SEND), 0u);
+	EXPECT_LE(aub_dispatcher_next_wakeup_us(fixture.d), fixture.now + 100 * AUB_MS);
+	fixture.advance_time(100 * AUB_MS);
+	EXPECT_EQ(count(fixture.take(), AUB_ACTION_SEND), 1u);
 }
 
 TEST(Dispatch, LostConnectionPutsItsUpstreamInDoubt)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
 	options.slots = 6;
-	DispatchRig rig(options);
-	rig.warm();
-	rig.arrive(1, true);
-	rig.done(rig.one(), AUB_ATTEMPT_LOST);
-	rig.take();
-	EXPECT_EQ(status(rig, 0).allowed, 1u);
-	rig.arrive(2);
-	rig.done(rig.one());
-	rig.take();
-	EXPECT_EQ(status(rig, 0).allowed, 6u);
+	DispatchFixture fixture(options);
+	fixture.warm();
+	fixture.arrive(1, true);
+	fixture.done(fixture.take_one(), AUB_ATTEMPT_CONNECTION_LOST);
+	fixture.take();
+	EXPECT_EQ(status(fixture, 0).allowed, 1u);
+	fixture.arrive(2);
+	fixture.done(fixture.take_one());
+	fixture.take();
+	EXPECT_EQ(status(fixture, 0).allowed, 6u);
 }
 
 /*
@@ -276,23 +276,23 @@
  */
 TEST(Dispatch, NewOwnerWaitsForItsPredecessor)
 {
-	rig_options options;
+	fixture_options options;
 	options.slots = 6;
 	options.probe_budget_us = 1000000;
-	DispatchRig rig(options, false);
-	aub_dispatcher_set_role(rig.d, AUB_DISPATCH_OWNER, 500 * AUB_MS,
-				rig.now);
+	DispatchFixture fixture(options, false);
+	aub_dispatcher_set_role(fixture.d, AUB_DISPATCH_OWNER, 500 * AUB_MS,
+				fixture.now);
 	for (guint64 id = 1; id <= 30; id++)
-		rig.arrive(id);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 0u);
-	rig.pass(10 * AUB_MS);
-	auto probes = rig.take();
+		fixture.arrive(id);
+	EXPECT_EQ(count(fixture.take(), AUB_ACTION_SEND), 0u);
+	fixture.advance_time(10 * AUB_MS);
+	auto probes = fixture.take();
 	ASSERT_EQ(count(probes, AUB_ACTION_PROBE), 3u);
-	rig.probed(probes[0]);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 1u);
-	EXPECT_LE(aub_dispatcher_wake_us(rig.d), rig.now + 500 * AUB_MS);
-	rig.pass(500 * AUB_MS);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 2u);
+	fixture.probe_done(probes[0]);
+	EXPECT_EQ(count(fixture.take(), AUB_ACTION_SEND), 1u);
+	EXPECT_LE(aub_dispatcher_next_wakeup_us(fixture.d), fixture.now + 500 * AUB_MS);
+	fixture.advance_time(500 * AUB_MS);
+	EXPECT_EQ(count(fixture.take(), AUB_ACTION_SEND), 2u);
 }
 
 /*
@@ -302,31 +302,31 @@
  */
 TEST(Dispatch, StandbyActsOnWhatItHeardAMomentAgo)
 {
-	rig_options options;
+	fixture_options options;
 	options.slots = 4;
-	DispatchRig owner(options);
-	DispatchRig rig(options, false);
-	struct aub_upstream_knowledge list[8];
+	DispatchFixture owner(options);
+	DispatchFixture fixture(options, false);
+	struct aub_upstream_snapshot list[8];
 	owner.warm();
 	owner.arrive(1);
-	auto sent = owner.one();
+	auto sent = owner.take_one();
 	owner.done(sent, AUB_ATTEMPT_ANSWERED, 9);
-	guint known = aub_dispatcher_knowledge(owner.d, list, 8, owner.now);
+	guint known = aub_dispatcher_export_upstreams(owner.d, list, 8, owner.now);
 	ASSERT_EQ(known, 3u);
 	for (guint i = 0; i < known; i++)
-		aub_dispatcher_learn(rig.d, &list[i], rig.now);
-	rig.now += 250 * AUB_MS;
-	aub_dispatcher_set_role(rig.d, AUB_DISPATCH_STANDBY, 0, rig.now);
+		aub_dispatcher_import_upstream(fixture.d, &list[i], fixture.now);
+	fixture.now += 250 * AUB_MS;
+	aub_dispatcher_set_role(fixture.d, AUB_DISPATCH_STANDBY, 0, fixture.now);
 	for (guint64 id = 1; id <= 20; id++)
-		rig.arrive(id);
-	auto list_sent = rig.take();
+		fixture.arrive(id);
+	auto list_sent = fixture.take();
 	EXPECT_EQ(count(list_sent, AUB_ACTION_SEND), 4u);
 	for (const auto &action : list_sent)
 		EXPECT_NE(action.upstream, sent.upstream);
 
-	DispatchRig late(options, false);
+	DispatchFixture late(options, false);
 	for (guint i = 0; i < known; i++)
-		aub_dispatcher_learn(late.d, &list[i], late.now);
+		aub_dispatcher_import_upstream(late.d, &list[i], late.now);
 	late.now += 2 * AUB_SECOND;
 	aub_dispatcher_set_role(late.d, AUB_DISPATCH_STANDBY, 0, late.now);
 	late.arrive(1);
@@ -335,19 +335,19 @@
 
 TEST(Dispatch, StandbySendsHalfAndNothingCold)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 2;
 	options.slots = 4;
-	DispatchRig rig(options);
-	rig.warm();
-	aub_dispatcher_set_role(rig.d, AUB_DISPATCH_STANDBY, 0, rig.now);
-	rig.arrive(100);
-	auto sent = rig.one();
-	rig.done(sent, AUB_ATTEMPT_ANSWERED, 9);
-	rig.take();
+	DispatchFixture fixture(options);
+	fixture.warm();
+	aub_dispatcher_set_role(fixture.d, AUB_DISPATCH_STANDBY, 0, fixture.now);
+	fixture.arrive(100);
+	auto sent = fixture.take_one();
+	fixture.done(sent, AUB_ATTEMPT_ANSWERED, 9);
+	fixture.take();
 	for (guint64 id = 1; id <= 20; id++)
-		rig.arrive(id);
-	auto list = rig.take();
+		fixture.arrive(id);
+	auto list = fixture.take();
 	EXPECT_EQ(count(list, AUB_ACTION_SEND), 2u);
 	for (const auto &action : list)
 		EXPECT_NE(action.upstream, sent.upstream);
@@ -355,129 +355,129 @@
 
 TEST(Dispatch, LosingTheRoleRefusesWhatWaits)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm();
 	for (guint64 id = 1; id <= 8; id++)
-		rig.arrive(id);
-	rig.take();
-	aub_dispatcher_set_role(rig.d, AUB_DISPATCH_NONE, 0, rig.now);
-	auto list = rig.take();
+		fixture.arrive(id);
+	fixture.take();
+	aub_dispatcher_set_role(fixture.d, AUB_DISPATCH_NONE, 0, fixture.now);
+	auto list = fixture.take();
 	ASSERT_EQ(list.size(), 2u);
 	EXPECT_EQ(list[0].refusal, AUB_REFUSAL_NOT_OWNER);
-	EXPECT_EQ(aub_dispatcher_pending(rig.d), 6u);
+	EXPECT_EQ(aub_dispatcher_pending(fixture.d), 6u);
 }
 
 TEST(Dispatch, ZoneOutGetsNothingNewAndFinishesWhatItHas)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm();
 	for (guint64 id = 1; id <= 6; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
-	rig.options.out = 7 - 1;
-	rig.configure();
+		fixture.arrive(id);
+	auto sent = fixture.take();
+	fixture.options.out = 7 - 1;
+	fixture.configure();
 	for (guint64 id = 7; id <= 12; id++)
-		rig.arrive(id);
+		fixture.arrive(id);
 	for (const auto &action : sent)
-		rig.done(action);
-	auto list = rig.take();
+		fixture.done(action);
+	auto list = fixture.take();
 	EXPECT_EQ(count(list, AUB_ACTION_DELIVER), 6u);
 	for (const auto &action : list)
 		if (action.type == AUB_ACTION_SEND) {
 			EXPECT_EQ(action.upstream, 0u);
 		}
-	rig.options.out = 0;
-	rig.configure();
-	EXPECT_EQ(status(rig, 1).allowed, 1u);
+	fixture.options.out = 0;
+	fixture.configure();
+	EXPECT_EQ(status(fixture, 1).allowed, 1u);
 }
 
 TEST(Dispatch, UpstreamTakenFromTheInventoryFinishesWhatItHas)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm();
 	for (guint64 id = 1; id <= 6; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
-	rig.options.upstreams = 1;
-	rig.configure();
-	rig.take();
+		fixture.arrive(id);
+	auto sent = fixture.take();
+	fixture.options.upstreams = 1;
+	fixture.configure();
+	fixture.take();
 	for (const auto &action : sent)
-		rig.done(action);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_DELIVER), 6u);
-	rig.configure();
-	EXPECT_EQ(status(rig, 0).in_flight, 0u);
+		fixture.done(action);
+	EXPECT_EQ(count(fixture.take(), AUB_ACTION_DELIVER), 6u);
+	fixture.configure();
+	EXPECT_EQ(status(fixture, 0).in_flight, 0u);
 }
 
 TEST(Dispatch, DrainingGetsNothingNewAndIsRetriedElsewhere)
 {
-	DispatchRig rig;
-	rig.warm();
-	rig.arrive(1, true, 0);
-	auto first = rig.one();
-	rig.done(first, AUB_ATTEMPT_SHED, 1, false, false, true);
-	auto second = rig.one();
+	DispatchFixture fixture;
+	fixture.warm();
+	fixture.arrive(1, true, 0);
+	auto first = fixture.take_one();
+	fixture.done(first, AUB_ATTEMPT_SHED, 1, false, false, true);
+	auto second = fixture.take_one();
 	ASSERT_EQ(second.type, AUB_ACTION_SEND);
 	for (guint64 id = 2; id <= 9; id++)
-		rig.arrive(id);
-	for (const auto &action : rig.take())
+		fixture.arrive(id);
+	for (const auto &action : fixture.take())
 		EXPECT_NE(action.upstream, first.upstream);
 }
 
 TEST(Dispatch, ProbesOnlyWhereTrafficSaysNothingAndWithinBudget)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 12;
 	options.probe_budget_us = 60000;
 	options.probe_cost_us = 6000;
-	DispatchRig rig(options);
+	DispatchFixture fixture(options);
 	struct aub_dispatch_counts counts;
 	guint64 before = 0;
 	for (int second = 0; second < 20; second++) {
 		for (int tick = 0; tick < 1000; tick++) {
-			rig.pass(AUB_MS);
-			for (const auto &action : rig.take())
+			fixture.advance_time(AUB_MS);
+			for (const auto &action : fixture.take())
 				if (action.type == AUB_ACTION_PROBE)
-					rig.probed(action, second % 3 != 0);
+					fixture.probe_done(action, second % 3 != 0);
 		}
-		aub_dispatcher_counts(rig.d, &counts);
+		aub_dispatcher_counts(fixture.d, &counts);
 		EXPECT_LE(counts.probe_us - before, 30000u);
 		before = counts.probe_us;
 	}
 	EXPECT_GT(counts.probes, 12u);
-	rig.warm();
-	rig.warm();
-	aub_dispatcher_counts(rig.d, &counts);
+	fixture.warm();
+	fixture.warm();
+	aub_dispatcher_counts(fixture.d, &counts);
 	before = counts.probes;
 	for (int round = 0; round < 200; round++)
-		rig.warm();
-	aub_dispatcher_counts(rig.d, &counts);
+		fixture.warm();
+	aub_dispatcher_counts(fixture.d, &counts);
 	EXPECT_EQ(counts.probes, before);
 }
 
 TEST(Dispatch, StoppingRefusesTheNewAndFinishesTheRest)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm();
 	for (guint64 id = 1; id <= 7; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
-	aub_dispatcher_stop(rig.d, rig.now);
-	rig.arrive(8);
-	EXPECT_EQ(rig.one().refusal, AUB_REFUSAL_STOPPING);
-	rig.done(sent[0]);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 1u);
+		fixture.arrive(id);
+	auto sent = fixture.take();
+	aub_dispatcher_stop(fixture.d, fixture.now);
+	fixture.arrive(8);
+	EXPECT_EQ(fixture.take_one().refusal, AUB_REFUSAL_STOPPING);
+	fixture.done(sent[0]);
+	EXPECT_EQ(count(fixture.take(), AUB_ACTION_SEND), 1u);
 }
 
 TEST(Dispatch, BaselinesSendAtOnce)
 {
 	for (int policy = AUB_POLICY_RANDOM; policy <= AUB_POLICY_TWO_CHOICES;
 	     policy++) {
-		rig_options options;
+		fixture_options options;
 		options.policy = (enum aub_policy)policy;
-		DispatchRig rig(options, false);
+		DispatchFixture fixture(options, false);
 		for (guint64 id = 1; id <= 50; id++)
-			rig.arrive(id);
-		EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 50u);
+			fixture.arrive(id);
+		EXPECT_EQ(count(fixture.take(), AUB_ACTION_SEND), 50u);
 		EXPECT_EQ(aub_policy_parse(aub_policy_name(options.policy)),
 			  policy);
 	}
--- a/tests/test_dispatch_faults.cc
+++ b/tests/test_dispatch_faults.cc
@@ -1,7 +1,7 @@
 /* What the dispatcher does about upstreams and requests that do harm. */
 #include <gtest/gtest.h>
 
-#include "dispatch_rig.h"
+#include "dispatch_fixture.h"
 
 #include <map>
 
@@ -11,91 +11,91 @@
  */
 TEST(DispatchFaults, FailingFastIsEjected)
 {
-	DispatchRig rig;
+	DispatchFixture fixture;
 	std::map<guint16, guint> failures;
-	rig.warm();
+	fixture.warm();
 	for (guint64 id = 1; id <= 600; id++) {
-		rig.arrive(id);
+		fixture.arrive(id);
 		if (id % 6)
 			continue;
-		for (const auto &action : rig.take()) {
+		for (const auto &action : fixture.take()) {
 			bool bad = action.upstream == 0;
 
 			if (action.type != AUB_ACTION_SEND)
 				continue;
 			failures[action.upstream]++;
-			rig.now += bad ? 100 : 400;
-			rig.done(action, AUB_ATTEMPT_ANSWERED, 1, false, bad);
+			fixture.now += bad ? 100 : 400;
+			fixture.done(action, AUB_ATTEMPT_ANSWERED, 1, false, bad);
 		}
 	}
 	EXPECT_LT(failures[0], 20u);
-	EXPECT_TRUE(status(rig, 0).suspect);
+	EXPECT_TRUE(status(fixture, 0).suspect);
 }
 
 TEST(DispatchFaults, FailuresOfAllEjectNone)
 {
-	DispatchRig rig;
+	DispatchFixture fixture;
 	struct aub_dispatch_counts counts;
-	rig.warm();
+	fixture.warm();
 	for (guint64 id = 1; id <= 300; id++) {
-		rig.arrive(id);
-		rig.now += 1000;
-		rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, false, true);
-		rig.take();
+		fixture.arrive(id);
+		fixture.now += 1000;
+		fixture.done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, false, true);
+		fixture.take();
 	}
-	aub_dispatcher_counts(rig.d, &counts);
+	aub_dispatcher_counts(fixture.d, &counts);
 	EXPECT_EQ(counts.ejections, 0u);
 }
 
 TEST(DispatchFaults, OverrunningUpstreamIsTakenLast)
 {
-	DispatchRig rig;
-	rig.warm(10 * AUB_MS);
-	rig.arrive(1);
-	auto slow = rig.one();
-	rig.now += 100 * AUB_MS;
+	DispatchFixture fixture;
+	fixture.warm(10 * AUB_MS);
+	fixture.arrive(1);
+	auto slow = fixture.take_one();
+	fixture.now += 100 * AUB_MS;
 	for (guint64 id = 2; id <= 5; id++)
-		rig.arrive(id);
-	for (const auto &action : rig.take())
+		fixture.arrive(id);
+	for (const auto &action : fixture.take())
 		EXPECT_NE(action.upstream, slow.upstream);
-	EXPECT_TRUE(status(rig, slow.upstream).suspect);
+	EXPECT_TRUE(status(fixture, slow.upstream).suspect);
 }
 
 TEST(DispatchFaults, HedgesALateRepeatableAndCancelsTheLoser)
 {
-	rig_options options;
+	fixture_options options;
 	options.hedge_percent = 20;
-	DispatchRig rig(options);
-	rig.warm(10 * AUB_MS);
-	rig.arrive(1);
-	auto first = rig.one();
-	ASSERT_LT(aub_dispatcher_wake_us(rig.d), rig.now + 100 * AUB_MS);
-	rig.now = aub_dispatcher_wake_us(rig.d);
-	aub_dispatcher_tick(rig.d, rig.now);
-	auto hedge = rig.one();
+	DispatchFixture fixture(options);
+	fixture.warm(10 * AUB_MS);
+	fixture.arrive(1);
+	auto first = fixture.take_one();
+	ASSERT_LT(aub_dispatcher_next_wakeup_us(fixture.d), fixture.now + 100 * AUB_MS);
+	fixture.now = aub_dispatcher_next_wakeup_us(fixture.d);
+	aub_dispatcher_tick(fixture.d, fixture.now);
+	auto hedge = fixture.take_one();
 	ASSERT_EQ(hedge.type, AUB_ACTION_SEND);
 	EXPECT_TRUE(hedge.hedge);
 	EXPECT_NE(hedge.upstream, first.upstream);
-	rig.done(hedge);
-	auto list = rig.take();
+	fixture.done(hedge);
+	auto list = fixture.take();
 	ASSERT_EQ(list.size(), 2u);
 	EXPECT_EQ(list[0].type, AUB_ACTION_DELIVER);
 	EXPECT_EQ(list[0].attempt, hedge.attempt);
 	EXPECT_EQ(list[1].type, AUB_ACTION_CANCEL);
-	rig.done(first, AUB_ATTEMPT_CANCELLED);
-	EXPECT_EQ(aub_dispatcher_pending(rig.d), 0u);
+	fixture.done(first, AUB_ATTEMPT_CANCELLED);
+	EXPECT_EQ(aub_dispatcher_pending(fixture.d), 0u);
 }
 
 TEST(DispatchFaults, NeverHedgesWhatMayNotBeRepeated)
 {
-	rig_options options;
+	fixture_options options;
 	options.hedge_percent = 20;
-	DispatchRig rig(options);
-	rig.warm(10 * AUB_MS);
-	rig.arrive(1, true);
-	rig.one();
-	rig.pass(AUB_SECOND);
-	EXPECT_TRUE(rig.take().empty());
+	DispatchFixture fixture(options);
+	fixture.warm(10 * AUB_MS);
+	fixture.arrive(1, true);
+	fixture.take_one();
+	fixture.advance_time(AUB_SECOND);
+	EXPECT_TRUE(fixture.take().empty());
 }
 
 /*
@@ -105,70 +105,70 @@
  */
 TEST(DispatchFaults, CrashRequestIsStoppedAfterTwoDeaths)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm();
 	guint deaths = 0;
-	rig.arrive(50, false, 0, 5 * AUB_SECOND, 77);
-	rig.done(rig.one());
-	rig.take();
+	fixture.arrive(50, false, 0, 5 * AUB_SECOND, 77);
+	fixture.done(fixture.take_one());
+	fixture.take();
 	for (guint64 id = 1; id <= 10; id++) {
-		rig.arrive(id, false, 100, 5 * AUB_SECOND, 666);
-		for (auto list = rig.take(); !list.empty(); list = rig.take())
+		fixture.arrive(id, false, 100, 5 * AUB_SECOND, 666);
+		for (auto list = fixture.take(); !list.empty(); list = fixture.take())
 			for (const auto &action : list)
 				if (action.type == AUB_ACTION_SEND) {
 					deaths++;
-					rig.done(action, AUB_ATTEMPT_LOST);
+					fixture.done(action, AUB_ATTEMPT_CONNECTION_LOST);
 				}
 	}
 	EXPECT_EQ(deaths, 2u);
-	rig.arrive(20, false, 100, 5 * AUB_SECOND, 666);
-	auto action = rig.one();
+	fixture.arrive(20, false, 100, 5 * AUB_SECOND, 666);
+	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
-	EXPECT_EQ(action.refusal, AUB_REFUSAL_CRASHES);
-	rig.arrive(21, false, 100, 5 * AUB_SECOND, 77);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_SEND);
+	EXPECT_EQ(action.refusal, AUB_REFUSAL_CRASHES_UPSTREAMS);
+	fixture.arrive(21, false, 100, 5 * AUB_SECOND, 77);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_SEND);
 }
 
 /* Deaths are confirmed by a new boot id, and other entries can learn them. */
 TEST(DispatchFaults, CrashMarksAreConfirmedAndLearnt)
 {
-	DispatchRig rig;
-	DispatchRig other;
+	DispatchFixture fixture;
+	DispatchFixture other;
 	std::map<guint16, guint64> boots = { { 0, 1 }, { 1, 1 }, { 2, 1 } };
-	rig.warm();
+	fixture.warm();
 	for (guint64 id = 1; id <= 2; id++) {
-		rig.arrive(id, true, 0, 5 * AUB_SECOND, 666);
-		auto sent = rig.one();
-		rig.done(sent, AUB_ATTEMPT_LOST);
-		rig.take();
-		rig.now += 3 * AUB_SECOND;
+		fixture.arrive(id, true, 0, 5 * AUB_SECOND, 666);
+		auto sent = fixture.take_one();
+		fixture.done(sent, AUB_ATTEMPT_CONNECTION_LOST);
+		fixture.take();
+		fixture.now += 3 * AUB_SECOND;
 		boots[sent.upstream]++;
 		for (guint64 n = 0; n < 6; n++)
-			rig.arrive(100 * id + n);
-		rig.serve(boots);
+			fixture.arrive(100 * id + n);
+		fixture.serve(boots);
 	}
 	struct aub_crash_mark marks[4];
-	ASSERT_EQ(aub_dispatcher_crashes(rig.d, marks, 4, rig.now), 1u);
+	ASSERT_EQ(aub_dispatcher_export_crash_marks(fixture.d, marks, 4, fixture.now), 1u);
 	EXPECT_EQ(marks[0].fingerprint, 666u);
-	EXPECT_EQ(marks[0].deaths, 2u);
-	aub_dispatcher_learn_crash(other.d, &marks[0], other.now);
+	EXPECT_EQ(marks[0].crash_count, 2u);
+	aub_dispatcher_import_crash_mark(other.d, &marks[0], other.now);
 	other.arrive(1, true, 0, 5 * AUB_SECOND, 666);
-	EXPECT_EQ(other.one().refusal, AUB_REFUSAL_CRASHES);
+	EXPECT_EQ(other.take_one().refusal, AUB_REFUSAL_CRASHES_UPSTREAMS);
 }
 
 TEST(DispatchFaults, LostConnectionsOfALivingUpstreamBlameNobody)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm();
 	for (guint64 id = 1; id <= 6; id++) {
-		rig.arrive(id, true, 0, 5 * AUB_SECOND, 88);
-		rig.done(rig.one(), AUB_ATTEMPT_LOST);
-		rig.take();
-		rig.now += AUB_MS;
+		fixture.arrive(id, true, 0, 5 * AUB_SECOND, 88);
+		fixture.done(fixture.take_one(), AUB_ATTEMPT_CONNECTION_LOST);
+		fixture.take();
+		fixture.now += AUB_MS;
 		for (guint64 n = 0; n < 6; n++)
-			rig.arrive(100 * id + n);
-		rig.serve();
+			fixture.arrive(100 * id + n);
+		fixture.serve();
 	}
 	struct aub_crash_mark marks[4];
-	EXPECT_EQ(aub_dispatcher_crashes(rig.d, marks, 4, rig.now), 0u);
+	EXPECT_EQ(aub_dispatcher_export_crash_marks(fixture.d, marks, 4, fixture.now), 0u);
 }
--- a/tests/test_dispatch_state.cc
+++ b/tests/test_dispatch_state.cc
@@ -8,7 +8,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "dispatch_rig.h"
+#include "dispatch_fixture.h"
 
 #include <cstdlib>
 #include <deque>
@@ -57,7 +57,7 @@
 class World
 {
       public:
-	explicit World(const rig_options &options) : rig(options, false)
+	explicit World(const fixture_options &options) : fixture(options, false)
 	{
 	}
 
@@ -72,7 +72,7 @@
 	guint64 digest = 14695981039346656037u;
 
       private:
-	DispatchRig rig;
+	DispatchFixture fixture;
 	enum aub_dispatch_role role = AUB_DISPATCH_NONE;
 	gint64 settle_until = 0;
 	std::map<guint64, true_request> requests;
@@ -93,14 +93,14 @@
 		bool cold =
 			u.told_cold ||
 			(u.cold_from &&
-			 rig.now - u.cold_from < rig.options.cold_ms * AUB_MS);
+			 fixture.now - u.cold_from < fixture.options.cold_ms * AUB_MS);
 		bool shared =
-			role == AUB_DISPATCH_STANDBY || rig.now < settle_until;
+			role == AUB_DISPATCH_STANDBY || fixture.now < settle_until;
 
 		if (shared)
-			return cold ? 0 : rig.options.slots / 2;
-		return cold || !u.told_boot ? rig.options.cold_slots :
-					      rig.options.slots;
+			return cold ? 0 : fixture.options.slots / 2;
+		return cold || !u.told_boot ? fixture.options.cold_slots :
+					      fixture.options.slots;
 	}
 
 	void check_send(const struct aub_action &a)
@@ -109,8 +109,8 @@
 		true_upstream &u = upstreams[a.upstream];
 
 		RC_ASSERT(role != AUB_DISPATCH_NONE);
-		RC_ASSERT(a.upstream < rig.options.upstreams);
-		RC_ASSERT(!(rig.options.out >> a.upstream & 1));
+		RC_ASSERT(a.upstream < fixture.options.upstreams);
+		RC_ASSERT(!(fixture.options.out >> a.upstream & 1));
 		RC_ASSERT(request.finals == 0u);
 		RC_ASSERT(!request.abandoned);
 		RC_ASSERT(u.in_flight + 1 <= cap(u));
@@ -152,17 +152,17 @@
 		guint64 spent;
 
 		RC_ASSERT(role != AUB_DISPATCH_NONE);
-		probe_times.push_back(rig.now);
-		while (probe_times.front() <= rig.now - AUB_SECOND)
+		probe_times.push_back(fixture.now);
+		while (probe_times.front() <= fixture.now - AUB_SECOND)
 			probe_times.pop_front();
-		spent = probe_times.size() * rig.options.probe_cost_us;
-		RC_ASSERT(spent <= rig.options.probe_budget_us / 2);
+		spent = probe_times.size() * fixture.options.probe_cost_us;
+		RC_ASSERT(spent <= fixture.options.probe_budget_us / 2);
 		probes.push_back(a);
 	}
 
 	void settle_actions()
 	{
-		for (const auto &a : rig.take()) {
+		for (const auto &a : fixture.take()) {
 			note(a.type);
 			note(a.request << 16 | a.attempt << 8 | a.upstream);
 			switch (a.type) {
@@ -188,11 +188,11 @@
 	void told(true_upstream &u, bool cold)
 	{
 		if (u.told_boot && u.told_boot != u.boot) {
-			u.cold_from = rig.now;
+			u.cold_from = fixture.now;
 			u.told_cold = false;
 		}
 		if (cold && !u.told_cold && !u.cold_from)
-			u.cold_from = rig.now;
+			u.cold_from = fixture.now;
 		if (!cold && u.told_cold)
 			u.cold_from = 0;
 		u.told_cold = cold;
@@ -201,14 +201,14 @@
 
 	bool says_cold(const true_upstream &u) const
 	{
-		return rig.now < u.cold_until && !u.misleads;
+		return fixture.now < u.cold_until && !u.misleads;
 	}
 
 	enum aub_attempt_result result(const outstanding &one, guint32 value)
 	{
 		static const enum aub_attempt_result odd[] = {
 			AUB_ATTEMPT_SHED, AUB_ATTEMPT_NOT_CONNECTED,
-			AUB_ATTEMPT_LOST, AUB_ATTEMPT_TIMEOUT,
+			AUB_ATTEMPT_CONNECTION_LOST, AUB_ATTEMPT_TIMEOUT,
 			AUB_ATTEMPT_CANCELLED
 		};
 		const true_upstream &u = upstreams[one.sent.upstream];
@@ -216,7 +216,7 @@
 		if (one.cancelled && value % 4)
 			return AUB_ATTEMPT_CANCELLED;
 		if (u.down)
-			return value % 2 ? AUB_ATTEMPT_LOST :
+			return value % 2 ? AUB_ATTEMPT_CONNECTION_LOST :
 					   AUB_ATTEMPT_NOT_CONNECTED;
 		if (value % 10 < 7)
 			return AUB_ATTEMPT_ANSWERED;
@@ -243,7 +243,7 @@
 			request.answered.insert(one.sent.attempt);
 		if (how != AUB_ATTEMPT_SHED && how != AUB_ATTEMPT_NOT_CONNECTED)
 			request.may_have_run = true;
-		rig.done(one.sent, how, u.boot, cold, value % 7 == 0,
+		fixture.done(one.sent, how, u.boot, cold, value % 7 == 0,
 			 u.draining);
 	}
 
@@ -258,7 +258,7 @@
 		probes.pop_back();
 		if (answered)
 			told(u, says_cold(u));
-		rig.probed(probe, answered, u.boot, says_cold(u));
+		fixture.probe_done(probe, answered, u.boot, says_cold(u));
 	}
 
 	void arrive(guint32 value)
@@ -267,7 +267,7 @@
 		bool once = value % 3 == 0;
 
 		requests[id].once = once;
-		rig.arrive(id, once, value / 4 % 4 * 60,
+		fixture.arrive(id, once, value / 4 % 4 * 60,
 			   (value / 16 % 100) * 10 * AUB_MS, value / 2000 % 6);
 	}
 
@@ -278,20 +278,20 @@
 		gint64 settle = value / 3 % 4 * 200 * AUB_MS;
 
 		if (next == AUB_DISPATCH_OWNER && role != next)
-			settle_until = rig.now + settle;
+			settle_until = fixture.now + settle;
 		role = next;
-		aub_dispatcher_set_role(rig.d, next, settle, rig.now);
+		aub_dispatcher_set_role(fixture.d, next, settle, fixture.now);
 	}
 
 	void reconfigure(guint32 value)
 	{
-		rig.options.out = value % 32;
-		rig.options.upstreams = 1 + value / 32 % MOST_UPSTREAMS;
+		fixture.options.out = value % 32;
+		fixture.options.upstreams = 1 + value / 32 % MOST_UPSTREAMS;
 		probes.clear();
-		for (guint i = rig.options.upstreams; i < MOST_UPSTREAMS; i++)
+		for (guint i = fixture.options.upstreams; i < MOST_UPSTREAMS; i++)
 			if (!upstreams[i].in_flight)
 				forget(upstreams[i]);
-		rig.configure();
+		fixture.configure();
 	}
 
 	void forget(true_upstream &u)
@@ -306,7 +306,7 @@
 		true_upstream &u = upstreams[value % MOST_UPSTREAMS];
 
 		u.boot++;
-		u.cold_until = rig.now + rig.options.cold_ms * AUB_MS;
+		u.cold_until = fixture.now + fixture.options.cold_ms * AUB_MS;
 		u.misleads = value / 8 % 2;
 		u.down = value / 16 % 4 == 0;
 		u.draining = value / 64 % 8 == 0;
@@ -319,24 +319,24 @@
 		if (!requests.count(id) || requests[id].finals)
 			return;
 		requests[id].abandoned = true;
-		aub_dispatcher_abandon(rig.d, id, rig.now);
+		aub_dispatcher_abandon(fixture.d, id, fixture.now);
 	}
 
 	/* As an entry does it: a tick at each moment asked for on the way. */
 	void pass(gint64 us)
 	{
-		gint64 until = rig.now + us;
+		gint64 until = fixture.now + us;
 
 		for (;;) {
-			gint64 wake = aub_dispatcher_wake_us(rig.d);
+			gint64 wake = aub_dispatcher_next_wakeup_us(fixture.d);
 
-			rig.pass(CLAMP(wake, rig.now, until) - rig.now);
+			fixture.advance_time(CLAMP(wake, fixture.now, until) - fixture.now);
 			settle_actions();
-			RC_ASSERT(aub_dispatcher_wake_us(rig.d) > rig.now);
-			while (rig.now % 3 && !probes.empty())
-				report_probe((guint32)rig.now);
+			RC_ASSERT(aub_dispatcher_next_wakeup_us(fixture.d) > fixture.now);
+			while (fixture.now % 3 && !probes.empty())
+				report_probe((guint32)fixture.now);
 			settle_actions();
-			if (rig.now >= until)
+			if (fixture.now >= until)
 				break;
 		}
 	}
@@ -377,7 +377,7 @@
 	/* Let everything end; each request must have had its one answer. */
 	void finish()
 	{
-		for (int round = 0; aub_dispatcher_pending(rig.d); round++) {
+		for (int round = 0; aub_dispatcher_pending(fixture.d); round++) {
 			RC_ASSERT(round < 10000);
 			while (!running.empty()) {
 				report(1);
@@ -393,9 +393,9 @@
 	}
 };
 
-static rig_options make_options(guint32 value)
+static fixture_options make_options(guint32 value)
 {
-	rig_options options;
+	fixture_options options;
 
 	options.upstreams = MOST_UPSTREAMS;
 	options.slots = 1 + value % 6;
--- a/tests/test_front.cc
+++ b/tests/test_front.cc
@@ -148,7 +148,7 @@
 		struct aub_config *config = aub_config_new();
 		struct aub_assignment *assignment = aub_assignment_new();
 
-		aub_string_set(&config->text, toml().c_str());
+		aub_string_set(&config->inventory_text, toml().c_str());
 		aub_string_set(&config->change, "c");
 		aub_string_set(&config->author, "t");
 		char *json = aub_config_serialize(config);
--- a/tests/test_inventory.cc
+++ b/tests/test_inventory.cc
@@ -85,9 +85,9 @@
 	EXPECT_EQ(aub_vm_at(it, aub_inventory_vm(it, "b1"))->zone,
 		  aub_inventory_zone(it, "b"));
 	EXPECT_EQ(aub_inventory_upstream(it, "nothing"), AUB_NO_HANDLE);
-	EXPECT_TRUE(aub_upstream_takes_new(it, two));
+	EXPECT_TRUE(aub_upstream_accepts_new(it, two));
 	aub_zone_at(it, 0)->out = true;
-	EXPECT_FALSE(aub_upstream_takes_new(it, two));
+	EXPECT_FALSE(aub_upstream_accepts_new(it, two));
 	aub_inventory_unref(it);
 }
 
@@ -126,13 +126,13 @@
 	const char *other[] = { "/fees", "/fees/payment", "/pay" };
 
 	for (const char *path : same)
-		EXPECT_NE(aub_service_once_rule(fees, "POST", path), nullptr)
+		EXPECT_NE(aub_service_at_most_once_rule(fees, "POST", path), nullptr)
 			<< path;
 	for (const char *path : other)
-		EXPECT_EQ(aub_service_once_rule(fees, "POST", path), nullptr)
+		EXPECT_EQ(aub_service_at_most_once_rule(fees, "POST", path), nullptr)
 			<< path;
-	EXPECT_NE(aub_service_once_rule(fees, "post", "/fees/pay"), nullptr);
-	EXPECT_EQ(aub_service_once_rule(fees, "GET", "/fees/pay"), nullptr);
+	EXPECT_NE(aub_service_at_most_once_rule(fees, "post", "/fees/pay"), nullptr);
+	EXPECT_EQ(aub_service_at_most_once_rule(fees, "GET", "/fees/pay"), nullptr);
 	aub_inventory_unref(it);
 }
 
@@ -261,11 +261,11 @@
 
 TEST(Inventory, VersionLineIsSetAndTakenAway)
 {
-	char *text = aub_inventory_text_version(base, 12);
+	char *text = aub_inventory_text_set_version(base, 12);
 
 	EXPECT_EQ(std::string(text).substr(0, 24),
 		  "version = 12\n[[zone]]\nna");
-	char *none = aub_inventory_text_version(text, 0);
+	char *none = aub_inventory_text_set_version(text, 0);
 	EXPECT_EQ(std::string(none), std::string(base).substr(12));
 	g_free(text);
 	g_free(none);
--- a/tests/test_key_table.cc
+++ b/tests/test_key_table.cc
@@ -27,7 +27,7 @@
 	{
 		aub_key_table_free(table);
 	}
-	enum aub_key_verdict begin(const std::string &key, gint64 now_us,
+	enum aub_key_decision begin(const std::string &key, gint64 now_us,
 				   gint64 grant_age_us = 0)
 	{
 		return aub_key_table_begin(table, key.c_str(), mine,
@@ -55,7 +55,7 @@
 	EXPECT_EQ(begin("k", 0), AUB_KEY_NEW);
 	EXPECT_EQ(begin("k", 1), AUB_KEY_RUNNING);
 	finish("k", AUB_OUTCOME_RUN, 5, 10);
-	ASSERT_EQ(begin("k", 10 + KEEP_US - 1), AUB_KEY_KEPT);
+	ASSERT_EQ(begin("k", 10 + KEEP_US - 1), AUB_KEY_RECORDED);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_RUN);
 	EXPECT_EQ(record->status, 201u);
 	EXPECT_EQ(record->body.length, 5u);
@@ -84,7 +84,7 @@
 	finish("a", AUB_OUTCOME_NOT_RUN, 0, 1);
 	EXPECT_EQ(begin("a", 2), AUB_KEY_NEW);
 	finish("a", AUB_OUTCOME_UNKNOWN, 0, 3);
-	ASSERT_EQ(begin("a", 4), AUB_KEY_KEPT);
+	ASSERT_EQ(begin("a", 4), AUB_KEY_RECORDED);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_UNKNOWN);
 }
 
@@ -111,7 +111,7 @@
 {
 	EXPECT_EQ(begin("a", 0), AUB_KEY_NEW);
 	finish("a", AUB_OUTCOME_RUN, 64 << 10, 1);
-	ASSERT_EQ(begin("a", 2), AUB_KEY_KEPT);
+	ASSERT_EQ(begin("a", 2), AUB_KEY_RECORDED);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_RUN);
 	EXPECT_EQ(record->status, 201u);
 	EXPECT_EQ(record->body.length, 0u);
@@ -131,10 +131,10 @@
 		ASSERT_EQ(begin(key, i), AUB_KEY_NEW);
 		finish(key, AUB_OUTCOME_RUN, 1000, i);
 	}
-	ASSERT_EQ(begin("key-0", 200), AUB_KEY_KEPT);
+	ASSERT_EQ(begin("key-0", 200), AUB_KEY_RECORDED);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_RUN);
 	EXPECT_TRUE(record->stripped);
-	ASSERT_EQ(begin("key-149", 200), AUB_KEY_KEPT);
+	ASSERT_EQ(begin("key-149", 200), AUB_KEY_RECORDED);
 	EXPECT_FALSE(record->stripped);
 	EXPECT_EQ(record->body.length, 1000u);
 	EXPECT_LE(aub_key_table_bytes(table), 64u << 10);
@@ -152,8 +152,8 @@
 	EXPECT_EQ(begin("k", 0), AUB_KEY_NEW);
 	finish("k", AUB_OUTCOME_RUN, 5, 1);
 	EXPECT_EQ(begin("k", later, later), AUB_KEY_FORGOTTEN);
-	EXPECT_EQ(begin("never", 0, KEEP_US / 2 + 1), AUB_KEY_GRANT_OVER);
-	EXPECT_EQ(begin("never", 0, -KEEP_US), AUB_KEY_GRANT_OVER);
+	EXPECT_EQ(begin("never", 0, KEEP_US / 2 + 1), AUB_KEY_GRANT_EXPIRED);
+	EXPECT_EQ(begin("never", 0, -KEEP_US), AUB_KEY_GRANT_EXPIRED);
 	EXPECT_EQ(begin("never", 0, KEEP_US / 2), AUB_KEY_NEW);
 }
 
@@ -175,10 +175,10 @@
 				     (struct aub_key_record *)list->pdata[i],
 				     1000);
 	ASSERT_EQ(aub_key_table_begin(heir, "ran", mine, 0, 1001, &record),
-		  AUB_KEY_KEPT);
+		  AUB_KEY_RECORDED);
 	EXPECT_EQ(record->body.length, 7u);
 	ASSERT_EQ(aub_key_table_begin(heir, "runs", mine, 0, 1001, &record),
-		  AUB_KEY_KEPT);
+		  AUB_KEY_RECORDED);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_UNKNOWN);
 	EXPECT_EQ(aub_key_table_begin(heir, "ran", mine, 0, 1000 + KEEP_US / 2,
 				      &record),
--- a/tests/test_log_events.cc
+++ b/tests/test_log_events.cc
@@ -40,7 +40,7 @@
 
 		for (const std::string &line : lines)
 			unreadable +=
-				!aub_log_events_take(events, line.c_str());
+				!aub_log_events_add_line(events, line.c_str());
 		aub_log_events_free(events);
 		aub_timeline_merge(timeline);
 		GPtrArray *entries = aub_timeline_select(timeline, &filter);
@@ -106,9 +106,9 @@
 	/* A gigabyte of lines must not become a gigabyte of events. */
 	struct aub_log_events *events = aub_log_events_new(timeline, &filter);
 
-	for (int i = 0; i < AUB_LOG_EVENTS_MOST + 10; i++)
-		aub_log_events_take(events,
+	for (int i = 0; i < AUB_LOG_EVENTS_MAX + 10; i++)
+		aub_log_events_add_line(events,
 				    R"({"t":1,"node":"g1","event":"reload"})");
-	EXPECT_EQ(aub_log_events_left_out(events), 10u);
+	EXPECT_EQ(aub_log_events_dropped(events), 10u);
 	aub_log_events_free(events);
 }
--- a/tests/test_log_story.cc
+++ b/tests/test_request_trace.cc
@@ -1,7 +1,7 @@
 /* A request's story from log lines that are out of order, torn or foreign. */
 #include <gtest/gtest.h>
 
-#include <auburnstile/internal/log_story.h>
+#include <auburnstile/internal/request_trace.h>
 
 #include <string>
 #include <vector>
@@ -24,16 +24,16 @@
 
 TEST(LogStory, TellsTheRequestAndWhatHappenedAroundIt)
 {
-	struct aub_log_story *story = aub_log_story_new("r1");
+	struct aub_request_trace *trace = aub_request_trace_new("r1");
 	int unreadable = 0;
 
 	for (const std::string &line : lines)
-		unreadable += !aub_log_story_take(story, line.c_str());
+		unreadable += !aub_request_trace_add_line(trace, line.c_str());
 	EXPECT_EQ(unreadable, 2);
-	EXPECT_EQ(aub_log_story_size(story), 2u);
+	EXPECT_EQ(aub_request_trace_size(trace), 2u);
 	for (const std::string &line : lines)
-		aub_log_story_take_context(story, line.c_str());
-	char *text = aub_log_story_text(story);
+		aub_request_trace_add_context_line(trace, line.c_str());
+	char *text = aub_request_trace_text(trace);
 	EXPECT_STREQ(text,
 		     "request r1\n"
 		     "    +400 ms  g1  attempt upstream=u1 end=lost ms=300\n"
@@ -44,27 +44,27 @@
 		     "    +350 ms  g2  health upstream=u1 service=s was=up "
 		     "probe=silent\n");
 	g_free(text);
-	aub_log_story_free(story);
+	aub_request_trace_free(trace);
 }
 
 TEST(LogStory, HasNothingToTellOfAnUnknownRequest)
 {
-	struct aub_log_story *story = aub_log_story_new("r7");
+	struct aub_request_trace *trace = aub_request_trace_new("r7");
 
 	for (const std::string &line : lines)
-		aub_log_story_take(story, line.c_str());
-	char *text = aub_log_story_text(story);
+		aub_request_trace_add_line(trace, line.c_str());
+	char *text = aub_request_trace_text(trace);
 	EXPECT_STREQ(text, "");
 	g_free(text);
-	aub_log_story_free(story);
+	aub_request_trace_free(trace);
 }
 
 TEST(LogStory, StaysBounded)
 {
-	struct aub_log_story *story = aub_log_story_new("r1");
+	struct aub_request_trace *trace = aub_request_trace_new("r1");
 
 	for (int i = 0; i < 100000; i++)
-		aub_log_story_take(story, lines[0].c_str());
-	EXPECT_EQ(aub_log_story_size(story), 1000u);
-	aub_log_story_free(story);
+		aub_request_trace_add_line(trace, lines[0].c_str());
+	EXPECT_EQ(aub_request_trace_size(trace), 1000u);
+	aub_request_trace_free(trace);
 }
--- a/tests/test_timeline.cc
+++ b/tests/test_timeline.cc
@@ -37,7 +37,7 @@
 		struct aub_event copy = it;
 
 		copy.sequence = ++sequence[process];
-		aub_timeline_add(timeline, process, &copy);
+		aub_timeline_add_event(timeline, process, &copy);
 	}
 
 	/* "a1:arrived a1:relayed ..." */
@@ -85,8 +85,8 @@
  */
 TEST_F(Timeline, ABehindClockIsMovedForward)
 {
-	guint a = aub_timeline_process(timeline, "a1", "a", 1);
-	guint b = aub_timeline_process(timeline, "b1", "b", 1);
+	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
+	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 
 	relayed_request(a, b, 7, 10000000, 5000000);
 	aub_timeline_merge(timeline);
@@ -98,8 +98,8 @@
 /* The same, with the clock of b1 five seconds ahead. */
 TEST_F(Timeline, AnAheadClockMovesTheOthers)
 {
-	guint a = aub_timeline_process(timeline, "a1", "a", 1);
-	guint b = aub_timeline_process(timeline, "b1", "b", 1);
+	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
+	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 
 	relayed_request(a, b, 7, 10000000, 15000000);
 	aub_timeline_merge(timeline);
@@ -109,8 +109,8 @@
 
 TEST_F(Timeline, ClocksThatAgreeAreLeftAlone)
 {
-	guint a = aub_timeline_process(timeline, "a1", "a", 1);
-	guint b = aub_timeline_process(timeline, "b1", "b", 1);
+	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
+	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 
 	relayed_request(a, b, 7, 10000000, 10000050);
 	aub_timeline_merge(timeline);
@@ -125,8 +125,8 @@
  */
 TEST_F(Timeline, AClockThatWasSetKeepsTheOrder)
 {
-	guint a = aub_timeline_process(timeline, "a1", "a", 1);
-	guint b = aub_timeline_process(timeline, "b1", "b", 1);
+	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
+	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 	struct aub_timeline_filter second = {};
 
 	relayed_request(a, b, 7, 10000000, 15000000);
@@ -140,8 +140,8 @@
 
 TEST_F(Timeline, TiesThatContradictEachOtherDontStopIt)
 {
-	guint a = aub_timeline_process(timeline, "a1", "a", 1);
-	guint b = aub_timeline_process(timeline, "b1", "b", 1);
+	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
+	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 
 	add(a, event(AUB_EVENT_ARRIVED, 1, 1));
 	add(a, event(AUB_EVENT_RELAYED, 2, 2, "b1"));
@@ -171,7 +171,7 @@
 		std::string name = "p" + std::to_string(p);
 
 		process.push_back(
-			aub_timeline_process(timeline, name.c_str(), "", 1));
+			aub_timeline_add_process(timeline, name.c_str(), "", 1));
 		skew.push_back((gint64)(random() % 20000000) - 10000000);
 	}
 	for (guint64 id = 1; id <= 400; id++) {
@@ -242,8 +242,8 @@
 
 TEST_F(Timeline, FiltersByRequestUpstreamZoneAndTime)
 {
-	guint a = aub_timeline_process(timeline, "a1", "north", 1);
-	guint b = aub_timeline_process(timeline, "b1", "south", 1);
+	guint a = aub_timeline_add_process(timeline, "a1", "north", 1);
+	guint b = aub_timeline_add_process(timeline, "b1", "south", 1);
 	struct aub_event sent = event(AUB_EVENT_DISPATCHED, 1, 200);
 
 	g_strlcpy(sent.upstream, "cal-1", sizeof(sent.upstream));
@@ -272,8 +272,8 @@
 
 TEST_F(Timeline, OutputsNameWhatHappened)
 {
-	guint a = aub_timeline_process(timeline, "a1", "a", 1);
-	guint b = aub_timeline_process(timeline, "b1", "b", 1);
+	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
+	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 	struct aub_timeline_filter all = {};
 
 	relayed_request(a, b, 0xabc, 10000000, 10000100);
@@ -282,8 +282,8 @@
 	char *text = aub_timeline_text(timeline, list);
 	char *json = aub_timeline_json(timeline, list);
 	char *svg = aub_timeline_svg(timeline, list);
-	char *story = aub_timeline_narrate(timeline, 0xabc);
-	char *none = aub_timeline_narrate(timeline, 0xdef);
+	char *story = aub_timeline_describe_request(timeline, 0xabc);
+	char *none = aub_timeline_describe_request(timeline, 0xdef);
 
 	EXPECT_EQ(std::string(text).substr(0, 64),
 		  "00:00:10.000000 a1               arrived     "
--- a/tests/test_upstream_client.cc
+++ b/tests/test_upstream_client.cc
@@ -13,7 +13,7 @@
 struct Result {
 	bool done = false;
 	enum aub_attempt_result result = AUB_ATTEMPT_CANCELLED;
-	struct aub_upstream_signs signs = {};
+	struct aub_upstream_signals signs = {};
 	int status = 0;
 	std::string body;
 	std::string encoding;
@@ -21,7 +21,7 @@
 };
 
 static void on_done(enum aub_attempt_result result,
-		    const struct aub_upstream_signs *signs,
+		    const struct aub_upstream_signals *signs,
 		    struct aub_answer *answer, const GError *error,
 		    void *context)
 {
@@ -173,7 +173,7 @@
 	for (const char *bytes : broken) {
 		reply(bytes, true);
 		Result result = run("POST", true);
-		EXPECT_EQ(result.result, AUB_ATTEMPT_LOST) << bytes;
+		EXPECT_EQ(result.result, AUB_ATTEMPT_CONNECTION_LOST) << bytes;
 		EXPECT_NE(result.error, "") << bytes;
 	}
 	EXPECT_EQ(peer.requests.size(), G_N_ELEMENTS(broken));
@@ -211,7 +211,7 @@
 	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_ANSWERED);
 	reply("", true);
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_LOST);
+	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_CONNECTION_LOST);
 	EXPECT_EQ(peer.requests.size(), 2u);
 	EXPECT_EQ(peer.connections, 1);
 }
@@ -236,7 +236,7 @@
 {
 	reply("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
 	      "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale");
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_LOST);
+	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_CONNECTION_LOST);
 	reply("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond");
 	EXPECT_EQ(run("GET", false).body, "second");
 }
@@ -260,7 +260,7 @@
 {
 	std::string body(200000, 'x');
 	reply("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body);
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_LOST);
+	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_CONNECTION_LOST);
 }
 
 TEST_F(UpstreamClient, CancelClosesTheConnection)
@@ -285,11 +285,11 @@
 struct Load {
 	bool done = false;
 	bool answered = false;
-	struct aub_upstream_signs signs = {};
+	struct aub_upstream_signals signs = {};
 	guint32 busy = 0;
 };
 
-static void on_load(bool answered, const struct aub_upstream_signs *signs,
+static void on_load(bool answered, const struct aub_upstream_signals *signs,
 		    guint32 busy, void *context)
 {
 	*static_cast<Load *>(context) = { true, answered, *signs, busy };
--- a/tools/policy-model.c
+++ b/tools/policy-model.c
@@ -189,7 +189,7 @@
 static void report(struct model *m, struct job *job,
 		   enum aub_attempt_result result)
 {
-	struct aub_upstream_signs signs = { .boot_id = 1 };
+	struct aub_upstream_signals signs = { .boot_id = 1 };
 
 	aub_dispatcher_attempt_done(m->entries[job->entry], job->request,
 				    job->attempt, result, &signs, m->now_us);
@@ -229,7 +229,7 @@
 	struct aub_action action;
 	gint64 wake_us;
 
-	while (aub_dispatcher_next(d, &action)) {
+	while (aub_dispatcher_next_action(d, &action)) {
 		switch (action.type) {
 		case AUB_ACTION_SEND:
 			job_send(m, entry, &action);
@@ -247,7 +247,7 @@
 			break;
 		}
 	}
-	wake_us = aub_dispatcher_wake_us(d);
+	wake_us = aub_dispatcher_next_wakeup_us(d);
 	if (wake_us < m->wake_us[entry]) {
 		m->wake_us[entry] = wake_us;
 		schedule(m, MAX(wake_us, m->now_us + 1), EVENT_WAKE, entry,
@@ -277,13 +277,13 @@
 	if (m->now_us >= WARM_UP_US)
 		m->offered++;
 	g_hash_table_insert(m->arrived, &moment[1], moment);
-	aub_dispatcher_arrive(m->entries[entry], &request, m->now_us);
+	aub_dispatcher_submit(m->entries[entry], &request, m->now_us);
 	settle(m, entry);
 }
 
 static void on_probed(struct model *m, const struct event *event)
 {
-	struct aub_upstream_signs signs = { .boot_id = 1 };
+	struct aub_upstream_signals signs = { .boot_id = 1 };
 	const struct model_upstream *u = &m->upstreams[event->upstream];
 
 	aub_dispatcher_probe_done(m->entries[event->entry], event->upstream,
