--- a/tests/test_dispatch_state.cc
+++ b/tests/test_dispatch_state.cc
@@ -1,9 +1,9 @@
 /*
- * Random mixes of arrivals, results, cold starts, role changes and
- * reconfigurations against plain truth: what each upstream really had.
+ * Random sequences of requests, results, cold starts, role changes and
+ * reconfigurations, checked against a model of the real state of each upstream.
  *
- * 400 sequences with a fixed seed; AUB_FUZZ_SEQUENCES and AUB_FUZZ_SEED ask
- * for others. A failing sequence is printed, and shrunk with AUB_FUZZ_SHRINK.
+ * 400 sequences with a fixed seed; AUB_FUZZ_SEQUENCES and AUB_FUZZ_SEED select
+ * others. A failing sequence is printed, and shrunk if AUB_FUZZ_SHRINK is set.
  */
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -14,130 +14,135 @@
 #include <deque>
 #include <set>
 
-static const guint MOST_UPSTREAMS = 5;
+static const guint UPSTREAMS_MAX = 5;
 
 struct command {
-	guint8 kind;
+	guint8 type;
 	guint32 value;
 };
 
 static void showValue(const command &c, std::ostream &out)
 {
-	out << "{" << (int)c.kind << "," << c.value << "}";
+	out << "{" << (int)c.type << "," << c.value << "}";
 }
 
 /* An attempt that was sent and is not reported yet. */
-struct outstanding {
+struct outstanding_attempt {
 	struct aub_action sent;
 	bool cancelled;
 };
 
-struct true_request {
-	bool once = false;
+struct request_model {
+	bool at_most_once = false;
 	bool abandoned = false;
-	guint finals = 0;
-	bool may_have_run = false; /* by a report */
-	guint unreported = 0;
+	guint final_actions = 0;
+	bool may_have_run = false; /* according to reported results */
+	guint outstanding_attempts = 0;
 	std::set<guint32> answered;
 };
 
-struct true_upstream {
-	guint64 boot = 1;
-	gint64 cold_until = 0;
-	bool misleads = false;
-	bool down = false;
+struct upstream_model {
+	guint64 boot_id = 1;
+	gint64 cold_until_us = 0;
+	bool hides_cold = false;
+	bool unreachable = false;
 	bool draining = false;
 	guint in_flight = 0;
-	/* what it told the dispatcher */
-	guint64 told_boot = 0;
-	bool told_cold = false;
-	gint64 cold_from = 0; /* 0: not seen cold */
+	/* the state that was reported to the dispatcher */
+	guint64 reported_boot_id = 0;
+	bool reported_cold = false;
+	gint64 cold_since_us = 0; /* 0: not known to be cold */
 };
 
-class World
+class DispatcherModel
 {
       public:
-	explicit World(const fixture_options &options) : fixture(options, false)
+	explicit DispatcherModel(const fixture_options &options)
+	    : fixture(options, false)
 	{
 	}
 
 	void run(const std::vector<command> &commands)
 	{
 		for (const auto &c : commands) {
-			step(c);
-			settle_actions();
+			run_command(c);
+			process_actions();
 		}
-		finish();
+		finish_all();
 	}
 	guint64 digest = 14695981039346656037u;
 
       private:
 	DispatchFixture fixture;
 	enum aub_dispatch_role role = AUB_DISPATCH_NONE;
-	gint64 settle_until = 0;
-	std::map<guint64, true_request> requests;
-	std::vector<outstanding> running;
+	gint64 takeover_grace_until_us = 0;
+	std::map<guint64, request_model> requests;
+	std::vector<outstanding_attempt> running;
 	std::vector<struct aub_action> probes;
 	std::deque<gint64> probe_times;
-	true_upstream upstreams[MOST_UPSTREAMS];
+	upstream_model upstreams[UPSTREAMS_MAX];
 	guint64 next_id = 1;
 
-	void note(guint64 value)
+	void add_to_digest(guint64 value)
 	{
 		digest = (digest ^ value) * 1099511628211u;
 	}
 
-	/* The cap that holds for an upstream by what it has told. */
-	guint cap(const true_upstream &u) const
+	/*
+	 * Returns the limit of concurrent attempts that follows from the state
+	 * which the upstream has reported.
+	 */
+	guint attempt_limit(const upstream_model &u) const
 	{
-		bool cold =
-			u.told_cold ||
-			(u.cold_from &&
-			 fixture.now - u.cold_from < fixture.options.cold_ms * AUB_MS);
-		bool shared =
-			role == AUB_DISPATCH_STANDBY || fixture.now < settle_until;
+		bool cold = u.reported_cold ||
+			    (u.cold_since_us &&
+			     fixture.now - u.cold_since_us <
+				     fixture.options.cold_ms * AUB_MS);
+		bool shared = role == AUB_DISPATCH_STANDBY ||
+			      fixture.now < takeover_grace_until_us;
 
 		if (shared)
 			return cold ? 0 : fixture.options.slots / 2;
-		return cold || !u.told_boot ? fixture.options.cold_slots :
-					      fixture.options.slots;
+		return cold || !u.reported_boot_id ?
+			       fixture.options.cold_slots :
+			       fixture.options.slots;
 	}
 
 	void check_send(const struct aub_action &a)
 	{
-		true_request &request = requests.at(a.request);
-		true_upstream &u = upstreams[a.upstream];
+		request_model &request = requests.at(a.request);
+		upstream_model &u = upstreams[a.upstream];
 
 		RC_ASSERT(role != AUB_DISPATCH_NONE);
 		RC_ASSERT(a.upstream < fixture.options.upstreams);
 		RC_ASSERT(!(fixture.options.out >> a.upstream & 1));
-		RC_ASSERT(request.finals == 0u);
+		RC_ASSERT(request.final_actions == 0u);
 		RC_ASSERT(!request.abandoned);
-		RC_ASSERT(u.in_flight + 1 <= cap(u));
-		if (request.once) {
+		RC_ASSERT(u.in_flight + 1 <= attempt_limit(u));
+		if (request.at_most_once) {
 			RC_ASSERT(!request.may_have_run);
-			RC_ASSERT(request.unreported == 0u);
+			RC_ASSERT(request.outstanding_attempts == 0u);
 		}
 		for (const auto &other : running)
 			if (a.hedge && other.sent.request == a.request)
 				RC_ASSERT(other.sent.upstream != a.upstream);
-		RC_ASSERT(a.hedge == (request.unreported > 0));
+		RC_ASSERT(a.hedge == (request.outstanding_attempts > 0));
 		u.in_flight++;
-		request.unreported++;
+		request.outstanding_attempts++;
 		running.push_back({ a, false });
 	}
 
 	void check_final(const struct aub_action &a)
 	{
-		true_request &request = requests.at(a.request);
+		request_model &request = requests.at(a.request);
 
-		request.finals++;
-		RC_ASSERT(request.finals == 1u);
+		request.final_actions++;
+		RC_ASSERT(request.final_actions == 1u);
 		RC_ASSERT(!request.abandoned);
 		if (a.type == AUB_ACTION_REFUSE) {
 			RC_ASSERT(!request.may_have_run);
 			RC_ASSERT(request.answered.empty());
-			RC_ASSERT(request.unreported == 0u);
+			RC_ASSERT(request.outstanding_attempts == 0u);
 			RC_ASSERT(a.refusal != AUB_REFUSAL_NONE);
 			RC_ASSERT(a.retry_after_ms >= 1u);
 		} else if (a.type == AUB_ACTION_UNKNOWN) {
@@ -149,31 +154,32 @@
 
 	void check_probe(const struct aub_action &a)
 	{
-		guint64 spent;
+		guint64 spent_us;
 
 		RC_ASSERT(role != AUB_DISPATCH_NONE);
 		probe_times.push_back(fixture.now);
 		while (probe_times.front() <= fixture.now - AUB_SECOND)
 			probe_times.pop_front();
-		spent = probe_times.size() * fixture.options.probe_cost_us;
-		RC_ASSERT(spent <= fixture.options.probe_budget_us / 2);
+		spent_us = probe_times.size() * fixture.options.probe_cost_us;
+		RC_ASSERT(spent_us <= fixture.options.probe_budget_us / 2);
 		probes.push_back(a);
 	}
 
-	void settle_actions()
+	void process_actions()
 	{
 		for (const auto &a : fixture.take()) {
-			note(a.type);
-			note(a.request << 16 | a.attempt << 8 | a.upstream);
+			add_to_digest(a.type);
+			add_to_digest(a.request << 16 | a.attempt << 8 |
+				      a.upstream);
 			switch (a.type) {
 			case AUB_ACTION_SEND:
 				check_send(a);
 				break;
 			case AUB_ACTION_CANCEL:
-				for (auto &one : running)
-					if (one.sent.request == a.request &&
-					    one.sent.attempt == a.attempt)
-						one.cancelled = true;
+				for (auto &attempt : running)
+					if (attempt.sent.request == a.request &&
+					    attempt.sent.attempt == a.attempt)
+						attempt.cancelled = true;
 				break;
 			case AUB_ACTION_PROBE:
 				check_probe(a);
@@ -185,66 +191,69 @@
 		}
 	}
 
-	void told(true_upstream &u, bool cold)
+	void record_report(upstream_model &u, bool cold)
 	{
-		if (u.told_boot && u.told_boot != u.boot) {
-			u.cold_from = fixture.now;
-			u.told_cold = false;
+		if (u.reported_boot_id && u.reported_boot_id != u.boot_id) {
+			u.cold_since_us = fixture.now;
+			u.reported_cold = false;
 		}
-		if (cold && !u.told_cold && !u.cold_from)
-			u.cold_from = fixture.now;
-		if (!cold && u.told_cold)
-			u.cold_from = 0;
-		u.told_cold = cold;
-		u.told_boot = u.boot;
+		if (cold && !u.reported_cold && !u.cold_since_us)
+			u.cold_since_us = fixture.now;
+		if (!cold && u.reported_cold)
+			u.cold_since_us = 0;
+		u.reported_cold = cold;
+		u.reported_boot_id = u.boot_id;
 	}
 
-	bool says_cold(const true_upstream &u) const
+	bool reports_cold(const upstream_model &u) const
 	{
-		return fixture.now < u.cold_until && !u.misleads;
+		return fixture.now < u.cold_until_us && !u.hides_cold;
 	}
 
-	enum aub_attempt_result result(const outstanding &one, guint32 value)
+	enum aub_attempt_result choose_result(
+		const outstanding_attempt &attempt, guint32 value)
 	{
-		static const enum aub_attempt_result odd[] = {
+		static const enum aub_attempt_result failures[] = {
 			AUB_ATTEMPT_SHED, AUB_ATTEMPT_NOT_CONNECTED,
 			AUB_ATTEMPT_CONNECTION_LOST, AUB_ATTEMPT_TIMEOUT,
 			AUB_ATTEMPT_CANCELLED
 		};
-		const true_upstream &u = upstreams[one.sent.upstream];
+		const upstream_model &u = upstreams[attempt.sent.upstream];
 
-		if (one.cancelled && value % 4)
+		if (attempt.cancelled && value % 4)
 			return AUB_ATTEMPT_CANCELLED;
-		if (u.down)
+		if (u.unreachable)
 			return value % 2 ? AUB_ATTEMPT_CONNECTION_LOST :
 					   AUB_ATTEMPT_NOT_CONNECTED;
 		if (value % 10 < 7)
 			return AUB_ATTEMPT_ANSWERED;
-		return odd[value / 10 % G_N_ELEMENTS(odd)];
+		return failures[value / 10 % G_N_ELEMENTS(failures)];
 	}
 
 	void report(guint32 value)
 	{
 		if (running.empty())
 			return;
-		guint at = value / 100 % running.size();
-		outstanding one = running[at];
-		enum aub_attempt_result how = result(one, value);
-		true_request &request = requests.at(one.sent.request);
-		true_upstream &u = upstreams[one.sent.upstream];
-		bool cold = says_cold(u);
-
-		running.erase(running.begin() + at);
+		guint index = value / 100 % running.size();
+		outstanding_attempt attempt = running[index];
+		enum aub_attempt_result result = choose_result(attempt, value);
+		request_model &request = requests.at(attempt.sent.request);
+		upstream_model &u = upstreams[attempt.sent.upstream];
+		bool cold = reports_cold(u);
+
+		running.erase(running.begin() + index);
 		u.in_flight--;
-		request.unreported--;
-		if (how == AUB_ATTEMPT_ANSWERED || how == AUB_ATTEMPT_SHED)
-			told(u, cold);
-		if (how == AUB_ATTEMPT_ANSWERED)
-			request.answered.insert(one.sent.attempt);
-		if (how != AUB_ATTEMPT_SHED && how != AUB_ATTEMPT_NOT_CONNECTED)
+		request.outstanding_attempts--;
+		if (result == AUB_ATTEMPT_ANSWERED ||
+		    result == AUB_ATTEMPT_SHED)
+			record_report(u, cold);
+		if (result == AUB_ATTEMPT_ANSWERED)
+			request.answered.insert(attempt.sent.attempt);
+		if (result != AUB_ATTEMPT_SHED &&
+		    result != AUB_ATTEMPT_NOT_CONNECTED)
 			request.may_have_run = true;
-		fixture.done(one.sent, how, u.boot, cold, value % 7 == 0,
-			 u.draining);
+		fixture.done(attempt.sent, result, u.boot_id, cold,
+			     value % 7 == 0, u.draining);
 	}
 
 	void report_probe(guint32 value)
@@ -252,63 +261,68 @@
 		if (probes.empty())
 			return;
 		struct aub_action probe = probes.back();
-		true_upstream &u = upstreams[probe.upstream];
-		bool answered = !u.down && value % 5;
+		upstream_model &u = upstreams[probe.upstream];
+		bool answered = !u.unreachable && value % 5;
 
 		probes.pop_back();
 		if (answered)
-			told(u, says_cold(u));
-		fixture.probe_done(probe, answered, u.boot, says_cold(u));
+			record_report(u, reports_cold(u));
+		fixture.probe_done(probe, answered, u.boot_id, reports_cold(u));
 	}
 
 	void arrive(guint32 value)
 	{
 		guint64 id = next_id++;
-		bool once = value % 3 == 0;
+		bool at_most_once = value % 3 == 0;
 
-		requests[id].once = once;
-		fixture.arrive(id, once, value / 4 % 4 * 60,
-			   (value / 16 % 100) * 10 * AUB_MS, value / 2000 % 6);
+		requests[id].at_most_once = at_most_once;
+		fixture.arrive(id, at_most_once, value / 4 % 4 * 60,
+			       (value / 16 % 100) * 10 * AUB_MS,
+			       value / 2000 % 6);
 	}
 
 	void change_role(guint32 value)
 	{
-		enum aub_dispatch_role next =
+		enum aub_dispatch_role new_role =
 			(enum aub_dispatch_role)(value % 3);
-		gint64 settle = value / 3 % 4 * 200 * AUB_MS;
-
-		if (next == AUB_DISPATCH_OWNER && role != next)
-			settle_until = fixture.now + settle;
-		role = next;
-		aub_dispatcher_set_role(fixture.d, next, settle, fixture.now);
+		gint64 takeover_grace_us = value / 3 % 4 * 200 * AUB_MS;
+
+		if (new_role == AUB_DISPATCH_OWNER && role != new_role)
+			takeover_grace_until_us =
+				fixture.now + takeover_grace_us;
+		role = new_role;
+		aub_dispatcher_set_role(fixture.d, new_role, takeover_grace_us,
+					fixture.now);
 	}
 
 	void reconfigure(guint32 value)
 	{
 		fixture.options.out = value % 32;
-		fixture.options.upstreams = 1 + value / 32 % MOST_UPSTREAMS;
+		fixture.options.upstreams = 1 + value / 32 % UPSTREAMS_MAX;
 		probes.clear();
-		for (guint i = fixture.options.upstreams; i < MOST_UPSTREAMS; i++)
+		for (guint i = fixture.options.upstreams; i < UPSTREAMS_MAX;
+		     i++)
 			if (!upstreams[i].in_flight)
-				forget(upstreams[i]);
+				reset_reported_state(upstreams[i]);
 		fixture.configure();
 	}
 
-	void forget(true_upstream &u)
+	void reset_reported_state(upstream_model &u)
 	{
-		u.told_boot = 0;
-		u.told_cold = false;
-		u.cold_from = 0;
+		u.reported_boot_id = 0;
+		u.reported_cold = false;
+		u.cold_since_us = 0;
 	}
 
 	void restart(guint32 value)
 	{
-		true_upstream &u = upstreams[value % MOST_UPSTREAMS];
+		upstream_model &u = upstreams[value % UPSTREAMS_MAX];
 
-		u.boot++;
-		u.cold_until = fixture.now + fixture.options.cold_ms * AUB_MS;
-		u.misleads = value / 8 % 2;
-		u.down = value / 16 % 4 == 0;
+		u.boot_id++;
+		u.cold_until_us =
+			fixture.now + fixture.options.cold_ms * AUB_MS;
+		u.hides_cold = value / 8 % 2;
+		u.unreachable = value / 16 % 4 == 0;
 		u.draining = value / 64 % 8 == 0;
 	}
 
@@ -316,34 +330,39 @@
 	{
 		guint64 id = 1 + value % next_id;
 
-		if (!requests.count(id) || requests[id].finals)
+		if (!requests.count(id) || requests[id].final_actions)
 			return;
 		requests[id].abandoned = true;
 		aub_dispatcher_abandon(fixture.d, id, fixture.now);
 	}
 
-	/* As an entry does it: a tick at each moment asked for on the way. */
-	void pass(gint64 us)
+	/*
+	 * Advances the time as an entry does, with a tick at each requested
+	 * wake-up.
+	 */
+	void advance_time(gint64 us)
 	{
 		gint64 until = fixture.now + us;
 
 		for (;;) {
 			gint64 wake = aub_dispatcher_next_wakeup_us(fixture.d);
 
-			fixture.advance_time(CLAMP(wake, fixture.now, until) - fixture.now);
-			settle_actions();
-			RC_ASSERT(aub_dispatcher_next_wakeup_us(fixture.d) > fixture.now);
+			fixture.advance_time(CLAMP(wake, fixture.now, until) -
+					     fixture.now);
+			process_actions();
+			RC_ASSERT(aub_dispatcher_next_wakeup_us(fixture.d) >
+				  fixture.now);
 			while (fixture.now % 3 && !probes.empty())
 				report_probe((guint32)fixture.now);
-			settle_actions();
+			process_actions();
 			if (fixture.now >= until)
 				break;
 		}
 	}
 
-	void step(const command &c)
+	void run_command(const command &c)
 	{
-		switch (c.kind % 20) {
+		switch (c.type % 20) {
 		case 0 ... 6:
 			arrive(c.value);
 			break;
@@ -351,10 +370,10 @@
 			report(c.value);
 			break;
 		case 13:
-			pass(1 + c.value % (20 * AUB_MS));
+			advance_time(1 + c.value % (20 * AUB_MS));
 			break;
 		case 14:
-			pass(1 + c.value % (2 * AUB_SECOND));
+			advance_time(1 + c.value % (2 * AUB_SECOND));
 			break;
 		case 15:
 			restart(c.value);
@@ -374,19 +393,23 @@
 		}
 	}
 
-	/* Let everything end; each request must have had its one answer. */
-	void finish()
+	/*
+	 * Lets all requests end and checks that each had exactly one final
+	 * action.
+	 */
+	void finish_all()
 	{
-		for (int round = 0; aub_dispatcher_pending(fixture.d); round++) {
+		for (int round = 0; aub_dispatcher_pending(fixture.d);
+		     round++) {
 			RC_ASSERT(round < 10000);
 			while (!running.empty()) {
 				report(1);
-				settle_actions();
+				process_actions();
 			}
-			pass(50 * AUB_MS);
+			advance_time(50 * AUB_MS);
 		}
 		for (const auto &[id, request] : requests)
-			RC_ASSERT(request.finals ==
+			RC_ASSERT(request.final_actions ==
 				  (request.abandoned ? 0u : 1u));
 		for (const auto &u : upstreams)
 			RC_ASSERT(u.in_flight == 0u);
@@ -397,7 +420,7 @@
 {
 	fixture_options options;
 
-	options.upstreams = MOST_UPSTREAMS;
+	options.upstreams = UPSTREAMS_MAX;
 	options.slots = 1 + value % 6;
 	options.cold_slots = 1 + value / 6 % options.slots;
 	options.queue_limit = 1 + value / 36 % 10;
@@ -433,21 +456,21 @@
 	       " max_success=" + (sequences ? sequences : "400");
 }
 
-TEST(DispatchState, HoldsItsPromisesUnderRandomMixes)
+TEST(DispatchState, KeepsInvariantsUnderRandomSequences)
 {
 	setenv("RC_PARAMS", parameters().c_str(), 1);
-	bool good = rc::check("dispatcher against plain truth", [] {
+	bool passed = rc::check("dispatcher agrees with its model", [] {
 		const auto commands = *rc::gen::resize(
 			400, rc::gen::arbitrary<std::vector<command>>());
-		const auto shape =
+		const auto options_seed =
 			*rc::gen::resize(100,
 					 rc::gen::inRange<int>(0, 1 << 24));
-		World first(make_options((guint32)shape));
-		World second(make_options((guint32)shape));
+		DispatcherModel first(make_options((guint32)options_seed));
+		DispatcherModel second(make_options((guint32)options_seed));
 
 		first.run(commands);
 		second.run(commands);
 		RC_ASSERT(first.digest == second.digest);
 	});
-	EXPECT_TRUE(good);
+	EXPECT_TRUE(passed);
 }
--- a/tests/test_key_table.cc
+++ b/tests/test_key_table.cc
@@ -1,4 +1,7 @@
-/* Remembered keys: bound, kept, handed over, never forgotten early. */
+/*
+ * Idempotency keys: binding to requests, retained answers, hand-over, retention
+ * time.
+ */
 #include <gtest/gtest.h>
 
 #include <auburnstile/key_table.h>
@@ -6,31 +9,31 @@
 
 #include <string>
 
-static const gint64 KEEP_US = 60 * AUB_SECOND;
+static const gint64 RETENTION_US = 60 * AUB_SECOND;
 
 class KeyTable : public testing::Test
 {
       protected:
-	struct aub_key_table *table = aub_key_table_new(64 << 10, KEEP_US);
-	guint8 mine[AUB_FINGERPRINT_BYTES];
-	guint8 other[AUB_FINGERPRINT_BYTES];
+	struct aub_key_table *table = aub_key_table_new(64 << 10, RETENTION_US);
+	guint8 own_fingerprint[AUB_FINGERPRINT_BYTES];
+	guint8 other_fingerprint[AUB_FINGERPRINT_BYTES];
 	const struct aub_key_record *record = NULL;
 
 	void SetUp() override
 	{
 		aub_request_fingerprint("POST", "/fees", NULL, "me", NULL,
-					mine);
+					own_fingerprint);
 		aub_request_fingerprint("POST", "/fees", NULL, "you", NULL,
-					other);
+					other_fingerprint);
 	}
 	void TearDown() override
 	{
 		aub_key_table_free(table);
 	}
 	enum aub_key_decision begin(const std::string &key, gint64 now_us,
-				   gint64 grant_age_us = 0)
+				    gint64 grant_age_us = 0)
 	{
-		return aub_key_table_begin(table, key.c_str(), mine,
+		return aub_key_table_begin(table, key.c_str(), own_fingerprint,
 					   grant_age_us, now_us, &record);
 	}
 	void finish(const std::string &key, enum aub_outcome outcome,
@@ -50,35 +53,38 @@
 	}
 };
 
-TEST_F(KeyTable, RepeatGetsTheKeptAnswerUntilItsTimeIsOver)
+TEST_F(KeyTable, RepeatedRequestGetsRetainedAnswerUntilItExpires)
 {
 	EXPECT_EQ(begin("k", 0), AUB_KEY_NEW);
 	EXPECT_EQ(begin("k", 1), AUB_KEY_RUNNING);
 	finish("k", AUB_OUTCOME_RUN, 5, 10);
-	ASSERT_EQ(begin("k", 10 + KEEP_US - 1), AUB_KEY_RECORDED);
+	ASSERT_EQ(begin("k", 10 + RETENTION_US - 1), AUB_KEY_RECORDED);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_RUN);
 	EXPECT_EQ(record->status, 201u);
 	EXPECT_EQ(record->body.length, 5u);
 	EXPECT_EQ(record->headers->len, 1u);
-	EXPECT_EQ(begin("k", 10 + KEEP_US), AUB_KEY_NEW);
+	EXPECT_EQ(begin("k", 10 + RETENTION_US), AUB_KEY_NEW);
 }
 
 /*
- * A caller who guesses another's key sees neither its answer nor whether it
- * runs still: the key is bound to credentials and content from the start.
+ * A caller who guesses another caller's key must learn neither its answer nor
+ * whether it is still running: a key is bound to credentials and content from
+ * the start.
  */
-TEST_F(KeyTable, AnotherCallersKeyOpensNothing)
+TEST_F(KeyTable, KeyOfAnotherCallerIsAMismatch)
 {
 	EXPECT_EQ(begin("k", 0), AUB_KEY_NEW);
-	EXPECT_EQ(aub_key_table_begin(table, "k", other, 0, 1, &record),
+	EXPECT_EQ(aub_key_table_begin(table, "k", other_fingerprint, 0, 1,
+				      &record),
 		  AUB_KEY_MISMATCH);
 	finish("k", AUB_OUTCOME_RUN, 5, 10);
-	EXPECT_EQ(aub_key_table_begin(table, "k", other, 0, 11, &record),
+	EXPECT_EQ(aub_key_table_begin(table, "k", other_fingerprint, 0, 11,
+				      &record),
 		  AUB_KEY_MISMATCH);
 	EXPECT_EQ(record, nullptr);
 }
 
-TEST_F(KeyTable, NotRunMayRunAgainAndUnknownMayNot)
+TEST_F(KeyTable, NotRunMayBeRepeatedAndUnknownMayNot)
 {
 	EXPECT_EQ(begin("a", 0), AUB_KEY_NEW);
 	finish("a", AUB_OUTCOME_NOT_RUN, 0, 1);
@@ -89,25 +95,26 @@
 }
 
 /*
- * The table is filled with running keys. New ones are refused, "not run";
- * forgetting an old one instead would let its repeat run a second time.
+ * The table is filled with keys of running requests. New keys are refused and
+ * their requests not run. If an old key were dropped instead, a repeated
+ * request would be executed more than once.
  */
-TEST_F(KeyTable, FullRefusesTheNewAndForgetsNothing)
+TEST_F(KeyTable, FullTableRefusesNewKeysAndKeepsAllOthers)
 {
 	guint count = 0;
 
 	while (begin("key-" + std::to_string(count), 0) == AUB_KEY_NEW)
 		count++;
 	EXPECT_GT(count, 200u);
-	EXPECT_EQ(begin("key-" + std::to_string(count), KEEP_US * 9),
+	EXPECT_EQ(begin("key-" + std::to_string(count), RETENTION_US * 9),
 		  AUB_KEY_FULL);
 	for (guint i = 0; i < count; i++)
-		EXPECT_EQ(begin("key-" + std::to_string(i), KEEP_US * 9),
+		EXPECT_EQ(begin("key-" + std::to_string(i), RETENTION_US * 9),
 			  AUB_KEY_RUNNING);
 	EXPECT_LE(aub_key_table_bytes(table), 64u << 10);
 }
 
-TEST_F(KeyTable, AnswerThatDoesNotFitIsKeptAsItsOutcome)
+TEST_F(KeyTable, KeepsOnlyOutcomeOfAnswerThatDoesNotFit)
 {
 	EXPECT_EQ(begin("a", 0), AUB_KEY_NEW);
 	finish("a", AUB_OUTCOME_RUN, 64 << 10, 1);
@@ -119,11 +126,11 @@
 }
 
 /*
- * Payments come faster than their answers are forgotten. Without room the
- * entry would refuse all new ones; the oldest answers' bodies give way, and
- * a repeat of such a payment still learns that it ran.
+ * Requests arrive faster than their answers expire. Without room, all new ones
+ * would have to be refused; instead the bodies of the oldest answers are
+ * dropped, and the outcome of those requests remains known.
  */
-TEST_F(KeyTable, OldAnswersGiveWayToNewKeys)
+TEST_F(KeyTable, DropsOldestAnswersForNewKeys)
 {
 	for (int i = 0; i < 150; i++) {
 		std::string key = "key-" + std::to_string(i);
@@ -141,57 +148,62 @@
 }
 
 /*
- * A payment ran, its key was remembered for the time set and then forgotten.
- * Its caller repeats. The key is not in the table any more; only the age of
- * its grant keeps it from running a second time.
+ * A request ran, and its key was removed after the retention time. When the
+ * caller repeats the request, only the age of the key's grant prevents a second
+ * execution.
  */
-TEST_F(KeyTable, ForgottenKeyDoesNotRunAgain)
+TEST_F(KeyTable, ExpiredKeyDoesNotRunAgain)
 {
-	gint64 later = KEEP_US + 10;
+	gint64 later_us = RETENTION_US + 10;
 
 	EXPECT_EQ(begin("k", 0), AUB_KEY_NEW);
 	finish("k", AUB_OUTCOME_RUN, 5, 1);
-	EXPECT_EQ(begin("k", later, later), AUB_KEY_FORGOTTEN);
-	EXPECT_EQ(begin("never", 0, KEEP_US / 2 + 1), AUB_KEY_GRANT_EXPIRED);
-	EXPECT_EQ(begin("never", 0, -KEEP_US), AUB_KEY_GRANT_EXPIRED);
-	EXPECT_EQ(begin("never", 0, KEEP_US / 2), AUB_KEY_NEW);
+	EXPECT_EQ(begin("k", later_us, later_us), AUB_KEY_FORGOTTEN);
+	EXPECT_EQ(begin("never", 0, RETENTION_US / 2 + 1),
+		  AUB_KEY_GRANT_EXPIRED);
+	EXPECT_EQ(begin("never", 0, -RETENTION_US), AUB_KEY_GRANT_EXPIRED);
+	EXPECT_EQ(begin("never", 0, RETENTION_US / 2), AUB_KEY_NEW);
 }
 
 /*
- * An entry stops in order and hands its keys on. What still ran there is
- * unknown to the heir; the time left to remember goes on from where it was.
+ * An entry shuts down gracefully and hands its keys over. Requests that were
+ * still running are unknown to the successor; the remaining retention time is
+ * preserved.
  */
-TEST_F(KeyTable, HandOverKeepsAnswersAndTimes)
+TEST_F(KeyTable, HandOverPreservesAnswersAndRetentionTimes)
 {
-	struct aub_key_table *heir = aub_key_table_new(64 << 10, KEEP_US);
+	struct aub_key_table *successor =
+		aub_key_table_new(64 << 10, RETENTION_US);
 
 	begin("ran", 0);
 	finish("ran", AUB_OUTCOME_RUN, 7, 0);
 	begin("runs", 0);
-	GPtrArray *list = aub_key_table_export(table, KEEP_US / 2);
+	GPtrArray *list = aub_key_table_export(table, RETENTION_US / 2);
 	ASSERT_EQ(list->len, 2u);
 	for (guint i = 0; i < list->len; i++)
-		aub_key_table_import(heir,
+		aub_key_table_import(successor,
 				     (struct aub_key_record *)list->pdata[i],
 				     1000);
-	ASSERT_EQ(aub_key_table_begin(heir, "ran", mine, 0, 1001, &record),
+	ASSERT_EQ(aub_key_table_begin(successor, "ran", own_fingerprint, 0,
+				      1001, &record),
 		  AUB_KEY_RECORDED);
 	EXPECT_EQ(record->body.length, 7u);
-	ASSERT_EQ(aub_key_table_begin(heir, "runs", mine, 0, 1001, &record),
+	ASSERT_EQ(aub_key_table_begin(successor, "runs", own_fingerprint, 0,
+				      1001, &record),
 		  AUB_KEY_RECORDED);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_UNKNOWN);
-	EXPECT_EQ(aub_key_table_begin(heir, "ran", mine, 0, 1000 + KEEP_US / 2,
-				      &record),
+	EXPECT_EQ(aub_key_table_begin(successor, "ran", own_fingerprint, 0,
+				      1000 + RETENTION_US / 2, &record),
 		  AUB_KEY_NEW);
 	g_ptr_array_unref(list);
-	aub_key_table_free(heir);
+	aub_key_table_free(successor);
 }
 
-TEST_F(KeyTable, MemoryOfEndedKeysIsGivenBack)
+TEST_F(KeyTable, FreesMemoryOfExpiredKeys)
 {
 	for (int i = 0; i < 1000; i++) {
 		std::string key = "key-" + std::to_string(i);
-		gint64 now_us = i * KEEP_US;
+		gint64 now_us = i * RETENTION_US;
 
 		ASSERT_EQ(begin(key, now_us), AUB_KEY_NEW);
 		finish(key, AUB_OUTCOME_RUN, 1000, now_us);
@@ -200,7 +212,7 @@
 	EXPECT_LT(aub_key_table_bytes(table), 2000u);
 }
 
-TEST(Key, ParsesWhatAGrantMade)
+TEST(Key, ParsesKeyWithGrant)
 {
 	char *grant = aub_grant_make("e.1", 0xabc, 99, 7);
 	char *key = g_strconcat(grant, "/order/9", NULL);
@@ -219,7 +231,7 @@
 	g_free(grant);
 }
 
-TEST(Key, RefusesWhatNoGrantMade)
+TEST(Key, RejectsMalformedKeys)
 {
 	const std::string long_text(300, 'x');
 	const std::string bad[] = { "",
@@ -259,7 +271,7 @@
 	}
 }
 
-TEST(Key, FingerprintTellsPartsApart)
+TEST(Key, FingerprintDistinguishesPartBoundaries)
 {
 	guint8 a[AUB_FINGERPRINT_BYTES];
 	guint8 b[AUB_FINGERPRINT_BYTES];
--- a/tests/test_log_events.cc
+++ b/tests/test_log_events.cc
@@ -1,4 +1,4 @@
-/* The time line from log lines: what becomes what, filters, bounds. */
+/* Timeline events from log lines: mapping, filters, and limits. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/decision_log.h>
@@ -27,7 +27,7 @@
       protected:
 	struct aub_timeline *timeline = aub_timeline_new();
 	struct aub_timeline_filter filter = {};
-	int unreadable = 0;
+	int rejected_lines = 0;
 
 	void TearDown() override
 	{
@@ -39,59 +39,59 @@
 			aub_log_events_new(timeline, &filter);
 
 		for (const std::string &line : lines)
-			unreadable +=
+			rejected_lines +=
 				!aub_log_events_add_line(events, line.c_str());
 		aub_log_events_free(events);
 		aub_timeline_merge(timeline);
 		GPtrArray *entries = aub_timeline_select(timeline, &filter);
-		char *shown = aub_timeline_text(timeline, entries);
-		std::string result = shown;
-		g_free(shown);
+		char *output = aub_timeline_text(timeline, entries);
+		std::string result = output;
+		g_free(output);
 		g_ptr_array_unref(entries);
 		return result;
 	}
 };
 
-TEST_F(LogEventsTest, OrdersWhatAllProcessesSaid)
+TEST_F(LogEventsTest, OrdersEventsOfAllProcesses)
 {
-	std::string shown = text();
+	std::string output = text();
 	std::vector<std::string> expected = { "started     zone=z2 start",
 					      "started     zone=z1 start",
 					      "upstream=u1 zone=z1 upstream",
 					      "store-lost kind=upstreams" };
 	size_t at = 0;
 
-	EXPECT_EQ(unreadable, 3);
+	EXPECT_EQ(rejected_lines, 3);
 	for (const std::string &part : expected) {
-		at = shown.find(part, at);
-		EXPECT_NE(at, std::string::npos) << part << "\n" << shown;
+		at = output.find(part, at);
+		EXPECT_NE(at, std::string::npos) << part << "\n" << output;
 	}
-	EXPECT_EQ(shown.find("00ff"), std::string::npos) << shown;
+	EXPECT_EQ(output.find("00ff"), std::string::npos) << output;
 }
 
-TEST_F(LogEventsTest, ShowsOneRequestOnly)
+TEST_F(LogEventsTest, ShowsOnlySelectedRequest)
 {
 	filter.request = 0xff;
-	std::string shown = text();
+	std::string output = text();
 
-	EXPECT_NE(shown.find("00000000000000ff 502 upstream=u1"),
+	EXPECT_NE(output.find("00000000000000ff 502 upstream=u1"),
 		  std::string::npos)
-		<< shown;
-	EXPECT_EQ(shown.find("start"), std::string::npos) << shown;
+		<< output;
+	EXPECT_EQ(output.find("start"), std::string::npos) << output;
 }
 
-TEST_F(LogEventsTest, KeepsOnlyWhatTheFilterLetsThrough)
+TEST_F(LogEventsTest, KeepsOnlyEventsThatMatchFilter)
 {
 	filter.process = "g2";
 	filter.since_us = 1200 * 1000;
-	std::string shown = text();
+	std::string output = text();
 
-	EXPECT_NE(shown.find("store-lost"), std::string::npos) << shown;
-	EXPECT_EQ(shown.find("start"), std::string::npos) << shown;
-	EXPECT_EQ(shown.find("u1"), std::string::npos) << shown;
+	EXPECT_NE(output.find("store-lost"), std::string::npos) << output;
+	EXPECT_EQ(output.find("start"), std::string::npos) << output;
+	EXPECT_EQ(output.find("u1"), std::string::npos) << output;
 }
 
-TEST_F(LogEventsTest, KnowsEveryKindOfLine)
+TEST_F(LogEventsTest, MapsEveryLogEvent)
 {
 	for (int i = 0; i < AUB_LOG_EVENTS; i++) {
 		const char *name =
@@ -101,14 +101,14 @@
 	}
 }
 
-TEST_F(LogEventsTest, StopsKeepingPastItsLimit)
+TEST_F(LogEventsTest, DropsAndCountsEventsBeyondLimit)
 {
-	/* A gigabyte of lines must not become a gigabyte of events. */
+	/* Memory has to stay bounded for a gigabyte of lines. */
 	struct aub_log_events *events = aub_log_events_new(timeline, &filter);
 
 	for (int i = 0; i < AUB_LOG_EVENTS_MAX + 10; i++)
-		aub_log_events_add_line(events,
-				    R"({"t":1,"node":"g1","event":"reload"})");
+		aub_log_events_add_line(
+			events, R"({"t":1,"node":"g1","event":"reload"})");
 	EXPECT_EQ(aub_log_events_dropped(events), 10u);
 	aub_log_events_free(events);
 }
--- a/tests/test_request_trace.cc
+++ b/tests/test_request_trace.cc
@@ -1,4 +1,7 @@
-/* A request's story from log lines that are out of order, torn or foreign. */
+/*
+ * A request trace from log lines that are out of order, truncated or of other
+ * programs.
+ */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/request_trace.h>
@@ -22,14 +25,15 @@
 	R"({"t":1901,"node":"g1","event":"requ)",
 };
 
-TEST(LogStory, TellsTheRequestAndWhatHappenedAroundIt)
+TEST(RequestTrace, ShowsRequestAndRelatedEvents)
 {
 	struct aub_request_trace *trace = aub_request_trace_new("r1");
-	int unreadable = 0;
+	int rejected_lines = 0;
 
 	for (const std::string &line : lines)
-		unreadable += !aub_request_trace_add_line(trace, line.c_str());
-	EXPECT_EQ(unreadable, 2);
+		rejected_lines +=
+			!aub_request_trace_add_line(trace, line.c_str());
+	EXPECT_EQ(rejected_lines, 2);
 	EXPECT_EQ(aub_request_trace_size(trace), 2u);
 	for (const std::string &line : lines)
 		aub_request_trace_add_context_line(trace, line.c_str());
@@ -39,7 +43,7 @@
 		     "    +400 ms  g1  attempt upstream=u1 end=lost ms=300\n"
 		     "    +900 ms  g1  request status=200 service=s "
 		     "upstream=u2 tries=2 ms=900\n"
-		     "around it\n"
+		     "related events\n"
 		     "    -100 ms  g1  store-lost kind=upstreams\n"
 		     "    +350 ms  g2  health upstream=u1 service=s was=up "
 		     "probe=silent\n");
@@ -47,7 +51,7 @@
 	aub_request_trace_free(trace);
 }
 
-TEST(LogStory, HasNothingToTellOfAnUnknownRequest)
+TEST(RequestTrace, IsEmptyForUnknownRequest)
 {
 	struct aub_request_trace *trace = aub_request_trace_new("r7");
 
@@ -59,7 +63,7 @@
 	aub_request_trace_free(trace);
 }
 
-TEST(LogStory, StaysBounded)
+TEST(RequestTrace, LimitsNumberOfLines)
 {
 	struct aub_request_trace *trace = aub_request_trace_new("r1");
 
--- a/tests/test_timeline.cc
+++ b/tests/test_timeline.cc
@@ -1,4 +1,6 @@
-/* The time line: cause before effect although clocks differ; its outputs. */
+/*
+ * The timeline: causes before effects although clocks differ; output formats.
+ */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/timeline.h>
@@ -10,14 +12,14 @@
 static struct aub_event event(enum aub_event_type type, guint64 request,
 			      gint64 wall_us, const char *text = "")
 {
-	struct aub_event it = {};
-
-	it.type = type;
-	it.request = request;
-	it.wall_us = wall_us;
-	it.number = type == AUB_EVENT_FINISHED ? 200 : 0;
-	g_strlcpy(it.text, text, sizeof(it.text));
-	return it;
+	struct aub_event entry = {};
+
+	entry.type = type;
+	entry.request = request;
+	entry.wall_us = wall_us;
+	entry.number = type == AUB_EVENT_FINISHED ? 200 : 0;
+	g_strlcpy(entry.text, text, sizeof(entry.text));
+	return entry;
 }
 
 class Timeline : public testing::Test
@@ -32,98 +34,100 @@
 		aub_timeline_free(timeline);
 	}
 
-	void add(guint process, const struct aub_event &it)
+	void add(guint process, const struct aub_event &entry)
 	{
-		struct aub_event copy = it;
+		struct aub_event copy = entry;
 
 		copy.sequence = ++sequence[process];
 		aub_timeline_add_event(timeline, process, &copy);
 	}
 
-	/* "a1:arrived a1:relayed ..." */
+	/* Returns the events as "a1:arrived a1:relayed ...". */
 	std::string order(const struct aub_timeline_filter &filter = {})
 	{
 		GPtrArray *list = aub_timeline_select(timeline, &filter);
 		std::string text;
 
 		for (guint i = 0; i < list->len; i++) {
-			auto *it = static_cast<struct aub_timeline_entry *>(
+			auto *entry = static_cast<struct aub_timeline_entry *>(
 				list->pdata[i]);
 			text += std::string(i ? " " : "") +
 				aub_timeline_process_name(timeline,
-							  it->process) +
-				":" + aub_event_type_name(it->event.type);
+							  entry->process) +
+				":" + aub_event_type_name(entry->event.type);
 		}
 		g_ptr_array_unref(list);
 		return text;
 	}
 
-	/* One request: arrives at a, relayed to b, sent, answered. */
-	void relayed_request(guint a, guint b, guint64 id, gint64 a_us,
-			     gint64 b_us)
+	/*
+	 * Adds a request that arrives at a, is relayed to b, sent and answered.
+	 */
+	void relayed_request(guint a, guint b, guint64 id, gint64 a_time_us,
+			     gint64 b_time_us)
 	{
-		add(a, event(AUB_EVENT_ARRIVED, id, a_us, "/x"));
-		add(a, event(AUB_EVENT_RELAYED, id, a_us + 10, "b1"));
-		add(b, event(AUB_EVENT_ARRIVED, id, b_us, "/x"));
-		add(b, event(AUB_EVENT_DISPATCHED, id, b_us + 10));
-		add(b, event(AUB_EVENT_ANSWERED, id, b_us + 500));
-		add(b, event(AUB_EVENT_FINISHED, id, b_us + 510, "run"));
-		add(a, event(AUB_EVENT_FINISHED, id, a_us + 800, "run"));
+		add(a, event(AUB_EVENT_ARRIVED, id, a_time_us, "/x"));
+		add(a, event(AUB_EVENT_RELAYED, id, a_time_us + 10, "b1"));
+		add(b, event(AUB_EVENT_ARRIVED, id, b_time_us, "/x"));
+		add(b, event(AUB_EVENT_DISPATCHED, id, b_time_us + 10));
+		add(b, event(AUB_EVENT_ANSWERED, id, b_time_us + 500));
+		add(b, event(AUB_EVENT_FINISHED, id, b_time_us + 510, "run"));
+		add(a, event(AUB_EVENT_FINISHED, id, a_time_us + 800, "run"));
 	}
 
 	struct aub_timeline *timeline;
 	std::map<guint, guint64> sequence;
 };
 
-static const char whole_path[] =
+static const char complete_path[] =
 	"a1:arrived a1:relayed b1:arrived b1:dispatched b1:answered "
 	"b1:finished a1:finished";
 
 /*
- * An operator looks for what went wrong and reads that b1 answered before
- * a1 had passed the request on. The clock of b1 is five seconds behind.
+ * The clock of b1 is five seconds behind. Sorted by wall clock, b1 would answer
+ * before a1 relayed the request.
  */
-TEST_F(Timeline, ABehindClockIsMovedForward)
+TEST_F(Timeline, MovesClockThatIsBehindForward)
 {
 	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
 	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 
 	relayed_request(a, b, 7, 10000000, 5000000);
 	aub_timeline_merge(timeline);
-	EXPECT_EQ(order(), whole_path);
+	EXPECT_EQ(order(), complete_path);
 	EXPECT_EQ(aub_timeline_offset_us(timeline, a), 0);
 	EXPECT_EQ(aub_timeline_offset_us(timeline, b), 5000010);
 }
 
-/* The same, with the clock of b1 five seconds ahead. */
-TEST_F(Timeline, AnAheadClockMovesTheOthers)
+/* The clock of b1 is five seconds ahead. */
+TEST_F(Timeline, MovesOtherClocksIfOneIsAhead)
 {
 	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
 	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 
 	relayed_request(a, b, 7, 10000000, 15000000);
 	aub_timeline_merge(timeline);
-	EXPECT_EQ(order(), whole_path);
+	EXPECT_EQ(order(), complete_path);
 	EXPECT_EQ(aub_timeline_offset_us(timeline, b), 0);
 }
 
-TEST_F(Timeline, ClocksThatAgreeAreLeftAlone)
+TEST_F(Timeline, LeavesConsistentClocksUnchanged)
 {
 	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
 	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
 
 	relayed_request(a, b, 7, 10000000, 10000050);
 	aub_timeline_merge(timeline);
-	EXPECT_EQ(order(), whole_path);
+	EXPECT_EQ(order(), complete_path);
 	EXPECT_EQ(aub_timeline_offset_us(timeline, a), 0);
 	EXPECT_EQ(aub_timeline_offset_us(timeline, b), 0);
 }
 
 /*
- * A clock was set back between two requests: no one offset fits both. The
- * order still keeps each cause before its effect, and times don't fall.
+ * A clock is set back between two requests, so that no single offset fits both.
+ * Causes still have to precede their effects, and times must not decrease.
  */
-TEST_F(Timeline, AClockThatWasSetKeepsTheOrder)
+TEST_F(Timeline, KeepsCausalOrderWhenClockIsSet)
 {
 	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
 	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
@@ -133,12 +137,12 @@
 	relayed_request(a, b, 8, 20000000, 12000000);
 	aub_timeline_merge(timeline);
 	second.request = 8;
-	EXPECT_EQ(order(second), whole_path);
+	EXPECT_EQ(order(second), complete_path);
 	second.request = 7;
-	EXPECT_EQ(order(second), whole_path);
+	EXPECT_EQ(order(second), complete_path);
 }
 
-TEST_F(Timeline, TiesThatContradictEachOtherDontStopIt)
+TEST_F(Timeline, EmitsAllEventsWhenLinksContradict)
 {
 	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
 	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
@@ -156,11 +160,11 @@
 }
 
 /*
- * Many processes with clocks up to ten seconds apart, and requests that hop
- * over up to three of them: no effect comes before its cause, events of a
- * process keep their order, and corrected times never fall.
+ * Many processes with clocks up to ten seconds apart, and requests that are
+ * relayed over up to three of them: no effect precedes its cause, events of a
+ * process keep their order, and corrected times never decrease.
  */
-TEST_F(Timeline, RandomClocksKeepCauseBeforeEffect)
+TEST_F(Timeline, KeepsCausalOrderWithRandomClocks)
 {
 	std::mt19937 random(20261202);
 	std::vector<guint> process;
@@ -170,8 +174,9 @@
 	for (int p = 0; p < 9; p++) {
 		std::string name = "p" + std::to_string(p);
 
-		process.push_back(
-			aub_timeline_add_process(timeline, name.c_str(), "", 1));
+		process.push_back(aub_timeline_add_process(timeline,
+							   name.c_str(), "",
+							   1));
 		skew.push_back((gint64)(random() % 20000000) - 10000000);
 	}
 	for (guint64 id = 1; id <= 400; id++) {
@@ -201,8 +206,8 @@
 				 [](const auto &l, const auto &r) {
 					 return l.first < r.first;
 				 });
-		for (auto &[moment, it] : list)
-			add(process[p], it);
+		for (auto &[moment, entry] : list)
+			add(process[p], entry);
 	}
 	aub_timeline_merge(timeline);
 	struct aub_timeline_filter all = {};
@@ -212,19 +217,19 @@
 	gint64 last = G_MININT64;
 
 	for (guint i = 0; i < list->len; i++) {
-		auto *it = static_cast<struct aub_timeline_entry *>(
+		auto *entry = static_cast<struct aub_timeline_entry *>(
 			list->pdata[i]);
 		std::string name =
-			aub_timeline_process_name(timeline, it->process);
-
-		ASSERT_EQ(it->event.sequence, ++seen[it->process]);
-		ASSERT_GE(it->time_us, last);
-		last = it->time_us;
-		place[it->event.request]
-		     [name + aub_event_type_name(it->event.type)] = i;
-		if (it->event.type == AUB_EVENT_RELAYED)
-			place[it->event.request]["to " + name] =
-				(guint)std::stoi(it->event.text + 1);
+			aub_timeline_process_name(timeline, entry->process);
+
+		ASSERT_EQ(entry->event.sequence, ++seen[entry->process]);
+		ASSERT_GE(entry->time_us, last);
+		last = entry->time_us;
+		place[entry->event.request]
+		     [name + aub_event_type_name(entry->event.type)] = i;
+		if (entry->event.type == AUB_EVENT_RELAYED)
+			place[entry->event.request]["to " + name] =
+				(guint)std::stoi(entry->event.text + 1);
 	}
 	for (auto &[id, at] : place) {
 		for (int p = 0; p < 9; p++) {
@@ -270,7 +275,7 @@
 	EXPECT_EQ(order(process), "b1:arrived");
 }
 
-TEST_F(Timeline, OutputsNameWhatHappened)
+TEST_F(Timeline, OutputsDescribeEvents)
 {
 	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
 	guint b = aub_timeline_add_process(timeline, "b1", "b", 1);
@@ -282,7 +287,7 @@
 	char *text = aub_timeline_text(timeline, list);
 	char *json = aub_timeline_json(timeline, list);
 	char *svg = aub_timeline_svg(timeline, list);
-	char *story = aub_timeline_describe_request(timeline, 0xabc);
+	char *description = aub_timeline_describe_request(timeline, 0xabc);
 	char *none = aub_timeline_describe_request(timeline, 0xdef);
 
 	EXPECT_EQ(std::string(text).substr(0, 64),
@@ -293,17 +298,18 @@
 		  std::string::npos);
 	EXPECT_NE(std::string(svg).find("request 0000000000000abc"),
 		  std::string::npos);
-	EXPECT_NE(std::string(story).find("it is handed to entry b1"),
+	EXPECT_NE(std::string(description).find("it is relayed to entry b1"),
 		  std::string::npos);
-	EXPECT_NE(std::string(story).find("Answered after 0.8 ms; sent to an "
-					  "upstream 1 time; outcome: run."),
+	EXPECT_NE(std::string(description)
+			  .find("Answered after 0.8 ms; sent to an "
+				"upstream 1 time; outcome: run."),
 		  std::string::npos)
-		<< story;
+		<< description;
 	EXPECT_STREQ(none, "");
 	g_free(text);
 	g_free(json);
 	g_free(svg);
-	g_free(story);
+	g_free(description);
 	g_free(none);
 	g_ptr_array_unref(list);
 }
