--- a/include/auburnstile/config.h
+++ b/include/auburnstile/config.h
@@ -49,9 +49,7 @@
  * becomes one of the recent ones. These are stored as digests, so that the text
  * of an id is in the object only while its edit is the newest.
  */
-#define AUB_CONFIG_RECENT_CHANGES_MAX           \
-	32 /* earlier edits that are remembered \
-	    */
+#define AUB_CONFIG_RECENT_CHANGES_MAX 32 /* remembered edits */
 void aub_config_set_change(struct aub_config *config, const char *change);
 
 /* Returns true if the edit with this id is the newest or a recent one. */
--- a/include/auburnstile/dispatch.h
+++ b/include/auburnstile/dispatch.h
@@ -36,28 +36,24 @@
  */
 enum aub_dispatch_role {
 	AUB_DISPATCH_NONE, /* refuses everything */
-	AUB_DISPATCH_STANDBY, /* owner unavailable: half of the warm slots, no
-				 cold ones */
+	AUB_DISPATCH_STANDBY, /* half of the warm slots, no cold ones */
 	AUB_DISPATCH_OWNER
 };
 
 struct aub_dispatch_request {
 	guint64 id;
 	gint64 deadline_us; /* monotonic */
-	bool at_most_once; /* non-idempotent: no hedge, no retry unless provably
-			      not run */
+	bool at_most_once; /* no hedges, no doubtful retries */
 	guint32 retry_budget; /* attempts beyond the first, in hundredths */
 	guint64 fingerprint; /* hash of method, path and body; 0: none */
-	const char *zone; /* of the relaying entry, which is preferred; may be
-			     NULL */
+	const char *zone; /* preferred zone, or NULL */
 };
 
 /* The reason for which a request was refused. */
 enum aub_refusal {
 	AUB_REFUSAL_NONE,
 	AUB_REFUSAL_QUEUE_FULL,
-	AUB_REFUSAL_DEADLINE_UNREACHABLE, /* cannot be met; on arrival or while
-					     queued */
+	AUB_REFUSAL_DEADLINE_UNREACHABLE, /* cannot be met any more */
 	AUB_REFUSAL_NO_UPSTREAM, /* none accepts requests */
 	AUB_REFUSAL_CRASHES_UPSTREAMS, /* upstreams crashed while running it */
 	AUB_REFUSAL_NOT_OWNER,
@@ -69,8 +65,7 @@
 	AUB_ATTEMPT_ANSWERED, /* complete answer, whatever its status */
 	AUB_ATTEMPT_SHED, /* refused by the upstream: provably not run */
 	AUB_ATTEMPT_NOT_CONNECTED, /* provably not run */
-	AUB_ATTEMPT_CONNECTION_LOST, /* connection lost or answer truncated: may
-					have run */
+	AUB_ATTEMPT_CONNECTION_LOST, /* or truncated: may have run */
 	AUB_ATTEMPT_TIMEOUT, /* timed out: may have run */
 	AUB_ATTEMPT_CANCELLED /* after AUB_ACTION_CANCEL */
 };
@@ -89,8 +84,7 @@
 enum aub_action_type {
 	AUB_ACTION_SEND, /* start attempt `attempt` of `request` */
 	AUB_ACTION_CANCEL, /* abort attempt `attempt` of `request` */
-	AUB_ACTION_REFUSE, /* final: not run; sets `refusal`, `retry_after_ms`
-			    */
+	AUB_ACTION_REFUSE, /* final: not run, see `refusal` */
 	AUB_ACTION_UNKNOWN, /* final: may have run; not retried */
 	AUB_ACTION_DELIVER, /* final: forward the answer of `attempt` */
 	AUB_ACTION_PROBE /* send a health probe to `upstream` */
@@ -121,8 +115,7 @@
 	guint64 probe_us; /* upstream time spent on probes, by probe_cost_us */
 	guint64 ejections;
 	guint64 cold_starts; /* detected cold starts of upstreams */
-	guint64 crash_count; /* upstreams that crashed with requests in flight
-			      */
+	guint64 crash_count; /* upstream crashes under requests */
 };
 
 /* A request during which upstreams crashed, as exchanged between entries. */
@@ -137,6 +130,10 @@
 	guint32 seed; /* of the random numbers for baselines and ties */
 };
 
+/*
+ * Creates a dispatcher without inventory and with the role AUB_DISPATCH_NONE.
+ * Owned by the caller.
+ */
 struct aub_dispatcher *aub_dispatcher_new(
 	const struct aub_dispatcher_options *options);
 void aub_dispatcher_free(struct aub_dispatcher *dispatcher);
@@ -208,6 +205,7 @@
 
 /* Refuses new requests from now on; accepted ones are finished. */
 void aub_dispatcher_stop(struct aub_dispatcher *dispatcher, gint64 now_us);
+/* Returns the number of requests that are not freed yet. */
 guint aub_dispatcher_pending(const struct aub_dispatcher *dispatcher);
 
 /* State of one upstream, for status pages and metrics. */
@@ -224,8 +222,10 @@
 	guint64 probes;
 	gint64 mean_us; /* smoothed service time, 0: none yet */
 };
+/* Writes at most `limit` entries to `list` and returns their number. */
 guint aub_dispatcher_status(const struct aub_dispatcher *dispatcher,
 			    struct aub_upstream_status *list, guint limit);
+/* Returns the length of the queue. */
 guint aub_dispatcher_queued(const struct aub_dispatcher *dispatcher);
 
 void aub_dispatcher_counts(const struct aub_dispatcher *dispatcher,
@@ -269,6 +269,7 @@
 /* Checks all invariants and aborts if one is violated. For tests. */
 void aub_dispatcher_check_invariants(const struct aub_dispatcher *dispatcher);
 
+/* Return the name, "invalid" if out of range. */
 const char *aub_refusal_name(enum aub_refusal refusal);
 const char *aub_policy_name(enum aub_policy policy);
 int aub_policy_parse(const char *name); /* -1 if unknown */
--- a/include/auburnstile/internal/dispatch.h
+++ b/include/auburnstile/internal/dispatch.h
@@ -18,11 +18,8 @@
 #define AUB_RETRY_BUDGET_PERCENT 15 /* of the service's requests */
 #define AUB_RETRY_BURST_MAX 10 /* retries */
 #define AUB_HEDGE_BURST_MAX 8 /* hedges */
-#define AUB_HEDGES_PER_MEAN_TIME                    \
-	3 /* hedges that cost one mean service time \
-	   */
-#define AUB_REFUSED_AFTER_CRASHES \
-	2 /* upstream crashes, then the request is refused */
+#define AUB_HEDGES_PER_MEAN_TIME 3 /* that cost one mean time */
+#define AUB_REFUSED_AFTER_CRASHES 2 /* upstream crashes */
 
 enum upstream_state {
 	UPSTREAM_UNKNOWN, /* no information yet: limited as if cold */
@@ -41,8 +38,7 @@
 
 	GQueue running; /* of struct attempt, oldest first */
 	guint16 concurrency_limit; /* slots, lowered when the upstream sheds */
-	guint32 limit_successes; /* good answers since concurrency_limit changed
-				  */
+	guint32 limit_successes; /* good answers since the last change */
 
 	enum upstream_state state;
 	guint64 boot_id; /* 0: none reported yet */
@@ -58,10 +54,8 @@
 	guint32 failed_permille; /* smoothed share of failed answers */
 	guint32 judged_answers; /* answers since backoff_count last changed */
 	gint64 unavailable_until_us; /* end of the back-off */
-	gint64 cancel_grace_until_us; /* abandoned attempts may run until then
-				       */
-	guint32 backoff_count; /* consecutive back-offs; each doubles the next
-				*/
+	gint64 cancel_grace_until_us; /* abandoned attempts may run */
+	guint32 backoff_count; /* each back-off doubles the next */
 	bool half_open; /* after a back-off: one attempt until a success */
 	bool ejected; /* backed off because of failed answers */
 
@@ -100,7 +94,7 @@
 	bool finished; /* the final action was issued */
 	bool queued; /* is in dispatcher->queue */
 	bool hedged;
-	guint32 retry_budget; /* 1/100 */
+	guint32 retry_budget; /* hundredths of an attempt */
 	guint32 unreached_retries;
 	guint32 attempts; /* number of attempts sent */
 	guint64 fingerprint;
@@ -142,17 +136,15 @@
 	GQueue queue; /* of struct request, oldest first */
 	GSequence *timers; /* of struct request by timer_us, then id */
 	GQueue actions; /* of struct aub_action, owned */
-	guint round_robin_next; /* round robin */
+	guint round_robin_next;
 	guint probe_turn;
 
 	gint64 mean_us; /* smoothed time of good answers, all upstreams */
 	guint64 latency_samples; /* number of samples in mean_us */
-	gint64 tail_latency_us; /* exceeded by AUB_HEDGES_PER_MEAN_TIME x
-				   hedge_percent of answers */
+	gint64 tail_latency_us; /* see update_tail_latency() */
 	struct token_bucket retries;
 	struct token_bucket hedges;
-	struct token_bucket
-		probes; /* in thousandths of a us of upstream time */
+	struct token_bucket probes; /* 1/1000 us of upstream time */
 	gint64 probes_filled_us;
 
 	struct crash_table *crashes;
@@ -232,7 +224,7 @@
 gint64 upstreams_next_wakeup_us(const struct aub_dispatcher *dispatcher);
 gint64 earliest_future_us(gint64 now_us, gint64 at_us, gint64 wake_us);
 
-/* dispatch_cold.c */
+/* dispatch_warmup.c */
 guint warmup_allowed_attempts(const struct upstream *upstream, gint64 now_us);
 void warmup_begin(struct aub_dispatcher *dispatcher, struct upstream *upstream,
 		  gint64 now_us);
@@ -263,8 +255,8 @@
 void crash_on_upstream_crash(struct aub_dispatcher *dispatcher,
 			     struct upstream *upstream, gint64 now_us);
 void crash_on_upstream_alive(struct upstream *upstream, gint64 sent_us);
-void crash_on_request_success(struct aub_dispatcher *dispatcher,
-			      guint64 fingerprint, gint64 now_us);
+void crash_on_request_answered(struct aub_dispatcher *dispatcher,
+			       guint64 fingerprint, gint64 now_us);
 
 /* dispatch_hedge.c */
 void hedge_schedule(struct aub_dispatcher *dispatcher, struct request *request,
--- a/include/auburnstile/internal/inventory_draft.h
+++ b/include/auburnstile/internal/inventory_draft.h
@@ -85,6 +85,7 @@
 bool aub_name_register(struct aub_inventory_draft *draft,
 		       const struct aub_draft_origin *origin, GHashTable *names,
 		       const char *name, guint handle);
+/* Returns true if the name has a valid length and only safe characters. */
 bool aub_name_is_valid(const char *name);
 
 /*
--- a/include/auburnstile/internal/request_trace.h
+++ b/include/auburnstile/internal/request_trace.h
@@ -6,8 +6,8 @@
  * shortly before or during the request. Memory is bounded by the size of the
  * trace, not of the logs. This module opens no files.
  */
-#ifndef AUBURNSTILE_INTERNAL_LOG_STORY_H
-#define AUBURNSTILE_INTERNAL_LOG_STORY_H
+#ifndef AUBURNSTILE_INTERNAL_REQUEST_TRACE_H
+#define AUBURNSTILE_INTERNAL_REQUEST_TRACE_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/include/auburnstile/key_table.h
+++ b/include/auburnstile/key_table.h
@@ -70,7 +70,9 @@
 void aub_key_table_import(struct aub_key_table *table,
 			  const struct aub_key_record *record, gint64 now_us);
 
+/* Returns the number of keys. */
 guint aub_key_table_count(const struct aub_key_table *table);
+/* Returns the memory of keys and retained answers. */
 gsize aub_key_table_bytes(const struct aub_key_table *table);
 
 /*
@@ -80,6 +82,7 @@
  */
 bool aub_key_parse(const char *key, char **entry, guint64 *incarnation,
 		   gint64 *issued_s, GError **error);
+/* Returns the text of a grant, owned by the caller. */
 char *aub_grant_make(const char *entry, guint64 incarnation, gint64 issued_s,
 		     guint64 random);
 
--- a/src/state/dispatch_attempt.c
+++ b/src/state/dispatch_attempt.c
@@ -42,14 +42,14 @@
  */
 static gint64 attempt_timeout_us(const struct request *request, gint64 now_us)
 {
-	gint64 left = request->deadline_us - now_us;
+	gint64 left_us = request->deadline_us - now_us;
 
 	if (request->at_most_once ||
 	    request->retry_budget < RETRY_BUDGET_UNITS_PER_ATTEMPT)
 		return request->deadline_us;
-	if (left / 2 < FIRST_ATTEMPT_TIMEOUT_MIN_US)
+	if (left_us / 2 < FIRST_ATTEMPT_TIMEOUT_MIN_US)
 		return request->deadline_us;
-	return now_us + left / 2;
+	return now_us + left_us / 2;
 }
 
 void dispatch_send(struct aub_dispatcher *dispatcher, struct request *request,
@@ -212,7 +212,7 @@
 	warmup_on_signals(dispatcher, u, signals, now_us);
 	if (u->boot_id == boot_id)
 		crash_on_upstream_alive(u, sent_us);
-	crash_on_request_success(dispatcher, request->fingerprint, now_us);
+	crash_on_request_answered(dispatcher, request->fingerprint, now_us);
 	upstream_record_result(dispatcher, u, failed, now_us);
 	if (failed)
 		return;
@@ -264,16 +264,17 @@
  * the remainder is the probability of a retry; it is derived from the request's
  * id so that equal inputs give equal decisions.
  */
-static bool retry_budget_take(struct request *request)
+static bool take_retry_budget(struct request *request)
 {
-	guint32 odds = (guint32)((request->id * 0x9E3779B97F4A7C15u) >> 32) %
-		       RETRY_BUDGET_UNITS_PER_ATTEMPT;
+	guint32 threshold =
+		(guint32)((request->id * 0x9E3779B97F4A7C15u) >> 32) %
+		RETRY_BUDGET_UNITS_PER_ATTEMPT;
 
 	if (request->retry_budget >= RETRY_BUDGET_UNITS_PER_ATTEMPT) {
 		request->retry_budget -= RETRY_BUDGET_UNITS_PER_ATTEMPT;
 		return true;
 	}
-	if (odds >= request->retry_budget)
+	if (threshold >= request->retry_budget)
 		return false;
 	request->retry_budget = 0;
 	return true;
@@ -303,7 +304,7 @@
 	}
 	return token_bucket_take(&dispatcher->retries,
 				 RETRY_COST_MILLITOKENS) &&
-	       retry_budget_take(request);
+	       take_retry_budget(request);
 }
 
 static void on_attempt_failed(struct aub_dispatcher *dispatcher,
@@ -357,8 +358,7 @@
 	if (result != AUB_ATTEMPT_ANSWERED)
 		on_attempt_failed(dispatcher, request, u, result, now_us);
 	else if (failed && request_active_attempts(request))
-		request->may_have_run =
-			true; /* the other attempt may still succeed */
+		request->may_have_run = true; /* the other may succeed */
 	else
 		request_deliver(dispatcher, request, number, hedge);
 }
--- a/src/state/dispatch_crash.c
+++ b/src/state/dispatch_crash.c
@@ -4,19 +4,15 @@
  * A lost connection with an attempt on it is a suspicion. It is confirmed as a
  * crash when the upstream refuses connections or reports another boot id, and
  * dropped when the same start of the upstream answers again. A request with two
- * marks (crashes or fresh suspicions) is refused. A request that succeeded
+ * marks (crashes or fresh suspicions) is refused. A request that was answered
  * recently is not blamed, since a request that merely ran concurrently with the
- * crashing one succeeds elsewhere.
+ * crashing one is answered elsewhere.
  */
 #include <auburnstile/internal/dispatch.h>
 
-#define SUSPICION_US \
-	(2 * AUB_SECOND) /* an unconfirmed suspicion counts that long */
-#define CONFIRMATION_WINDOW_US \
-	(30 * AUB_SECOND) /* a suspicion may be confirmed that long */
-#define REFUSAL_BASE_US                                      \
-	(30 * AUB_SECOND) /* doubles with each further crash \
-			   */
+#define SUSPICION_US (2 * AUB_SECOND) /* unless confirmed */
+#define CONFIRMATION_WINDOW_US (30 * AUB_SECOND) /* after the loss */
+#define REFUSAL_BASE_US (30 * AUB_SECOND) /* doubles with each crash */
 #define REFUSAL_MAX_US (3600 * AUB_SECOND)
 #define CRASH_FINGERPRINTS_MAX 1024
 #define KNOWN_GOOD_FINGERPRINTS_MAX 4096
@@ -130,7 +126,7 @@
 	return known && now_us - known->at_us < KNOWN_GOOD_MAX_AGE_US;
 }
 
-/* Only a new success makes the request known as good again. */
+/* Removes a request from the known good ones until it is answered again. */
 static void known_good_remove(struct crash_table *table, guint64 fingerprint)
 {
 	g_hash_table_remove(table->known_good, &fingerprint);
@@ -240,8 +236,8 @@
 	}
 }
 
-void crash_on_request_success(struct aub_dispatcher *dispatcher,
-			      guint64 fingerprint, gint64 now_us)
+void crash_on_request_answered(struct aub_dispatcher *dispatcher,
+			       guint64 fingerprint, gint64 now_us)
 {
 	struct crash_table *table = dispatcher->crashes;
 	struct known_good *known;
--- a/src/state/dispatch_queue.c
+++ b/src/state/dispatch_queue.c
@@ -31,15 +31,15 @@
 				   const struct aub_dispatch_request *request,
 				   gint64 now_us)
 {
-	gint64 left = request->deadline_us - now_us;
+	gint64 left_us = request->deadline_us - now_us;
 
-	if (left <= 0)
+	if (left_us <= 0)
 		return true;
 	if (!dispatcher->queue.length)
 		return false;
 	return dispatch_queue_drain_us(dispatcher, now_us) +
 		       dispatcher->tail_latency_us >
-	       left;
+	       left_us;
 }
 
 static gint compare_timers(gconstpointer a, gconstpointer b, gpointer context)
@@ -91,15 +91,16 @@
 void dispatch_enqueue(struct aub_dispatcher *dispatcher,
 		      struct request *request, bool at_head)
 {
-	gint64 left = request->deadline_us - request->arrived_us;
-	gint64 need = MIN(dispatcher->mean_us, left / 2);
+	gint64 left_us = request->deadline_us - request->arrived_us;
+	gint64 needed_us = MIN(dispatcher->mean_us, left_us / 2);
 
 	request->queued = true;
 	if (at_head)
 		g_queue_push_head_link(&dispatcher->queue, &request->link);
 	else
 		g_queue_push_tail_link(&dispatcher->queue, &request->link);
-	dispatch_timer_set(dispatcher, request, request->deadline_us - need);
+	dispatch_timer_set(dispatcher, request,
+			   request->deadline_us - needed_us);
 }
 
 void dispatch_dequeue(struct aub_dispatcher *dispatcher,
--- a/src/state/dispatch_upstream.c
+++ b/src/state/dispatch_upstream.c
@@ -6,17 +6,13 @@
 
 #define OVERDUE_MEAN_FACTOR 4 /* times the mean service time */
 #define MEAN_WINDOW_ANSWERS 64 /* answers in the service's smoothed mean */
-#define TAIL_PERCENT_WITHOUT_HEDGES \
-	1 /* for tail_latency_us where hedging is off */
+#define TAIL_PERCENT_WITHOUT_HEDGES 1 /* if hedging is off */
 #define CROSS_ZONE_COST_US 1000 /* as additional service time */
-#define CANCEL_GRACE_US \
-	(100 * AUB_MS) /* time for a busy upstream to notice a close */
+#define CANCEL_GRACE_US (100 * AUB_MS) /* to notice a close */
 #define EJECT_FAILED_PERMILLE_MIN 500 /* smoothed share of failed answers */
 #define EJECT_ANSWERS_MIN 5 /* sample size before an ejection */
-#define BACKOFF_RESET_ANSWERS \
-	32 /* answers after which backoff_count is reset */
-#define LIMIT_GROWTH_ANSWERS \
-	16 /* good answers before a shed slot is tried again */
+#define BACKOFF_RESET_ANSWERS 32 /* since the back-off */
+#define LIMIT_GROWTH_ANSWERS 16 /* per shed slot */
 #define EJECT_BASE_US (1 * AUB_SECOND)
 #define EJECT_MAX_US (30 * AUB_SECOND)
 #define UNREACHABLE_BASE_US (50 * AUB_MS)
@@ -331,6 +327,11 @@
 	return best;
 }
 
+/*
+ * Moves tail_latency_us towards the time that a share of
+ * AUB_HEDGES_PER_MEAN_TIME x hedge_percent of the answers exceed: up by a large
+ * step after a slower answer, down by a small one after a faster answer.
+ */
 static void update_tail_latency(struct aub_dispatcher *dispatcher,
 				gint64 took_us, bool complete)
 {
--- a/src/state/log_events.c
+++ b/src/state/log_events.c
@@ -121,7 +121,7 @@
 	return request;
 }
 
-static void event_fill(struct aub_log_events *events, JsonObject *object,
+static void fill_event(struct aub_log_events *events, JsonObject *object,
 		       const struct mapping *mapping, struct aub_event *event)
 {
 	char *fields = aub_log_line_fields(object);
@@ -196,7 +196,7 @@
 		json_object_unref(object);
 		return false;
 	}
-	event_fill(events, object, mapping, &event);
+	fill_event(events, object, mapping, &event);
 	if (matches_filter(events, mapping, object, &event)) {
 		guint process = process_handle_of(events, object);
 
--- a/src/state/request_trace.c
+++ b/src/state/request_trace.c
@@ -17,9 +17,8 @@
 					    "request" };
 
 struct trace_line {
-	gint64 t; /* Unix time, ms */
-	guint read_index; /* order of reading, which within a file is that of
-			     the process */
+	gint64 time_ms; /* Unix time, ms */
+	guint read_index; /* order of reading */
 	guint causal_rank; /* index into causal_order */
 	char *node;
 	char *text; /* text for output */
@@ -82,7 +81,7 @@
 	struct trace_line *line = g_new0(struct trace_line, 1);
 	char *fields = aub_log_line_fields(object);
 
-	line->t = aub_json_integer(object, "t");
+	line->time_ms = aub_json_integer(object, "t");
 	line->read_index = trace->read_index++;
 	line->causal_rank = causal_rank_of(aub_json_string(object, "event"));
 	line->node = g_strdup(aub_json_string(object, "node"));
@@ -116,9 +115,10 @@
 		struct trace_line *line = line_new(trace, object);
 
 		g_ptr_array_add(trace->lines, line);
-		trace->first_ms = MIN(trace->first_ms,
-				      line->t - aub_json_integer(object, "ms"));
-		trace->last_ms = MAX(trace->last_ms, line->t);
+		trace->first_ms =
+			MIN(trace->first_ms,
+			    line->time_ms - aub_json_integer(object, "ms"));
+		trace->last_ms = MAX(trace->last_ms, line->time_ms);
 		add_name(trace, object, "node");
 		add_name(trace, object, "upstream");
 		add_name(trace, object, "placer");
@@ -144,9 +144,10 @@
 		       JsonObject *object)
 {
 	const char *event = aub_json_string(object, "event");
-	gint64 t = aub_json_integer(object, "t");
+	gint64 time_ms = aub_json_integer(object, "t");
 
-	if (t < trace->first_ms - CONTEXT_BEFORE_MS || t > trace->last_ms)
+	if (time_ms < trace->first_ms - CONTEXT_BEFORE_MS ||
+	    time_ms > trace->last_ms)
 		return false;
 	if (!strcmp(event, "request") || !strcmp(event, "attempt") ||
 	    !strcmp(event, "not-placed"))
@@ -188,10 +189,11 @@
 	const struct trace_line *right = *(struct trace_line *const *)b;
 
 	if (!strcmp(left->node, right->node) &&
-	    left->causal_rank != right->causal_rank && left->t == right->t)
+	    left->causal_rank != right->causal_rank &&
+	    left->time_ms == right->time_ms)
 		return left->causal_rank < right->causal_rank ? -1 : 1;
-	if (left->t != right->t)
-		return left->t < right->t ? -1 : 1;
+	if (left->time_ms != right->time_ms)
+		return left->time_ms < right->time_ms ? -1 : 1;
 	return left->read_index < right->read_index ? -1 : 1;
 }
 
@@ -203,7 +205,7 @@
 
 		g_string_append_printf(text,
 				       "%+8" G_GINT64_FORMAT " ms  %s  %s\n",
-				       line->t - from_ms, line->node,
+				       line->time_ms - from_ms, line->node,
 				       line->text);
 	}
 }
--- a/src/state/timeline.c
+++ b/src/state/timeline.c
@@ -58,7 +58,7 @@
 			   *event);
 }
 
-static void nodes_fill(struct aub_timeline_merge *merge)
+static void create_nodes(struct aub_timeline_merge *merge)
 {
 	for (guint p = 0; p < merge->timeline->lanes->len; p++) {
 		merge->first_node[p] = merge->nodes->len;
@@ -187,7 +187,7 @@
  * Adds the next event of a process to the heap, or blocks the process until the
  * cause of the event was emitted.
  */
-static void process_advance(struct aub_timeline_merge *merge,
+static void advance_process(struct aub_timeline_merge *merge,
 			    struct merge_state *state, guint process)
 {
 	struct aub_timeline_lane *lane =
@@ -223,7 +223,7 @@
 static bool unblock_earliest(struct aub_timeline_merge *merge,
 			     struct merge_state *state)
 {
-	guint best = AUB_NO_NODE;
+	guint earliest_process = AUB_NO_NODE;
 	gint64 earliest = G_MAXINT64;
 
 	for (guint p = 0; p < merge->timeline->lanes->len; p++) {
@@ -233,15 +233,16 @@
 			continue;
 		if (aub_timeline_event_at(merge, node)->wall_us < earliest) {
 			earliest = aub_timeline_event_at(merge, node)->wall_us;
-			best = p;
+			earliest_process = p;
 		}
 	}
-	if (best == AUB_NO_NODE)
+	if (earliest_process == AUB_NO_NODE)
 		return false;
-	aub_timeline_node_at(merge, merge->first_node[best] + state->next[best])
+	aub_timeline_node_at(merge, merge->first_node[earliest_process] +
+					    state->next[earliest_process])
 		->cause = AUB_NO_NODE;
-	state->blocked[best] = false;
-	process_advance(merge, state, best);
+	state->blocked[earliest_process] = false;
+	advance_process(merge, state, earliest_process);
 	return true;
 }
 
@@ -260,7 +261,7 @@
 		    merge->first_node[process] + state->next[process] ==
 			    effect) {
 			state->blocked[process] = false;
-			process_advance(merge, state, process);
+			advance_process(merge, state, process);
 		}
 		effect = waiting->next_effect;
 	}
@@ -280,7 +281,7 @@
 	node->done = true;
 	state->last_time_us[process] = node->time_us;
 	g_array_append_val(merge->timeline->entries, entry);
-	process_advance(merge, state, process);
+	advance_process(merge, state, process);
 	unblock_effects(merge, state, node);
 }
 
@@ -297,7 +298,7 @@
 
 	for (guint p = 0; p < count; p++) {
 		state.last_time_us[p] = G_MININT64;
-		process_advance(merge, &state, p);
+		advance_process(merge, &state, p);
 	}
 	do {
 		while (state.heap.count)
@@ -319,7 +320,7 @@
 		.first_node = g_new0(guint, timeline->lanes->len + 1),
 	};
 
-	nodes_fill(&merge);
+	create_nodes(&merge);
 	aub_timeline_link_causes(&merge);
 	estimate_offsets(&merge);
 	merge_events(&merge);
--- a/src/state/timeline_svg.c
+++ b/src/state/timeline_svg.c
@@ -16,12 +16,11 @@
 #define LABELLED_LANE_HEIGHT_PX 84 /* with labels, which slope downwards */
 #define LEFT_MARGIN_PX 150 /* for the names of processes */
 #define RIGHT_MARGIN_PX 40
-#define WIDTH_MIN_PX 1180.0 /* the legend has to fit into one line */
+#define WIDTH_MIN_PX 1180.0 /* for the legend */
 #define TOP_MARGIN_PX 96 /* title and legend */
 #define BOTTOM_MARGIN_PX 40
 #define EVENT_DISTANCE_MIN_PX 14.0 /* between two events */
-#define EVENT_DISTANCE_PER_DECADE_PX \
-	9.0 /* for each power of ten of the pause */
+#define EVENT_DISTANCE_PER_DECADE_PX 9.0 /* of the pause */
 #define LABELLED_EVENTS_MAX 80 /* with more events labels would overlap */
 #define TICK_DISTANCE_MIN_PX 110.0
 
--- a/tests/dispatch_fixture.h
+++ b/tests/dispatch_fixture.h
@@ -1,6 +1,6 @@
 /* Fixture that drives one dispatcher with an inventory and a virtual clock. */
-#ifndef TESTS_DISPATCH_RIG_H
-#define TESTS_DISPATCH_RIG_H
+#ifndef TESTS_DISPATCH_FIXTURE_H
+#define TESTS_DISPATCH_FIXTURE_H
 
 #include <auburnstile/dispatch.h>
 #include <auburnstile/timer.h>
@@ -25,7 +25,7 @@
 class DispatchFixture
 {
       public:
-	struct aub_dispatcher *d;
+	struct aub_dispatcher *dispatcher;
 	gint64 now = 1000 * AUB_SECOND;
 	struct fixture_options options;
 
@@ -38,14 +38,15 @@
 
 		dispatcher_options.policy = options.policy;
 		dispatcher_options.seed = 7;
-		d = aub_dispatcher_new(&dispatcher_options);
+		dispatcher = aub_dispatcher_new(&dispatcher_options);
 		configure();
 		if (as_owner)
-			aub_dispatcher_set_role(d, AUB_DISPATCH_OWNER, 0, now);
+			aub_dispatcher_set_role(dispatcher, AUB_DISPATCH_OWNER,
+						0, now);
 	}
 	~DispatchFixture()
 	{
-		aub_dispatcher_free(d);
+		aub_dispatcher_free(dispatcher);
 	}
 	/* Upstream n is named "u<n>" and is in a zone "z<n>" of its own. */
 	void configure()
@@ -61,56 +62,57 @@
 		text += service();
 		GError *error = nullptr;
 		struct aub_inventory *inventory =
-			aub_inventory_parse(text.data(), text.size(), "rig",
+			aub_inventory_parse(text.data(), text.size(), "fixture",
 					    &error);
 		g_assert_no_error(error);
 		for (guint i = 0; i < options.upstreams; i++)
 			aub_zone_at(inventory, i)->out = options.out >> i & 1;
-		aub_dispatcher_configure(d, inventory, 0, now);
+		aub_dispatcher_configure(dispatcher, inventory, 0, now);
 		aub_inventory_unref(inventory);
 	}
-	void arrive(guint64 id, bool once = false, guint32 budget = 100,
+	void submit(guint64 id, bool at_most_once = false,
+		    guint32 retry_budget = 100,
 		    gint64 timeout_us = 5 * AUB_SECOND, guint64 fingerprint = 0)
 	{
 		struct aub_dispatch_request request = {};
 
 		request.id = id;
 		request.deadline_us = now + timeout_us;
-		request.at_most_once = once;
-		request.retry_budget = budget;
+		request.at_most_once = at_most_once;
+		request.retry_budget = retry_budget;
 		request.fingerprint = fingerprint;
-		aub_dispatcher_submit(d, &request, now);
+		aub_dispatcher_submit(dispatcher, &request, now);
 	}
-	std::vector<struct aub_action> take()
+	std::vector<struct aub_action> take_actions()
 	{
 		std::vector<struct aub_action> list;
 		struct aub_action action;
 
-		while (aub_dispatcher_next_action(d, &action))
+		while (aub_dispatcher_next_action(dispatcher, &action))
 			list.push_back(action);
-		aub_dispatcher_check_invariants(d);
+		aub_dispatcher_check_invariants(dispatcher);
 		return list;
 	}
 	/* Returns the next action, which has to be the only one. */
 	struct aub_action take_one()
 	{
-		auto list = take();
+		auto list = take_actions();
 
 		g_assert_cmpuint(list.size(), ==, 1);
 		return list[0];
 	}
-	void done(const struct aub_action &sent,
-		  enum aub_attempt_result result = AUB_ATTEMPT_ANSWERED,
-		  guint64 boot_id = 1, bool cold = false, bool failed = false,
-		  bool draining = false)
+	void attempt_done(const struct aub_action &sent,
+			  enum aub_attempt_result result = AUB_ATTEMPT_ANSWERED,
+			  guint64 boot_id = 1, bool cold = false,
+			  bool failed = false, bool draining = false)
 	{
 		struct aub_upstream_signals signals = { boot_id, cold, draining,
 							failed };
 		bool reported = result == AUB_ATTEMPT_ANSWERED ||
 				result == AUB_ATTEMPT_SHED;
 
-		aub_dispatcher_attempt_done(d, sent.request, sent.attempt,
-					    result,
+		aub_dispatcher_attempt_done(dispatcher, sent.request,
+					    sent.attempt, result,
 					    reported ? &signals : nullptr, now);
 	}
 	void probe_done(const struct aub_action &probe, bool answered = true,
@@ -119,48 +121,51 @@
 		struct aub_upstream_signals signals = { boot_id, cold, false,
 							false };
 
-		aub_dispatcher_probe_done(d, probe.upstream, answered,
+		aub_dispatcher_probe_done(dispatcher, probe.upstream, answered,
 					  answered ? &signals : nullptr, 0,
 					  now);
 	}
 	void advance_time(gint64 us)
 	{
 		now += us;
-		aub_dispatcher_tick(d, now);
+		aub_dispatcher_tick(dispatcher, now);
 	}
 	/*
 	 * Sends requests to all upstreams and answers them, so that all are
 	 * known to be warm.
 	 */
-	void warm(gint64 took_us = 10 * AUB_MS)
+	void warm_up(gint64 took_us = 10 * AUB_MS)
 	{
 		std::vector<struct aub_action> sent;
 
 		for (guint i = 0; i < options.upstreams * options.slots; i++)
-			arrive(warm_id++);
-		for (int round = 0; aub_dispatcher_pending(d); round++) {
+			submit(warm_id++);
+		for (int round = 0; aub_dispatcher_pending(dispatcher);
+		     round++) {
 			g_assert_cmpint(round, <, 100);
-			sent = take();
+			sent = take_actions();
 			now += took_us;
 			for (const auto &action : sent)
 				if (action.type == AUB_ACTION_SEND)
-					done(action);
+					attempt_done(action);
 		}
-		take();
+		take_actions();
 	}
 	/*
 	 * Answers all attempts until no action is left; boot ids by upstream.
 	 */
-	void serve(const std::map<guint16, guint64> &boot_ids = {})
+	void answer_all(const std::map<guint16, guint64> &boot_ids = {})
 	{
-		for (auto list = take(); !list.empty(); list = take())
+		for (auto list = take_actions(); !list.empty();
+		     list = take_actions())
 			for (const auto &action : list)
 				if (action.type == AUB_ACTION_SEND)
-					done(action, AUB_ATTEMPT_ANSWERED,
-					     boot_ids.empty() ?
-						     1 :
-						     boot_ids.at(
-							     action.upstream));
+					attempt_done(
+						action, AUB_ATTEMPT_ANSWERED,
+						boot_ids.empty() ?
+							1 :
+							boot_ids.at(
+								action.upstream));
 	}
 	guint64 warm_id = 1u << 30;
 
@@ -208,7 +213,7 @@
 {
 	struct aub_upstream_status list[64];
 
-	g_assert_cmpuint(aub_dispatcher_status(fixture.d, list, 64), >,
+	g_assert_cmpuint(aub_dispatcher_status(fixture.dispatcher, list, 64), >,
 			 upstream);
 	return list[upstream];
 }
--- a/tests/test_dispatch_faults.cc
+++ b/tests/test_dispatch_faults.cc
@@ -17,20 +17,20 @@
 {
 	DispatchFixture fixture;
 	std::map<guint16, guint> failures;
-	fixture.warm();
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 600; id++) {
-		fixture.arrive(id);
+		fixture.submit(id);
 		if (id % 6)
 			continue;
-		for (const auto &action : fixture.take()) {
+		for (const auto &action : fixture.take_actions()) {
 			bool bad = action.upstream == 0;
 
 			if (action.type != AUB_ACTION_SEND)
 				continue;
 			failures[action.upstream]++;
 			fixture.now += bad ? 100 : 400;
-			fixture.done(action, AUB_ATTEMPT_ANSWERED, 1, false,
-				     bad);
+			fixture.attempt_done(action, AUB_ATTEMPT_ANSWERED, 1,
+					     false, bad);
 		}
 	}
 	EXPECT_LT(failures[0], 20u);
@@ -41,28 +41,28 @@
 {
 	DispatchFixture fixture;
 	struct aub_dispatch_counts counts;
-	fixture.warm();
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 300; id++) {
-		fixture.arrive(id);
+		fixture.submit(id);
 		fixture.now += 1000;
-		fixture.done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, false,
-			     true);
-		fixture.take();
+		fixture.attempt_done(fixture.take_one(), AUB_ATTEMPT_ANSWERED,
+				     1, false, true);
+		fixture.take_actions();
 	}
-	aub_dispatcher_counts(fixture.d, &counts);
+	aub_dispatcher_counts(fixture.dispatcher, &counts);
 	EXPECT_EQ(counts.ejections, 0u);
 }
 
 TEST(DispatchFaults, SelectsOverdueUpstreamLast)
 {
 	DispatchFixture fixture;
-	fixture.warm(10 * AUB_MS);
-	fixture.arrive(1);
+	fixture.warm_up(10 * AUB_MS);
+	fixture.submit(1);
 	auto slow = fixture.take_one();
 	fixture.now += 100 * AUB_MS;
 	for (guint64 id = 2; id <= 5; id++)
-		fixture.arrive(id);
-	for (const auto &action : fixture.take())
+		fixture.submit(id);
+	for (const auto &action : fixture.take_actions())
 		EXPECT_NE(action.upstream, slow.upstream);
 	EXPECT_TRUE(status(fixture, slow.upstream).suspect);
 }
@@ -72,25 +72,25 @@
 	fixture_options options;
 	options.hedge_percent = 20;
 	DispatchFixture fixture(options);
-	fixture.warm(10 * AUB_MS);
-	fixture.arrive(1);
+	fixture.warm_up(10 * AUB_MS);
+	fixture.submit(1);
 	auto first = fixture.take_one();
-	ASSERT_LT(aub_dispatcher_next_wakeup_us(fixture.d),
+	ASSERT_LT(aub_dispatcher_next_wakeup_us(fixture.dispatcher),
 		  fixture.now + 100 * AUB_MS);
-	fixture.now = aub_dispatcher_next_wakeup_us(fixture.d);
-	aub_dispatcher_tick(fixture.d, fixture.now);
+	fixture.now = aub_dispatcher_next_wakeup_us(fixture.dispatcher);
+	aub_dispatcher_tick(fixture.dispatcher, fixture.now);
 	auto hedge = fixture.take_one();
 	ASSERT_EQ(hedge.type, AUB_ACTION_SEND);
 	EXPECT_TRUE(hedge.hedge);
 	EXPECT_NE(hedge.upstream, first.upstream);
-	fixture.done(hedge);
-	auto list = fixture.take();
+	fixture.attempt_done(hedge);
+	auto list = fixture.take_actions();
 	ASSERT_EQ(list.size(), 2u);
 	EXPECT_EQ(list[0].type, AUB_ACTION_DELIVER);
 	EXPECT_EQ(list[0].attempt, hedge.attempt);
 	EXPECT_EQ(list[1].type, AUB_ACTION_CANCEL);
-	fixture.done(first, AUB_ATTEMPT_CANCELLED);
-	EXPECT_EQ(aub_dispatcher_pending(fixture.d), 0u);
+	fixture.attempt_done(first, AUB_ATTEMPT_CANCELLED);
+	EXPECT_EQ(aub_dispatcher_pending(fixture.dispatcher), 0u);
 }
 
 TEST(DispatchFaults, NeverHedgesNonIdempotentRequest)
@@ -98,11 +98,11 @@
 	fixture_options options;
 	options.hedge_percent = 20;
 	DispatchFixture fixture(options);
-	fixture.warm(10 * AUB_MS);
-	fixture.arrive(1, true);
+	fixture.warm_up(10 * AUB_MS);
+	fixture.submit(1, true);
 	fixture.take_one();
 	fixture.advance_time(AUB_SECOND);
-	EXPECT_TRUE(fixture.take().empty());
+	EXPECT_TRUE(fixture.take_actions().empty());
 }
 
 /*
@@ -113,29 +113,29 @@
 TEST(DispatchFaults, RefusesRequestAfterTwoUpstreamCrashes)
 {
 	DispatchFixture fixture;
-	fixture.warm();
+	fixture.warm_up();
 	guint deaths = 0;
-	fixture.arrive(50, false, 0, 5 * AUB_SECOND, 77);
-	fixture.done(fixture.take_one());
-	fixture.take();
+	fixture.submit(50, false, 0, 5 * AUB_SECOND, 77);
+	fixture.attempt_done(fixture.take_one());
+	fixture.take_actions();
 	for (guint64 id = 1; id <= 10; id++) {
-		fixture.arrive(id, false, 100, 5 * AUB_SECOND, 666);
-		for (auto list = fixture.take(); !list.empty();
-		     list = fixture.take())
+		fixture.submit(id, false, 100, 5 * AUB_SECOND, 666);
+		for (auto list = fixture.take_actions(); !list.empty();
+		     list = fixture.take_actions())
 			for (const auto &action : list)
 				if (action.type == AUB_ACTION_SEND) {
 					deaths++;
-					fixture.done(
+					fixture.attempt_done(
 						action,
 						AUB_ATTEMPT_CONNECTION_LOST);
 				}
 	}
 	EXPECT_EQ(deaths, 2u);
-	fixture.arrive(20, false, 100, 5 * AUB_SECOND, 666);
+	fixture.submit(20, false, 100, 5 * AUB_SECOND, 666);
 	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
 	EXPECT_EQ(action.refusal, AUB_REFUSAL_CRASHES_UPSTREAMS);
-	fixture.arrive(21, false, 100, 5 * AUB_SECOND, 77);
+	fixture.submit(21, false, 100, 5 * AUB_SECOND, 77);
 	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_SEND);
 }
 
@@ -147,44 +147,46 @@
 	DispatchFixture fixture;
 	DispatchFixture other;
 	std::map<guint16, guint64> boots = { { 0, 1 }, { 1, 1 }, { 2, 1 } };
-	fixture.warm();
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 2; id++) {
-		fixture.arrive(id, true, 0, 5 * AUB_SECOND, 666);
+		fixture.submit(id, true, 0, 5 * AUB_SECOND, 666);
 		auto sent = fixture.take_one();
-		fixture.done(sent, AUB_ATTEMPT_CONNECTION_LOST);
-		fixture.take();
+		fixture.attempt_done(sent, AUB_ATTEMPT_CONNECTION_LOST);
+		fixture.take_actions();
 		fixture.now += 3 * AUB_SECOND;
 		boots[sent.upstream]++;
 		for (guint64 n = 0; n < 6; n++)
-			fixture.arrive(100 * id + n);
-		fixture.serve(boots);
+			fixture.submit(100 * id + n);
+		fixture.answer_all(boots);
 	}
 	struct aub_crash_mark marks[4];
-	ASSERT_EQ(aub_dispatcher_export_crash_marks(fixture.d, marks, 4,
-						    fixture.now),
+	ASSERT_EQ(aub_dispatcher_export_crash_marks(fixture.dispatcher, marks,
+						    4, fixture.now),
 		  1u);
 	EXPECT_EQ(marks[0].fingerprint, 666u);
 	EXPECT_EQ(marks[0].crash_count, 2u);
-	aub_dispatcher_import_crash_mark(other.d, &marks[0], other.now);
-	other.arrive(1, true, 0, 5 * AUB_SECOND, 666);
+	aub_dispatcher_import_crash_mark(other.dispatcher, &marks[0],
+					 other.now);
+	other.submit(1, true, 0, 5 * AUB_SECOND, 666);
 	EXPECT_EQ(other.take_one().refusal, AUB_REFUSAL_CRASHES_UPSTREAMS);
 }
 
 TEST(DispatchFaults, LostConnectionsOfRunningUpstreamMarkNoRequest)
 {
 	DispatchFixture fixture;
-	fixture.warm();
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 6; id++) {
-		fixture.arrive(id, true, 0, 5 * AUB_SECOND, 88);
-		fixture.done(fixture.take_one(), AUB_ATTEMPT_CONNECTION_LOST);
-		fixture.take();
+		fixture.submit(id, true, 0, 5 * AUB_SECOND, 88);
+		fixture.attempt_done(fixture.take_one(),
+				     AUB_ATTEMPT_CONNECTION_LOST);
+		fixture.take_actions();
 		fixture.now += AUB_MS;
 		for (guint64 n = 0; n < 6; n++)
-			fixture.arrive(100 * id + n);
-		fixture.serve();
+			fixture.submit(100 * id + n);
+		fixture.answer_all();
 	}
 	struct aub_crash_mark marks[4];
-	EXPECT_EQ(aub_dispatcher_export_crash_marks(fixture.d, marks, 4,
-						    fixture.now),
+	EXPECT_EQ(aub_dispatcher_export_crash_marks(fixture.dispatcher, marks,
+						    4, fixture.now),
 		  0u);
 }
--- a/tests/test_dispatch_state.cc
+++ b/tests/test_dispatch_state.cc
@@ -167,7 +167,7 @@
 
 	void process_actions()
 	{
-		for (const auto &a : fixture.take()) {
+		for (const auto &a : fixture.take_actions()) {
 			add_to_digest(a.type);
 			add_to_digest(a.request << 16 | a.attempt << 8 |
 				      a.upstream);
@@ -252,8 +252,8 @@
 		if (result != AUB_ATTEMPT_SHED &&
 		    result != AUB_ATTEMPT_NOT_CONNECTED)
 			request.may_have_run = true;
-		fixture.done(attempt.sent, result, u.boot_id, cold,
-			     value % 7 == 0, u.draining);
+		fixture.attempt_done(attempt.sent, result, u.boot_id, cold,
+				     value % 7 == 0, u.draining);
 	}
 
 	void report_probe(guint32 value)
@@ -276,7 +276,7 @@
 		bool at_most_once = value % 3 == 0;
 
 		requests[id].at_most_once = at_most_once;
-		fixture.arrive(id, at_most_once, value / 4 % 4 * 60,
+		fixture.submit(id, at_most_once, value / 4 % 4 * 60,
 			       (value / 16 % 100) * 10 * AUB_MS,
 			       value / 2000 % 6);
 	}
@@ -291,8 +291,8 @@
 			takeover_grace_until_us =
 				fixture.now + takeover_grace_us;
 		role = new_role;
-		aub_dispatcher_set_role(fixture.d, new_role, takeover_grace_us,
-					fixture.now);
+		aub_dispatcher_set_role(fixture.dispatcher, new_role,
+					takeover_grace_us, fixture.now);
 	}
 
 	void reconfigure(guint32 value)
@@ -333,7 +333,7 @@
 		if (!requests.count(id) || requests[id].final_actions)
 			return;
 		requests[id].abandoned = true;
-		aub_dispatcher_abandon(fixture.d, id, fixture.now);
+		aub_dispatcher_abandon(fixture.dispatcher, id, fixture.now);
 	}
 
 	/*
@@ -345,13 +345,14 @@
 		gint64 until = fixture.now + us;
 
 		for (;;) {
-			gint64 wake = aub_dispatcher_next_wakeup_us(fixture.d);
+			gint64 wake = aub_dispatcher_next_wakeup_us(
+				fixture.dispatcher);
 
 			fixture.advance_time(CLAMP(wake, fixture.now, until) -
 					     fixture.now);
 			process_actions();
-			RC_ASSERT(aub_dispatcher_next_wakeup_us(fixture.d) >
-				  fixture.now);
+			RC_ASSERT(aub_dispatcher_next_wakeup_us(
+					  fixture.dispatcher) > fixture.now);
 			while (fixture.now % 3 && !probes.empty())
 				report_probe((guint32)fixture.now);
 			process_actions();
@@ -399,7 +400,7 @@
 	 */
 	void finish_all()
 	{
-		for (int round = 0; aub_dispatcher_pending(fixture.d);
+		for (int round = 0; aub_dispatcher_pending(fixture.dispatcher);
 		     round++) {
 			RC_ASSERT(round < 10000);
 			while (!running.empty()) {
