--- a/src/state/dispatch_check.c
+++ b/src/state/dispatch_check.c
@@ -12,6 +12,7 @@
 		g_assert(attempt->cancelled);
 }
 
+/* A request is queued, has active attempts, or is finished. */
 static void check_request(const struct aub_dispatcher *dispatcher,
 			  const struct request *request)
 {
