--- a/src/state/dispatch_upstream.c
+++ b/src/state/dispatch_upstream.c
@@ -255,7 +255,9 @@
 }
 
 /*
- * Lower is better: the class is compared first, then the expected time in us.
+ * Rank of a free slot, lower is better. Class 0 is normal, 1 has an overdue
+ * attempt, 2 is where the request failed last; the class is compared before the
+ * expected time in us.
  */
 struct score {
 	guint class;
--- a/src/state/dispatch_warmup.c
+++ b/src/state/dispatch_warmup.c
@@ -11,7 +11,7 @@
  */
 #include <auburnstile/internal/dispatch.h>
 
-#define SLOW_ANSWER_MEAN_FACTOR 4 /* times the service's mean */
+#define SLOW_ANSWER_MEAN_FACTOR 4 /* times the mean service time */
 #define MEAN_SAMPLES_MIN 64 /* with fewer samples the mean is unreliable */
 #define WARM_STATE_MAX_AGE_US (1 * AUB_SECOND)
 
--- a/src/state/key_table.c
+++ b/src/state/key_table.c
@@ -173,11 +173,11 @@
 static enum aub_key_decision check_grant_age(const struct aub_key_table *table,
 					     gint64 grant_age_us)
 {
-	gint64 begin_us = table->retention_us / 2;
+	gint64 begin_age_max_us = table->retention_us / 2;
 
 	if (grant_age_us >= table->retention_us)
 		return AUB_KEY_FORGOTTEN;
-	if (grant_age_us > begin_us || grant_age_us < -begin_us)
+	if (grant_age_us > begin_age_max_us || grant_age_us < -begin_age_max_us)
 		return AUB_KEY_GRANT_EXPIRED;
 	return AUB_KEY_NEW;
 }
@@ -215,18 +215,17 @@
 	return AUB_KEY_NEW;
 }
 
-static gsize answer_bytes(const GPtrArray *headers,
-			  const struct aub_bytes *body)
+static gsize answer_size(const GPtrArray *headers, const struct aub_bytes *body)
 {
-	gsize overhead_bytes = body->length;
+	gsize bytes = body->length;
 
 	for (guint i = 0; headers && i < headers->len; i++) {
 		const struct aub_header *header = headers->pdata[i];
 
-		overhead_bytes += sizeof(*header) + sizeof(gpointer) +
-				  strlen(header->name) + strlen(header->value);
+		bytes += sizeof(*header) + sizeof(gpointer) +
+			 strlen(header->name) + strlen(header->value);
 	}
-	return overhead_bytes;
+	return bytes;
 }
 
 static void copy_headers(GPtrArray *to, const GPtrArray *from)
@@ -244,18 +243,18 @@
 			  const GPtrArray *headers,
 			  const struct aub_bytes *body)
 {
-	gsize overhead_bytes = answer_bytes(headers, body);
+	gsize bytes = answer_size(headers, body);
 
-	if (!make_room(table, overhead_bytes)) {
+	if (!make_room(table, bytes)) {
 		entry->record->stripped = true;
 		return;
 	}
-	if (!overhead_bytes)
+	if (!bytes)
 		return;
 	copy_headers(entry->record->headers, headers);
 	aub_bytes_set(&entry->record->body, body->data, body->length);
-	entry->answer_bytes = overhead_bytes;
-	table->bytes += overhead_bytes;
+	entry->answer_bytes = bytes;
+	table->bytes += bytes;
 	g_queue_push_tail_link(&table->answers, &entry->answer_link);
 }
 
--- a/src/state/timeline_svg.c
+++ b/src/state/timeline_svg.c
@@ -20,7 +20,7 @@
 #define TOP_MARGIN_PX 96 /* title and legend */
 #define BOTTOM_MARGIN_PX 40
 #define EVENT_DISTANCE_MIN_PX 14.0 /* between two events */
-#define EVENT_DISTANCE_PER_DECADE_PX 9.0 /* of the pause */
+#define EVENT_DISTANCE_PER_DECADE_PX 9.0 /* per decade of the pause */
 #define LABELLED_EVENTS_MAX 80 /* with more events labels would overlap */
 #define TICK_DISTANCE_MIN_PX 110.0
 
@@ -60,7 +60,7 @@
 	double *x; /* by entry */
 	guint *row; /* by process; G_MAXUINT if it has no event */
 	guint rows;
-	int lane_height; /* height of a lane */
+	int lane_height; /* in points */
 	double width;
 	double height;
 	GString *out;
--- a/tests/test_timeline.cc
+++ b/tests/test_timeline.cc
@@ -12,14 +12,14 @@
 static struct aub_event event(enum aub_event_type type, guint64 request,
 			      gint64 wall_us, const char *text = "")
 {
-	struct aub_event entry = {};
-
-	entry.type = type;
-	entry.request = request;
-	entry.wall_us = wall_us;
-	entry.number = type == AUB_EVENT_FINISHED ? 200 : 0;
-	g_strlcpy(entry.text, text, sizeof(entry.text));
-	return entry;
+	struct aub_event result = {};
+
+	result.type = type;
+	result.request = request;
+	result.wall_us = wall_us;
+	result.number = type == AUB_EVENT_FINISHED ? 200 : 0;
+	g_strlcpy(result.text, text, sizeof(result.text));
+	return result;
 }
 
 class Timeline : public testing::Test
@@ -34,9 +34,9 @@
 		aub_timeline_free(timeline);
 	}
 
-	void add(guint process, const struct aub_event &entry)
+	void add(guint process, const struct aub_event &original)
 	{
-		struct aub_event copy = entry;
+		struct aub_event copy = original;
 
 		copy.sequence = ++sequence[process];
 		aub_timeline_add_event(timeline, process, &copy);
