--- a/include/auburnstile/admin.h
+++ b/include/auburnstile/admin.h
@@ -36,9 +36,9 @@
 void aub_admin_free(struct aub_admin *admin);
 
 /*
- * A handler answers now or later, exactly once, by aub_admin_answer() or
- * aub_admin_fail(). `method` is exact; `path` is exact, or ends in "/" to
- * match what is below it.
+ * A handler answers now or later, exactly once, by aub_admin_respond() or
+ * aub_admin_respond_error(). `method` is exact; `path` is exact, or ends in "/"
+ * to match what is below it.
  */
 typedef void aub_admin_handler(struct aub_admin_request *request,
 			       void *context);
@@ -53,10 +53,11 @@
 			   gsize *length);
 
 /* `json` is taken over (g_free). */
-void aub_admin_answer(struct aub_admin_request *request, guint status,
-		      char *json);
+void aub_admin_respond(struct aub_admin_request *request, guint status,
+		       char *json);
 /* {"error": {"code", "step", "peer", "message"}} with a fitting status. */
-void aub_admin_fail(struct aub_admin_request *request, const GError *error);
+void aub_admin_respond_error(struct aub_admin_request *request,
+			     const GError *error);
 
 /* The port listened on: of use where the address named port 0. */
 guint aub_admin_port(const struct aub_admin *admin);
@@ -68,7 +69,7 @@
 bool aub_admin_reload(struct aub_admin *admin, GError **error);
 
 /* Largest body of a request in bytes; a larger one gets 413. */
-#define AUB_ADMIN_BODY_LIMIT (2u << 20)
+#define AUB_ADMIN_BODY_MAX_BYTES (2u << 20)
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/caller_groups.h
+++ b/include/auburnstile/internal/caller_groups.h
@@ -20,7 +20,7 @@
 struct aub_caller_groups_options {
 	const char *address; /* "ip:port" to listen on */
 	/* Connect handlers and signals of a new group's server. */
-	void (*prepare)(SoupServer *soup, void *context);
+	void (*configure_server)(SoupServer *soup, void *context);
 	/*
 	 * A connection came. `remote` tells its messages: it is the very
 	 * object that soup_server_message_get_remote_address() returns.
@@ -36,19 +36,19 @@
 guint aub_caller_groups_port(const struct aub_caller_groups *groups);
 
 /* Let go of a connection that is about to be closed from this side. */
-void aub_caller_group_forget(struct aub_caller_group *group, GSocket *socket);
+void aub_caller_group_release(struct aub_caller_group *group, GSocket *socket);
 
 /* One of the group's connections ended. */
-void aub_caller_group_left(struct aub_caller_group *group);
+void aub_caller_group_connection_closed(struct aub_caller_group *group);
 
 /*
  * True when few of a full group are left: they should be closed after their
  * next answer, so that the group can go.
  */
-bool aub_caller_group_thin(const struct aub_caller_group *group);
+bool aub_caller_group_should_drain(const struct aub_caller_group *group);
 
 /* Throw empty groups away. Not from within libsoup's callbacks. */
-void aub_caller_groups_sweep(struct aub_caller_groups *groups);
+void aub_caller_groups_free_empty(struct aub_caller_groups *groups);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/caller_server.h
+++ b/include/auburnstile/internal/caller_server.h
@@ -13,8 +13,8 @@
 G_BEGIN_DECLS
 
 /* Attempts beyond the first where the caller names none, in 1/100. */
-#define AUB_RETRY_BUDGET_DEFAULT 100
-#define AUB_RETRY_BUDGET_LIMIT 400
+#define AUB_RETRY_BUDGET_DEFAULT_PERCENT 100
+#define AUB_RETRY_BUDGET_MAX_PERCENT 400
 
 #define AUB_ADDRESSES_PATH "/.auburnstile/addresses"
 
@@ -23,7 +23,7 @@
 
 struct aub_caller_server_options {
 	const char *address; /* "ip:port" */
-	guint connections; /* open at most */
+	guint connections_max; /* open at most */
 	guint header_ms; /* from accept to the end of the first header */
 	guint idle_ms; /* from an answer to the end of the next header */
 	guint body_ms; /* from header to the end of the body */
@@ -33,7 +33,7 @@
 	/*
 	 * A whole request came. `call` is owned by the callee; its id, service
 	 * and `once` are not set, and deadline_ms is 0 where the caller named
-	 * none. Exactly one aub_caller_answer() follows, unless `gone` did.
+	 * none. Exactly one aub_caller_respond() follows, unless `gone` did.
 	 */
 	void (*arrived)(struct aub_caller_request *request,
 			struct aub_call *call, void *context);
@@ -61,8 +61,8 @@
  * Send the final answer; `answer` is taken over. `stale` tells the caller to
  * ask anew which addresses to use.
  */
-void aub_caller_answer(struct aub_caller_request *request,
-		       struct aub_answer *answer, bool stale);
+void aub_caller_respond(struct aub_caller_request *request,
+			struct aub_answer *answer, bool stale);
 
 /* Slot for the owner of the request's further state; NULL at first. */
 void aub_caller_request_set_data(struct aub_caller_request *request,
@@ -70,7 +70,7 @@
 void *aub_caller_request_data(const struct aub_caller_request *request);
 
 /* Connections with a request under way, answers being written included. */
-guint aub_caller_server_busy(const struct aub_caller_server *server);
+guint aub_caller_server_active(const struct aub_caller_server *server);
 guint aub_caller_server_connections(const struct aub_caller_server *server);
 guint aub_caller_server_port(const struct aub_caller_server *server);
 
--- a/include/auburnstile/internal/gateway_parts.h
+++ b/include/auburnstile/internal/gateway_parts.h
@@ -54,7 +54,7 @@
 	bool closing; /* an answer says that the connection ends with it */
 	bool finishing; /* nothing more is answered on it */
 	bool refused; /* what came after the last request is none */
-	enum aub_stream_end refusal; /* and why */
+	enum aub_stream_end_reason refusal; /* and why */
 };
 
 /* One try at one upstream. */
--- /dev/null
+++ b/include/auburnstile/internal/http_listener.h
@@ -0,0 +1,38 @@
+/*
+ * A listener for small calls without a body: readiness, addresses, metrics.
+ */
+#ifndef AUBURNSTILE_INTERNAL_HTTP_LISTENER_H
+#define AUBURNSTILE_INTERNAL_HTTP_LISTENER_H
+
+#include <auburnstile/internal/http_stream.h>
+#include <auburnstile/timer.h>
+
+G_BEGIN_DECLS
+
+struct aub_http_listener;
+
+struct aub_http_response {
+	guint status;
+	const char *content_type; /* of the body */
+	GBytes *body; /* NULL for none; the service frees it */
+};
+
+/* Answer one call at once. `reply` is zeroed with status 404. */
+typedef void aub_http_listener_handler(const struct aub_http_head *head,
+				       struct aub_http_response *response,
+				       void *context);
+
+struct aub_http_listener *aub_http_listener_new(
+	struct aub_poller *poller, struct aub_timer_service *timers,
+	const char *address, aub_http_listener_handler *handler, void *context,
+	GError **error);
+void aub_http_listener_free(struct aub_http_listener *listener);
+
+/* Value of a query's parameter, decoded; g_free; NULL if it is not there. */
+char *aub_http_query_parameter(const char *target, const char *name);
+/* Is this the path of the target? */
+bool aub_http_target_has_path(const char *target, const char *path);
+
+G_END_DECLS
+
+#endif
--- a/include/auburnstile/internal/http_stream.h
+++ b/include/auburnstile/internal/http_stream.h
@@ -37,12 +37,12 @@
 			       const char *name);
 guint aub_http_head_count(const struct aub_http_head *head, const char *name);
 
-enum aub_stream_end {
+enum aub_stream_end_reason {
 	AUB_STREAM_EOF, /* the peer ended it in order */
 	AUB_STREAM_RESET, /* reset, or the path failed */
-	AUB_STREAM_REFUSED, /* never connected */
-	AUB_STREAM_GARBAGE, /* bytes that are no message */
-	AUB_STREAM_TOO_LARGE /* head past its limit */
+	AUB_STREAM_CONNECT_FAILED, /* never connected */
+	AUB_STREAM_MALFORMED, /* bytes that are no message */
+	AUB_STREAM_HEAD_TOO_LARGE /* head past its limit */
 };
 
 struct aub_http_callbacks {
@@ -57,9 +57,10 @@
 	 * What came is no message, or its head is too large; may be NULL.
 	 * Nothing more is read: the callee answers and finishes the stream.
 	 */
-	void (*refused)(enum aub_stream_end end, void *context);
+	void (*rejected)(enum aub_stream_end_reason reason, void *context);
 	/* Last callback. `midway`: inside a message. The callee frees. */
-	void (*ended)(enum aub_stream_end end, bool midway, void *context);
+	void (*ended)(enum aub_stream_end_reason reason, bool in_message,
+		      void *context);
 };
 
 /* Takes over `fd`, non-blocking, connected or connecting. */
@@ -79,33 +80,34 @@
 void aub_http_stream_write(struct aub_http_stream *stream, const void *data,
 			   gsize length);
 void aub_http_stream_flush(struct aub_http_stream *stream);
-gsize aub_http_stream_queued(const struct aub_http_stream *stream);
-guint64 aub_http_stream_sent(const struct aub_http_stream *stream);
+gsize aub_http_stream_queued_bytes(const struct aub_http_stream *stream);
+guint64 aub_http_stream_sent_bytes(const struct aub_http_stream *stream);
 
 /* Parse the next message: bytes that came early are taken first. */
 void aub_http_stream_resume(struct aub_http_stream *stream);
 
 /* The next answer has no body (the request was HEAD). */
-void aub_http_stream_expect_no_body(struct aub_http_stream *stream, bool none);
+void aub_http_stream_expect_no_body(struct aub_http_stream *stream,
+				    bool no_body);
 
 /* Back pressure: stop or go on reading from the socket. */
-void aub_http_stream_hold(struct aub_http_stream *stream, bool hold);
+void aub_http_stream_pause_reading(struct aub_http_stream *stream, bool paused);
 
 /* Bytes were read that no message has claimed. */
-bool aub_http_stream_has_surplus(const struct aub_http_stream *stream);
+bool aub_http_stream_has_excess_bytes(const struct aub_http_stream *stream);
 
 /* Part of a message has been read. */
-bool aub_http_stream_midway(const struct aub_http_stream *stream);
+bool aub_http_stream_in_message(const struct aub_http_stream *stream);
 
 /*
  * End in order: send the rest, shut the writing side down and drop what
  * comes. The owner frees the stream on `ended` or after its own time limit.
  * A close() with unread input would reset answers still on their way.
  */
-void aub_http_stream_finish(struct aub_http_stream *stream);
+void aub_http_stream_close_gracefully(struct aub_http_stream *stream);
 
 /* When it is freed the peer sees a reset, whatever it has read. */
-void aub_http_stream_reset(struct aub_http_stream *stream);
+void aub_http_stream_reset_on_close(struct aub_http_stream *stream);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/link_socket.h
+++ b/include/auburnstile/internal/link_socket.h
@@ -10,10 +10,11 @@
 
 G_BEGIN_DECLS
 
-#define AUBI_HELLO_MS 1000 /* an accepted peer's time to say hello */
+#define AUBI_HANDSHAKE_TIMEOUT_MS \
+	1000 /* an accepted peer's time to say hello */
 
 /* "ip:port" as a socket address, owned by the caller; NULL and error. */
-GSocketAddress *aubi_socket_address(const char *text, GError **error);
+GSocketAddress *aubi_socket_address_parse(const char *text, GError **error);
 
 /* "ip:port" of an address; owned by the caller. */
 char *aubi_socket_address_text(GSocketAddress *address);
@@ -23,21 +24,21 @@
 			   GSocketSourceFunc function, void *data);
 
 /* Exactly one of the two is called for an accepted link. */
-struct aubi_link_acceptor {
+struct aubi_link_accept_callbacks {
 	/* The hello came; NULL refuses the link, which is then freed. */
-	const struct aub_link_callbacks *(*greeted)(
+	const struct aub_link_callbacks *(*hello_received)(
 		struct aub_link *link, const struct aub_hello *hello,
 		void *context, void **link_context);
 	/* The link ended before that; the callee frees it. */
-	void (*failed)(struct aub_link *link, const GError *error,
-		       void *context);
+	void (*handshake_failed)(struct aub_link *link, const GError *error,
+				 void *context);
 	void *context;
 };
 
 /* A link over an accepted socket (referenced). Owned by the caller. */
-struct aub_link *aubi_link_accepted(GSocket *socket, const char *peer,
-				    const struct aub_hello *hello,
-				    const struct aubi_link_acceptor *acceptor);
+struct aub_link *aubi_link_new_accepted(
+	GSocket *socket, const char *peer, const struct aub_hello *hello,
+	const struct aubi_link_accept_callbacks *acceptor);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/node_parts.h
+++ b/include/auburnstile/internal/node_parts.h
@@ -5,7 +5,7 @@
 #define AUBURNSTILE_INTERNAL_NODE_PARTS_H
 
 #include <auburnstile/internal/gateway.h>
-#include <auburnstile/internal/http_service.h>
+#include <auburnstile/internal/http_listener.h>
 #include <auburnstile/internal/node.h>
 #include <auburnstile/internal/store_sync.h>
 #include <auburnstile/message.h>
@@ -22,9 +22,9 @@
 	struct aub_placer *placer;
 	struct aub_store_sync *store;
 	struct aub_gateway *gateway;
-	struct aub_http_service *directory;
-	struct aub_http_service *readiness;
-	struct aub_http_service *exporter;
+	struct aub_http_listener *directory;
+	struct aub_http_listener *readiness;
+	struct aub_http_listener *exporter;
 	char *zone;
 	char *peers_port; /* ":port" */
 	GHashTable *orders; /* service -> struct order, in node_rollouts.c */
@@ -75,9 +75,9 @@
 				void *context);
 
 /* Handlers of the small listeners; `context` is the node. */
-aub_http_service_handler aub_node_on_directory;
-aub_http_service_handler aub_node_on_readiness;
-aub_http_service_handler aub_node_on_export;
+aub_http_listener_handler aub_node_on_directory;
+aub_http_listener_handler aub_node_on_readiness;
+aub_http_listener_handler aub_node_on_export;
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/poller.h
+++ b/include/auburnstile/internal/poller.h
@@ -26,7 +26,7 @@
 struct aub_poll_watch *aub_poller_add(struct aub_poller *poller, int fd,
 				      guint events, aub_poll_callback *callback,
 				      void *context);
-void aub_poll_watch_set(struct aub_poll_watch *watch, guint events);
+void aub_poll_watch_set_events(struct aub_poll_watch *watch, guint events);
 
 /* Ends the watch, also from within a callback. Call before close(). */
 void aub_poll_watch_remove(struct aub_poll_watch *watch);
--- a/include/auburnstile/internal/store_client.h
+++ b/include/auburnstile/internal/store_client.h
@@ -22,14 +22,14 @@
 	GMainContext *context; /* owned reference */
 	SoupSession *session;
 	GRand *random;
-	GHashTable *seen; /* key -> guint64, highest version known */
+	GHashTable *known_versions; /* key -> guint64, highest version known */
 	GPtrArray *operations; /* of struct operation, owned */
 	GPtrArray *exchanges; /* of struct store_exchange, open or waiting */
-	GQueue waiting; /* of struct store_exchange, for the budget */
-	GSource *pump; /* NULL when nothing waits */
+	GQueue queued_exchanges; /* of struct store_exchange, for the budget */
+	GSource *dispatch_timer; /* NULL when nothing waits */
 	double tokens; /* calls allowed right now */
-	gint64 tokens_at_us;
-	guint64 calls;
+	gint64 tokens_updated_us;
+	guint64 calls_total;
 	struct store_watch *watch; /* NULL when none */
 };
 
@@ -45,19 +45,20 @@
 /* Borrowed for the callback. Either `error` or the rest. */
 struct store_result {
 	const GError *error;
-	bool refused; /* the connection was refused: provably not sent */
+	bool connection_refused; /* the connection was refused: provably not
+				    sent */
 	guint status;
 	guint64 version; /* of X-Version, 0 for none */
 	GBytes *body;
 };
 
-typedef void store_exchange_done(const struct store_result *result,
-				 void *context);
+typedef void store_exchange_callback(const struct store_result *result,
+				     void *context);
 
 /* Waits for the budget, then sends. The callback is never called at once. */
 struct store_exchange *store_exchange_start(struct aub_store_client *client,
 					    const struct store_request *request,
-					    store_exchange_done *done,
+					    store_exchange_callback *done,
 					    void *context);
 /* The callback will not be called. NULL is ignored. */
 void store_exchange_cancel(struct store_exchange *exchange);
@@ -74,15 +75,16 @@
 guint store_backoff_ms(struct aub_store_client *client, guint failures);
 
 /* False where a newer version of the object is known: a stale read. */
-bool store_saw(struct aub_store_client *client, const char *key,
-	       guint64 version);
+bool store_record_version(struct aub_store_client *client, const char *key,
+			  guint64 version);
 
 /* Fields of a {"key","version","value"} element; false if malformed. */
-bool store_object_read(JsonNode *node, struct aub_store_object *object);
+bool store_object_parse(JsonNode *node, struct aub_store_object *object);
 
 /* An error for an answer that is none of the expected ones. */
-void store_status_error(GError **error, const char *step,
-			const struct aub_store_client *client, guint status);
+void store_error_from_status(GError **error, const char *step,
+			     const struct aub_store_client *client,
+			     guint status);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/store_sync_parts.h
+++ b/include/auburnstile/internal/store_sync_parts.h
@@ -66,7 +66,7 @@
 void aub_store_relist(struct aub_store_task *task);
 
 /* How a call ended, as far as its head tells. */
-enum aub_store_result aub_store_result_of(enum aub_exchange_end end,
+enum aub_store_result aub_store_result_of(enum aub_exchange_result end,
 					  const struct aub_http_head *head);
 void aub_store_count(struct aub_store_sync *sync, enum aub_store_kind kind,
 		     enum aub_store_result result);
--- a/include/auburnstile/internal/upstream_client.h
+++ b/include/auburnstile/internal/upstream_client.h
@@ -20,7 +20,7 @@
 struct aub_upstream_client_options {
 	const char *host; /* IP number; copied */
 	guint16 port;
-	guint connections; /* most open at once */
+	guint connections_max; /* most open at once */
 	guint32 body_limit; /* bytes of an answer's body */
 	struct aub_timer_service *timers; /* borrowed */
 };
@@ -30,7 +30,7 @@
 
 /*
  * Give the client up. What is in flight finishes, and its callbacks come;
- * aub_attempt_forget() ends that.
+ * aub_attempt_abandon() ends that.
  */
 void aub_upstream_client_free(struct aub_upstream_client *client);
 
@@ -40,7 +40,7 @@
  * `error` says why a result is not ANSWERED.
  */
 typedef void aub_attempt_callback(enum aub_attempt_result result,
-				  const struct aub_upstream_signs *signs,
+				  const struct aub_upstream_signs *signals,
 				  struct aub_answer *answer,
 				  const GError *error, void *context);
 
@@ -51,8 +51,8 @@
  * is borrowed and valid until the callback.
  */
 struct aub_attempt *aub_upstream_send(struct aub_upstream_client *client,
-				      const struct aub_call *call, bool fresh,
-				      gint64 timeout_us,
+				      const struct aub_call *call,
+				      bool new_connection, gint64 timeout_us,
 				      aub_attempt_callback *callback,
 				      void *context);
 
@@ -60,14 +60,14 @@
 void aub_attempt_cancel(struct aub_attempt *attempt);
 
 /* Abort, and never call back. */
-void aub_attempt_forget(struct aub_attempt *attempt);
+void aub_attempt_abandon(struct aub_attempt *attempt);
 
 /*
  * Result of a probe (GET /load). `busy` is as the upstream reports it. The
  * handle is as that of aub_upstream_send().
  */
 typedef void aub_probe_callback(bool answered,
-				const struct aub_upstream_signs *signs,
+				const struct aub_upstream_signs *signals,
 				guint32 busy, void *context);
 struct aub_attempt *aub_upstream_probe(struct aub_upstream_client *client,
 				       gint64 timeout_us,
--- a/include/auburnstile/internal/upstream_request.h
+++ b/include/auburnstile/internal/upstream_request.h
@@ -10,9 +10,11 @@
 
 G_BEGIN_DECLS
 
-/* Headers and body of `call`; `left_ms` is what it has left of its time. */
+/* Headers and body of `call`; `remaining_ms` is what it has left of its time.
+ */
 void aub_upstream_write_request(SoupMessage *message,
-				const struct aub_call *call, gint64 left_ms);
+				const struct aub_call *call,
+				gint64 remaining_ms);
 
 G_END_DECLS
 
--- a/include/auburnstile/link.h
+++ b/include/auburnstile/link.h
@@ -46,22 +46,22 @@
 
 /*
  * Queue a message; borrowed. Returns false (and the link goes down) if it
- * can't be encoded or the queue passes `AUB_LINK_QUEUE_LIMIT`.
+ * can't be encoded or the queue passes `AUB_LINK_QUEUE_MAX_BYTES`.
  */
-#define AUB_LINK_QUEUE_LIMIT (64u << 20) /* bytes waiting to be written */
+#define AUB_LINK_QUEUE_MAX_BYTES (64u << 20) /* bytes waiting to be written */
 bool aub_link_send(struct aub_link *link, const struct aub_message *message);
 
 bool aub_link_is_up(const struct aub_link *link);
 const char *aub_link_peer(const struct aub_link *link); /* borrowed */
-const struct aub_hello *aub_link_hello(const struct aub_link *link);
-gint64 aub_link_last_heard_us(const struct aub_link *link); /* monotonic */
-gsize aub_link_queued(const struct aub_link *link); /* bytes */
+const struct aub_hello *aub_link_peer_hello(const struct aub_link *link);
+gint64 aub_link_last_received_us(const struct aub_link *link); /* monotonic */
+gsize aub_link_queued_bytes(const struct aub_link *link); /* bytes */
 
 /* Bytes read and written over one link. */
-guint64 aub_link_bytes(const struct aub_link *link);
+guint64 aub_link_transferred_bytes(const struct aub_link *link);
 
 /* Bytes read and written by all links of this process, for metrics. */
-void aub_link_totals(guint64 *bytes_in, guint64 *bytes_out);
+void aub_link_process_bytes(guint64 *bytes_received, guint64 *bytes_sent);
 
 /*
  * Accept links on "ip:port". `accepted` is called when a peer's hello came
@@ -69,12 +69,12 @@
  * (then `up` follows), or NULL to refuse it. Once kept, the link belongs to
  * the callee.
  */
-typedef const struct aub_link_callbacks *aub_link_accepted(
+typedef const struct aub_link_callbacks *aub_link_accept_callback(
 	struct aub_link *link, const struct aub_hello *hello,
 	void *server_context, void **context);
 struct aub_link_server *aub_link_server_new(const char *address,
 					    const struct aub_hello *hello,
-					    aub_link_accepted *accepted,
+					    aub_link_accept_callback *accepted,
 					    void *server_context,
 					    GError **error);
 void aub_link_server_free(struct aub_link_server *server);
--- a/include/auburnstile/store_client.h
+++ b/include/auburnstile/store_client.h
@@ -67,7 +67,7 @@
 				    void *context);
 void aub_store_put(struct aub_store_client *client, const char *key,
 		   const char *value, gsize length, guint64 expected,
-		   const char *change, aub_store_put_callback *callback,
+		   const char *change_marker, aub_store_put_callback *callback,
 		   void *context);
 
 /*
--- a/src/coordination/control_admin.c
+++ b/src/coordination/control_admin.c
@@ -95,7 +95,7 @@
 	json_object_set_int_member(answer, "version",
 				   (gint64)control->agreement.config_version);
 	aubi_json_set_config(answer, "config", aubi_book_held(control->book));
-	aub_admin_answer(request, 200, aub_json_print(answer));
+	aub_admin_respond(request, 200, aub_json_print(answer));
 }
 
 static void on_in_force(struct aub_admin_request *request, void *context)
@@ -116,7 +116,7 @@
 	json_object_set_array_member(answer, "members",
 				     aubi_json_in_force(control, version,
 							now_us));
-	aub_admin_answer(request, 200, aub_json_print(answer));
+	aub_admin_respond(request, 200, aub_json_print(answer));
 }
 
 static JsonObject *json_member(const struct aub_member *member)
@@ -229,7 +229,7 @@
 	json_object_set_array_member(answer, "assignments",
 				     json_assignments(control));
 	json_object_set_array_member(answer, "zones", json_zones(control));
-	aub_admin_answer(request, 200, aub_json_print(answer));
+	aub_admin_respond(request, 200, aub_json_print(answer));
 }
 
 void aubi_admin_install(struct aubi_control *control)
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -61,7 +61,7 @@
 
 static void apply_fail(struct apply *apply, const GError *error)
 {
-	aub_admin_fail(apply->request, error);
+	aub_admin_respond_error(apply->request, error);
 	apply_end(apply);
 }
 
@@ -94,7 +94,7 @@
 	json_object_set_int_member(
 		answer, "current_version",
 		(gint64)apply->owner->control->agreement.config_version);
-	aub_admin_answer(apply->request, 409, aub_json_print(answer));
+	aub_admin_respond(apply->request, 409, aub_json_print(answer));
 	apply_end(apply);
 }
 
@@ -115,7 +115,7 @@
 	json_object_set_array_member(answer, "in_force",
 				     aubi_json_in_force(control, apply->version,
 							now_us));
-	aub_admin_answer(apply->request, 200, aub_json_print(answer));
+	aub_admin_respond(apply->request, 200, aub_json_print(answer));
 	apply_end(apply);
 }
 
@@ -344,7 +344,7 @@
 		return json_object_new();
 	body = aub_json_parse(text, length, STEP, NULL, &error);
 	if (!body) {
-		aub_admin_fail(request, error);
+		aub_admin_respond_error(request, error);
 		g_error_free(error);
 	}
 	return body;
--- a/src/coordination/control_entry.c
+++ b/src/coordination/control_entry.c
@@ -118,7 +118,7 @@
 
 	self = aub_member_copy(aubi_membership_self(control->membership));
 	if (present) {
-		const struct aub_hello *hello = aub_link_hello(task->link);
+		const struct aub_hello *hello = aub_link_peer_hello(task->link);
 
 		self->incarnation = hello->incarnation;
 		aub_string_set(&self->inner_address, hello->address);
@@ -141,7 +141,7 @@
 
 static void forget_link(struct aubi_entry_task *task)
 {
-	task->bytes += aub_link_bytes(task->link);
+	task->bytes += aub_link_transferred_bytes(task->link);
 	aub_link_free(task->link);
 	task->link = NULL;
 	task->lost_us = now_of(task);
@@ -156,7 +156,7 @@
 		aub_log_warning("refused the entry of %s", hello->name);
 		return false;
 	}
-	old = task->link ? aub_link_hello(task->link) : NULL;
+	old = task->link ? aub_link_peer_hello(task->link) : NULL;
 	if (old && hello->incarnation < old->incarnation)
 		return false;
 	if (task->link)
@@ -290,7 +290,7 @@
 
 guint64 aubi_entry_task_bytes(const struct aubi_entry_task *task)
 {
-	return task->bytes + (task->link ? aub_link_bytes(task->link) : 0);
+	return task->bytes + (task->link ? aub_link_transferred_bytes(task->link) : 0);
 }
 
 bool aubi_entry_task_stopping(const struct aubi_entry_task *task)
--- a/src/coordination/control_metrics.c
+++ b/src/coordination/control_metrics.c
@@ -65,7 +65,7 @@
 	guint64 in;
 	guint64 out;
 
-	aub_link_totals(&in, &out);
+	aub_link_process_bytes(&in, &out);
 	return (gint64)in;
 }
 
@@ -74,7 +74,7 @@
 	guint64 in;
 	guint64 out;
 
-	aub_link_totals(&in, &out);
+	aub_link_process_bytes(&in, &out);
 	return (gint64)out;
 }
 
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -142,7 +142,7 @@
 static void on_gossip(struct peer *peer, const struct aub_gossip *heard)
 {
 	struct aubi_control *control = peer->task->control;
-	const struct aub_hello *hello = aub_link_hello(peer->link);
+	const struct aub_hello *hello = aub_link_peer_hello(peer->link);
 	gint64 now_us = now_of(peer->task);
 	struct aub_gossip *answer = gossip_new(control, now_us);
 	bool changed;
@@ -203,7 +203,7 @@
 static void take_packed(struct peer *peer, const struct aub_bytes *packed,
 			guint64 version, take_function *take)
 {
-	const char *from = aub_link_hello(peer->link)->name;
+	const char *from = aub_link_peer_hello(peer->link)->name;
 	GError *error = NULL;
 	const char *json;
 	GBytes *bytes;
--- a/src/coordination/dispatch_probes.c
+++ b/src/coordination/dispatch_probes.c
@@ -48,7 +48,7 @@
 
 	g_hash_table_iter_init(&iterator, probes->open);
 	while (g_hash_table_iter_next(&iterator, &key, NULL))
-		aub_attempt_forget(((struct probe *)key)->handle);
+		aub_attempt_abandon(((struct probe *)key)->handle);
 	g_hash_table_unref(probes->open);
 	g_free(probes);
 }
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -120,7 +120,7 @@
 	while (g_hash_table_iter_next(&iterator, &key, NULL)) {
 		struct attempt *attempt = key;
 
-		aub_attempt_forget(attempt->handle);
+		aub_attempt_abandon(attempt->handle);
 		g_free(attempt);
 	}
 	g_hash_table_unref(task->attempts);
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -210,7 +210,7 @@
 {
 	struct aub_entry *entry = context;
 
-	aub_admin_answer(request, 200,
+	aub_admin_respond(request, 200,
 			 aub_dispatch_task_status(entry->dispatch));
 }
 
@@ -312,7 +312,7 @@
 	entry->callers = aub_caller_server_new(
 		&(struct aub_caller_server_options){
 			.address = settings->callers,
-			.connections = settings->connections,
+			.connections_max = settings->connections,
 			.header_ms = HEADER_MS,
 			.idle_ms = IDLE_MS,
 			.body_ms = BODY_MS,
--- a/src/coordination/entry_stop.c
+++ b/src/coordination/entry_stop.c
@@ -55,7 +55,7 @@
 static bool nothing_inside(const struct aub_entry *entry)
 {
 	return !aub_front_pending(entry->front) &&
-	       !aub_caller_server_busy(entry->callers) &&
+	       !aub_caller_server_active(entry->callers) &&
 	       !aub_dispatch_task_pending(entry->dispatch);
 }
 
@@ -109,7 +109,7 @@
 	if (now_us >= entry->stop_by_us) {
 		aub_log_warning("stop: cut off %u requests, %u connections",
 				aub_front_pending(entry->front),
-				aub_caller_server_busy(entry->callers));
+				aub_caller_server_active(entry->callers));
 		end(entry, "time is up");
 	} else
 		step(entry, now_us);
--- a/src/coordination/entry_view.c
+++ b/src/coordination/entry_view.c
@@ -281,7 +281,7 @@
 	struct aub_entry_view *view = context;
 
 	if (view->link &&
-	    now_us - MAX(view->linked_us, aub_link_last_heard_us(view->link)) >
+	    now_us - MAX(view->linked_us, aub_link_last_received_us(view->link)) >
 		    SILENT_US)
 		drop_link(view, "silent");
 }
@@ -420,5 +420,5 @@
 
 bool aub_entry_view_flushed(const struct aub_entry_view *view)
 {
-	return !view->link || !aub_link_queued(view->link);
+	return !view->link || !aub_link_queued_bytes(view->link);
 }
--- a/src/coordination/front.c
+++ b/src/coordination/front.c
@@ -136,7 +136,7 @@
 	 * their answer expires. Told to ask anew, each loses one at most.
 	 */
 	if (request->caller)
-		aub_caller_answer(request->caller, answer,
+		aub_caller_respond(request->caller, answer,
 				  request->keeper_lost ||
 					  is_stale(front,
 						   request->call->service));
--- a/src/coordination/gateway.c
+++ b/src/coordination/gateway.c
@@ -51,7 +51,7 @@
 		if (aub_caller_is_overdue(caller, now_us))
 			aub_caller_free(caller);
 	}
-	aub_http_client_sweep(gateway->options.client, now_us);
+	aub_http_client_close_expired(gateway->options.client, now_us);
 }
 
 static void register_metrics(struct aub_gateway *gateway)
--- a/src/coordination/gateway_attempt.c
+++ b/src/coordination/gateway_attempt.c
@@ -95,7 +95,7 @@
 		attempt->request->gateway->options.platform;
 
 	if (is_foreign(attempt, head)) {
-		aub_exchange_skip(attempt->exchange);
+		aub_exchange_discard_response(attempt->exchange);
 		return;
 	}
 	attempt->status = head->status;
@@ -135,11 +135,11 @@
 }
 
 static enum aub_attempt_end end_of(const struct aub_attempt_state *attempt,
-				   enum aub_exchange_end end)
+				   enum aub_exchange_result end)
 {
 	if (end == AUB_EXCHANGE_UNREACHABLE)
 		return AUB_END_UNREACHABLE;
-	if (end != AUB_EXCHANGE_WHOLE || attempt->broken || !attempt->status)
+	if (end != AUB_EXCHANGE_COMPLETE || attempt->broken || !attempt->status)
 		return AUB_END_LOST;
 	if (attempt->status == STATUS_MISDIRECTED)
 		return AUB_END_MISPLACED;
@@ -148,7 +148,7 @@
 	return attempt->status >= 500 ? AUB_END_FAILED : AUB_END_OK;
 }
 
-static void on_ended(enum aub_exchange_end exchange_end, void *context)
+static void on_ended(enum aub_exchange_result exchange_end, void *context)
 {
 	struct aub_attempt_state *attempt = context;
 	struct aub_request *request = attempt->request;
@@ -235,11 +235,11 @@
 	bool again = request->tried->len > 1 || request->unreachable;
 	const struct aub_exchange_options options = {
 		.address = address,
-		.peer = upstream,
-		.idle_us = again		      ? 0 :
+		.pool_name = upstream,
+		.idle_max_us = again		      ? 0 :
 			   request->route->idempotent ? IDLE_SAFE_US :
 							IDLE_ONCE_US,
-		.no_body = request->is_head,
+		.is_head = request->is_head,
 	};
 
 	attempt->request = request;
--- a/src/coordination/gateway_caller.c
+++ b/src/coordination/gateway_caller.c
@@ -75,7 +75,7 @@
 {
 	caller->finishing = true;
 	caller->since_us = aub_timer_now(caller->gateway->options.timers);
-	aub_http_stream_finish(caller->stream);
+	aub_http_stream_close_gracefully(caller->stream);
 }
 
 void aub_caller_break(struct aub_caller *caller)
@@ -85,9 +85,9 @@
 	aub_caller_free(caller);
 }
 
-static void write_error(struct aub_caller *caller, enum aub_stream_end end)
+static void write_error(struct aub_caller *caller, enum aub_stream_end_reason end)
 {
-	const char *status = end == AUB_STREAM_TOO_LARGE ?
+	const char *status = end == AUB_STREAM_HEAD_TOO_LARGE ?
 				     "431 Request Header Fields Too Large" :
 				     "400 Bad Request";
 	char *text = g_strdup_printf("HTTP/1.1 %s\r\nContent-Length: 0\r\n"
@@ -197,13 +197,13 @@
 		aub_request_drained(first_of(caller));
 }
 
-static void on_ended(enum aub_stream_end end, bool midway, void *context)
+static void on_ended(enum aub_stream_end_reason end, bool midway, void *context)
 {
 	aub_caller_free(context);
 }
 
 /* A body that turns into nonsense ends its request as if the caller left. */
-static void on_refused(enum aub_stream_end end, void *context)
+static void on_refused(enum aub_stream_end_reason end, void *context)
 {
 	struct aub_caller *caller = context;
 	struct aub_request *last = last_of(caller);
@@ -223,7 +223,7 @@
 	.body = on_body,
 	.complete = on_complete,
 	.drained = on_drained,
-	.refused = on_refused,
+	.rejected = on_refused,
 	.ended = on_ended,
 };
 
@@ -250,7 +250,7 @@
 		return idle_us > FINISH_US;
 	if (caller->requests.length)
 		return false;
-	if (aub_http_stream_midway(caller->stream))
+	if (aub_http_stream_in_message(caller->stream))
 		return idle_us > (routing ? routing->limits.header_ms :
 					    HEADER_MS_DEFAULT) *
 						 AUB_MS +
@@ -264,5 +264,5 @@
 bool aub_caller_is_idle(const struct aub_caller *caller)
 {
 	return !caller->requests.length && !caller->finishing &&
-	       !aub_http_stream_midway(caller->stream);
+	       !aub_http_stream_in_message(caller->stream);
 }
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -115,8 +115,8 @@
 	attempt = aub_attempt_start(request, request->ask, placed->upstream,
 				    placed->address);
 	if (request->body_length && !request->body_whole)
-		aub_http_stream_hold(request->caller->stream,
-				     aub_exchange_queued(attempt->exchange) >
+		aub_http_stream_pause_reading(request->caller->stream,
+				     aub_exchange_queued_bytes(attempt->exchange) >
 					     AUB_QUEUE_HIGH);
 }
 
@@ -277,7 +277,7 @@
 {
 	/* Before its turn no more is read than is held. */
 	if (!aub_request_is_first(request)) {
-		aub_exchange_hold(attempt->exchange, true);
+		aub_exchange_pause_reading(attempt->exchange, true);
 		return;
 	}
 	request->answering = true;
@@ -304,8 +304,8 @@
 	if (attempt->chunked)
 		aub_http_stream_write(stream, "\r\n", 2);
 	aub_http_stream_flush(stream);
-	if (aub_http_stream_queued(stream) > AUB_QUEUE_HIGH)
-		aub_exchange_hold(attempt->exchange, true);
+	if (aub_http_stream_queued_bytes(stream) > AUB_QUEUE_HIGH)
+		aub_exchange_pause_reading(attempt->exchange, true);
 }
 
 /*
@@ -361,13 +361,13 @@
 void aub_request_attempt_drained(struct aub_request *request)
 {
 	if (!request->body_whole)
-		aub_http_stream_hold(request->caller->stream, false);
+		aub_http_stream_pause_reading(request->caller->stream, false);
 }
 
 void aub_request_drained(struct aub_request *request)
 {
 	if (request->attempt && request->attempt->exchange)
-		aub_exchange_hold(request->attempt->exchange, false);
+		aub_exchange_pause_reading(request->attempt->exchange, false);
 }
 
 void aub_request_caller_left(struct aub_request *request)
@@ -391,7 +391,7 @@
 	if (request->attempt) {
 		aub_attempt_write_body(request->attempt, data, length);
 		aub_exchange_flush(request->attempt->exchange);
-		queued = aub_exchange_queued(request->attempt->exchange);
+		queued = aub_exchange_queued_bytes(request->attempt->exchange);
 	}
 	if (request->body->len + length <= AUB_BODY_KEPT || !request->attempt)
 		g_byte_array_append(request->body, (const guint8 *)data,
@@ -401,7 +401,7 @@
 	/* Nothing more is read while there is no place to put it. */
 	if (queued > AUB_QUEUE_HIGH ||
 	    (!request->attempt && request->body->len > AUB_BODY_KEPT))
-		aub_http_stream_hold(request->caller->stream, true);
+		aub_http_stream_pause_reading(request->caller->stream, true);
 }
 
 /*
@@ -446,7 +446,7 @@
 	if (attempt && !attempt->streaming &&
 	    attempt->body->len > AUB_BODY_KEPT) {
 		aub_request_attempt_streams(request, attempt);
-		aub_exchange_hold(attempt->exchange, false);
+		aub_exchange_pause_reading(attempt->exchange, false);
 	}
 	if (!request->parked)
 		return;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -170,18 +170,18 @@
 	if (!node->gateway)
 		return false;
 	node->directory =
-		aub_http_service_new(node->poller, node->timers,
+		aub_http_listener_new(node->poller, node->timers,
 				     settings->directory, aub_node_on_directory,
 				     node, error);
 	if (!node->directory)
 		return false;
 	node->readiness =
-		aub_http_service_new(node->poller, node->timers,
+		aub_http_listener_new(node->poller, node->timers,
 				     settings->readiness, aub_node_on_readiness,
 				     node, error);
 	if (!node->readiness)
 		return false;
-	node->exporter = aub_http_service_new(node->poller, node->timers,
+	node->exporter = aub_http_listener_new(node->poller, node->timers,
 					      settings->metrics,
 					      aub_node_on_export, node, error);
 	return node->exporter != NULL;
@@ -281,9 +281,9 @@
 	aub_node_rollouts_clear(node);
 	aub_store_sync_free(node->store);
 	aub_gateway_free(node->gateway);
-	aub_http_service_free(node->directory);
-	aub_http_service_free(node->readiness);
-	aub_http_service_free(node->exporter);
+	aub_http_listener_free(node->directory);
+	aub_http_listener_free(node->readiness);
+	aub_http_listener_free(node->exporter);
 	aub_placer_free(node->placer);
 	aub_peers_free(node->peers);
 	aub_http_client_free(node->client);
--- a/src/coordination/node_answers.c
+++ b/src/coordination/node_answers.c
@@ -39,32 +39,32 @@
 
 /* Callers get gateways of their own zone: bytes between zones are dear. */
 void aub_node_on_directory(const struct aub_http_head *head,
-			   struct aub_http_reply *reply, void *context)
+			   struct aub_http_response *reply, void *context)
 {
 	struct aub_node *node = context;
 	GPtrArray *list;
 	char *zone;
 
-	if (!aub_http_path_is(head->target, node->platform->addresses_path))
+	if (!aub_http_target_has_path(head->target, node->platform->addresses_path))
 		return;
-	zone = aub_http_query(head->target, node->platform->zone_parameter);
+	zone = aub_http_query_parameter(head->target, node->platform->zone_parameter);
 	list = addresses_in(node, zone);
 	if (list->len < OWN_ZONE_LEAST) {
 		g_ptr_array_unref(list);
 		list = addresses_in(node, NULL);
 	}
 	reply->status = list->len ? 200 : 503;
-	reply->type = node->platform->body_type;
+	reply->content_type = node->platform->body_type;
 	reply->body = node->platform->addresses_body(list, node->address_ms);
 	g_ptr_array_unref(list);
 	g_free(zone);
 }
 
 void aub_node_on_readiness(const struct aub_http_head *head,
-			   struct aub_http_reply *reply, void *context)
+			   struct aub_http_response *reply, void *context)
 {
 	struct aub_node *node = context;
 
-	if (aub_http_path_is(head->target, node->platform->ready_path))
+	if (aub_http_target_has_path(head->target, node->platform->ready_path))
 		reply->status = aub_node_is_ready(node) ? 200 : 503;
 }
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -35,7 +35,7 @@
 
 static gint64 read_opened(const struct aub_node *node)
 {
-	return (gint64)aub_http_client_opened(node->client);
+	return (gint64)aub_http_client_connections_opened(node->client);
 }
 
 static gint64 read_store_lost(const struct aub_node *node)
@@ -284,12 +284,12 @@
 }
 
 void aub_node_on_export(const struct aub_http_head *head,
-			struct aub_http_reply *reply, void *context)
+			struct aub_http_response *reply, void *context)
 {
 	struct aub_node *node = context;
 	char *text;
 
-	if (!aub_http_path_is(head->target, "/metrics"))
+	if (!aub_http_target_has_path(head->target, "/metrics"))
 		return;
 	for (guint i = 0; i < G_N_ELEMENTS(figures); i++) {
 		const struct figure *figure = &figures[i];
@@ -305,7 +305,7 @@
 	if (node->takes_orders)
 		aub_placer_visit(node->placer, export_rollout, node);
 	reply->status = 200;
-	reply->type = "text/plain; version=0.0.4";
+	reply->content_type = "text/plain; version=0.0.4";
 	text = aub_metrics_text(node->metrics);
 	reply->body = g_bytes_new_take(text, strlen(text));
 }
--- a/src/coordination/peers_table.c
+++ b/src/coordination/peers_table.c
@@ -24,7 +24,7 @@
 	peer->zone = g_strdup("");
 	peer->callers_address = g_strdup("");
 	peer->address = g_strdup(address);
-	aub_socket_address(address, &peer->socket_address);
+	aub_socket_address_parse(address, &peer->socket_address);
 	peer->known_us = now_us;
 	peer->rank_keys =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -136,7 +136,7 @@
 	aub_placer_drain(placer, placement);
 }
 
-static void on_probed(enum aub_exchange_end end,
+static void on_probed(enum aub_exchange_result end,
 		      const struct aub_http_head *head, const char *body,
 		      gsize length, void *context)
 {
@@ -168,10 +168,10 @@
 	const struct aub_http_call_options options = {
 		.method = "GET",
 		.address = due->address,
-		.peer = "probe",
+		.pool_name = "probe",
 		.path = due->path,
 		.timeout_ms = PROBE_MS,
-		.idle_us = PROBE_IDLE_US,
+		.idle_max_us = PROBE_IDLE_US,
 	};
 
 	placer->counts.probes++;
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -356,7 +356,7 @@
 		return false;
 	if (!peer->watched && !g_hash_table_size(peer->calls))
 		return false;
-	heard_us = MAX(aub_link_last_heard_us(peer->link), peer->up_us);
+	heard_us = MAX(aub_link_last_received_us(peer->link), peer->up_us);
 	if (peer->state == AUB_PEER_UP && peer->ping &&
 	    now_us - heard_us > SILENT_US)
 		return true;
--- a/src/coordination/store_enrol.c
+++ b/src/coordination/store_enrol.c
@@ -17,7 +17,7 @@
  * Each enrols before it lists: of two that start together, at least one
  * finds the other, and its heartbeat tells the other in turn.
  */
-static void on_enrolled(enum aub_exchange_end end,
+static void on_enrolled(enum aub_exchange_result end,
 			const struct aub_http_head *head, const char *body,
 			gsize length, void *context)
 {
@@ -27,7 +27,7 @@
 	sync->enrol_call = NULL;
 	aub_store_count(sync, AUB_STORE_MEMBERS,
 			aub_store_result_of(end, head));
-	if (end == AUB_EXCHANGE_WHOLE &&
+	if (end == AUB_EXCHANGE_COMPLETE &&
 	    (head->status / 100 == 2 || head->status == 409)) {
 		aub_store_sync_list_members(sync);
 		return;
@@ -45,10 +45,10 @@
 	const struct aub_http_call_options options = {
 		.method = "POST",
 		.address = sync->address,
-		.peer = "enrol",
+		.pool_name = "enrol",
 		.path = path,
 		.body = sync->record,
-		.type = sync->options.platform->body_type,
+		.content_type = sync->options.platform->body_type,
 		.timeout_ms = AUB_STORE_CALL_MS,
 	};
 
@@ -65,7 +65,7 @@
 	enrol_send(sync);
 }
 
-static void on_left(enum aub_exchange_end end, const struct aub_http_head *head,
+static void on_left(enum aub_exchange_result end, const struct aub_http_head *head,
 		    const char *body, gsize length, void *context)
 {
 	struct aub_store_sync *sync = context;
@@ -80,7 +80,7 @@
 	struct aub_http_call_options options = {
 		.method = "DELETE",
 		.address = sync->address,
-		.peer = "enrol",
+		.pool_name = "enrol",
 		.timeout_ms = AUB_STORE_CALL_MS,
 	};
 
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -67,10 +67,10 @@
 }
 
 /* How a call ended, as far as its head tells. */
-enum aub_store_result aub_store_result_of(enum aub_exchange_end end,
+enum aub_store_result aub_store_result_of(enum aub_exchange_result end,
 					  const struct aub_http_head *head)
 {
-	if (end != AUB_EXCHANGE_WHOLE)
+	if (end != AUB_EXCHANGE_COMPLETE)
 		return AUB_STORE_NO_ANSWER;
 	if (head->status == HTTP_STATUS_GONE)
 		return AUB_STORE_NO_HISTORY;
@@ -233,7 +233,7 @@
 	aub_store_page_free(page);
 }
 
-static void on_answer(enum aub_exchange_end end,
+static void on_answer(enum aub_exchange_result end,
 		      const struct aub_http_head *head, const char *body,
 		      gsize length, void *context)
 {
@@ -303,11 +303,11 @@
 	struct aub_http_call_options options = {
 		.method = "GET",
 		.address = sync->address,
-		.peer = aub_store_kind_name(task->kind),
+		.pool_name = aub_store_kind_name(task->kind),
 		.timeout_ms = watch && !fetch ? wait_ms + WATCH_SLACK_MS :
 						AUB_STORE_CALL_MS,
 		/* After a failure a kept connection may be a silent one. */
-		.idle_us = task->failing ? 0 : IDLE_US,
+		.idle_max_us = task->failing ? 0 : IDLE_US,
 	};
 
 	if (task->call || (watch && !fetch && !may_watch(task)))
--- a/src/coordination/store_write.c
+++ b/src/coordination/store_write.c
@@ -15,7 +15,7 @@
 	void *context;
 };
 
-static void on_written(enum aub_exchange_end end,
+static void on_written(enum aub_exchange_result end,
 		       const struct aub_http_head *head, const char *body,
 		       gsize length, void *context)
 {
@@ -38,10 +38,10 @@
 	const struct aub_http_call_options options = {
 		.method = "PUT",
 		.address = sync->address,
-		.peer = aub_store_kind_name(kind),
+		.pool_name = aub_store_kind_name(kind),
 		.path = path,
 		.body = body,
-		.type = sync->options.platform->body_type,
+		.content_type = sync->options.platform->body_type,
 		.timeout_ms = AUB_STORE_CALL_MS,
 	};
 
--- a/src/transport/admin.c
+++ b/src/transport/admin.c
@@ -31,7 +31,7 @@
 	bool (*ready)(void *context);
 	void *context;
 	GArray *routes; /* of struct route */
-	GPtrArray *open; /* of struct aub_admin_request, borrowed */
+	GPtrArray *pending_requests; /* of struct aub_admin_request, borrowed */
 };
 
 struct aub_admin_request {
@@ -39,7 +39,7 @@
 	SoupServerMessage *message;
 	char *path;
 	GHashTable *query;
-	bool over; /* the connection ended before the answer */
+	bool finished; /* the connection ended before the answer */
 };
 
 static void route_clear(gpointer data)
@@ -50,7 +50,7 @@
 	g_free(route->path);
 }
 
-static void respond(SoupServerMessage *message, guint status, char *json)
+static void respond_json(SoupServerMessage *message, guint status, char *json)
 {
 	soup_server_message_set_status(message, status, NULL);
 	soup_server_message_set_response(message, "application/json",
@@ -74,18 +74,18 @@
 }
 
 /* Refuse at the door: nothing was begun. */
-static void turn_away(SoupServerMessage *message, guint status,
-		      const char *text)
+static void respond_refusal(SoupServerMessage *message, guint status,
+			    const char *text)
 {
 	const char *code = status == SOUP_STATUS_NOT_FOUND ? "not-found" :
 			   status == SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE ?
 							     "too-large" :
 							     "refused";
 
-	respond(message, status, error_json(code, "admin", NULL, text));
+	respond_json(message, status, error_json(code, "admin", NULL, text));
 }
 
-static guint status_of(const GError *error)
+static guint status_from_error(const GError *error)
 {
 	static const guint statuses[] = {
 		[AUB_ERROR_INVALID] = SOUP_STATUS_BAD_REQUEST,
@@ -129,11 +129,11 @@
 	return body->data ? body->data : "";
 }
 
-static void on_finished(SoupServerMessage *message, gpointer data)
+static void on_message_finished(SoupServerMessage *message, gpointer data)
 {
 	struct aub_admin_request *request = data;
 
-	request->over = true;
+	request->finished = true;
 }
 
 static struct aub_admin_request *request_new(struct aub_admin *admin,
@@ -147,15 +147,17 @@
 	request->message = g_object_ref(message);
 	request->path = g_strdup(path);
 	request->query = query ? g_hash_table_ref(query) : NULL;
-	g_signal_connect(message, "finished", G_CALLBACK(on_finished), request);
-	g_ptr_array_add(admin->open, request);
+	g_signal_connect(message, "finished", G_CALLBACK(on_message_finished),
+			 request);
+	g_ptr_array_add(admin->pending_requests, request);
 	return request;
 }
 
-static void request_free(struct aub_admin_request *request)
+static void admin_request_free(struct aub_admin_request *request)
 {
 	if (request->admin)
-		g_ptr_array_remove_fast(request->admin->open, request);
+		g_ptr_array_remove_fast(request->admin->pending_requests,
+					request);
 	g_signal_handlers_disconnect_by_data(request->message, request);
 	g_object_unref(request->message);
 	if (request->query)
@@ -164,30 +166,32 @@
 	g_free(request);
 }
 
-void aub_admin_answer(struct aub_admin_request *request, guint status,
-		      char *json)
+void aub_admin_respond(struct aub_admin_request *request, guint status,
+		       char *json)
 {
-	if (request->over) {
+	if (request->finished) {
 		g_free(json);
 	} else {
-		respond(request->message, status, json);
+		respond_json(request->message, status, json);
 		soup_server_message_unpause(request->message);
 	}
-	request_free(request);
+	admin_request_free(request);
 }
 
-void aub_admin_fail(struct aub_admin_request *request, const GError *error)
+void aub_admin_respond_error(struct aub_admin_request *request,
+			     const GError *error)
 {
 	const char *code = error->domain == AUB_ERROR ?
 				   aub_error_code_name(error->code) :
 				   "internal";
 
-	aub_admin_answer(request, status_of(error),
-			 error_json(code, aub_error_step(error),
-				    aub_error_peer(error), error->message));
+	aub_admin_respond(request, status_from_error(error),
+			  error_json(code, aub_error_step(error),
+				     aub_error_peer(error), error->message));
 }
 
-static void answer_events(struct aub_admin_request *request, void *context)
+static void handle_events_request(struct aub_admin_request *request,
+				  void *context)
 {
 	const struct aub_admin *admin = context;
 	const char *text = aub_admin_query(request, "after");
@@ -198,13 +202,13 @@
 						&after, NULL)) {
 		aub_error_set(&error, AUB_ERROR_INVALID, "read events", NULL,
 			      "after=%s is no sequence number", text);
-		aub_admin_fail(request, error);
+		aub_admin_respond_error(request, error);
 		g_error_free(error);
 		return;
 	}
-	aub_admin_answer(request, SOUP_STATUS_OK,
-			 aub_events_json(admin->events, admin->process,
-					 admin->incarnation, after));
+	aub_admin_respond(request, SOUP_STATUS_OK,
+			  aub_events_json(admin->events, admin->process,
+					  admin->incarnation, after));
 }
 
 static void respond_text(SoupServerMessage *message, guint status,
@@ -216,8 +220,8 @@
 }
 
 /* Paths that need no token; true if this was one of them. */
-static bool open_path(struct aub_admin *admin, SoupServerMessage *message,
-		      const char *path)
+static bool serve_public_path(struct aub_admin *admin,
+			      SoupServerMessage *message, const char *path)
 {
 	bool ready;
 
@@ -249,11 +253,12 @@
 	return strcmp(path, route->path) == 0;
 }
 
-static void dispatch(struct aub_admin *admin, SoupServerMessage *message,
-		     const char *path, GHashTable *query)
+static void dispatch_to_route(struct aub_admin *admin,
+			      SoupServerMessage *message, const char *path,
+			      GHashTable *query)
 {
 	const char *method = soup_server_message_get_method(message);
-	bool known = false;
+	bool path_known = false;
 
 	for (guint i = 0; i < admin->routes->len; i++) {
 		const struct route *route =
@@ -261,7 +266,7 @@
 
 		if (!route_matches(route, path))
 			continue;
-		known = true;
+		path_known = true;
 		if (strcmp(method, route->method) != 0)
 			continue;
 		soup_server_message_pause(message);
@@ -269,12 +274,12 @@
 			       route->context);
 		return;
 	}
-	if (known)
-		turn_away(message, SOUP_STATUS_METHOD_NOT_ALLOWED,
-			  "this path has no such method");
+	if (path_known)
+		respond_refusal(message, SOUP_STATUS_METHOD_NOT_ALLOWED,
+				"this path has no such method");
 	else
-		turn_away(message, SOUP_STATUS_NOT_FOUND,
-			  "there is no such path");
+		respond_refusal(message, SOUP_STATUS_NOT_FOUND,
+				"there is no such path");
 }
 
 static void on_request(SoupServer *server, SoupServerMessage *message,
@@ -288,23 +293,23 @@
 	if (soup_server_message_get_status(message))
 		return; /* turned away when its headers came */
 	if (strcmp(method, SOUP_METHOD_GET) == 0 &&
-	    open_path(admin, message, path))
+	    serve_public_path(admin, message, path))
 		return;
 	if (!admin->token_digest)
-		turn_away(message, SOUP_STATUS_FORBIDDEN,
-			  "this process has no token file, so its API is "
-			  "closed");
-	else if (!aub_token_matches(admin->token_digest,
-				    soup_message_headers_get_one(
-					    headers, "Authorization")))
-		turn_away(message, SOUP_STATUS_UNAUTHORIZED,
-			  "the operators' token is needed: "
-			  "Authorization: Bearer TOKEN");
+		respond_refusal(message, SOUP_STATUS_FORBIDDEN,
+				"this process has no token file, so its API is "
+				"closed");
+	else if (!aub_token_authorizes(admin->token_digest,
+				       soup_message_headers_get_one(
+					       headers, "Authorization")))
+		respond_refusal(message, SOUP_STATUS_UNAUTHORIZED,
+				"the operators' token is needed: "
+				"Authorization: Bearer TOKEN");
 	else
-		dispatch(admin, message, path, query);
+		dispatch_to_route(admin, message, path, query);
 }
 
-static void body_refuse(SoupServerMessage *message)
+static void refuse_body(SoupServerMessage *message)
 {
 	SoupMessageHeaders *headers =
 		soup_server_message_get_response_headers(message);
@@ -313,35 +318,37 @@
 						 message),
 					 FALSE);
 	soup_message_headers_replace(headers, "Connection", "close");
-	turn_away(message, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
-		  "the body is larger than 2 MB");
+	respond_refusal(message, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
+			"the body is larger than 2 MB");
 }
 
-static void on_headers(SoupServerMessage *message, gpointer data)
+static void on_got_headers(SoupServerMessage *message, gpointer data)
 {
 	SoupMessageHeaders *headers =
 		soup_server_message_get_request_headers(message);
 
 	if (soup_message_headers_get_content_length(headers) >
-	    AUB_ADMIN_BODY_LIMIT)
-		body_refuse(message);
+	    AUB_ADMIN_BODY_MAX_BYTES)
+		refuse_body(message);
 }
 
 /* Bodies without a length: the limit is found as they come. */
-static void on_chunk(SoupServerMessage *message, GBytes *chunk, gpointer data)
+static void on_got_chunk(SoupServerMessage *message, GBytes *chunk,
+			 gpointer data)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
 
-	if (body->length > AUB_ADMIN_BODY_LIMIT &&
+	if (body->length > AUB_ADMIN_BODY_MAX_BYTES &&
 	    !soup_server_message_get_status(message))
-		body_refuse(message);
+		refuse_body(message);
 }
 
-static void on_started(SoupServer *server, SoupServerMessage *message,
-		       gpointer data)
+static void on_request_started(SoupServer *server, SoupServerMessage *message,
+			       gpointer data)
 {
-	g_signal_connect(message, "got-headers", G_CALLBACK(on_headers), NULL);
-	g_signal_connect(message, "got-chunk", G_CALLBACK(on_chunk), NULL);
+	g_signal_connect(message, "got-headers", G_CALLBACK(on_got_headers),
+			 NULL);
+	g_signal_connect(message, "got-chunk", G_CALLBACK(on_got_chunk), NULL);
 }
 
 bool aub_admin_reload(struct aub_admin *admin, GError **error)
@@ -364,10 +371,10 @@
 		      GError **error)
 {
 	GSocketAddress *socket = NULL;
-	GError *problem = NULL;
+	GError *cause = NULL;
 	char *host = NULL;
 	guint16 port = 0;
-	bool good = false;
+	bool listening = false;
 
 	if (aub_address_parse(address, &host, &port))
 		socket = g_inet_socket_address_new_from_string(host, port);
@@ -376,17 +383,17 @@
 			      address, "must be \"ip:port\"");
 		goto out;
 	}
-	good = soup_server_listen(admin->server, socket, 0, &problem);
-	if (!good) {
+	listening = soup_server_listen(admin->server, socket, 0, &cause);
+	if (!listening) {
 		aub_error_set(error, AUB_ERROR_UNAVAILABLE,
 			      "listen for operators", address, "%s",
-			      problem->message);
-		g_error_free(problem);
+			      cause->message);
+		g_error_free(cause);
 	}
 out:
 	g_clear_object(&socket);
 	g_free(host);
-	return good;
+	return listening;
 }
 
 struct aub_admin *aub_admin_new(const struct aub_admin_options *options,
@@ -402,13 +409,14 @@
 	admin->events = options->events;
 	admin->ready = options->ready;
 	admin->context = options->context;
-	admin->open = g_ptr_array_new();
+	admin->pending_requests = g_ptr_array_new();
 	admin->routes = g_array_new(FALSE, FALSE, sizeof(struct route));
 	g_array_set_clear_func(admin->routes, route_clear);
 	g_signal_connect(admin->server, "request-started",
-			 G_CALLBACK(on_started), admin);
+			 G_CALLBACK(on_request_started), admin);
 	soup_server_add_handler(admin->server, NULL, on_request, admin, NULL);
-	aub_admin_handle(admin, "GET", "/v1/events", answer_events, admin);
+	aub_admin_handle(admin, "GET", "/v1/events", handle_events_request,
+			 admin);
 	if (!aub_admin_reload(admin, error) ||
 	    !listen_on(admin, options->address, error)) {
 		aub_admin_free(admin);
@@ -421,10 +429,11 @@
 {
 	if (!admin)
 		return;
-	for (guint i = 0; i < admin->open->len; i++) {
-		struct aub_admin_request *request = admin->open->pdata[i];
+	for (guint i = 0; i < admin->pending_requests->len; i++) {
+		struct aub_admin_request *request =
+			admin->pending_requests->pdata[i];
 
-		request->over = true;
+		request->finished = true;
 		request->admin = NULL;
 	}
 	soup_server_disconnect(admin->server);
@@ -432,7 +441,7 @@
 	soup_server_remove_handler(admin->server, NULL);
 	g_object_unref(admin->server);
 	g_array_unref(admin->routes);
-	g_ptr_array_unref(admin->open);
+	g_ptr_array_unref(admin->pending_requests);
 	g_free(admin->token_digest);
 	g_free(admin->token_file);
 	g_free(admin->process);
--- a/src/transport/caller_groups.c
+++ b/src/transport/caller_groups.c
@@ -10,25 +10,25 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-#define BACKLOG 4096 /* connections not yet accepted; a term opens */
+#define LISTEN_BACKLOG 4096 /* connections not yet accepted; a term opens */
 
-#define ACCEPTED_A_TURN 64
+#define EVENTS_PER_ITERATION 64
 
 /*
  * Connections in a group. What ended stays in memory (about 4 KB each) until
  * its group goes, so small groups; each costs a descriptor, so not too small.
  */
-#define GROUP_CONNECTIONS 32
-#define GROUP_THIN 8
+#define GROUP_CONNECTIONS_MAX 32
+#define GROUP_DRAIN_CONNECTIONS 8
 
 struct aub_caller_group {
 	struct aub_caller_groups *groups;
 	SoupServer *soup;
-	guint total; /* connections ever */
-	guint open;
+	guint accepted_count; /* connections ever */
+	guint open_count;
 };
 
-struct parked {
+struct idle_connection {
 	struct aub_caller_group *group;
 	GSocketConnection *stream; /* owned reference */
 	GSocketAddress *remote; /* owned reference */
@@ -37,12 +37,13 @@
 struct aub_caller_groups {
 	struct aub_caller_groups_options options;
 	GSocket *listener;
-	GSource *readable;
+	GSource *listener_source;
 	guint port;
-	int parked; /* epoll set of connections that sent nothing yet */
-	guint parked_source;
-	GHashTable *waiting; /* GSocket -> struct parked */
-	GPtrArray *list; /* of struct aub_caller_group, the last one fills */
+	int idle_epoll; /* epoll set of connections that sent nothing yet */
+	guint idle_source_id;
+	GHashTable *idle_connections; /* GSocket -> struct idle_connection */
+	GPtrArray *
+		all_groups; /* of struct aub_caller_group, the last one fills */
 };
 
 static void group_free(void *data)
@@ -58,7 +59,7 @@
  * libsoup keeps connections alive only while its server listens somewhere.
  * This socket is connected to itself: nobody can reach it.
  */
-static GSocket *unreachable_socket(void)
+static GSocket *self_connected_socket(void)
 {
 	GInetAddress *loopback;
 	GSocketAddress *address;
@@ -82,17 +83,17 @@
 }
 
 /* The group that takes the next connection; NULL without descriptors. */
-static struct aub_caller_group *open_group(struct aub_caller_groups *groups)
+static struct aub_caller_group *current_group(struct aub_caller_groups *groups)
 {
 	struct aub_caller_group *group;
 	GSocket *socket;
 
-	if (groups->list->len) {
-		group = groups->list->pdata[groups->list->len - 1];
-		if (group->total < GROUP_CONNECTIONS)
+	if (groups->all_groups->len) {
+		group = groups->all_groups->pdata[groups->all_groups->len - 1];
+		if (group->accepted_count < GROUP_CONNECTIONS_MAX)
 			return group;
 	}
-	socket = unreachable_socket();
+	socket = self_connected_socket();
 	if (!socket)
 		return NULL;
 	group = g_new0(struct aub_caller_group, 1);
@@ -100,14 +101,14 @@
 	group->soup = soup_server_new("raw-paths", TRUE, NULL);
 	soup_server_listen_socket(group->soup, socket, 0, NULL);
 	g_object_unref(socket);
-	groups->options.prepare(group->soup, groups->options.context);
-	g_ptr_array_add(groups->list, group);
+	groups->options.configure_server(group->soup, groups->options.context);
+	g_ptr_array_add(groups->all_groups, group);
 	return group;
 }
 
-static void parked_free(void *data)
+static void idle_connection_free(void *data)
 {
-	struct parked *parked = data;
+	struct idle_connection *parked = data;
 
 	g_object_unref(parked->stream);
 	g_object_unref(parked->remote);
@@ -115,22 +116,24 @@
 }
 
 /* Its first bytes came, or its end: from now on it is libsoup's. */
-static void hand_over(struct aub_caller_groups *groups, GSocket *socket)
+static void hand_to_libsoup(struct aub_caller_groups *groups, GSocket *socket)
 {
-	struct parked *parked = g_hash_table_lookup(groups->waiting, socket);
+	struct idle_connection *parked =
+		g_hash_table_lookup(groups->idle_connections, socket);
 	GSocketAddress *local;
 
 	if (!parked)
 		return;
-	epoll_ctl(groups->parked, EPOLL_CTL_DEL, g_socket_get_fd(socket), NULL);
-	g_hash_table_steal(groups->waiting, socket);
+	epoll_ctl(groups->idle_epoll, EPOLL_CTL_DEL, g_socket_get_fd(socket),
+		  NULL);
+	g_hash_table_steal(groups->idle_connections, socket);
 	local = g_socket_get_local_address(socket, NULL);
 	if (local)
 		soup_server_accept_iostream(parked->group->soup,
 					    G_IO_STREAM(parked->stream), local,
 					    parked->remote, NULL);
 	g_clear_object(&local);
-	parked_free(parked);
+	idle_connection_free(parked);
 }
 
 /*
@@ -138,57 +141,58 @@
  * loop looks at each one in every turn, and all others wait: 13 ms a request
  * with 3900 of them. They are kept out of the loop until they speak.
  */
-static gboolean on_parked(int fd, GIOCondition condition, void *context)
+static gboolean on_idle_readable(int fd, GIOCondition condition, void *context)
 {
 	struct aub_caller_groups *groups = context;
-	struct epoll_event events[ACCEPTED_A_TURN];
+	struct epoll_event events[EVENTS_PER_ITERATION];
 	int count;
 
-	count = epoll_wait(groups->parked, events, ACCEPTED_A_TURN, 0);
+	count = epoll_wait(groups->idle_epoll, events, EVENTS_PER_ITERATION, 0);
 	for (int i = 0; i < count; i++)
-		hand_over(groups, events[i].data.ptr);
+		hand_to_libsoup(groups, events[i].data.ptr);
 	return G_SOURCE_CONTINUE;
 }
 
-static void park(struct aub_caller_groups *groups,
-		 struct aub_caller_group *group, GSocket *socket,
-		 GSocketAddress *remote)
+static void add_idle_connection(struct aub_caller_groups *groups,
+				struct aub_caller_group *group, GSocket *socket,
+				GSocketAddress *remote)
 {
 	struct epoll_event event = { .events = EPOLLIN, .data.ptr = socket };
-	struct parked *parked = g_new(struct parked, 1);
+	struct idle_connection *parked = g_new(struct idle_connection, 1);
 
 	parked->group = group;
 	parked->stream = g_socket_connection_factory_create_connection(socket);
 	parked->remote = g_object_ref(remote);
-	g_hash_table_insert(groups->waiting, socket, parked);
-	if (epoll_ctl(groups->parked, EPOLL_CTL_ADD, g_socket_get_fd(socket),
-		      &event) < 0)
-		hand_over(groups, socket);
+	g_hash_table_insert(groups->idle_connections, socket, parked);
+	if (epoll_ctl(groups->idle_epoll, EPOLL_CTL_ADD,
+		      g_socket_get_fd(socket), &event) < 0)
+		hand_to_libsoup(groups, socket);
 }
 
-void aub_caller_group_forget(struct aub_caller_group *group, GSocket *socket)
+void aub_caller_group_release(struct aub_caller_group *group, GSocket *socket)
 {
 	struct aub_caller_groups *groups = group->groups;
 
-	if (!g_hash_table_contains(groups->waiting, socket))
+	if (!g_hash_table_contains(groups->idle_connections, socket))
 		return;
-	epoll_ctl(groups->parked, EPOLL_CTL_DEL, g_socket_get_fd(socket), NULL);
-	g_hash_table_remove(groups->waiting, socket);
+	epoll_ctl(groups->idle_epoll, EPOLL_CTL_DEL, g_socket_get_fd(socket),
+		  NULL);
+	g_hash_table_remove(groups->idle_connections, socket);
 }
 
-static void take(struct aub_caller_groups *groups, GSocket *socket)
+static void handle_accepted(struct aub_caller_groups *groups, GSocket *socket)
 {
-	struct aub_caller_group *group = open_group(groups);
+	struct aub_caller_group *group = current_group(groups);
 	GSocketAddress *remote = g_socket_get_remote_address(socket, NULL);
 
 	if (group && remote) {
 		/* Without this, answers wait for acknowledgements: 40 ms. */
 		g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
-		group->total++;
-		group->open++;
+		group->accepted_count++;
+		group->open_count++;
 		groups->options.accepted(group, socket, remote,
 					 groups->options.context);
-		park(groups, group, socket, remote);
+		add_idle_connection(groups, group, socket, remote);
 	}
 	g_clear_object(&remote);
 }
@@ -197,17 +201,17 @@
  * Failure: thousands connect at once, and with one accepted a turn of the
  * main loop, which looks at every connection, the last waits for seconds.
  */
-static gboolean on_incoming(GSocket *listener, GIOCondition condition,
-			    void *context)
+static gboolean on_listener_readable(GSocket *listener, GIOCondition condition,
+				     void *context)
 {
 	struct aub_caller_groups *groups = context;
 
-	for (guint i = 0; i < ACCEPTED_A_TURN; i++) {
+	for (guint i = 0; i < EVENTS_PER_ITERATION; i++) {
 		GSocket *socket = g_socket_accept(listener, NULL, NULL);
 
 		if (!socket)
 			break;
-		take(groups, socket);
+		handle_accepted(groups, socket);
 		g_object_unref(socket);
 	}
 	return G_SOURCE_CONTINUE;
@@ -250,7 +254,7 @@
 	if (!socket)
 		goto out;
 	g_socket_set_blocking(socket, FALSE);
-	g_socket_set_listen_backlog(socket, BACKLOG);
+	g_socket_set_listen_backlog(socket, LISTEN_BACKLOG);
 	if (!g_socket_bind(socket, address, TRUE, &cause) ||
 	    !g_socket_listen(socket, &cause))
 		goto out;
@@ -258,10 +262,11 @@
 	groups->port =
 		g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(bound));
 	g_object_unref(bound);
-	groups->readable = g_socket_create_source(socket, G_IO_IN, NULL);
-	g_source_set_callback(groups->readable, G_SOURCE_FUNC(on_incoming),
-			      groups, NULL);
-	g_source_attach(groups->readable, NULL);
+	groups->listener_source = g_socket_create_source(socket, G_IO_IN, NULL);
+	g_source_set_callback(groups->listener_source,
+			      G_SOURCE_FUNC(on_listener_readable), groups,
+			      NULL);
+	g_source_attach(groups->listener_source, NULL);
 out:
 	g_object_unref(address);
 	if (!cause)
@@ -278,11 +283,12 @@
 	struct aub_caller_groups *groups = g_new0(struct aub_caller_groups, 1);
 
 	groups->options = *options;
-	groups->list = g_ptr_array_new_with_free_func(group_free);
-	groups->waiting = g_hash_table_new_full(NULL, NULL, NULL, parked_free);
-	groups->parked = epoll_create1(EPOLL_CLOEXEC);
-	groups->parked_source =
-		g_unix_fd_add(groups->parked, G_IO_IN, on_parked, groups);
+	groups->all_groups = g_ptr_array_new_with_free_func(group_free);
+	groups->idle_connections =
+		g_hash_table_new_full(NULL, NULL, NULL, idle_connection_free);
+	groups->idle_epoll = epoll_create1(EPOLL_CLOEXEC);
+	groups->idle_source_id = g_unix_fd_add(groups->idle_epoll, G_IO_IN,
+					       on_idle_readable, groups);
 	if (!listen_on(groups, options->address, error)) {
 		aub_caller_groups_free(groups);
 		return NULL;
@@ -294,15 +300,15 @@
 {
 	if (!groups)
 		return;
-	if (groups->readable) {
-		g_source_destroy(groups->readable);
-		g_source_unref(groups->readable);
+	if (groups->listener_source) {
+		g_source_destroy(groups->listener_source);
+		g_source_unref(groups->listener_source);
 	}
 	g_clear_object(&groups->listener);
-	g_source_remove(groups->parked_source);
-	g_hash_table_unref(groups->waiting);
-	close(groups->parked);
-	g_ptr_array_unref(groups->list);
+	g_source_remove(groups->idle_source_id);
+	g_hash_table_unref(groups->idle_connections);
+	close(groups->idle_epoll);
+	g_ptr_array_unref(groups->all_groups);
 	g_free(groups);
 }
 
@@ -311,23 +317,25 @@
 	return groups->port;
 }
 
-void aub_caller_group_left(struct aub_caller_group *group)
+void aub_caller_group_connection_closed(struct aub_caller_group *group)
 {
-	group->open--;
+	group->open_count--;
 }
 
-bool aub_caller_group_thin(const struct aub_caller_group *group)
+bool aub_caller_group_should_drain(const struct aub_caller_group *group)
 {
-	return group->total == GROUP_CONNECTIONS && group->open <= GROUP_THIN;
+	return group->accepted_count == GROUP_CONNECTIONS_MAX &&
+	       group->open_count <= GROUP_DRAIN_CONNECTIONS;
 }
 
-void aub_caller_groups_sweep(struct aub_caller_groups *groups)
+void aub_caller_groups_free_empty(struct aub_caller_groups *groups)
 {
-	for (guint i = groups->list->len; i > 0; i--) {
+	for (guint i = groups->all_groups->len; i > 0; i--) {
 		const struct aub_caller_group *group =
-			groups->list->pdata[i - 1];
+			groups->all_groups->pdata[i - 1];
 
-		if (group->total == GROUP_CONNECTIONS && !group->open)
-			g_ptr_array_remove_index(groups->list, i - 1);
+		if (group->accepted_count == GROUP_CONNECTIONS_MAX &&
+		    !group->open_count)
+			g_ptr_array_remove_index(groups->all_groups, i - 1);
 	}
 }
--- a/src/transport/caller_message.c
+++ b/src/transport/caller_message.c
@@ -6,8 +6,8 @@
 #include <auburnstile/internal/headers.h>
 
 /* An optional number in a header; false where it isn't one. */
-static bool read_limit(SoupMessageHeaders *headers, const char *name,
-		       guint64 most, guint32 *number)
+static bool parse_bounded_number(SoupMessageHeaders *headers, const char *name,
+				 guint64 max, guint32 *number)
 {
 	const char *text = soup_message_headers_get_one(headers, name);
 	guint64 value;
@@ -16,11 +16,11 @@
 		return true;
 	if (!aub_parse_number(text, &value))
 		return false;
-	*number = MIN(value, most);
+	*number = MIN(value, max);
 	return true;
 }
 
-static char *join_path(GUri *uri)
+static char *path_with_query(GUri *uri)
 {
 	const char *query = g_uri_get_query(uri);
 
@@ -29,7 +29,7 @@
 	return g_strconcat(g_uri_get_path(uri), "?", query, NULL);
 }
 
-struct aub_call *aub_caller_read(SoupServerMessage *message)
+struct aub_call *aub_caller_parse_request(SoupServerMessage *message)
 {
 	SoupMessageHeaders *headers;
 	struct aub_call *call;
@@ -38,11 +38,12 @@
 
 	headers = soup_server_message_get_request_headers(message);
 	call = (struct aub_call *)aub_message_new(AUB_MESSAGE_CALL);
-	call->retry_budget = AUB_RETRY_BUDGET_DEFAULT;
-	if (!read_limit(headers, "Auburnstile-Deadline-Ms", G_MAXUINT32 / 2,
-			&call->deadline_ms) ||
-	    !read_limit(headers, "Auburnstile-Retry-Budget",
-			AUB_RETRY_BUDGET_LIMIT, &call->retry_budget)) {
+	call->retry_budget = AUB_RETRY_BUDGET_DEFAULT_PERCENT;
+	if (!parse_bounded_number(headers, "Auburnstile-Deadline-Ms",
+				  G_MAXUINT32 / 2, &call->deadline_ms) ||
+	    !parse_bounded_number(headers, "Auburnstile-Retry-Budget",
+				  AUB_RETRY_BUDGET_MAX_PERCENT,
+				  &call->retry_budget)) {
 		aub_message_free(&call->base);
 		return NULL;
 	}
@@ -51,8 +52,8 @@
 		aub_string_set(&call->key, key);
 	aub_string_set(&call->method, soup_server_message_get_method(message));
 	g_free(call->path);
-	call->path = join_path(soup_server_message_get_uri(message));
-	aub_headers_collect(headers, call->headers);
+	call->path = path_with_query(soup_server_message_get_uri(message));
+	aub_headers_from_soup(headers, call->headers);
 	body = soup_message_body_flatten(
 		soup_server_message_get_request_body(message));
 	if (body) {
@@ -63,8 +64,8 @@
 	return call;
 }
 
-static void write_outcome(SoupMessageHeaders *headers,
-			  const struct aub_answer *answer, bool stale)
+static void write_outcome_headers(SoupMessageHeaders *headers,
+				  const struct aub_answer *answer, bool stale)
 {
 	char text[24];
 
@@ -115,8 +116,8 @@
 	answer->body = (struct aub_bytes){ 0 };
 }
 
-void aub_caller_write(SoupServerMessage *message, struct aub_answer *answer,
-		      bool stale)
+void aub_caller_write_response(SoupServerMessage *message,
+			       struct aub_answer *answer, bool stale)
 {
 	SoupMessageHeaders *headers;
 
@@ -125,7 +126,7 @@
 	/* libsoup has put one in already; the upstream's own is passed on. */
 	if (aub_headers_find(answer->headers, "Date"))
 		soup_message_headers_remove(headers, "Date");
-	aub_headers_emit(answer->headers, headers);
-	write_outcome(headers, answer, stale);
+	aub_headers_to_soup(answer->headers, headers);
+	write_outcome_headers(headers, answer, stale);
 	soup_server_message_set_status(message, answer->status, NULL);
 }
--- a/src/transport/caller_server.c
+++ b/src/transport/caller_server.c
@@ -15,22 +15,22 @@
 #include <sys/socket.h>
 
 /* How often connections are looked at; a gone caller is seen in this time. */
-#define SWEEP_US (50 * AUB_MS)
+#define SWEEP_INTERVAL_US (50 * AUB_MS)
 
 /* How often an unused connection is looked at. */
-#define IDLE_LOOK_US AUB_SECOND
+#define IDLE_CHECK_INTERVAL_US AUB_SECOND
 
 /*
  * Kept connections that cost a request little: GLib's loop looks at each in
  * every turn, 0.9 ms a request with 500. The more there are, the sooner
  * unused ones are closed.
  */
-#define KEPT_EASILY 256
+#define KEEP_ALIVE_CONNECTIONS_SOFT_MAX 256
 
 enum phase {
 	PHASE_HEADER, /* waiting for, or reading, a header */
 	PHASE_BODY,
-	PHASE_RUNNING, /* handed on, no answer yet */
+	PHASE_IN_PROGRESS, /* handed on, no answer yet */
 	PHASE_WRITING
 };
 
@@ -40,10 +40,10 @@
 	GSocket *socket; /* borrowed: the row goes with the socket */
 	GSocketAddress *remote; /* owned; its pointer is the row's key */
 	enum phase phase;
-	bool used; /* it already carried a request */
-	bool shut;
-	gint64 since_us; /* start of this phase */
-	gint64 looked_us; /* last look whether the other end is there */
+	bool has_carried_request; /* it already carried a request */
+	bool shut_down;
+	gint64 phase_since_us; /* start of this phase */
+	gint64 last_check_us; /* last look whether the other end is there */
 	struct aub_caller_request *request; /* in RUNNING */
 };
 
@@ -57,20 +57,20 @@
 	struct aub_caller_groups *groups;
 	struct aub_caller_server_options options;
 	GHashTable *connections; /* GSocketAddress -> struct connection */
-	guint sweep;
-	guint kept; /* connections that carried a request */
+	guint sweep_timer;
+	guint keep_alive_count; /* connections that carried a request */
 };
 
 static void set_phase(struct connection *connection, enum phase phase)
 {
 	connection->phase = phase;
-	connection->since_us =
+	connection->phase_since_us =
 		aub_timer_now(connection->server->options.timers);
 }
 
-static void shut(struct connection *connection)
+static void shut_down(struct connection *connection)
 {
-	connection->shut = true;
+	connection->shut_down = true;
 	g_socket_shutdown(connection->socket, TRUE, TRUE, NULL);
 }
 
@@ -81,7 +81,7 @@
 	g_free(request);
 }
 
-static void drop_request(struct connection *connection)
+static void abandon_request(struct connection *connection)
 {
 	struct aub_caller_server *server = connection->server;
 	struct aub_caller_request *request = connection->request;
@@ -93,15 +93,15 @@
 static void connection_free(struct connection *connection)
 {
 	if (connection->request)
-		drop_request(connection);
+		abandon_request(connection);
 	g_hash_table_remove(connection->server->connections,
 			    connection->remote);
-	aub_caller_group_left(connection->group);
+	aub_caller_group_connection_closed(connection->group);
 	g_object_unref(connection->remote);
 	g_free(connection);
 }
 
-static void on_socket_gone(void *data, GObject *socket)
+static void on_socket_finalized(void *data, GObject *socket)
 {
 	connection_free(data);
 }
@@ -111,15 +111,16 @@
 {
 	GSocket *socket = g_object_ref(connection->socket);
 
-	g_object_weak_unref(G_OBJECT(socket), on_socket_gone, connection);
-	aub_caller_group_forget(connection->group, socket);
+	g_object_weak_unref(G_OBJECT(socket), on_socket_finalized, connection);
+	aub_caller_group_release(connection->group, socket);
 	connection_free(connection);
 	g_socket_close(socket, NULL);
 	g_object_unref(socket);
 }
 
 /* The connection that has waited longest for a next request, or NULL. */
-static struct connection *longest_idle(struct aub_caller_server *server)
+static struct connection *longest_idle_connection(
+	struct aub_caller_server *server)
 {
 	struct connection *oldest = NULL;
 	GHashTableIter iterator;
@@ -129,9 +130,10 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		struct connection *connection = value;
 
-		if (connection->phase != PHASE_HEADER || connection->shut)
+		if (connection->phase != PHASE_HEADER || connection->shut_down)
 			continue;
-		if (!oldest || connection->since_us < oldest->since_us)
+		if (!oldest ||
+		    connection->phase_since_us < oldest->phase_since_us)
 			oldest = connection;
 	}
 	return oldest;
@@ -156,12 +158,12 @@
 	 * opens another when it needs one.
 	 */
 	if (g_hash_table_size(server->connections) >=
-	    server->options.connections) {
-		oldest = longest_idle(server);
-		shut(oldest ? oldest : connection);
+	    server->options.connections_max) {
+		oldest = longest_idle_connection(server);
+		shut_down(oldest ? oldest : connection);
 	}
 	g_hash_table_insert(server->connections, remote, connection);
-	g_object_weak_ref(G_OBJECT(socket), on_socket_gone, connection);
+	g_object_weak_ref(G_OBJECT(socket), on_socket_finalized, connection);
 }
 
 static struct connection *find_connection(struct aub_caller_server *server,
@@ -208,7 +210,7 @@
 		   aub_outcome_name(AUB_OUTCOME_NOT_RUN), reason);
 	g_socket_send(connection->socket, text, strlen(text), NULL, NULL);
 	soup_server_message_set_status(message, status, NULL);
-	connection->shut = true;
+	connection->shut_down = true;
 	g_socket_shutdown(connection->socket, FALSE, TRUE, NULL);
 }
 
@@ -226,15 +228,15 @@
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
 	struct connection *connection = find_connection(server, message);
 
-	if (connection && !connection->shut &&
+	if (connection && !connection->shut_down &&
 	    body->length > body_limit(server, message))
 		refuse_and_close(connection, message,
 				 SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
 				 "body-too-large");
 }
 
-static void on_header(SoupServer *soup, SoupServerMessage *message,
-		      const char *path, GHashTable *query, void *context)
+static void on_early_request(SoupServer *soup, SoupServerMessage *message,
+			     const char *path, GHashTable *query, void *context)
 {
 	struct aub_caller_server *server = context;
 	struct connection *connection = find_connection(server, message);
@@ -244,7 +246,7 @@
 
 	if (!connection)
 		return;
-	connection->used = true;
+	connection->has_carried_request = true;
 	set_phase(connection, PHASE_BODY);
 	headers = soup_server_message_get_request_headers(message);
 	length = soup_message_headers_get_one(headers, "Content-Length");
@@ -254,7 +256,7 @@
 	 * gets the answer to another's. What can be read in two ways is
 	 * refused, and its connection closed with all that follows on it.
 	 */
-	if (!aub_headers_framing_clear(headers))
+	if (!aub_headers_framing_is_unambiguous(headers))
 		refuse_and_close(connection, message, SOUP_STATUS_BAD_REQUEST,
 				 "unclear-length");
 	else if (soup_server_message_get_method(message) == SOUP_METHOD_CONNECT)
@@ -310,7 +312,7 @@
 	struct aub_call *call;
 
 	connection = find_connection(server, message);
-	if (!connection || connection->request || connection->shut) {
+	if (!connection || connection->request || connection->shut_down) {
 		refuse(message, SOUP_STATUS_SERVICE_UNAVAILABLE, "closing");
 		return;
 	}
@@ -319,7 +321,7 @@
 		set_phase(connection, PHASE_WRITING);
 		return;
 	}
-	call = aub_caller_read(message);
+	call = aub_caller_parse_request(message);
 	if (!call) {
 		refuse(message, SOUP_STATUS_BAD_REQUEST, "malformed-header");
 		set_phase(connection, PHASE_WRITING);
@@ -329,19 +331,19 @@
 	request->connection = connection;
 	request->message = g_object_ref(message);
 	connection->request = request;
-	set_phase(connection, PHASE_RUNNING);
+	set_phase(connection, PHASE_IN_PROGRESS);
 	soup_server_message_pause(message);
 	server->options.arrived(request, call, server->options.context);
 }
 
-void aub_caller_answer(struct aub_caller_request *request,
-		       struct aub_answer *answer, bool stale)
+void aub_caller_respond(struct aub_caller_request *request,
+			struct aub_answer *answer, bool stale)
 {
 	struct connection *connection = request->connection;
 	SoupServerMessage *message = request->message;
 
-	aub_caller_write(message, answer, stale);
-	if (aub_caller_group_thin(connection->group))
+	aub_caller_write_response(message, answer, stale);
+	if (aub_caller_group_should_drain(connection->group))
 		soup_message_headers_replace(
 			soup_server_message_get_response_headers(message),
 			"Connection", "close");
@@ -392,7 +394,7 @@
 
 	if (connection && connection->request &&
 	    connection->request->message == message)
-		drop_request(connection);
+		abandon_request(connection);
 }
 
 /*
@@ -400,7 +402,7 @@
  * others wait for. libsoup doesn't read while an answer is awaited, so the
  * socket is peeked at: end of stream or an error means that nobody waits.
  */
-static bool caller_is_gone(const struct connection *connection)
+static bool peer_has_closed(const struct connection *connection)
 {
 	char byte;
 	ssize_t count;
@@ -410,11 +412,13 @@
 	return !count || (count < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-static guint idle_ms(const struct aub_caller_server *server)
+static guint keep_alive_ms(const struct aub_caller_server *server)
 {
-	guint kept = MAX(server->kept, KEPT_EASILY);
+	guint keep_alive_count =
+		MAX(server->keep_alive_count, KEEP_ALIVE_CONNECTIONS_SOFT_MAX);
 
-	return (guint)((guint64)server->options.idle_ms * KEPT_EASILY / kept);
+	return (guint)((guint64)server->options.idle_ms *
+		       KEEP_ALIVE_CONNECTIONS_SOFT_MAX / keep_alive_count);
 }
 
 static bool is_overdue(const struct connection *connection, gint64 now_us)
@@ -425,8 +429,9 @@
 	options = &connection->server->options;
 	switch (connection->phase) {
 	case PHASE_HEADER:
-		limit_ms = connection->used ? idle_ms(connection->server) :
-					      options->header_ms;
+		limit_ms = connection->has_carried_request ?
+				   keep_alive_ms(connection->server) :
+				   options->header_ms;
 		break;
 	case PHASE_BODY:
 		limit_ms = options->body_ms;
@@ -434,36 +439,38 @@
 	case PHASE_WRITING:
 		limit_ms = options->write_ms;
 		break;
-	case PHASE_RUNNING:
+	case PHASE_IN_PROGRESS:
 		return false;
 	}
-	return now_us - connection->since_us > limit_ms * AUB_MS;
+	return now_us - connection->phase_since_us > limit_ms * AUB_MS;
 }
 
 /* Is anybody at the other end? An unused connection is asked less often. */
-static bool has_left(struct connection *connection, gint64 now_us)
+static bool check_peer_closed(struct connection *connection, gint64 now_us)
 {
-	gint64 every_us =
-		connection->phase == PHASE_RUNNING ? SWEEP_US : IDLE_LOOK_US;
+	gint64 every_us = connection->phase == PHASE_IN_PROGRESS ?
+				  SWEEP_INTERVAL_US :
+				  IDLE_CHECK_INTERVAL_US;
 
 	if (connection->phase == PHASE_BODY ||
 	    connection->phase == PHASE_WRITING)
 		return false;
-	if (now_us - MAX(connection->since_us, connection->looked_us) <
+	if (now_us -
+		    MAX(connection->phase_since_us, connection->last_check_us) <
 	    every_us)
 		return false;
-	connection->looked_us = now_us;
-	return caller_is_gone(connection);
+	connection->last_check_us = now_us;
+	return peer_has_closed(connection);
 }
 
 /* Its request is given up; what libsoup still writes goes nowhere. */
-static void give_up(struct connection *connection)
+static void abort_request(struct connection *connection)
 {
 	SoupServerMessage *message;
 
 	message = g_object_ref(connection->request->message);
-	drop_request(connection);
-	shut(connection);
+	abandon_request(connection);
+	shut_down(connection);
 	refuse(message, SOUP_STATUS_REQUEST_TIMEOUT, "caller-gone");
 	soup_server_message_unpause(message);
 	g_object_unref(message);
@@ -474,33 +481,34 @@
 	struct aub_caller_server *server = context;
 	GPtrArray *ended = g_ptr_array_new();
 	GHashTableIter iterator;
-	guint kept = 0;
+	guint keep_alive_count = 0;
 	void *value;
 
 	g_hash_table_iter_init(&iterator, server->connections);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		struct connection *connection = value;
 
-		kept += connection->used;
-		if (connection->shut || has_left(connection, now_us))
+		keep_alive_count += connection->has_carried_request;
+		if (connection->shut_down ||
+		    check_peer_closed(connection, now_us))
 			g_ptr_array_add(ended, connection);
 		else if (is_overdue(connection, now_us))
-			shut(connection);
+			shut_down(connection);
 	}
 	for (guint i = 0; i < ended->len; i++) {
 		struct connection *connection = ended->pdata[i];
 
 		if (connection->request)
-			give_up(connection);
+			abort_request(connection);
 		else
 			connection_close(connection);
 	}
-	server->kept = kept;
+	server->keep_alive_count = keep_alive_count;
 	g_ptr_array_unref(ended);
-	aub_caller_groups_sweep(server->groups);
+	aub_caller_groups_free_empty(server->groups);
 }
 
-static void prepare(SoupServer *soup, void *context)
+static void configure_server(SoupServer *soup, void *context)
 {
 	struct aub_caller_server *server = context;
 
@@ -510,7 +518,8 @@
 			 server);
 	g_signal_connect(soup, "request-aborted", G_CALLBACK(on_aborted),
 			 server);
-	soup_server_add_early_handler(soup, NULL, on_header, server, NULL);
+	soup_server_add_early_handler(soup, NULL, on_early_request, server,
+				      NULL);
 	soup_server_add_handler(soup, NULL, on_request, server, NULL);
 }
 
@@ -525,7 +534,7 @@
 	server->groups = aub_caller_groups_new(
 		&(struct aub_caller_groups_options){
 			.address = options->address,
-			.prepare = prepare,
+			.configure_server = configure_server,
 			.accepted = on_accepted,
 			.context = server,
 		},
@@ -534,8 +543,9 @@
 		aub_caller_server_free(server);
 		return NULL;
 	}
-	server->sweep = aub_timer_every(options->timers, "callers", SWEEP_US,
-					on_sweep, server);
+	server->sweep_timer =
+		aub_timer_every(options->timers, "callers", SWEEP_INTERVAL_US,
+				on_sweep, server);
 	return server;
 }
 
@@ -546,7 +556,7 @@
 
 	if (!server)
 		return;
-	aub_timer_cancel(server->options.timers, server->sweep);
+	aub_timer_cancel(server->options.timers, server->sweep_timer);
 	for (;;) {
 		struct connection *connection;
 
@@ -555,7 +565,7 @@
 			break;
 		connection = value;
 		g_object_weak_unref(G_OBJECT(connection->socket),
-				    on_socket_gone, connection);
+				    on_socket_finalized, connection);
 		if (connection->request)
 			request_free(connection->request);
 		connection->request = NULL;
@@ -566,7 +576,7 @@
 	g_free(server);
 }
 
-guint aub_caller_server_busy(const struct aub_caller_server *server)
+guint aub_caller_server_active(const struct aub_caller_server *server)
 {
 	GHashTableIter iterator;
 	guint busy = 0;
--- a/src/transport/events_json.c
+++ b/src/transport/events_json.c
@@ -12,22 +12,23 @@
  * milliseconds, and a caller's request would wait that long; a reader asks
  * again from the last sequence it got.
  */
-#define EVENTS_PER_ANSWER 250
+#define EVENTS_PER_PAGE 250
 
 struct event_writer {
 	GString *out;
 	guint count;
 };
 
-static void event_write(const struct aub_event *event, void *context)
+static void write_event(const struct aub_event *event, void *context)
 {
 	struct event_writer *writer = context;
 	GString *out = writer->out;
-	const char *const texts[] = { "upstream",  event->upstream, "zone",
-				      event->zone, "peer",	    event->peer,
-				      "text",	   event->text };
+	const char *const text_fields[] = { "upstream", event->upstream,
+					    "zone",	event->zone,
+					    "peer",	event->peer,
+					    "text",	event->text };
 
-	if (writer->count >= EVENTS_PER_ANSWER)
+	if (writer->count >= EVENTS_PER_PAGE)
 		return;
 	g_string_append_printf(out,
 			       "%s{\"sequence\":%" G_GUINT64_FORMAT
@@ -40,11 +41,11 @@
 			       event->monotonic_us, event->wall_us,
 			       aub_event_type_name(event->type), event->request,
 			       event->number);
-	for (guint i = 0; i < G_N_ELEMENTS(texts); i += 2) {
-		if (!*texts[i + 1])
+	for (guint i = 0; i < G_N_ELEMENTS(text_fields); i += 2) {
+		if (!*text_fields[i + 1])
 			continue;
-		g_string_append_printf(out, ",\"%s\":", texts[i]);
-		aub_json_append_string(out, texts[i + 1]);
+		g_string_append_printf(out, ",\"%s\":", text_fields[i]);
+		aub_json_append_string(out, text_fields[i + 1]);
 	}
 	g_string_append_c(out, '}');
 }
@@ -64,7 +65,7 @@
 			       g_get_real_time(),
 			       ring ? aub_event_ring_lost(ring) : 0);
 	if (ring)
-		aub_event_ring_visit(ring, after, event_write, &writer);
+		aub_event_ring_visit(ring, after, write_event, &writer);
 	g_string_append(writer.out, "]}");
 	return g_string_free(writer.out, FALSE);
 }
--- a/src/transport/headers.c
+++ b/src/transport/headers.c
@@ -5,10 +5,10 @@
 
 #include <string.h>
 
-#define OWN_PREFIX "Auburnstile-"
+#define INTERNAL_HEADER_PREFIX "Auburnstile-"
 
 /* Fields that concern one connection, and those that libsoup writes. */
-static const char *const hop_by_hop[] = {
+static const char *const hop_by_hop_fields[] = {
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Connection",
@@ -22,20 +22,21 @@
 	"Content-Length",
 };
 
-bool aub_header_is_own(const char *name)
+bool aub_header_is_internal(const char *name)
 {
-	return !g_ascii_strncasecmp(name, OWN_PREFIX, strlen(OWN_PREFIX));
+	return !g_ascii_strncasecmp(name, INTERNAL_HEADER_PREFIX,
+				    strlen(INTERNAL_HEADER_PREFIX));
 }
 
-static bool is_hop_by_hop(const char *name)
+static bool is_hop_by_hop_field(const char *name)
 {
-	for (gsize i = 0; i < G_N_ELEMENTS(hop_by_hop); i++)
-		if (!g_ascii_strcasecmp(name, hop_by_hop[i]))
+	for (gsize i = 0; i < G_N_ELEMENTS(hop_by_hop_fields); i++)
+		if (!g_ascii_strcasecmp(name, hop_by_hop_fields[i]))
 			return true;
 	return false;
 }
 
-void aub_headers_collect(SoupMessageHeaders *from, GPtrArray *list)
+void aub_headers_from_soup(SoupMessageHeaders *from, GPtrArray *list)
 {
 	SoupMessageHeadersIter iterator;
 	const char *connection;
@@ -45,7 +46,7 @@
 	connection = soup_message_headers_get_list(from, "Connection");
 	soup_message_headers_iter_init(&iterator, from);
 	while (soup_message_headers_iter_next(&iterator, &name, &value)) {
-		if (is_hop_by_hop(name) || aub_header_is_own(name))
+		if (is_hop_by_hop_field(name) || aub_header_is_internal(name))
 			continue;
 		if (connection && soup_header_contains(connection, name))
 			continue;
@@ -53,7 +54,7 @@
 	}
 }
 
-void aub_headers_emit(const GPtrArray *list, SoupMessageHeaders *to)
+void aub_headers_to_soup(const GPtrArray *list, SoupMessageHeaders *to)
 {
 	for (guint i = 0; i < list->len; i++) {
 		const struct aub_header *header = list->pdata[i];
@@ -79,7 +80,7 @@
 						  number, NULL);
 }
 
-bool aub_headers_framing_clear(SoupMessageHeaders *headers)
+bool aub_headers_framing_is_unambiguous(SoupMessageHeaders *headers)
 {
 	const char *length;
 	const char *coding;
--- a/src/transport/http_call.c
+++ b/src/transport/http_call.c
@@ -5,12 +5,13 @@
 
 #include <string.h>
 
-#define BODY_LIMIT (8u << 20) /* a page of the store holds a megabyte or so */
+#define BODY_MAX_BYTES \
+	(8u << 20) /* a page of the store holds a megabyte or so */
 
 struct aub_http_call {
 	struct aub_timer_service *timers;
 	struct aub_exchange *exchange;
-	aub_http_call_ended *ended;
+	aub_http_call_callback *ended;
 	void *context;
 	const struct aub_http_head *head; /* the stream's, while it lasts */
 	GByteArray *body;
@@ -35,24 +36,25 @@
 {
 	struct aub_http_call *call = context;
 
-	if (call->body->len + length <= BODY_LIMIT)
+	if (call->body->len + length <= BODY_MAX_BYTES)
 		g_byte_array_append(call->body, (const guint8 *)data,
 				    (guint)length);
 }
 
-static void call_end(struct aub_http_call *call, enum aub_exchange_end end)
+static void call_finish(struct aub_http_call *call,
+			enum aub_exchange_result result)
 {
-	bool whole = end == AUB_EXCHANGE_WHOLE;
+	bool complete = result == AUB_EXCHANGE_COMPLETE;
 
-	call->ended(end, whole ? call->head : NULL,
+	call->ended(result, complete ? call->head : NULL,
 		    (const char *)call->body->data, call->body->len,
 		    call->context);
 	call_free(call);
 }
 
-static void on_ended(enum aub_exchange_end end, void *context)
+static void on_ended(enum aub_exchange_result result, void *context)
 {
-	call_end(context, end);
+	call_finish(context, result);
 }
 
 static void on_timeout(void *context, gint64 now_us)
@@ -61,7 +63,7 @@
 
 	call->timer = 0;
 	aub_exchange_cancel(call->exchange);
-	call_end(call, AUB_EXCHANGE_TIMEOUT);
+	call_finish(call, AUB_EXCHANGE_TIMEOUT);
 }
 
 static const struct aub_exchange_callbacks callbacks = {
@@ -82,7 +84,7 @@
 		g_string_append_printf(text,
 				       "Content-Type: %s\r\n"
 				       "Content-Length: %zu\r\n",
-				       options->type,
+				       options->content_type,
 				       g_bytes_get_size(options->body));
 	g_string_append(text, "\r\n");
 	if (options->body)
@@ -96,14 +98,14 @@
 
 struct aub_http_call *aub_http_call_new(
 	struct aub_http_client *client,
-	const struct aub_http_call_options *options, aub_http_call_ended *ended,
-	void *context)
+	const struct aub_http_call_options *options,
+	aub_http_call_callback *ended, void *context)
 {
 	struct aub_http_call *call = g_new0(struct aub_http_call, 1);
 	const struct aub_exchange_options exchange = {
 		.address = options->address,
-		.peer = options->peer ? options->peer : "",
-		.idle_us = options->idle_us,
+		.pool_name = options->pool_name ? options->pool_name : "",
+		.idle_max_us = options->idle_max_us,
 	};
 
 	call->timers = aub_http_client_timers(client);
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -11,26 +11,27 @@
  * Paths take a few ms. A dropped opening packet is sent again after a
  * second: trying elsewhere is sooner.
  */
-#define CONNECT_MS 400
-#define HEAD_LIMIT (64u << 10)
-#define KEEP_DEFAULT_US (8 * AUB_SECOND) /* idle limit where none is told */
-#define KEEP_SHARE 0.7 /* of the idle limit that the peer tells */
-#define KEPT_A_PEER 32
+#define CONNECT_TIMEOUT_MS 400
+#define HEAD_MAX_BYTES (64u << 10)
+#define KEEP_ALIVE_DEFAULT_US \
+	(8 * AUB_SECOND) /* idle limit where none is told */
+#define KEEP_ALIVE_FRACTION 0.7 /* of the idle limit that the peer tells */
+#define POOLED_CONNECTIONS_MAX 32
 
 struct aub_http_client {
 	struct aub_poller *poller;
 	struct aub_timer_service *timers;
-	GHashTable *kept; /* "address peer" -> GQueue of struct kept */
-	guint64 opened;
+	GHashTable *pooled; /* "address peer" -> GQueue of struct kept */
+	guint64 connections_opened;
 };
 
 /* A connection with nothing under way. */
-struct kept {
+struct pooled {
 	struct aub_http_client *client;
 	GQueue *queue; /* the one it stands in */
 	struct aub_http_stream *stream;
 	gint64 since_us;
-	gint64 until_us;
+	gint64 expires_us;
 };
 
 struct aub_exchange {
@@ -38,48 +39,49 @@
 	struct aub_http_stream *stream; /* NULL: could not even begin */
 	struct aub_exchange_callbacks callbacks;
 	void *context;
-	char *key;
+	char *pool_key;
 	guint timer; /* of the connect, or of a failure to tell */
-	guint64 sent_before; /* by the connection's earlier exchanges */
-	gint64 keep_us;
+	guint64 sent_before_bytes; /* by the connection's earlier exchanges */
+	gint64 pool_us;
 	bool request_done;
 	bool keep_alive;
-	bool skipping; /* the answer that comes in is another request's */
-	bool doubtful; /* stray answers came: not to be kept */
+	bool discarding; /* the answer that comes in is another request's */
+	bool not_reusable; /* stray answers came: not to be kept */
 };
 
-static void kept_free(struct kept *kept)
+static void pooled_free(struct pooled *pooled)
 {
-	g_queue_remove(kept->queue, kept);
-	aub_http_stream_free(kept->stream);
-	g_free(kept);
+	g_queue_remove(pooled->queue, pooled);
+	aub_http_stream_free(pooled->stream);
+	g_free(pooled);
 }
 
-static void on_kept_ended(enum aub_stream_end end, bool midway, void *context)
+static void on_pooled_ended(enum aub_stream_end_reason reason, bool in_message,
+			    void *context)
 {
-	kept_free(context);
+	pooled_free(context);
 }
 
 /* Nobody asked: whatever answers here would be taken for the next answer. */
-static void on_kept_head(const struct aub_http_head *head, void *context)
+static void on_pooled_head(const struct aub_http_head *head, void *context)
 {
-	kept_free(context);
+	pooled_free(context);
 }
 
-static void on_kept_body(const char *data, gsize length, void *context)
+static void on_pooled_body(const char *data, gsize length, void *context)
 {
 }
 
-static void on_kept_complete(void *context)
+static void on_pooled_complete(void *context)
 {
-	kept_free(context);
+	pooled_free(context);
 }
 
-static const struct aub_http_callbacks kept_callbacks = {
-	.head = on_kept_head,
-	.body = on_kept_body,
-	.complete = on_kept_complete,
-	.ended = on_kept_ended,
+static const struct aub_http_callbacks pooled_callbacks = {
+	.head = on_pooled_head,
+	.body = on_pooled_body,
+	.complete = on_pooled_complete,
+	.ended = on_pooled_ended,
 };
 
 static void queue_free(void *data)
@@ -87,7 +89,7 @@
 	GQueue *queue = data;
 
 	while (!g_queue_is_empty(queue))
-		kept_free(g_queue_peek_head(queue));
+		pooled_free(g_queue_peek_head(queue));
 	g_queue_free(queue);
 }
 
@@ -98,8 +100,8 @@
 
 	client->poller = poller;
 	client->timers = timers;
-	client->kept = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					     queue_free);
+	client->pooled = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					       queue_free);
 	return client;
 }
 
@@ -107,7 +109,7 @@
 {
 	if (!client)
 		return;
-	g_hash_table_unref(client->kept);
+	g_hash_table_unref(client->pooled);
 	g_free(client);
 }
 
@@ -117,9 +119,9 @@
 	return client->timers;
 }
 
-guint64 aub_http_client_opened(const struct aub_http_client *client)
+guint64 aub_http_client_connections_opened(const struct aub_http_client *client)
 {
-	return client->opened;
+	return client->connections_opened;
 }
 
 static void queue_sweep(GQueue *queue, gint64 now_us)
@@ -127,20 +129,21 @@
 	GList *link = queue->head;
 
 	while (link) {
-		struct kept *kept = link->data;
+		struct pooled *pooled = link->data;
 
 		link = link->next;
-		if (kept->until_us <= now_us)
-			kept_free(kept);
+		if (pooled->expires_us <= now_us)
+			pooled_free(pooled);
 	}
 }
 
-void aub_http_client_sweep(struct aub_http_client *client, gint64 now_us)
+void aub_http_client_close_expired(struct aub_http_client *client,
+				   gint64 now_us)
 {
 	GHashTableIter iter;
 	void *queue;
 
-	g_hash_table_iter_init(&iter, client->kept);
+	g_hash_table_iter_init(&iter, client->pooled);
 	while (g_hash_table_iter_next(&iter, NULL, &queue)) {
 		queue_sweep(queue, now_us);
 		if (g_queue_is_empty(queue))
@@ -149,64 +152,64 @@
 }
 
 /* The connection used last, if it is young enough; it is taken out. */
-static struct aub_http_stream *kept_take(struct aub_http_client *client,
-					 const char *key, gint64 idle_us)
+static struct aub_http_stream *pool_take(struct aub_http_client *client,
+					 const char *pool_key, gint64 idle_us)
 {
 	gint64 now = aub_timer_now(client->timers);
-	GQueue *queue = g_hash_table_lookup(client->kept, key);
+	GQueue *queue = g_hash_table_lookup(client->pooled, pool_key);
 	struct aub_http_stream *stream;
-	struct kept *kept;
+	struct pooled *pooled;
 
 	if (!queue || !idle_us)
 		return NULL;
 	queue_sweep(queue, now);
-	kept = g_queue_peek_tail(queue);
-	if (kept && aub_http_stream_midway(kept->stream)) {
-		kept_free(kept);
+	pooled = g_queue_peek_tail(queue);
+	if (pooled && aub_http_stream_in_message(pooled->stream)) {
+		pooled_free(pooled);
 		return NULL;
 	}
-	if (!kept || now - kept->since_us > idle_us)
+	if (!pooled || now - pooled->since_us > idle_us)
 		return NULL;
-	stream = kept->stream;
-	g_queue_remove(queue, kept);
-	g_free(kept);
+	stream = pooled->stream;
+	g_queue_remove(queue, pooled);
+	g_free(pooled);
 	return stream;
 }
 
-static void keep(struct aub_http_client *client, const char *key,
-		 struct aub_http_stream *stream, gint64 keep_us)
+static void pool_add(struct aub_http_client *client, const char *pool_key,
+		     struct aub_http_stream *stream, gint64 pool_us)
 {
-	GQueue *queue = g_hash_table_lookup(client->kept, key);
-	struct kept *kept = g_new0(struct kept, 1);
+	GQueue *queue = g_hash_table_lookup(client->pooled, pool_key);
+	struct pooled *pooled = g_new0(struct pooled, 1);
 
 	if (!queue) {
 		queue = g_queue_new();
-		g_hash_table_insert(client->kept, g_strdup(key), queue);
+		g_hash_table_insert(client->pooled, g_strdup(pool_key), queue);
 	}
-	if (g_queue_get_length(queue) >= KEPT_A_PEER)
-		kept_free(g_queue_peek_head(queue));
-	kept->client = client;
-	kept->queue = queue;
-	kept->stream = stream;
-	kept->since_us = aub_timer_now(client->timers);
-	kept->until_us = kept->since_us + keep_us;
-	aub_http_stream_set_callbacks(stream, &kept_callbacks, kept);
-	aub_http_stream_hold(stream, false);
-	g_queue_push_tail(queue, kept);
+	if (g_queue_get_length(queue) >= POOLED_CONNECTIONS_MAX)
+		pooled_free(g_queue_peek_head(queue));
+	pooled->client = client;
+	pooled->queue = queue;
+	pooled->stream = stream;
+	pooled->since_us = aub_timer_now(client->timers);
+	pooled->expires_us = pooled->since_us + pool_us;
+	aub_http_stream_set_callbacks(stream, &pooled_callbacks, pooled);
+	aub_http_stream_pause_reading(stream, false);
+	g_queue_push_tail(queue, pooled);
 }
 
 static void exchange_free(struct aub_exchange *exchange)
 {
 	aub_timer_cancel(exchange->client->timers, exchange->timer);
 	aub_http_stream_free(exchange->stream);
-	g_free(exchange->key);
+	g_free(exchange->pool_key);
 	g_free(exchange);
 }
 
-static void exchange_end(struct aub_exchange *exchange,
-			 enum aub_exchange_end end)
+static void exchange_finish(struct aub_exchange *exchange,
+			    enum aub_exchange_result result)
 {
-	exchange->callbacks.ended(end, exchange->context);
+	exchange->callbacks.ended(result, exchange->context);
 	exchange_free(exchange);
 }
 
@@ -219,7 +222,7 @@
 }
 
 /* "timeout=5, max=100": how long the peer keeps an idle connection. */
-static gint64 keep_time(const struct aub_http_head *head)
+static gint64 keep_alive_us(const struct aub_http_head *head)
 {
 	const char *text = aub_http_head_find(head, "Keep-Alive");
 	const char *timeout = text ? strstr(text, "timeout=") : NULL;
@@ -227,17 +230,17 @@
 		timeout ? strtol(timeout + strlen("timeout="), NULL, 10) : 0;
 
 	if (!timeout)
-		return KEEP_DEFAULT_US;
-	return (gint64)(KEEP_SHARE * (double)(seconds * AUB_SECOND));
+		return KEEP_ALIVE_DEFAULT_US;
+	return (gint64)(KEEP_ALIVE_FRACTION * (double)(seconds * AUB_SECOND));
 }
 
 static void on_head(const struct aub_http_head *head, void *context)
 {
 	struct aub_exchange *exchange = context;
 
-	exchange->skipping = false;
+	exchange->discarding = false;
 	exchange->keep_alive = head->keep_alive;
-	exchange->keep_us = keep_time(head);
+	exchange->pool_us = keep_alive_us(head);
 	exchange->callbacks.head(head, exchange->context);
 }
 
@@ -245,35 +248,35 @@
 {
 	struct aub_exchange *exchange = context;
 
-	if (!exchange->skipping)
+	if (!exchange->discarding)
 		exchange->callbacks.body(data, length, exchange->context);
 }
 
-static bool may_keep(const struct aub_exchange *exchange)
+static bool may_pool(const struct aub_exchange *exchange)
 {
 	return exchange->keep_alive && exchange->request_done &&
-	       !exchange->doubtful && exchange->keep_us > 0 &&
-	       !aub_http_stream_queued(exchange->stream) &&
-	       !aub_http_stream_has_surplus(exchange->stream);
+	       !exchange->not_reusable && exchange->pool_us > 0 &&
+	       !aub_http_stream_queued_bytes(exchange->stream) &&
+	       !aub_http_stream_has_excess_bytes(exchange->stream);
 }
 
 static void on_complete(void *context)
 {
 	struct aub_exchange *exchange = context;
 
-	if (exchange->skipping) {
+	if (exchange->discarding) {
 		if (!exchange->keep_alive) {
-			exchange_end(exchange, AUB_EXCHANGE_LOST);
+			exchange_finish(exchange, AUB_EXCHANGE_CONNECTION_LOST);
 			return;
 		}
 		aub_http_stream_resume(exchange->stream);
 		return;
 	}
-	exchange->callbacks.ended(AUB_EXCHANGE_WHOLE, exchange->context);
-	if (may_keep(exchange)) {
+	exchange->callbacks.ended(AUB_EXCHANGE_COMPLETE, exchange->context);
+	if (may_pool(exchange)) {
 		aub_http_stream_resume(exchange->stream);
-		keep(exchange->client, exchange->key, exchange->stream,
-		     exchange->keep_us);
+		pool_add(exchange->client, exchange->pool_key, exchange->stream,
+			 exchange->pool_us);
 		exchange->stream = NULL;
 	}
 	exchange_free(exchange);
@@ -290,16 +293,18 @@
 bool aub_exchange_may_have_sent(const struct aub_exchange *exchange)
 {
 	return exchange->stream &&
-	       aub_http_stream_sent(exchange->stream) > exchange->sent_before;
+	       aub_http_stream_sent_bytes(exchange->stream) >
+		       exchange->sent_before_bytes;
 }
 
-static void on_ended(enum aub_stream_end end, bool midway, void *context)
+static void on_ended(enum aub_stream_end_reason reason, bool in_message,
+		     void *context)
 {
 	struct aub_exchange *exchange = context;
 
-	exchange_end(exchange, aub_exchange_may_have_sent(exchange) ?
-				       AUB_EXCHANGE_LOST :
-				       AUB_EXCHANGE_UNREACHABLE);
+	exchange_finish(exchange, aub_exchange_may_have_sent(exchange) ?
+					  AUB_EXCHANGE_CONNECTION_LOST :
+					  AUB_EXCHANGE_UNREACHABLE);
 }
 
 static const struct aub_http_callbacks stream_callbacks = {
@@ -316,21 +321,21 @@
 	struct aub_exchange *exchange = context;
 
 	exchange->timer = 0;
-	exchange_end(exchange, AUB_EXCHANGE_UNREACHABLE);
+	exchange_finish(exchange, AUB_EXCHANGE_UNREACHABLE);
 }
 
 static void stream_open(struct aub_exchange *exchange,
 			const struct aub_exchange_options *options)
 {
 	struct aub_timer_service *timers = exchange->client->timers;
-	gint64 wait_us = CONNECT_MS * AUB_MS;
+	gint64 wait_us = CONNECT_TIMEOUT_MS * AUB_MS;
 	int fd = aub_tcp_connect(options->address, NULL);
 
-	exchange->client->opened++;
+	exchange->client->connections_opened++;
 	if (fd >= 0)
 		exchange->stream =
 			aub_http_stream_new(exchange->client->poller, fd,
-					    HTTP_RESPONSE, true, HEAD_LIMIT,
+					    HTTP_RESPONSE, true, HEAD_MAX_BYTES,
 					    &stream_callbacks, exchange);
 	else
 		wait_us = 0; /* told from the main loop */
@@ -349,11 +354,13 @@
 	exchange->client = client;
 	exchange->callbacks = *callbacks;
 	exchange->context = context;
-	exchange->key =
-		g_strdup_printf("%s %s", options->address, options->peer);
-	exchange->stream = kept_take(client, exchange->key, options->idle_us);
+	exchange->pool_key =
+		g_strdup_printf("%s %s", options->address, options->pool_name);
+	exchange->stream =
+		pool_take(client, exchange->pool_key, options->idle_max_us);
 	if (exchange->stream) {
-		exchange->sent_before = aub_http_stream_sent(exchange->stream);
+		exchange->sent_before_bytes =
+			aub_http_stream_sent_bytes(exchange->stream);
 		aub_http_stream_set_callbacks(exchange->stream,
 					      &stream_callbacks, exchange);
 	} else {
@@ -361,7 +368,7 @@
 	}
 	if (exchange->stream)
 		aub_http_stream_expect_no_body(exchange->stream,
-					       options->no_body);
+					       options->is_head);
 	return exchange;
 }
 
@@ -383,21 +390,23 @@
 	exchange->request_done = true;
 }
 
-gsize aub_exchange_queued(const struct aub_exchange *exchange)
+gsize aub_exchange_queued_bytes(const struct aub_exchange *exchange)
 {
-	return exchange->stream ? aub_http_stream_queued(exchange->stream) : 0;
+	return exchange->stream ?
+		       aub_http_stream_queued_bytes(exchange->stream) :
+		       0;
 }
 
-void aub_exchange_skip(struct aub_exchange *exchange)
+void aub_exchange_discard_response(struct aub_exchange *exchange)
 {
-	exchange->skipping = true;
-	exchange->doubtful = true;
+	exchange->discarding = true;
+	exchange->not_reusable = true;
 }
 
-void aub_exchange_hold(struct aub_exchange *exchange, bool hold)
+void aub_exchange_pause_reading(struct aub_exchange *exchange, bool paused)
 {
 	if (exchange->stream)
-		aub_http_stream_hold(exchange->stream, hold);
+		aub_http_stream_pause_reading(exchange->stream, paused);
 }
 
 void aub_exchange_cancel(struct aub_exchange *exchange)
--- a/src/transport/http_stream.c
+++ b/src/transport/http_stream.c
@@ -11,10 +11,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_BYTES (64u << 10) /* a read; bounds what one turn hands on */
-#define EARLY_LIMIT (64u << 10) /* bytes kept of messages not yet due */
+#define READ_MAX_BYTES (64u << 10) /* a read; bounds what one turn hands on */
+#define UNPARSED_MAX_BYTES (64u << 10) /* bytes kept of messages not yet due \
+					*/
 
-struct header_at {
+struct header_offsets {
 	guint name; /* offsets into `text` */
 	guint value;
 };
@@ -27,26 +28,26 @@
 	void *context;
 	struct aub_http_head head;
 	GString *text; /* target, names and values, each NUL-terminated */
-	GArray *at; /* of struct header_at */
+	GArray *offsets; /* of struct header_offsets */
 	guint head_bytes;
 	guint head_limit;
 	bool in_value; /* the parser's last piece was of a value */
 	bool head_done; /* header pieces that follow are trailers: dropped */
-	GByteArray *early; /* read, not parsed */
+	GByteArray *unparsed; /* read, not parsed */
 	GByteArray *out;
-	gsize out_at; /* bytes of `out` already sent */
+	gsize out_sent; /* bytes of `out` already sent */
 	guint64 sent;
-	guint depth;
+	guint callback_depth;
 	bool connecting;
-	bool held;
-	bool paused; /* a message is complete and not yet answered */
-	bool midway;
+	bool reading_paused;
+	bool awaiting_resume; /* a message is complete and not yet answered */
+	bool in_message;
 	bool no_body;
-	bool refused; /* what came is no message: nothing more is read */
-	bool finishing;
-	bool shut;
+	bool rejected; /* what came is no message: nothing more is read */
+	bool closing;
+	bool write_shut;
 	bool freed;
-	bool over; /* `ended` was called */
+	bool end_reported; /* `ended` was called */
 };
 
 const char *aub_http_head_find(const struct aub_http_head *head,
@@ -76,82 +77,84 @@
 	return count;
 }
 
-static int on_begin(http_parser *parser)
+static int on_message_begin(http_parser *parser)
 {
 	struct aub_http_stream *stream = parser->data;
 
 	g_string_truncate(stream->text, 0);
 	g_string_append_c(stream->text, '\0'); /* offset 0: no text */
-	g_array_set_size(stream->at, 0);
+	g_array_set_size(stream->offsets, 0);
 	g_array_set_size(stream->head.headers, 0);
 	stream->head_bytes = 0;
 	stream->in_value = true;
 	stream->head_done = false;
-	stream->midway = true;
+	stream->in_message = true;
 	return 0;
 }
 
-static int grow(struct aub_http_stream *stream, gsize length)
+static int add_head_bytes(struct aub_http_stream *stream, gsize length)
 {
 	stream->head_bytes += length;
 	return stream->head_bytes > stream->head_limit ? -1 : 0;
 }
 
-static int on_target(http_parser *parser, const char *data, size_t length)
+static int on_url(http_parser *parser, const char *data, size_t length)
 {
 	struct aub_http_stream *stream = parser->data;
 
 	g_string_append_len(stream->text, data, (gssize)length);
-	return grow(stream, length);
+	return add_head_bytes(stream, length);
 }
 
-static int on_name(http_parser *parser, const char *data, size_t length)
+static int on_header_field(http_parser *parser, const char *data, size_t length)
 {
 	struct aub_http_stream *stream = parser->data;
 
 	if (stream->head_done)
-		return grow(stream, length);
+		return add_head_bytes(stream, length);
 	if (stream->in_value) {
-		struct header_at at = { 0 };
+		struct header_offsets offsets = { 0 };
 
 		g_string_append_c(stream->text, '\0');
-		at.name = stream->text->len;
-		g_array_append_val(stream->at, at);
+		offsets.name = stream->text->len;
+		g_array_append_val(stream->offsets, offsets);
 		stream->in_value = false;
 	}
 	g_string_append_len(stream->text, data, (gssize)length);
-	return grow(stream, length + 2);
+	return add_head_bytes(stream, length + 2);
 }
 
-static int on_value(http_parser *parser, const char *data, size_t length)
+static int on_header_value(http_parser *parser, const char *data, size_t length)
 {
 	struct aub_http_stream *stream = parser->data;
 
 	if (stream->head_done)
-		return grow(stream, length);
+		return add_head_bytes(stream, length);
 	if (!stream->in_value) {
 		g_string_append_c(stream->text, '\0');
-		g_array_index(stream->at, struct header_at, stream->at->len - 1)
+		g_array_index(stream->offsets, struct header_offsets,
+			      stream->offsets->len - 1)
 			.value = stream->text->len;
 		stream->in_value = true;
 	}
 	g_string_append_len(stream->text, data, (gssize)length);
-	return grow(stream, length + 2);
+	return add_head_bytes(stream, length + 2);
 }
 
-static int on_head(http_parser *parser)
+static int on_headers_complete(http_parser *parser)
 {
 	struct aub_http_stream *stream = parser->data;
 	struct aub_http_head *head = &stream->head;
 
 	stream->head_done = true;
 	g_string_append_c(stream->text, '\0');
-	for (guint i = 0; i < stream->at->len; i++) {
-		struct header_at at =
-			g_array_index(stream->at, struct header_at, i);
+	for (guint i = 0; i < stream->offsets->len; i++) {
+		struct header_offsets offsets =
+			g_array_index(stream->offsets, struct header_offsets,
+				      i);
 		struct aub_http_header header = {
-			.name = stream->text->str + at.name,
-			.value = stream->text->str + at.value,
+			.name = stream->text->str + offsets.name,
+			.value = stream->text->str + offsets.value,
 		};
 
 		g_array_append_val(head->headers, header);
@@ -180,36 +183,36 @@
 	return stream->freed ? -1 : 0;
 }
 
-static int on_complete(http_parser *parser)
+static int on_message_complete(http_parser *parser)
 {
 	struct aub_http_stream *stream = parser->data;
 
 	if (parser->type == HTTP_RESPONSE && stream->head.status < 200)
 		return 0; /* 100 Continue: the answer proper follows */
-	stream->midway = false;
-	stream->paused = true;
+	stream->in_message = false;
+	stream->awaiting_resume = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
 
 static const http_parser_settings parser_settings = {
-	.on_message_begin = on_begin,
-	.on_url = on_target,
-	.on_header_field = on_name,
-	.on_header_value = on_value,
-	.on_headers_complete = on_head,
+	.on_message_begin = on_message_begin,
+	.on_url = on_url,
+	.on_header_field = on_header_field,
+	.on_header_value = on_header_value,
+	.on_headers_complete = on_headers_complete,
 	.on_body = on_body,
-	.on_message_complete = on_complete,
+	.on_message_complete = on_message_complete,
 };
 
 static void stream_release(struct aub_http_stream *stream)
 {
-	if (stream->depth || !stream->freed)
+	if (stream->callback_depth || !stream->freed)
 		return;
 	g_string_free(stream->text, TRUE);
-	g_array_unref(stream->at);
+	g_array_unref(stream->offsets);
 	g_array_unref(stream->head.headers);
-	g_byte_array_unref(stream->early);
+	g_byte_array_unref(stream->unparsed);
 	g_byte_array_unref(stream->out);
 	g_free(stream);
 }
@@ -220,51 +223,52 @@
 
 	if (stream->freed || !stream->watch)
 		return;
-	if (!stream->held && !stream->connecting)
+	if (!stream->reading_paused && !stream->connecting)
 		events |= EPOLLIN;
-	if (stream->connecting || stream->out->len > stream->out_at)
+	if (stream->connecting || stream->out->len > stream->out_sent)
 		events |= EPOLLOUT;
-	aub_poll_watch_set(stream->watch, events);
+	aub_poll_watch_set_events(stream->watch, events);
 }
 
-static void stream_end(struct aub_http_stream *stream, enum aub_stream_end end)
+static void stream_end(struct aub_http_stream *stream,
+		       enum aub_stream_end_reason reason)
 {
-	if (stream->over || stream->freed)
+	if (stream->end_reported || stream->freed)
 		return;
-	stream->over = true;
+	stream->end_reported = true;
 	aub_poll_watch_remove(stream->watch);
 	stream->watch = NULL;
-	stream->callbacks.ended(end, stream->midway, stream->context);
+	stream->callbacks.ended(reason, stream->in_message, stream->context);
 }
 
-static void stream_refuse(struct aub_http_stream *stream,
-			  enum aub_stream_end end)
+static void stream_reject(struct aub_http_stream *stream,
+			  enum aub_stream_end_reason reason)
 {
-	if (!stream->callbacks.refused) {
-		stream_end(stream, end);
+	if (!stream->callbacks.rejected) {
+		stream_end(stream, reason);
 		return;
 	}
-	stream->refused = true;
-	stream->callbacks.refused(end, stream->context);
+	stream->rejected = true;
+	stream->callbacks.rejected(reason, stream->context);
 }
 
 /* Parse `length` bytes; returns how many were taken. */
 static gsize stream_parse(struct aub_http_stream *stream, const char *data,
 			  gsize length)
 {
-	gsize taken = http_parser_execute(&stream->parser, &parser_settings,
-					  data, length);
+	gsize parsed = http_parser_execute(&stream->parser, &parser_settings,
+					   data, length);
 	enum http_errno error = HTTP_PARSER_ERRNO(&stream->parser);
 
-	if (stream->freed || stream->over)
+	if (stream->freed || stream->end_reported)
 		return length;
-	if (stream->paused) {
+	if (stream->awaiting_resume) {
 		http_parser_pause(&stream->parser, 0);
-		if (taken < length) {
-			g_byte_array_set_size(stream->early, 0);
-			g_byte_array_append(stream->early,
-					    (const guint8 *)data + taken,
-					    (guint)(length - taken));
+		if (parsed < length) {
+			g_byte_array_set_size(stream->unparsed, 0);
+			g_byte_array_append(stream->unparsed,
+					    (const guint8 *)data + parsed,
+					    (guint)(length - parsed));
 		}
 		stream->callbacks.complete(stream->context);
 		return length;
@@ -274,27 +278,27 @@
 		bool large = stream->head_bytes > stream->head_limit ||
 			     error == HPE_HEADER_OVERFLOW;
 
-		stream_refuse(stream, large ? AUB_STREAM_TOO_LARGE :
-					      AUB_STREAM_GARBAGE);
+		stream_reject(stream, large ? AUB_STREAM_HEAD_TOO_LARGE :
+					      AUB_STREAM_MALFORMED);
 	}
 	return length;
 }
 
-static void stream_take(struct aub_http_stream *stream, const char *data,
-			gsize length)
+static void stream_receive(struct aub_http_stream *stream, const char *data,
+			   gsize length)
 {
-	if (stream->finishing || stream->refused)
+	if (stream->closing || stream->rejected)
 		return;
-	if (stream->paused) {
-		if (stream->early->len + length > EARLY_LIMIT) {
-			stream_end(stream, AUB_STREAM_GARBAGE);
+	if (stream->awaiting_resume) {
+		if (stream->unparsed->len + length > UNPARSED_MAX_BYTES) {
+			stream_end(stream, AUB_STREAM_MALFORMED);
 			return;
 		}
-		g_byte_array_append(stream->early, (const guint8 *)data,
+		g_byte_array_append(stream->unparsed, (const guint8 *)data,
 				    (guint)length);
 		/* Whoever keeps an idle connection learns of stray bytes. */
 		if (stream->parser.type == HTTP_RESPONSE)
-			stream_end(stream, AUB_STREAM_GARBAGE);
+			stream_end(stream, AUB_STREAM_MALFORMED);
 		return;
 	}
 	stream_parse(stream, data, length);
@@ -302,21 +306,21 @@
 
 static void stream_read(struct aub_http_stream *stream)
 {
-	char data[READ_BYTES];
-	ssize_t got = recv(stream->fd, data, sizeof(data), 0);
+	char data[READ_MAX_BYTES];
+	ssize_t received = recv(stream->fd, data, sizeof(data), 0);
 
-	if (got > 0) {
-		stream_take(stream, data, (gsize)got);
+	if (received > 0) {
+		stream_receive(stream, data, (gsize)received);
 		return;
 	}
-	if (got < 0) {
+	if (received < 0) {
 		if (errno != EAGAIN && errno != EINTR)
 			stream_end(stream, AUB_STREAM_RESET);
 		return;
 	}
 	/* A body without a length ends here; `complete` comes first. */
-	if (stream->midway && !stream->paused && !stream->finishing &&
-	    !stream->refused)
+	if (stream->in_message && !stream->awaiting_resume &&
+	    !stream->closing && !stream->rejected)
 		stream_parse(stream, NULL, 0);
 	if (!stream->freed)
 		stream_end(stream, AUB_STREAM_EOF);
@@ -329,7 +333,7 @@
 
 	getsockopt(stream->fd, SOL_SOCKET, SO_ERROR, &error, &length);
 	if (error) {
-		stream_end(stream, AUB_STREAM_REFUSED);
+		stream_end(stream, AUB_STREAM_CONNECT_FAILED);
 		return;
 	}
 	stream->connecting = false;
@@ -339,22 +343,22 @@
 		aub_http_stream_flush(stream);
 }
 
-static void on_ready(void *context, guint events)
+static void on_socket_event(void *context, guint events)
 {
 	struct aub_http_stream *stream = context;
 
-	stream->depth++;
+	stream->callback_depth++;
 	if (stream->connecting) {
 		on_connected(stream);
 	} else {
 		if (events & EPOLLOUT)
 			aub_http_stream_flush(stream);
-		if (!stream->freed && !stream->over &&
+		if (!stream->freed && !stream->end_reported &&
 		    (events & (EPOLLIN | EPOLLERR | EPOLLHUP)))
 			stream_read(stream);
 	}
 	watch_update(stream);
-	stream->depth--;
+	stream->callback_depth--;
 	stream_release(stream);
 }
 
@@ -371,16 +375,17 @@
 	stream->callbacks = *callbacks;
 	stream->context = context;
 	stream->text = g_string_new(NULL);
-	stream->at = g_array_new(FALSE, FALSE, sizeof(struct header_at));
+	stream->offsets =
+		g_array_new(FALSE, FALSE, sizeof(struct header_offsets));
 	stream->head.headers =
 		g_array_new(FALSE, FALSE, sizeof(struct aub_http_header));
-	stream->early = g_byte_array_new();
+	stream->unparsed = g_byte_array_new();
 	stream->out = g_byte_array_new();
 	http_parser_init(&stream->parser, type);
 	stream->parser.data = stream;
 	stream->watch =
 		aub_poller_add(poller, fd, connecting ? EPOLLOUT : EPOLLIN,
-			       on_ready, stream);
+			       on_socket_event, stream);
 	return stream;
 }
 
@@ -409,65 +414,66 @@
 	g_byte_array_append(stream->out, data, (guint)length);
 }
 
-gsize aub_http_stream_queued(const struct aub_http_stream *stream)
+gsize aub_http_stream_queued_bytes(const struct aub_http_stream *stream)
 {
-	return stream->out->len - stream->out_at;
+	return stream->out->len - stream->out_sent;
 }
 
-guint64 aub_http_stream_sent(const struct aub_http_stream *stream)
+guint64 aub_http_stream_sent_bytes(const struct aub_http_stream *stream)
 {
 	return stream->sent;
 }
 
-static void on_emptied(struct aub_http_stream *stream)
+static void on_output_drained(struct aub_http_stream *stream)
 {
 	g_byte_array_set_size(stream->out, 0);
-	stream->out_at = 0;
-	if (stream->finishing && !stream->shut) {
-		stream->shut = true;
+	stream->out_sent = 0;
+	if (stream->closing && !stream->write_shut) {
+		stream->write_shut = true;
 		shutdown(stream->fd, SHUT_WR);
 	}
-	if (stream->callbacks.drained && !stream->over)
+	if (stream->callbacks.drained && !stream->end_reported)
 		stream->callbacks.drained(stream->context);
 }
 
 void aub_http_stream_flush(struct aub_http_stream *stream)
 {
-	gsize length = aub_http_stream_queued(stream);
-	ssize_t put;
+	gsize length = aub_http_stream_queued_bytes(stream);
+	ssize_t sent;
 
-	if (stream->freed || stream->connecting || stream->over || !length)
+	if (stream->freed || stream->connecting || stream->end_reported ||
+	    !length)
 		return;
-	stream->depth++;
-	put = send(stream->fd, stream->out->data + stream->out_at, length,
-		   MSG_NOSIGNAL);
-	if (put > 0) {
-		stream->sent += (guint64)put;
-		stream->out_at += (gsize)put;
-		if (stream->out_at == stream->out->len)
-			on_emptied(stream);
+	stream->callback_depth++;
+	sent = send(stream->fd, stream->out->data + stream->out_sent, length,
+		    MSG_NOSIGNAL);
+	if (sent > 0) {
+		stream->sent += (guint64)sent;
+		stream->out_sent += (gsize)sent;
+		if (stream->out_sent == stream->out->len)
+			on_output_drained(stream);
 	}
 	/* A failed send shows as a reset when the socket is read next. */
 	watch_update(stream);
-	stream->depth--;
+	stream->callback_depth--;
 	stream_release(stream);
 }
 
 void aub_http_stream_resume(struct aub_http_stream *stream)
 {
-	GByteArray *early;
+	GByteArray *unparsed;
 
-	if (!stream->paused || stream->freed)
+	if (!stream->awaiting_resume || stream->freed)
 		return;
-	stream->paused = false;
-	if (!stream->early->len)
+	stream->awaiting_resume = false;
+	if (!stream->unparsed->len)
 		return;
-	early = stream->early;
-	stream->early = g_byte_array_new();
-	stream->depth++;
-	stream_parse(stream, (const char *)early->data, early->len);
-	stream->depth--;
-	g_byte_array_unref(early);
+	unparsed = stream->unparsed;
+	stream->unparsed = g_byte_array_new();
+	stream->callback_depth++;
+	stream_parse(stream, (const char *)unparsed->data, unparsed->len);
+	stream->callback_depth--;
+	g_byte_array_unref(unparsed);
 	stream_release(stream);
 }
 
@@ -476,39 +482,39 @@
 	stream->no_body = none;
 }
 
-void aub_http_stream_hold(struct aub_http_stream *stream, bool hold)
+void aub_http_stream_pause_reading(struct aub_http_stream *stream, bool paused)
 {
-	if (stream->held == hold)
+	if (stream->reading_paused == paused)
 		return;
-	stream->held = hold;
+	stream->reading_paused = paused;
 	watch_update(stream);
 }
 
-bool aub_http_stream_has_surplus(const struct aub_http_stream *stream)
+bool aub_http_stream_has_excess_bytes(const struct aub_http_stream *stream)
 {
-	return stream->early->len > 0;
+	return stream->unparsed->len > 0;
 }
 
-bool aub_http_stream_midway(const struct aub_http_stream *stream)
+bool aub_http_stream_in_message(const struct aub_http_stream *stream)
 {
-	return stream->midway;
+	return stream->in_message;
 }
 
-void aub_http_stream_finish(struct aub_http_stream *stream)
+void aub_http_stream_close_gracefully(struct aub_http_stream *stream)
 {
-	stream->finishing = true;
-	aub_http_stream_hold(stream, false);
-	if (aub_http_stream_queued(stream)) {
+	stream->closing = true;
+	aub_http_stream_pause_reading(stream, false);
+	if (aub_http_stream_queued_bytes(stream)) {
 		aub_http_stream_flush(stream);
 		return;
 	}
-	if (!stream->shut) {
-		stream->shut = true;
+	if (!stream->write_shut) {
+		stream->write_shut = true;
 		shutdown(stream->fd, SHUT_WR);
 	}
 }
 
-void aub_http_stream_reset(struct aub_http_stream *stream)
+void aub_http_stream_reset_on_close(struct aub_http_stream *stream)
 {
 	const struct linger none = { .l_onoff = 1, .l_linger = 0 };
 
--- a/src/transport/link.c
+++ b/src/transport/link.c
@@ -19,13 +19,14 @@
 #include <netinet/tcp.h>
 #include <string.h>
 
-#define PREFIX_BYTES 4
-#define READ_BYTES (64u << 10) /* taken from the socket at a time */
-#define COMPACT_BYTES (256u << 10) /* consumed bytes kept before a move */
+#define LENGTH_PREFIX_BYTES 4
+#define READ_CHUNK_BYTES (64u << 10) /* taken from the socket at a time */
+#define COMPACT_THRESHOLD_BYTES \
+	(256u << 10) /* consumed bytes kept before a move */
 
 enum link_state {
 	LINK_CONNECTING,
-	LINK_GREETING, /* connected, the peer's hello not yet here */
+	LINK_HANDSHAKE, /* connected, the peer's hello not yet here */
 	LINK_UP,
 	LINK_FAILED /* `down` is due, or was called */
 };
@@ -43,22 +44,23 @@
 	GSocket *socket;
 	GSource *readable;
 	GSource *writable;
-	GSource *hello_timeout;
+	GSource *handshake_timer;
 	GSource *down_source;
 	GError *error; /* why it failed */
 	char *peer;
 	struct aub_hello *hello; /* the peer's */
 	struct buffer in;
 	struct buffer out;
-	gint64 last_heard_us;
+	gint64 last_received_us;
 	guint64 bytes; /* read and written */
 	const struct aub_link_callbacks *callbacks;
 	void *context;
-	struct aubi_link_acceptor acceptor; /* accepted links, till greeted */
+	struct aubi_link_accept_callbacks
+		acceptor; /* accepted links, till greeted */
 };
 
-static guint64 total_in;
-static guint64 total_out;
+static guint64 total_bytes_in;
+static guint64 total_bytes_out;
 
 static gsize buffer_length(const struct buffer *buffer)
 {
@@ -76,14 +78,14 @@
 	if (buffer->start == buffer->bytes->len) {
 		g_byte_array_set_size(buffer->bytes, 0);
 		buffer->start = 0;
-	} else if (buffer->start >= COMPACT_BYTES) {
+	} else if (buffer->start >= COMPACT_THRESHOLD_BYTES) {
 		g_byte_array_remove_range(buffer->bytes, 0,
 					  (guint)buffer->start);
 		buffer->start = 0;
 	}
 }
 
-static void drop_source(GSource **source)
+static void clear_source(GSource **source)
 {
 	if (!*source)
 		return;
@@ -92,19 +94,19 @@
 	*source = NULL;
 }
 
-static void drop_sources(struct aub_link *link)
+static void clear_sources(struct aub_link *link)
 {
-	drop_source(&link->readable);
-	drop_source(&link->writable);
-	drop_source(&link->hello_timeout);
+	clear_source(&link->readable);
+	clear_source(&link->writable);
+	clear_source(&link->handshake_timer);
 }
 
 static void link_unref(struct aub_link *link)
 {
 	if (--link->references)
 		return;
-	drop_sources(link);
-	drop_source(&link->down_source);
+	clear_sources(link);
+	clear_source(&link->down_source);
 	g_clear_object(&link->socket);
 	g_clear_error(&link->error);
 	if (link->hello)
@@ -119,11 +121,11 @@
 {
 	struct aub_link *link = data;
 
-	drop_source(&link->down_source);
+	clear_source(&link->down_source);
 	link->references++;
-	if (link->acceptor.failed)
-		link->acceptor.failed(link, link->error,
-				      link->acceptor.context);
+	if (link->acceptor.handshake_failed)
+		link->acceptor.handshake_failed(link, link->error,
+						link->acceptor.context);
 	else if (link->callbacks && link->callbacks->down)
 		link->callbacks->down(link, link->error, link->context);
 	link_unref(link);
@@ -139,7 +141,7 @@
 	}
 	link->state = LINK_FAILED;
 	link->error = error;
-	drop_sources(link);
+	clear_sources(link);
 	if (link->socket)
 		g_socket_close(link->socket, NULL);
 	link->down_source = g_idle_source_new();
@@ -191,11 +193,11 @@
 			link_fail_io(link, "write", error);
 			return false;
 		}
-		total_out += (guint64)sent;
+		total_bytes_out += (guint64)sent;
 		link->bytes += (guint64)sent;
 		buffer_consume(&link->out, (gsize)sent);
 	}
-	drop_source(&link->writable);
+	clear_source(&link->writable);
 	return true;
 }
 
@@ -212,7 +214,7 @@
 /* The hello decides for an accepted link who owns it. */
 static void on_hello(struct aub_link *link, struct aub_message *message)
 {
-	struct aubi_link_acceptor acceptor = link->acceptor;
+	struct aubi_link_accept_callbacks acceptor = link->acceptor;
 
 	if (message->type != AUB_MESSAGE_HELLO) {
 		link_fail_text(link, AUB_ERROR_INVALID, "read hello",
@@ -221,22 +223,22 @@
 		return;
 	}
 	link->hello = (struct aub_hello *)message;
-	drop_source(&link->hello_timeout);
+	clear_source(&link->handshake_timer);
 	link->state = LINK_UP;
 	memset(&link->acceptor, 0, sizeof(link->acceptor));
-	if (acceptor.greeted)
-		link->callbacks =
-			acceptor.greeted(link, link->hello, acceptor.context,
-					 &link->context);
+	if (acceptor.hello_received)
+		link->callbacks = acceptor.hello_received(link, link->hello,
+							  acceptor.context,
+							  &link->context);
 	if (!link->callbacks)
 		aub_link_free(link);
 	else if (link->callbacks->up)
 		link->callbacks->up(link, link->hello, link->context);
 }
 
-static void deliver(struct aub_link *link, struct aub_message *message)
+static void dispatch_message(struct aub_link *link, struct aub_message *message)
 {
-	if (link->state == LINK_GREETING) {
+	if (link->state == LINK_HANDSHAKE) {
 		on_hello(link, message);
 		return;
 	}
@@ -259,56 +261,57 @@
 	GError *error = NULL;
 	guint32 length;
 
-	if (buffer_length(&link->in) < PREFIX_BYTES)
+	if (buffer_length(&link->in) < LENGTH_PREFIX_BYTES)
 		return NULL;
-	memcpy(&length, buffer_data(&link->in), PREFIX_BYTES);
+	memcpy(&length, buffer_data(&link->in), LENGTH_PREFIX_BYTES);
 	length = GUINT32_FROM_BE(length);
 	if (length > AUB_FRAME_LIMIT) {
 		link_fail_text(link, AUB_ERROR_TOO_LARGE, "read frame",
 			       "frame is past the limit");
 		return NULL;
 	}
-	if (buffer_length(&link->in) < PREFIX_BYTES + length)
+	if (buffer_length(&link->in) < LENGTH_PREFIX_BYTES + length)
 		return NULL;
-	message = aub_message_decode(buffer_data(&link->in) + PREFIX_BYTES,
-				     length, link->peer, &error);
+	message =
+		aub_message_decode(buffer_data(&link->in) + LENGTH_PREFIX_BYTES,
+				   length, link->peer, &error);
 	if (!message) {
 		link_fail(link, error);
 		return NULL;
 	}
-	buffer_consume(&link->in, PREFIX_BYTES + length);
+	buffer_consume(&link->in, LENGTH_PREFIX_BYTES + length);
 	return message;
 }
 
-static void deliver_all(struct aub_link *link)
+static void dispatch_messages(struct aub_link *link)
 {
 	while (!link->freed && link->state != LINK_FAILED) {
 		struct aub_message *message = next_message(link);
 
 		if (!message)
 			return;
-		deliver(link, message);
+		dispatch_message(link, message);
 	}
 }
 
-static void read_some(struct aub_link *link)
+static void read_available(struct aub_link *link)
 {
 	GError *error = NULL;
 	guint filled = link->in.bytes->len;
-	gssize got;
+	gssize received;
 
-	g_byte_array_set_size(link->in.bytes, filled + READ_BYTES);
-	got = g_socket_receive(link->socket,
-			       (char *)link->in.bytes->data + filled,
-			       READ_BYTES, NULL, &error);
+	g_byte_array_set_size(link->in.bytes, filled + READ_CHUNK_BYTES);
+	received = g_socket_receive(link->socket,
+				    (char *)link->in.bytes->data + filled,
+				    READ_CHUNK_BYTES, NULL, &error);
 	g_byte_array_set_size(link->in.bytes,
-			      filled + (guint)MAX(got, (gssize)0));
-	if (got > 0) {
-		total_in += (guint64)got;
-		link->bytes += (guint64)got;
-		link->last_heard_us = g_get_monotonic_time();
-		deliver_all(link);
-	} else if (got == 0) {
+			      filled + (guint)MAX(received, (gssize)0));
+	if (received > 0) {
+		total_bytes_in += (guint64)received;
+		link->bytes += (guint64)received;
+		link->last_received_us = g_get_monotonic_time();
+		dispatch_messages(link);
+	} else if (received == 0) {
 		link_fail_text(link, AUB_ERROR_CLOSED, "read",
 			       "closed by the peer");
 	} else if (g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
@@ -323,12 +326,12 @@
 	struct aub_link *link = data;
 
 	link->references++;
-	read_some(link);
+	read_available(link);
 	link_unref(link);
 	return G_SOURCE_CONTINUE;
 }
 
-static gboolean on_hello_late(void *data)
+static gboolean on_handshake_timeout(void *data)
 {
 	struct aub_link *link = data;
 	const char *step =
@@ -350,19 +353,20 @@
 	link->peer = g_strdup(peer);
 	link->in.bytes = g_byte_array_new();
 	link->out.bytes = g_byte_array_new();
-	link->last_heard_us = g_get_monotonic_time();
-	link->hello_timeout = g_timeout_source_new(timeout_ms);
-	g_source_set_callback(link->hello_timeout, on_hello_late, link, NULL);
-	g_source_attach(link->hello_timeout,
+	link->last_received_us = g_get_monotonic_time();
+	link->handshake_timer = g_timeout_source_new(timeout_ms);
+	g_source_set_callback(link->handshake_timer, on_handshake_timeout, link,
+			      NULL);
+	g_source_attach(link->handshake_timer,
 			g_main_context_get_thread_default());
 	link->state = LINK_CONNECTING;
 	aub_link_send(link, &hello->base);
 	return link;
 }
 
-static void start_exchange(struct aub_link *link)
+static void start_handshake(struct aub_link *link)
 {
-	link->state = LINK_GREETING;
+	link->state = LINK_HANDSHAKE;
 	/* Without this, small messages wait for acknowledgements: 40 ms. */
 	g_socket_set_option(link->socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 	link->readable =
@@ -377,9 +381,9 @@
 	GError *error = NULL;
 
 	link->references++;
-	drop_source(&link->writable);
+	clear_source(&link->writable);
 	if (g_socket_check_connect_result(link->socket, &error))
-		start_exchange(link);
+		start_handshake(link);
 	else
 		link_fail_io(link, "connect", error);
 	link_unref(link);
@@ -391,7 +395,7 @@
 	GSocketAddress *target = NULL;
 	GError *error = NULL;
 
-	target = aubi_socket_address(address, &error);
+	target = aubi_socket_address_parse(address, &error);
 	if (!target) {
 		link_fail(link, error);
 		return;
@@ -403,7 +407,7 @@
 		goto failed;
 	g_socket_set_blocking(link->socket, FALSE);
 	if (g_socket_connect(link->socket, target, NULL, &error)) {
-		start_exchange(link);
+		start_handshake(link);
 	} else if (g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING)) {
 		g_clear_error(&error);
 		link->writable = aubi_socket_watch(link->socket, G_IO_OUT,
@@ -432,16 +436,17 @@
 	return link;
 }
 
-struct aub_link *aubi_link_accepted(GSocket *socket, const char *peer,
-				    const struct aub_hello *hello,
-				    const struct aubi_link_acceptor *acceptor)
+struct aub_link *aubi_link_new_accepted(
+	GSocket *socket, const char *peer, const struct aub_hello *hello,
+	const struct aubi_link_accept_callbacks *acceptor)
 {
-	struct aub_link *link = link_new(peer, hello, AUBI_HELLO_MS);
+	struct aub_link *link =
+		link_new(peer, hello, AUBI_HANDSHAKE_TIMEOUT_MS);
 
 	link->acceptor = *acceptor;
 	link->socket = g_object_ref(socket);
 	g_socket_set_blocking(socket, FALSE);
-	start_exchange(link);
+	start_handshake(link);
 	return link;
 }
 
@@ -451,8 +456,8 @@
 		return;
 	link->freed = true;
 	link->state = LINK_FAILED;
-	drop_sources(link);
-	drop_source(&link->down_source);
+	clear_sources(link);
+	clear_source(&link->down_source);
 	if (link->socket)
 		g_socket_close(link->socket, NULL);
 	link_unref(link);
@@ -465,7 +470,7 @@
 	guint32 prefix = GUINT32_TO_BE((guint32)length);
 
 	g_byte_array_append(buffer->bytes, (const guint8 *)&prefix,
-			    PREFIX_BYTES);
+			    LENGTH_PREFIX_BYTES);
 	g_byte_array_append(buffer->bytes, data, (guint)length);
 }
 
@@ -483,7 +488,7 @@
 	}
 	append_frame(&link->out, payload);
 	g_bytes_unref(payload);
-	if (buffer_length(&link->out) > AUB_LINK_QUEUE_LIMIT) {
+	if (buffer_length(&link->out) > AUB_LINK_QUEUE_MAX_BYTES) {
 		link_fail_text(link, AUB_ERROR_TOO_LARGE, "queue message",
 			       "the peer does not keep up");
 		return false;
@@ -503,28 +508,28 @@
 	return link->peer;
 }
 
-const struct aub_hello *aub_link_hello(const struct aub_link *link)
+const struct aub_hello *aub_link_peer_hello(const struct aub_link *link)
 {
 	return link->hello;
 }
 
-gint64 aub_link_last_heard_us(const struct aub_link *link)
+gint64 aub_link_last_received_us(const struct aub_link *link)
 {
-	return link->last_heard_us;
+	return link->last_received_us;
 }
 
-gsize aub_link_queued(const struct aub_link *link)
+gsize aub_link_queued_bytes(const struct aub_link *link)
 {
 	return buffer_length(&link->out);
 }
 
-guint64 aub_link_bytes(const struct aub_link *link)
+guint64 aub_link_transferred_bytes(const struct aub_link *link)
 {
 	return link->bytes;
 }
 
-void aub_link_totals(guint64 *bytes_in, guint64 *bytes_out)
+void aub_link_process_bytes(guint64 *bytes_received, guint64 *bytes_sent)
 {
-	*bytes_in = total_in;
-	*bytes_out = total_out;
+	*bytes_received = total_bytes_in;
+	*bytes_sent = total_bytes_out;
 }
--- a/src/transport/link_server.c
+++ b/src/transport/link_server.c
@@ -12,18 +12,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNGREETED_LIMIT 256 /* links without a hello at a time */
+#define HANDSHAKES_MAX 256 /* links without a hello at a time */
 
 struct aub_link_server {
 	GSocket *socket;
 	GSource *readable;
 	struct aub_hello *hello; /* own */
-	GHashTable *ungreeted; /* set of struct aub_link, owned */
-	aub_link_accepted *accepted;
+	GHashTable *handshaking; /* set of struct aub_link, owned */
+	aub_link_accept_callback *accepted;
 	void *context;
 };
 
-GSocketAddress *aubi_socket_address(const char *text, GError **error)
+GSocketAddress *aubi_socket_address_parse(const char *text, GError **error)
 {
 	const char *colon = strrchr(text, ':');
 	GSocketAddress *address = NULL;
@@ -69,29 +69,30 @@
 	return source;
 }
 
-static const struct aub_link_callbacks *on_greeted(
+static const struct aub_link_callbacks *on_hello_received(
 	struct aub_link *link, const struct aub_hello *hello, void *context,
 	void **link_context)
 {
 	struct aub_link_server *server = context;
 
-	g_hash_table_steal(server->ungreeted, link);
+	g_hash_table_steal(server->handshaking, link);
 	return server->accepted(link, hello, server->context, link_context);
 }
 
-static void on_failed(struct aub_link *link, const GError *error, void *context)
+static void on_handshake_failed(struct aub_link *link, const GError *error,
+				void *context)
 {
 	struct aub_link_server *server = context;
 
 	aub_log_info("link refused: %s", error->message);
-	g_hash_table_remove(server->ungreeted, link);
+	g_hash_table_remove(server->handshaking, link);
 }
 
 static void accept_link(struct aub_link_server *server, GSocket *socket)
 {
-	struct aubi_link_acceptor acceptor = {
-		.greeted = on_greeted,
-		.failed = on_failed,
+	struct aubi_link_accept_callbacks acceptor = {
+		.hello_received = on_hello_received,
+		.handshake_failed = on_handshake_failed,
 		.context = server,
 	};
 	GSocketAddress *address = g_socket_get_remote_address(socket, NULL);
@@ -100,9 +101,9 @@
 	if (!address)
 		return;
 	peer = aubi_socket_address_text(address);
-	g_hash_table_add(server->ungreeted,
-			 aubi_link_accepted(socket, peer, server->hello,
-					    &acceptor));
+	g_hash_table_add(server->handshaking,
+			 aubi_link_new_accepted(socket, peer, server->hello,
+						&acceptor));
 	g_free(peer);
 	g_object_unref(address);
 }
@@ -115,7 +116,7 @@
 
 	if (!socket)
 		return G_SOURCE_CONTINUE;
-	if (g_hash_table_size(server->ungreeted) < UNGREETED_LIMIT)
+	if (g_hash_table_size(server->handshaking) < HANDSHAKES_MAX)
 		accept_link(server, socket);
 	g_object_unref(socket);
 	return G_SOURCE_CONTINUE;
@@ -123,7 +124,7 @@
 
 static GSocket *listen_on(const char *text, GError **error)
 {
-	GSocketAddress *address = aubi_socket_address(text, error);
+	GSocketAddress *address = aubi_socket_address_parse(text, error);
 	GSocket *socket = NULL;
 	GError *cause = NULL;
 
@@ -171,7 +172,7 @@
 
 struct aub_link_server *aub_link_server_new(const char *address,
 					    const struct aub_hello *hello,
-					    aub_link_accepted *accepted,
+					    aub_link_accept_callback *accepted,
 					    void *server_context,
 					    GError **error)
 {
@@ -185,7 +186,8 @@
 	server->hello = hello_copy(hello);
 	server->accepted = accepted;
 	server->context = server_context;
-	server->ungreeted = g_hash_table_new_full(NULL, NULL, free_link, NULL);
+	server->handshaking =
+		g_hash_table_new_full(NULL, NULL, free_link, NULL);
 	server->readable =
 		aubi_socket_watch(socket, G_IO_IN, on_connection, server);
 	return server;
@@ -199,7 +201,7 @@
 	g_source_unref(server->readable);
 	g_socket_close(server->socket, NULL);
 	g_object_unref(server->socket);
-	g_hash_table_destroy(server->ungreeted);
+	g_hash_table_destroy(server->handshaking);
 	aub_message_free(&server->hello->base);
 	g_free(server);
 }
--- a/src/transport/poller.c
+++ b/src/transport/poller.c
@@ -10,12 +10,13 @@
 #include <stdbool.h>
 #include <unistd.h>
 
-#define EVENTS_A_TURN 64 /* a fair share before timers get their turn */
+#define EVENTS_PER_ITERATION 64 /* a fair share before timers get their turn \
+				 */
 
 struct aub_poller {
 	int epoll;
 	GSource *source;
-	GPtrArray *removed; /* watches to free after the turn */
+	GPtrArray *removed_watches; /* watches to free after the turn */
 	bool dispatching;
 };
 
@@ -43,8 +44,8 @@
 static gboolean poll_dispatch(GSource *source, GSourceFunc function, void *data)
 {
 	struct aub_poller *poller = ((struct poll_source *)source)->poller;
-	struct epoll_event events[EVENTS_A_TURN];
-	int count = epoll_wait(poller->epoll, events, EVENTS_A_TURN, 0);
+	struct epoll_event events[EVENTS_PER_ITERATION];
+	int count = epoll_wait(poller->epoll, events, EVENTS_PER_ITERATION, 0);
 
 	poller->dispatching = true;
 	for (int i = 0; i < count; i++) {
@@ -54,7 +55,7 @@
 			watch->callback(watch->context, events[i].events);
 	}
 	poller->dispatching = false;
-	g_ptr_array_set_size(poller->removed, 0);
+	g_ptr_array_set_size(poller->removed_watches, 0);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -70,7 +71,7 @@
 
 	poller->epoll = epoll_create1(EPOLL_CLOEXEC);
 	g_assert(poller->epoll >= 0);
-	poller->removed = g_ptr_array_new_with_free_func(g_free);
+	poller->removed_watches = g_ptr_array_new_with_free_func(g_free);
 	poller->source =
 		g_source_new(&poll_functions, sizeof(struct poll_source));
 	source = (struct poll_source *)poller->source;
@@ -88,7 +89,7 @@
 	g_source_destroy(poller->source);
 	g_source_unref(poller->source);
 	close(poller->epoll);
-	g_ptr_array_unref(poller->removed);
+	g_ptr_array_unref(poller->removed_watches);
 	g_free(poller);
 }
 
@@ -109,7 +110,7 @@
 	return watch;
 }
 
-void aub_poll_watch_set(struct aub_poll_watch *watch, guint events)
+void aub_poll_watch_set_events(struct aub_poll_watch *watch, guint events)
 {
 	struct epoll_event event = { .events = events, .data.ptr = watch };
 
@@ -128,7 +129,7 @@
 	epoll_ctl(watch->poller->epoll, EPOLL_CTL_DEL, watch->fd, &event);
 	watch->callback = NULL;
 	if (watch->poller->dispatching)
-		g_ptr_array_add(watch->poller->removed, watch);
+		g_ptr_array_add(watch->poller->removed_watches, watch);
 	else
 		g_free(watch);
 }
--- a/src/transport/store_client.c
+++ b/src/transport/store_client.c
@@ -6,7 +6,7 @@
 #include <auburnstile/error.h>
 #include <string.h>
 
-#define CONNECTION_LIMIT 16 /* open to the store at most */
+#define CONNECTIONS_MAX 16 /* open to the store at most */
 
 struct aub_store_client *aub_store_client_new(
 	const struct aub_store_client_options *options)
@@ -23,19 +23,19 @@
 	client->context = g_main_context_ref_thread_default();
 	client->session =
 		soup_session_new_with_options("proxy-resolver", NULL,
-					      "max-conns", CONNECTION_LIMIT,
+					      "max-conns", CONNECTIONS_MAX,
 					      "max-conns-per-host",
-					      CONNECTION_LIMIT, "idle-timeout",
+					      CONNECTIONS_MAX, "idle-timeout",
 					      30, "timeout", 0, NULL);
 	client->random = g_rand_new_with_seed(options->seed);
-	client->seen =
+	client->known_versions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	client->operations =
 		g_ptr_array_new_with_free_func(store_operation_free);
 	client->exchanges = g_ptr_array_new();
-	g_queue_init(&client->waiting);
+	g_queue_init(&client->queued_exchanges);
 	client->tokens = client->options.calls_per_s;
-	client->tokens_at_us = g_get_monotonic_time();
+	client->tokens_updated_us = g_get_monotonic_time();
 	return client;
 }
 
@@ -45,10 +45,10 @@
 		return;
 	aub_store_watch_stop(client);
 	g_ptr_array_unref(client->operations);
-	store_timer_clear(&client->pump);
+	store_timer_clear(&client->dispatch_timer);
 	g_ptr_array_unref(client->exchanges);
 	g_object_unref(client->session);
-	g_hash_table_unref(client->seen);
+	g_hash_table_unref(client->known_versions);
 	g_rand_free(client->random);
 	g_main_context_unref(client->context);
 	g_free(client->url);
@@ -57,25 +57,26 @@
 
 guint64 aub_store_client_calls(const struct aub_store_client *client)
 {
-	return client->calls;
+	return client->calls_total;
 }
 
-bool store_saw(struct aub_store_client *client, const char *key,
-	       guint64 version)
+bool store_record_version(struct aub_store_client *client, const char *key,
+			  guint64 version)
 {
-	guint64 *seen = g_hash_table_lookup(client->seen, key);
+	guint64 *known = g_hash_table_lookup(client->known_versions, key);
 
-	if (seen && version < *seen)
+	if (known && version < *known)
 		return false;
-	if (!seen) {
-		seen = g_new0(guint64, 1);
-		g_hash_table_insert(client->seen, g_strdup(key), seen);
+	if (!known) {
+		known = g_new0(guint64, 1);
+		g_hash_table_insert(client->known_versions, g_strdup(key),
+				    known);
 	}
-	*seen = version;
+	*known = version;
 	return true;
 }
 
-bool store_object_read(JsonNode *node, struct aub_store_object *object)
+bool store_object_parse(JsonNode *node, struct aub_store_object *object)
 {
 	JsonObject *fields;
 
@@ -95,8 +96,9 @@
 	return true;
 }
 
-void store_status_error(GError **error, const char *step,
-			const struct aub_store_client *client, guint status)
+void store_error_from_status(GError **error, const char *step,
+			     const struct aub_store_client *client,
+			     guint status)
 {
 	enum aub_error_code code = AUB_ERROR_REFUSED;
 
--- a/src/transport/store_exchange.c
+++ b/src/transport/store_exchange.c
@@ -9,9 +9,9 @@
 
 #include <auburnstile/error.h>
 
-#define BACKOFF_FIRST_MS 50 /* bound of the first wait */
-#define BACKOFF_LIMIT_MS 2000 /* a store that came back is found in 2 s */
-#define BACKOFF_DOUBLINGS 6
+#define BACKOFF_INITIAL_MS 50 /* bound of the first wait */
+#define BACKOFF_MAX_MS 2000 /* a store that came back is found in 2 s */
+#define BACKOFF_DOUBLINGS_MAX 6
 
 struct store_exchange {
 	struct aub_store_client *client; /* NULL once cancelled */
@@ -21,7 +21,7 @@
 	guint timeout_ms;
 	bool timed_out;
 	bool sent;
-	store_exchange_done *done;
+	store_exchange_callback *done;
 	void *context;
 };
 
@@ -46,8 +46,8 @@
 
 guint store_backoff_ms(struct aub_store_client *client, guint failures)
 {
-	guint doublings = MIN(failures, BACKOFF_DOUBLINGS);
-	guint bound = MIN(BACKOFF_FIRST_MS << doublings, BACKOFF_LIMIT_MS);
+	guint doublings = MIN(failures, BACKOFF_DOUBLINGS_MAX);
+	guint bound = MIN(BACKOFF_INITIAL_MS << doublings, BACKOFF_MAX_MS);
 
 	return g_rand_int_range(client->random, 1, bound + 1);
 }
@@ -66,7 +66,7 @@
 	struct aub_store_client *client = exchange->client;
 
 	g_ptr_array_remove_fast(client->exchanges, exchange);
-	g_queue_remove(&client->waiting, exchange);
+	g_queue_remove(&client->queued_exchanges, exchange);
 	exchange->client = NULL;
 }
 
@@ -85,7 +85,7 @@
 static void exchange_finish(struct store_exchange *exchange,
 			    const struct store_result *result)
 {
-	store_exchange_done *done = exchange->done;
+	store_exchange_callback *done = exchange->done;
 	void *context = exchange->context;
 
 	exchange_detach(exchange);
@@ -101,14 +101,15 @@
 	return G_SOURCE_REMOVE;
 }
 
-static void fail(struct store_exchange *exchange, const GError *cause)
+static void exchange_fail(struct store_exchange *exchange, const GError *cause)
 {
 	struct store_result result = { 0 };
 	GError *error = NULL;
 	const char *peer = exchange->client->url;
 
-	result.refused = g_error_matches(cause, G_IO_ERROR,
-					 G_IO_ERROR_CONNECTION_REFUSED);
+	result.connection_refused =
+		g_error_matches(cause, G_IO_ERROR,
+				G_IO_ERROR_CONNECTION_REFUSED);
 	if (exchange->timed_out)
 		aub_error_set(&error, AUB_ERROR_TIMEOUT, "call store", peer,
 			      "no answer in %u ms", exchange->timeout_ms);
@@ -120,7 +121,7 @@
 	g_error_free(error);
 }
 
-static void on_answer(GObject *source, GAsyncResult *async, gpointer data)
+static void on_response(GObject *source, GAsyncResult *async, gpointer data)
 {
 	struct store_exchange *exchange = data;
 	struct store_result result = { 0 };
@@ -130,7 +131,7 @@
 	result.body = soup_session_send_and_read_finish(SOUP_SESSION(source),
 							async, &error);
 	if (exchange->client && error) {
-		fail(exchange, error);
+		exchange_fail(exchange, error);
 	} else if (exchange->client) {
 		version = soup_message_headers_get_one(
 			soup_message_get_response_headers(exchange->message),
@@ -151,62 +152,66 @@
 	struct aub_store_client *client = exchange->client;
 
 	if (!exchange->message) {
-		fail(exchange, NULL);
+		exchange_fail(exchange, NULL);
 		exchange_free(exchange);
 		return;
 	}
 	exchange->sent = true;
-	client->calls++;
+	client->calls_total++;
 	exchange->timer =
 		store_timer(client, exchange->timeout_ms, on_timeout, exchange);
 	soup_session_send_and_read_async(client->session, exchange->message,
 					 G_PRIORITY_DEFAULT,
-					 exchange->cancellable, on_answer,
+					 exchange->cancellable, on_response,
 					 exchange);
 }
 
-static void refill(struct aub_store_client *client)
+static void refill_tokens(struct aub_store_client *client)
 {
 	gint64 now = g_get_monotonic_time();
 	double rate = client->options.calls_per_s;
-	double elapsed_s = (now - client->tokens_at_us) / 1e6;
+	double elapsed_s = (now - client->tokens_updated_us) / 1e6;
 
 	client->tokens = MIN(client->tokens + elapsed_s * rate, rate);
-	client->tokens_at_us = now;
+	client->tokens_updated_us = now;
 }
 
-static void schedule_pump(struct aub_store_client *client);
+static void schedule_dispatch(struct aub_store_client *client);
 
-static gboolean on_pump(gpointer data)
+static gboolean on_dispatch_timer(gpointer data)
 {
 	struct aub_store_client *client = data;
 	struct store_exchange *exchange = NULL;
 
-	store_timer_clear(&client->pump);
-	refill(client);
-	if (client->tokens >= 1 && !g_queue_is_empty(&client->waiting)) {
-		exchange = g_queue_pop_head(&client->waiting);
+	store_timer_clear(&client->dispatch_timer);
+	refill_tokens(client);
+	if (client->tokens >= 1 &&
+	    !g_queue_is_empty(&client->queued_exchanges)) {
+		exchange = g_queue_pop_head(&client->queued_exchanges);
 		client->tokens -= 1;
 	}
-	schedule_pump(client);
+	schedule_dispatch(client);
 	if (exchange)
 		exchange_send(exchange);
 	return G_SOURCE_REMOVE;
 }
 
-static void schedule_pump(struct aub_store_client *client)
+static void schedule_dispatch(struct aub_store_client *client)
 {
-	double missing;
+	double missing_tokens;
 
-	if (client->pump || g_queue_is_empty(&client->waiting))
+	if (client->dispatch_timer ||
+	    g_queue_is_empty(&client->queued_exchanges))
 		return;
-	refill(client);
-	missing = 1 - client->tokens;
-	client->pump = store_timer(
+	refill_tokens(client);
+	missing_tokens = 1 - client->tokens;
+	client->dispatch_timer = store_timer(
 		client,
-		missing > 0 ? 1 + missing * 1000 / client->options.calls_per_s :
-			      0,
-		on_pump, client);
+		missing_tokens > 0 ?
+			1 + missing_tokens * 1000 /
+					client->options.calls_per_s :
+			0,
+		on_dispatch_timer, client);
 }
 
 static SoupMessage *make_message(const struct aub_store_client *client,
@@ -235,7 +240,7 @@
 
 struct store_exchange *store_exchange_start(struct aub_store_client *client,
 					    const struct store_request *request,
-					    store_exchange_done *done,
+					    store_exchange_callback *done,
 					    void *context)
 {
 	struct store_exchange *exchange = g_new0(struct store_exchange, 1);
@@ -247,7 +252,7 @@
 	exchange->done = done;
 	exchange->context = context;
 	g_ptr_array_add(client->exchanges, exchange);
-	g_queue_push_tail(&client->waiting, exchange);
-	schedule_pump(client);
+	g_queue_push_tail(&client->queued_exchanges, exchange);
+	schedule_dispatch(client);
 	return exchange;
 }
--- a/src/transport/store_operation.c
+++ b/src/transport/store_operation.c
@@ -11,7 +11,8 @@
 #include <auburnstile/error.h>
 #include <string.h>
 
-#define OPERATION_TRIES 4 /* an operation's time, in timeouts of one try */
+#define OPERATION_TIMEOUT_ATTEMPTS \
+	4 /* an operation's time, in timeouts of one try */
 
 enum operation_kind { OPERATION_GET, OPERATION_LIST, OPERATION_PUT };
 
@@ -21,9 +22,9 @@
 	char *key; /* or the prefix */
 	GBytes *value; /* PUT */
 	guint64 expected; /* PUT */
-	char *change; /* PUT */
-	guint64 floor; /* PUT: reads below this version are stale */
-	bool doubtful; /* PUT: an earlier try may have taken effect */
+	char *change_marker; /* PUT */
+	guint64 min_version; /* PUT: reads below this version are stale */
+	bool may_have_applied; /* PUT: an earlier try may have taken effect */
 	bool reading_back; /* PUT: the open or next exchange reads back */
 	gint64 deadline_us;
 	guint failures;
@@ -48,7 +49,7 @@
 		g_bytes_unref(operation->value);
 	g_clear_error(&operation->error);
 	g_free(operation->key);
-	g_free(operation->change);
+	g_free(operation->change_marker);
 	g_free(operation);
 }
 
@@ -77,8 +78,9 @@
 	store_operation_free(operation);
 }
 
-static void finish_code(struct operation *operation, enum aub_error_code code,
-			guint64 version, const char *text)
+static void finish_with_code(struct operation *operation,
+			     enum aub_error_code code, guint64 version,
+			     const char *text)
 {
 	GError *error = NULL;
 
@@ -88,19 +90,19 @@
 	g_error_free(error);
 }
 
-static void start_try(struct operation *operation);
+static void start_attempt(struct operation *operation);
 
-static gboolean on_retry(gpointer data)
+static gboolean on_retry_timer(gpointer data)
 {
 	struct operation *operation = data;
 
 	store_timer_clear(&operation->timer);
-	start_try(operation);
+	start_attempt(operation);
 	return G_SOURCE_REMOVE;
 }
 
 /* Takes `error` over. */
-static void retry(struct operation *operation, GError *error)
+static void retry_after_backoff(struct operation *operation, GError *error)
 {
 	guint delay_ms =
 		store_backoff_ms(operation->client, operation->failures++);
@@ -110,11 +112,12 @@
 	operation->error = error;
 	if (at_us < operation->deadline_us) {
 		operation->timer = store_timer(operation->client, delay_ms,
-					       on_retry, operation);
+					       on_retry_timer, operation);
 		return;
 	}
-	if (operation->doubtful) {
-		finish_code(operation, AUB_ERROR_AMBIGUOUS, 0, error->message);
+	if (operation->may_have_applied) {
+		finish_with_code(operation, AUB_ERROR_AMBIGUOUS, 0,
+				 error->message);
 		return;
 	}
 	finish(operation, NULL, 0, 0, error);
@@ -126,12 +129,12 @@
 
 	aub_error_set(&error, AUB_ERROR_UNAVAILABLE, "read object",
 		      operation->client->url, "%s: stale read", operation->key);
-	retry(operation, error);
+	retry_after_backoff(operation, error);
 }
 
 /* True when the try failed and the operation was repeated or ended. */
-static bool failed_try(struct operation *operation,
-		       const struct store_result *result)
+static bool handle_failed_attempt(struct operation *operation,
+				  const struct store_result *result)
 {
 	GError *error = NULL;
 
@@ -140,19 +143,19 @@
 	if (result->error)
 		error = g_error_copy(result->error);
 	else
-		store_status_error(&error, "call store", operation->client,
-				   result->status);
-	retry(operation, error);
+		store_error_from_status(&error, "call store", operation->client,
+					result->status);
+	retry_after_backoff(operation, error);
 	return true;
 }
 
-static void finish_status(struct operation *operation,
-			  const struct store_result *result)
+static void finish_with_status(struct operation *operation,
+			       const struct store_result *result)
 {
 	GError *error = NULL;
 
-	store_status_error(&error, "call store", operation->client,
-			   result->status);
+	store_error_from_status(&error, "call store", operation->client,
+				result->status);
 	finish(operation, NULL, 0, 0, error);
 	g_error_free(error);
 }
@@ -169,26 +172,26 @@
 	return object;
 }
 
-static void got_object(struct operation *operation,
-		       const struct store_result *result)
+static void handle_get_result(struct operation *operation,
+			      const struct store_result *result)
 {
 	struct aub_store_object object;
-	bool known =
-		g_hash_table_contains(operation->client->seen, operation->key);
+	bool known = g_hash_table_contains(operation->client->known_versions,
+					   operation->key);
 
 	bool stale = false;
 
-	if (failed_try(operation, result))
+	if (handle_failed_attempt(operation, result))
 		return;
 	if (result->status == 404)
 		stale = known;
 	else if (result->status == 200)
-		stale = !store_saw(operation->client, operation->key,
-				   result->version);
+		stale = !store_record_version(operation->client, operation->key,
+					      result->version);
 	if (stale) {
 		retry_stale(operation);
 	} else if (result->status != 200) {
-		finish_status(operation, result);
+		finish_with_status(operation, result);
 	} else {
 		object = body_object(operation, result);
 		finish(operation, &object, 1, object.version, NULL);
@@ -196,7 +199,7 @@
 }
 
 /* Objects of a list's body; false where malformed. They borrow from `root`. */
-static bool read_objects(JsonNode *root, GArray *objects)
+static bool parse_objects(JsonNode *root, GArray *objects)
 {
 	struct aub_store_object object;
 	JsonArray *array;
@@ -206,15 +209,16 @@
 		return false;
 	array = json_node_get_array(root);
 	for (i = 0; i < json_array_get_length(array); i++) {
-		if (!store_object_read(json_array_get_element(array, i),
-				       &object))
+		if (!store_object_parse(json_array_get_element(array, i),
+					&object))
 			return false;
 		g_array_append_val(objects, object);
 	}
 	return true;
 }
 
-static bool saw_all(struct aub_store_client *client, const GArray *objects)
+static bool record_versions(struct aub_store_client *client,
+			    const GArray *objects)
 {
 	const struct aub_store_object *object;
 	bool fresh = true;
@@ -222,34 +226,35 @@
 
 	for (i = 0; i < objects->len; i++) {
 		object = &g_array_index(objects, struct aub_store_object, i);
-		fresh = store_saw(client, object->key, object->version) &&
+		fresh = store_record_version(client, object->key,
+					     object->version) &&
 			fresh;
 	}
 	return fresh;
 }
 
-static void got_list(struct operation *operation,
-		     const struct store_result *result)
+static void handle_list_result(struct operation *operation,
+			       const struct store_result *result)
 {
 	GArray *objects;
 	JsonParser *parser;
 	GError *error = NULL;
 
-	if (failed_try(operation, result))
+	if (handle_failed_attempt(operation, result))
 		return;
 	if (result->status != 200) {
-		finish_status(operation, result);
+		finish_with_status(operation, result);
 		return;
 	}
 	objects = g_array_new(FALSE, FALSE, sizeof(struct aub_store_object));
 	parser = json_parser_new();
 	json_parser_load_from_data(parser, g_bytes_get_data(result->body, NULL),
 				   g_bytes_get_size(result->body), NULL);
-	if (!read_objects(json_parser_get_root(parser), objects)) {
+	if (!parse_objects(json_parser_get_root(parser), objects)) {
 		aub_error_set(&error, AUB_ERROR_INVALID, "list objects",
 			      operation->client->url, "malformed answer");
-		retry(operation, error);
-	} else if (!saw_all(operation->client, objects)) {
+		retry_after_backoff(operation, error);
+	} else if (!record_versions(operation->client, objects)) {
 		retry_stale(operation);
 	} else {
 		finish(operation, (struct aub_store_object *)objects->data,
@@ -265,78 +270,81 @@
  * in it means done; the version we expected means that it may be repeated;
  * anything else may have overwritten ours, and is called ambiguous.
  */
-static void got_back(struct operation *operation,
-		     const struct store_result *result)
+static void handle_read_back_result(struct operation *operation,
+				    const struct store_result *result)
 {
 	struct aub_store_object object = { .value = "" };
-	bool ours;
+	bool has_marker;
 
-	if (failed_try(operation, result))
+	if (handle_failed_attempt(operation, result))
 		return;
 	if (result->status != 200 && result->status != 404) {
-		finish_status(operation, result);
+		finish_with_status(operation, result);
 		return;
 	}
 	if (result->status == 200)
 		object = body_object(operation, result);
-	ours = operation->change &&
-	       memmem(object.value, object.length, operation->change,
-		      strlen(operation->change));
-	if (object.version < MAX(operation->floor, operation->expected)) {
+	has_marker =
+		operation->change_marker &&
+		memmem(object.value, object.length, operation->change_marker,
+		       strlen(operation->change_marker));
+	if (object.version < MAX(operation->min_version, operation->expected)) {
 		retry_stale(operation);
-	} else if (ours) {
-		store_saw(operation->client, operation->key, object.version);
+	} else if (has_marker) {
+		store_record_version(operation->client, operation->key,
+				     object.version);
 		finish(operation, NULL, 0, object.version, NULL);
 	} else if (object.version == operation->expected) {
 		operation->reading_back = false;
-		start_try(operation);
-	} else if (operation->doubtful) {
-		finish_code(operation, AUB_ERROR_AMBIGUOUS, object.version,
-			    "overwritten, or never written");
+		start_attempt(operation);
+	} else if (operation->may_have_applied) {
+		finish_with_code(operation, AUB_ERROR_AMBIGUOUS, object.version,
+				 "overwritten, or never written");
 	} else {
-		finish_code(operation, AUB_ERROR_CONFLICT, object.version,
-			    "changed by another writer");
+		finish_with_code(operation, AUB_ERROR_CONFLICT, object.version,
+				 "changed by another writer");
 	}
 }
 
-static void got_put(struct operation *operation,
-		    const struct store_result *result)
+static void handle_put_result(struct operation *operation,
+			      const struct store_result *result)
 {
 	bool failed = result->error || result->status >= 500;
 
-	if (failed && !result->refused)
-		operation->doubtful = true;
-	operation->reading_back = operation->doubtful;
-	if (failed_try(operation, result))
+	if (failed && !result->connection_refused)
+		operation->may_have_applied = true;
+	operation->reading_back = operation->may_have_applied;
+	if (handle_failed_attempt(operation, result))
 		return;
 	if (result->status == 200) {
-		store_saw(operation->client, operation->key, result->version);
+		store_record_version(operation->client, operation->key,
+				     result->version);
 		finish(operation, NULL, 0, result->version, NULL);
 	} else if (result->status == 412) {
-		operation->floor = result->version;
+		operation->min_version = result->version;
 		operation->reading_back = true;
-		start_try(operation);
-	} else if (operation->doubtful) {
-		finish_code(operation, AUB_ERROR_AMBIGUOUS, 0,
-			    "refused after a lost answer");
+		start_attempt(operation);
+	} else if (operation->may_have_applied) {
+		finish_with_code(operation, AUB_ERROR_AMBIGUOUS, 0,
+				 "refused after a lost answer");
 	} else {
-		finish_status(operation, result);
+		finish_with_status(operation, result);
 	}
 }
 
-static void on_try_done(const struct store_result *result, void *context)
+static void on_attempt_done(const struct store_result *result, void *context)
 {
 	struct operation *operation = context;
 
 	operation->exchange = NULL;
 	if (operation->kind == OPERATION_GET)
-		got_object(operation, result);
+		handle_get_result(operation, result);
 	else if (operation->kind == OPERATION_LIST)
-		got_list(operation, result);
+		handle_list_result(operation, result);
 	else if (operation->reading_back)
-		got_back(operation, result);
+		handle_read_back_result(operation, result);
 	else
-		got_put(operation, result);
+		handle_put_result(operation, result);
 }
 
 static char *operation_path(const struct operation *operation)
@@ -355,12 +363,12 @@
  * that closed; the caller would see timeouts, or a conflict with its own
  * write. Writes and repeats therefore open a connection of their own.
  */
-static void start_try(struct operation *operation)
+static void start_attempt(struct operation *operation)
 {
 	struct aub_store_client *client = operation->client;
 	bool write =
 		operation->kind == OPERATION_PUT && !operation->reading_back;
-	gint64 left_ms =
+	gint64 remaining_ms =
 		(operation->deadline_us - g_get_monotonic_time()) / 1000;
 	char *path = operation_path(operation);
 	struct store_request request = {
@@ -368,12 +376,13 @@
 		.path = path,
 		.body = write ? operation->value : NULL,
 		.if_match = operation->expected,
-		.timeout_ms = CLAMP(left_ms, 1, client->options.timeout_ms),
+		.timeout_ms =
+			CLAMP(remaining_ms, 1, client->options.timeout_ms),
 		.new_connection = write || operation->failures > 0,
 	};
 
-	operation->exchange =
-		store_exchange_start(client, &request, on_try_done, operation);
+	operation->exchange = store_exchange_start(client, &request,
+						   on_attempt_done, operation);
 	g_free(path);
 }
 
@@ -387,9 +396,9 @@
 	operation->kind = kind;
 	operation->key = g_strdup(key);
 	operation->context = context;
-	operation->deadline_us =
-		g_get_monotonic_time() +
-		(gint64)client->options.timeout_ms * OPERATION_TRIES * 1000;
+	operation->deadline_us = g_get_monotonic_time() +
+				 (gint64)client->options.timeout_ms *
+					 OPERATION_TIMEOUT_ATTEMPTS * 1000;
 	g_ptr_array_add(client->operations, operation);
 	return operation;
 }
@@ -401,7 +410,7 @@
 		operation_new(client, OPERATION_GET, key, context);
 
 	operation->callback.get = callback;
-	start_try(operation);
+	start_attempt(operation);
 }
 
 void aub_store_list(struct aub_store_client *client, const char *prefix,
@@ -411,12 +420,12 @@
 		operation_new(client, OPERATION_LIST, prefix, context);
 
 	operation->callback.list = callback;
-	start_try(operation);
+	start_attempt(operation);
 }
 
 void aub_store_put(struct aub_store_client *client, const char *key,
 		   const char *value, gsize length, guint64 expected,
-		   const char *change, aub_store_put_callback *callback,
+		   const char *change_marker, aub_store_put_callback *callback,
 		   void *context)
 {
 	struct operation *operation =
@@ -424,7 +433,9 @@
 
 	operation->value = g_bytes_new(value, length);
 	operation->expected = expected;
-	operation->change = change && *change ? g_strdup(change) : NULL;
+	operation->change_marker = change_marker && *change_marker ?
+					   g_strdup(change_marker) :
+					   NULL;
 	operation->callback.put = callback;
-	start_try(operation);
+	start_attempt(operation);
 }
--- a/src/transport/store_watch.c
+++ b/src/transport/store_watch.c
@@ -24,7 +24,7 @@
 
 static void start_poll(struct store_watch *watch);
 
-static gboolean on_again(gpointer data)
+static gboolean on_retry_timer(gpointer data)
 {
 	struct store_watch *watch = data;
 
@@ -34,12 +34,12 @@
 }
 
 /* Takes `error` over. The callback may stop the watch. */
-static void poll_failed(struct store_watch *watch, GError *error)
+static void handle_poll_failure(struct store_watch *watch, GError *error)
 {
 	struct aub_store_client *client = watch->client;
 	guint delay_ms = store_backoff_ms(client, watch->failures++);
 
-	watch->timer = store_timer(client, delay_ms, on_again, watch);
+	watch->timer = store_timer(client, delay_ms, on_retry_timer, watch);
 	watch->callback(NULL, watch->since, error, watch->context);
 	g_error_free(error);
 }
@@ -53,7 +53,7 @@
 }
 
 /* False where the answer is malformed. Objects borrow from `root`. */
-static bool read_changes(JsonNode *root, guint64 *version, GArray *changes)
+static bool parse_changes(JsonNode *root, guint64 *version, GArray *changes)
 {
 	struct aub_store_object object;
 	JsonObject *fields;
@@ -71,8 +71,8 @@
 		json_object_get_int_member_with_default(fields, "version", 0);
 	array = json_object_get_array_member(fields, "changes");
 	for (i = 0; i < json_array_get_length(array); i++) {
-		if (!store_object_read(json_array_get_element(array, i),
-				       &object))
+		if (!store_object_parse(json_array_get_element(array, i),
+					&object))
 			return false;
 		g_array_append_val(changes, object);
 	}
@@ -81,7 +81,7 @@
 }
 
 /* False when a callback stopped the watch: `watch` is gone then. */
-static bool deliver(struct store_watch *watch, const GArray *changes)
+static bool deliver_changes(struct store_watch *watch, const GArray *changes)
 {
 	struct aub_store_client *client = watch->client;
 	const struct aub_store_object *object;
@@ -91,7 +91,7 @@
 	for (i = 0; i < changes->len; i++) {
 		object = &g_array_index(changes, struct aub_store_object, i);
 		if (object->version <= since ||
-		    !store_saw(client, object->key, object->version))
+		    !store_record_version(client, object->key, object->version))
 			continue;
 		watch->since = object->version;
 		watch->callback(object, object->version, NULL, watch->context);
@@ -104,7 +104,7 @@
 	return client->watch == watch;
 }
 
-static void poll_answered(struct store_watch *watch, GBytes *body)
+static void handle_poll_response(struct store_watch *watch, GBytes *body)
 {
 	GArray *changes =
 		g_array_new(FALSE, FALSE, sizeof(struct aub_store_object));
@@ -115,18 +115,18 @@
 
 	json_parser_load_from_data(parser, g_bytes_get_data(body, NULL),
 				   g_bytes_get_size(body), NULL);
-	if (!read_changes(json_parser_get_root(parser), &version, changes))
+	if (!parse_changes(json_parser_get_root(parser), &version, changes))
 		aub_error_set(&error, AUB_ERROR_INVALID, "watch store", peer,
 			      "malformed answer");
 	else if (version < watch->store_version)
 		aub_error_set(&error, AUB_ERROR_UNAVAILABLE, "watch store",
 			      peer, "stale read");
 	if (error) {
-		poll_failed(watch, error);
+		handle_poll_failure(watch, error);
 	} else {
 		watch->failures = 0;
 		watch->store_version = version;
-		if (deliver(watch, changes))
+		if (deliver_changes(watch, changes))
 			start_poll(watch);
 	}
 	g_object_unref(parser);
@@ -140,15 +140,15 @@
 
 	watch->exchange = NULL;
 	if (!result->error && result->status == 200) {
-		poll_answered(watch, result->body);
+		handle_poll_response(watch, result->body);
 		return;
 	}
 	if (result->error)
 		error = g_error_copy(result->error);
 	else
-		store_status_error(&error, "watch store", watch->client,
-				   result->status);
-	poll_failed(watch, error);
+		store_error_from_status(&error, "watch store", watch->client,
+					result->status);
+	handle_poll_failure(watch, error);
 }
 
 static void start_poll(struct store_watch *watch)
--- a/src/transport/tcp.c
+++ b/src/transport/tcp.c
@@ -12,7 +12,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define BACKLOG                                                      \
+#define LISTEN_BACKLOG                                               \
 	512 /* a full queue costs callers seconds: opening is resent \
 	     */
 
@@ -24,47 +24,47 @@
 #define USER_TIMEOUT_MS 2000u
 
 /* The same for connections on which nothing is under way. */
-#define KEEP_IDLE_S 2
-#define KEEP_INTERVAL_S 1
-#define KEEP_COUNT 2
+#define KEEPALIVE_IDLE_S 2
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES_MAX 2
 
-bool aub_socket_address(const char *address, struct sockaddr_in *to)
+bool aub_socket_address_parse(const char *address, struct sockaddr_in *to)
 {
 	char *host = NULL;
 	guint16 port;
-	bool good;
+	bool valid;
 
 	if (!aub_address_parse(address, &host, &port))
 		return false;
 	memset(to, 0, sizeof(*to));
 	to->sin_family = AF_INET;
 	to->sin_port = htons(port);
-	good = inet_pton(AF_INET, host, &to->sin_addr) == 1;
+	valid = inet_pton(AF_INET, host, &to->sin_addr) == 1;
 	g_free(host);
-	return good;
+	return valid;
 }
 
 static void set_options(int fd)
 {
 	const int on = 1;
-	const int keep_idle_s = KEEP_IDLE_S;
-	const int keep_interval_s = KEEP_INTERVAL_S;
-	const int keep_count = KEEP_COUNT;
-	const unsigned int user_timeout = USER_TIMEOUT_MS;
+	const int idle_s = KEEPALIVE_IDLE_S;
+	const int interval_s = KEEPALIVE_INTERVAL_S;
+	const int probes_max = KEEPALIVE_PROBES_MAX;
+	const unsigned int user_timeout_ms = USER_TIMEOUT_MS;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &keep_idle_s,
-		   sizeof(keep_idle_s));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &keep_interval_s,
-		   sizeof(keep_interval_s));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &keep_count,
-		   sizeof(keep_count));
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout,
-		   sizeof(user_timeout));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s,
+		   sizeof(interval_s));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes_max,
+		   sizeof(probes_max));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms,
+		   sizeof(user_timeout_ms));
 }
 
-static int fail(int fd, const char *step, const char *address, GError **error)
+static int fail_with_errno(int fd, const char *step, const char *address,
+			   GError **error)
 {
 	aub_error_set(error, AUB_ERROR_CLOSED, step, address, "%s",
 		      g_strerror(errno));
@@ -73,21 +73,21 @@
 	return -1;
 }
 
-static int bound(const char *address, int type, const char *step,
-		 GError **error)
+static int bind_socket(const char *address, int type, const char *step,
+		       GError **error)
 {
 	const int on = 1;
 	struct sockaddr_in to;
 	int fd;
 
-	if (!aub_socket_address(address, &to)) {
+	if (!aub_socket_address_parse(address, &to)) {
 		aub_error_set(error, AUB_ERROR_INVALID, step, address,
 			      "is no ip:port");
 		return -1;
 	}
 	fd = socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd < 0)
-		return fail(fd, step, address, error);
+		return fail_with_errno(fd, step, address, error);
 	/*
 	 * Failure: two processes are given one address for datagrams. Symptom:
 	 * one of them never hears anything, without an error. Enough: only
@@ -96,22 +96,22 @@
 	if (type == SOCK_STREAM)
 		setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
 	if (bind(fd, (struct sockaddr *)&to, sizeof(to)) < 0)
-		return fail(fd, step, address, error);
+		return fail_with_errno(fd, step, address, error);
 	return fd;
 }
 
 int aub_tcp_listen(const char *address, GError **error)
 {
-	int fd = bound(address, SOCK_STREAM, "listen", error);
+	int fd = bind_socket(address, SOCK_STREAM, "listen", error);
 
-	if (fd >= 0 && listen(fd, BACKLOG) < 0)
-		return fail(fd, "listen", address, error);
+	if (fd >= 0 && listen(fd, LISTEN_BACKLOG) < 0)
+		return fail_with_errno(fd, "listen", address, error);
 	return fd;
 }
 
 int aub_udp_bind(const char *address, GError **error)
 {
-	return bound(address, SOCK_DGRAM, "bind", error);
+	return bind_socket(address, SOCK_DGRAM, "bind", error);
 }
 
 int aub_tcp_connect(const char *address, GError **error)
@@ -119,18 +119,18 @@
 	struct sockaddr_in to;
 	int fd;
 
-	if (!aub_socket_address(address, &to)) {
+	if (!aub_socket_address_parse(address, &to)) {
 		aub_error_set(error, AUB_ERROR_INVALID, "connect", address,
 			      "is no ip:port");
 		return -1;
 	}
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd < 0)
-		return fail(fd, "connect", address, error);
+		return fail_with_errno(fd, "connect", address, error);
 	set_options(fd);
 	if (connect(fd, (struct sockaddr *)&to, sizeof(to)) < 0 &&
 	    errno != EINPROGRESS)
-		return fail(fd, "connect", address, error);
+		return fail_with_errno(fd, "connect", address, error);
 	return fd;
 }
 
@@ -143,7 +143,7 @@
 	return fd;
 }
 
-int aub_tcp_listen_any(char **address)
+int aub_tcp_listen_loopback(char **address)
 {
 	struct sockaddr_in bound_to = { 0 };
 	socklen_t length = sizeof(bound_to);
--- a/src/transport/token.c
+++ b/src/transport/token.c
@@ -8,22 +8,22 @@
 
 char *aub_token_read(const char *file, GError **error)
 {
-	GError *problem = NULL;
+	GError *cause = NULL;
 	char *text = NULL;
 
-	if (!g_file_get_contents(file, &text, NULL, &problem)) {
+	if (!g_file_get_contents(file, &text, NULL, &cause)) {
 		aub_error_set(error, AUB_ERROR_INVALID, "read token", file,
-			      "%s", problem->message);
-		g_error_free(problem);
+			      "%s", cause->message);
+		g_error_free(cause);
 		return NULL;
 	}
 	text[strcspn(text, "\r\n")] = '\0';
 	g_strstrip(text);
-	if (strlen(text) < AUB_TOKEN_MINIMUM) {
+	if (strlen(text) < AUB_TOKEN_MIN_LENGTH) {
 		aub_error_set(error, AUB_ERROR_INVALID, "read token", file,
 			      "must have at least %d characters in its first "
 			      "line",
-			      AUB_TOKEN_MINIMUM);
+			      AUB_TOKEN_MIN_LENGTH);
 		g_free(text);
 		return NULL;
 	}
@@ -40,7 +40,8 @@
  * token byte by byte from the time an answer takes. Digests of one length
  * are compared to their end: time depends on neither token.
  */
-static bool same(const char *left, const char *right, gsize length)
+static bool equal_in_constant_time(const char *left, const char *right,
+				   gsize length)
 {
 	volatile guchar difference = 0;
 
@@ -49,17 +50,18 @@
 	return difference == 0;
 }
 
-bool aub_token_matches(const char *digest, const char *header)
+bool aub_token_authorizes(const char *digest, const char *header)
 {
 	static const char scheme[] = "Bearer ";
-	char *given;
-	bool good;
+	char *given_digest;
+	bool authorized;
 
 	if (!digest || !header || !g_str_has_prefix(header, scheme))
 		return false;
-	given = aub_token_digest(header + strlen(scheme));
-	good = strlen(digest) == strlen(given) &&
-	       same(digest, given, strlen(given));
-	g_free(given);
-	return good;
+	given_digest = aub_token_digest(header + strlen(scheme));
+	authorized = strlen(digest) == strlen(given_digest) &&
+		     equal_in_constant_time(digest, given_digest,
+					    strlen(given_digest));
+	g_free(given_digest);
+	return authorized;
 }
--- a/src/transport/upstream_client.c
+++ b/src/transport/upstream_client.c
@@ -9,7 +9,7 @@
 #include <auburnstile/internal/headers.h>
 #include <auburnstile/internal/upstream_client.h>
 #include <auburnstile/internal/upstream_request.h>
-#include <auburnstile/internal/upstream_signs.h>
+#include <auburnstile/internal/upstream_signals.h>
 
 #include <errno.h>
 #include <string.h>
@@ -19,15 +19,15 @@
  * Seconds an unused connection is kept. Short, because one that went silent
  * can't be told from a good one; a new one costs about 1 ms.
  */
-#define IDLE_SECONDS 2
+#define IDLE_TIMEOUT_S 2
 
-#define READ_BYTES (16u << 10)
+#define READ_CHUNK_BYTES (16u << 10)
 
 struct aub_upstream_client {
 	guint references; /* its owner's and one for each attempt */
-	char *base; /* "http://ip:port" */
+	char *base_url; /* "http://ip:port" */
 	char *peer; /* "ip:port", for errors */
-	guint connections;
+	guint connections_max;
 	guint32 body_limit;
 	struct aub_timer_service *timers;
 	SoupSession *session;
@@ -39,13 +39,14 @@
 	SoupSession *session; /* owned reference */
 	SoupMessage *message; /* owned reference */
 	GCancellable *cancellable;
-	GSocket *opened; /* owned: of a connection made for this attempt */
+	GSocket *new_socket; /* owned: of a connection made for this attempt */
 	GInputStream *stream; /* of the answer's body, once it began */
 	GByteArray *body;
-	gsize limit;
+	gsize body_max_bytes;
 	guint timer;
-	bool started; /* handed to a connection: may have been sent */
-	bool pooled; /* may have used an old connection */
+	bool handed_to_connection; /* handed to a connection: may have been sent
+				    */
+	bool may_use_pool; /* may have used an old connection */
 	bool timed_out;
 	bool cancelled;
 	aub_attempt_callback *callback; /* of a request, or NULL */
@@ -58,9 +59,10 @@
 	SoupSession *session;
 
 	session = soup_session_new_with_options(
-		"max-conns", client->connections, "max-conns-per-host",
-		client->connections, "timeout", 0, "idle-timeout", IDLE_SECONDS,
-		"user-agent", NULL, "proxy-resolver", NULL, NULL);
+		"max-conns", client->connections_max, "max-conns-per-host",
+		client->connections_max, "timeout", 0, "idle-timeout",
+		IDLE_TIMEOUT_S, "user-agent", NULL, "proxy-resolver", NULL,
+		NULL);
 	soup_session_remove_feature_by_type(session, SOUP_TYPE_CONTENT_DECODER);
 	soup_session_remove_feature_by_type(session, SOUP_TYPE_AUTH_MANAGER);
 	return session;
@@ -74,8 +76,8 @@
 	client = g_new0(struct aub_upstream_client, 1);
 	client->references = 1;
 	client->peer = g_strdup_printf("%s:%u", options->host, options->port);
-	client->base = g_strdup_printf("http://%s", client->peer);
-	client->connections = MAX(options->connections, 1);
+	client->base_url = g_strdup_printf("http://%s", client->peer);
+	client->connections_max = MAX(options->connections_max, 1);
 	client->body_limit = options->body_limit;
 	client->timers = options->timers;
 	client->session = session_new(client);
@@ -90,7 +92,7 @@
 		return;
 	g_object_unref(client->session);
 	g_hash_table_unref(client->sockets);
-	g_free(client->base);
+	g_free(client->base_url);
 	g_free(client->peer);
 	g_free(client);
 }
@@ -106,7 +108,7 @@
  * never answered, and the next one would wait just as long. A session with an
  * empty pool takes over; what is in flight finishes in the old one.
  */
-static void renew_session(struct aub_upstream_client *client)
+static void replace_session(struct aub_upstream_client *client)
 {
 	g_object_unref(client->session);
 	client->session = session_new(client);
@@ -119,7 +121,7 @@
 	aub_timer_cancel(client->timers, attempt->timer);
 	g_signal_handlers_disconnect_by_data(attempt->message, attempt);
 	g_clear_object(&attempt->stream);
-	g_clear_object(&attempt->opened);
+	g_clear_object(&attempt->new_socket);
 	g_clear_pointer(&attempt->body, g_byte_array_unref);
 	g_object_unref(attempt->message);
 	g_object_unref(attempt->session);
@@ -138,7 +140,7 @@
 	answer = (struct aub_answer *)aub_message_new(AUB_MESSAGE_ANSWER);
 	answer->outcome = AUB_OUTCOME_RUN;
 	answer->status = soup_message_get_status(attempt->message);
-	aub_headers_collect(headers, answer->headers);
+	aub_headers_from_soup(headers, answer->headers);
 	length = soup_message_headers_get_one(headers, "Content-Length");
 	if (length &&
 	    soup_message_get_method(attempt->message) == SOUP_METHOD_HEAD)
@@ -155,35 +157,35 @@
 static void finish_probe(struct aub_attempt *attempt,
 			 enum aub_attempt_result result)
 {
-	struct aub_upstream_signs signs = { 0 };
+	struct aub_upstream_signs signals = { 0 };
 	bool answered = false;
 	guint32 busy = 0;
 
 	if (result == AUB_ATTEMPT_ANSWERED &&
 	    soup_message_get_status(attempt->message) == SOUP_STATUS_OK)
-		answered =
-			aub_signs_parse_load(attempt->body->data,
-					     attempt->body->len, &signs, &busy);
-	attempt->probe(answered, &signs, busy, attempt->context);
+		answered = aub_signals_parse_load(attempt->body->data,
+						  attempt->body->len, &signals,
+						  &busy);
+	attempt->probe(answered, &signals, busy, attempt->context);
 }
 
-static void finish(struct aub_attempt *attempt, enum aub_attempt_result result,
-		   const GError *error)
+static void finish_attempt(struct aub_attempt *attempt,
+			   enum aub_attempt_result result, const GError *error)
 {
-	struct aub_upstream_signs signs = { 0 };
+	struct aub_upstream_signs signals = { 0 };
 	struct aub_answer *answer = NULL;
 
 	if (result == AUB_ATTEMPT_ANSWERED || result == AUB_ATTEMPT_SHED)
-		aub_signs_read(attempt->message, &signs);
+		aub_signals_from_response(attempt->message, &signals);
 	if (attempt->probe)
 		finish_probe(attempt, result);
 	if (result == AUB_ATTEMPT_ANSWERED && attempt->callback)
 		answer = make_answer(attempt);
-	if (attempt->pooled &&
+	if (attempt->may_use_pool &&
 	    (result == AUB_ATTEMPT_TIMEOUT || result == AUB_ATTEMPT_LOST))
-		renew_session(attempt->client);
+		replace_session(attempt->client);
 	if (attempt->callback)
-		attempt->callback(result, &signs, answer, error,
+		attempt->callback(result, &signals, answer, error,
 				  attempt->context);
 	attempt_free(attempt);
 }
@@ -193,29 +195,29 @@
  * payment is sent again. Only what was never handed to a connection counts
  * as not run: libsoup emits "starting" before it writes the first byte.
  */
-static void fail(struct aub_attempt *attempt, const GError *error)
+static void fail_attempt(struct aub_attempt *attempt, const GError *error)
 {
 	enum aub_attempt_result result;
 
 	if (attempt->cancelled)
 		result = AUB_ATTEMPT_CANCELLED;
-	else if (!attempt->started)
+	else if (!attempt->handed_to_connection)
 		result = AUB_ATTEMPT_NOT_CONNECTED;
 	else if (attempt->timed_out)
 		result = AUB_ATTEMPT_TIMEOUT;
 	else
 		result = AUB_ATTEMPT_LOST;
-	finish(attempt, result, error);
+	finish_attempt(attempt, result, error);
 }
 
-static void fail_with(struct aub_attempt *attempt, enum aub_error_code code,
-		      const char *text)
+static void fail_attempt_with(struct aub_attempt *attempt,
+			      enum aub_error_code code, const char *text)
 {
 	GError *error = NULL;
 
 	aub_error_set(&error, code, "read answer", attempt->client->peer, "%s",
 		      text);
-	fail(attempt, error);
+	fail_attempt(attempt, error);
 	g_error_free(error);
 }
 
@@ -241,14 +243,14 @@
 }
 
 /* The body ended where its framing said, and that framing is unambiguous. */
-static bool is_whole(const struct aub_attempt *attempt)
+static bool is_complete(const struct aub_attempt *attempt)
 {
 	SoupMessageHeaders *headers;
 	SoupEncoding encoding;
 
 	headers = soup_message_get_response_headers(attempt->message);
 	encoding = soup_message_headers_get_encoding(headers);
-	if (!aub_headers_framing_clear(headers))
+	if (!aub_headers_framing_is_unambiguous(headers))
 		return false;
 	if (encoding == SOUP_ENCODING_CHUNKED)
 		return connection_is_open(attempt);
@@ -265,7 +267,7 @@
  * the answer is lost and the connection ends. Bytes that come later still
  * are seen by libsoup before it uses the connection again.
  */
-static bool has_surplus(struct aub_attempt *attempt)
+static bool has_excess_bytes(struct aub_attempt *attempt)
 {
 	guint64 id = soup_message_get_connection_id(attempt->message);
 	GInputStream *stream = attempt->stream;
@@ -299,26 +301,28 @@
 	       status != SOUP_STATUS_NOT_MODIFIED;
 }
 
-static void body_ended(struct aub_attempt *attempt)
+static void finish_body(struct aub_attempt *attempt)
 {
 	SoupMessageHeaders *headers;
-	bool whole;
+	bool complete;
 
 	headers = soup_message_get_response_headers(attempt->message);
-	whole = has_body(attempt) ? is_whole(attempt) :
-				    aub_headers_framing_clear(headers);
-	whole = whole && !has_surplus(attempt);
+	complete = has_body(attempt) ?
+			   is_complete(attempt) :
+			   aub_headers_framing_is_unambiguous(headers);
+	complete = complete && !has_excess_bytes(attempt);
 	g_input_stream_close(attempt->stream, NULL, NULL);
 	if (attempt->cancelled || attempt->timed_out)
-		fail_with(attempt, AUB_ERROR_TIMEOUT, "given up");
-	else if (!whole)
-		fail_with(attempt, AUB_ERROR_CLOSED,
-			  "answer cut off, or more than announced");
+		fail_attempt_with(attempt, AUB_ERROR_TIMEOUT, "given up");
+	else if (!complete)
+		fail_attempt_with(attempt, AUB_ERROR_CLOSED,
+				  "answer cut off, or more than announced");
 	else
-		finish(attempt,
-		       aub_signs_shed(attempt->message) ? AUB_ATTEMPT_SHED :
-							  AUB_ATTEMPT_ANSWERED,
-		       NULL);
+		finish_attempt(attempt,
+			       aub_response_is_shed(attempt->message) ?
+				       AUB_ATTEMPT_SHED :
+				       AUB_ATTEMPT_ANSWERED,
+			       NULL);
 }
 
 static void on_read(GObject *source, GAsyncResult *result, void *context);
@@ -334,33 +338,33 @@
 	pollable = G_POLLABLE_INPUT_STREAM(attempt->stream);
 	for (;;) {
 		length = attempt->body->len;
-		if (length > attempt->limit) {
+		if (length > attempt->body_max_bytes) {
 			g_cancellable_cancel(attempt->cancellable);
-			fail_with(attempt, AUB_ERROR_TOO_LARGE,
-				  "answer past the limit");
+			fail_attempt_with(attempt, AUB_ERROR_TOO_LARGE,
+					  "answer past the limit");
 			return;
 		}
-		g_byte_array_set_size(attempt->body, length + READ_BYTES);
+		g_byte_array_set_size(attempt->body, length + READ_CHUNK_BYTES);
 		count = g_pollable_input_stream_read_nonblocking(
-			pollable, attempt->body->data + length, READ_BYTES,
-			attempt->cancellable, &error);
+			pollable, attempt->body->data + length,
+			READ_CHUNK_BYTES, attempt->cancellable, &error);
 		g_byte_array_set_size(attempt->body, length + MAX(count, 0));
 		if (count <= 0)
 			break;
 	}
 	if (!count) {
-		body_ended(attempt);
+		finish_body(attempt);
 		return;
 	}
 	if (g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
-		g_byte_array_set_size(attempt->body, length + READ_BYTES);
+		g_byte_array_set_size(attempt->body, length + READ_CHUNK_BYTES);
 		g_input_stream_read_async(attempt->stream,
 					  attempt->body->data + length,
-					  READ_BYTES, G_PRIORITY_DEFAULT,
+					  READ_CHUNK_BYTES, G_PRIORITY_DEFAULT,
 					  attempt->cancellable, on_read,
 					  attempt);
 	} else {
-		fail(attempt, error);
+		fail_attempt(attempt, error);
 	}
 	g_error_free(error);
 }
@@ -372,19 +376,21 @@
 	gssize count;
 
 	count = g_input_stream_read_finish(attempt->stream, result, &error);
-	g_byte_array_set_size(attempt->body,
-			      attempt->body->len - READ_BYTES + MAX(count, 0));
+	g_byte_array_set_size(attempt->body, attempt->body->len -
+						     READ_CHUNK_BYTES +
+						     MAX(count, 0));
 	if (count < 0) {
-		fail(attempt, error);
+		fail_attempt(attempt, error);
 		g_error_free(error);
 	} else if (!count) {
-		body_ended(attempt);
+		finish_body(attempt);
 	} else {
 		read_body(attempt);
 	}
 }
 
-static void on_sent(GObject *source, GAsyncResult *result, void *context)
+static void on_response_headers(GObject *source, GAsyncResult *result,
+				void *context)
 {
 	struct aub_attempt *attempt = context;
 	GError *error = NULL;
@@ -392,7 +398,7 @@
 	attempt->stream =
 		soup_session_send_finish(attempt->session, result, &error);
 	if (!attempt->stream) {
-		fail(attempt, error);
+		fail_attempt(attempt, error);
 		g_error_free(error);
 		return;
 	}
@@ -400,19 +406,19 @@
 	read_body(attempt);
 }
 
-static void on_network(SoupMessage *message, GSocketClientEvent event,
-		       GIOStream *connection, void *context)
+static void on_network_event(SoupMessage *message, GSocketClientEvent event,
+			     GIOStream *connection, void *context)
 {
 	struct aub_attempt *attempt = context;
 
 	if (event != G_SOCKET_CLIENT_CONNECTED)
 		return;
-	g_clear_object(&attempt->opened);
-	attempt->opened = g_object_ref(g_socket_connection_get_socket(
+	g_clear_object(&attempt->new_socket);
+	attempt->new_socket = g_object_ref(g_socket_connection_get_socket(
 		G_SOCKET_CONNECTION(connection)));
 }
 
-static gboolean is_closed(void *id, void *socket, void *context)
+static gboolean socket_is_closed(void *id, void *socket, void *context)
 {
 	return g_socket_is_closed(socket);
 }
@@ -423,12 +429,12 @@
 	GHashTable *sockets = attempt->client->sockets;
 	guint64 id = soup_message_get_connection_id(message);
 
-	attempt->started = true;
-	if (!attempt->opened)
+	attempt->handed_to_connection = true;
+	if (!attempt->new_socket)
 		return;
-	g_hash_table_foreach_remove(sockets, is_closed, NULL);
+	g_hash_table_foreach_remove(sockets, socket_is_closed, NULL);
 	g_hash_table_replace(sockets, g_memdup2(&id, sizeof(id)),
-			     g_object_ref(attempt->opened));
+			     g_object_ref(attempt->new_socket));
 }
 
 /*
@@ -459,7 +465,7 @@
 	g_cancellable_cancel(attempt->cancellable);
 }
 
-void aub_attempt_forget(struct aub_attempt *attempt)
+void aub_attempt_abandon(struct aub_attempt *attempt)
 {
 	attempt->callback = NULL;
 	attempt->probe = NULL;
@@ -467,8 +473,8 @@
 }
 
 static struct aub_attempt *attempt_start(struct aub_upstream_client *client,
-					 SoupMessage *message, bool fresh,
-					 gint64 timeout_us,
+					 SoupMessage *message,
+					 bool new_connection, gint64 timeout_us,
 					 aub_attempt_callback *callback,
 					 void *context)
 {
@@ -481,22 +487,24 @@
 	attempt->session = g_object_ref(client->session);
 	attempt->message = message;
 	attempt->cancellable = g_cancellable_new();
-	attempt->limit = client->body_limit;
-	attempt->pooled = !fresh;
+	attempt->body_max_bytes = client->body_limit;
+	attempt->may_use_pool = !new_connection;
 	attempt->callback = callback;
 	attempt->context = context;
 	attempt->timer = aub_timer_at(client->timers, "attempt", timeout_us,
 				      on_timeout, attempt);
 	/* IDEMPOTENT lets any method use the pool; see on_restarted(). */
-	flags |= fresh ? SOUP_MESSAGE_NEW_CONNECTION : SOUP_MESSAGE_IDEMPOTENT;
+	flags |= new_connection ? SOUP_MESSAGE_NEW_CONNECTION :
+				  SOUP_MESSAGE_IDEMPOTENT;
 	soup_message_set_flags(message, flags);
 	g_signal_connect(message, "starting", G_CALLBACK(on_starting), attempt);
-	g_signal_connect(message, "network-event", G_CALLBACK(on_network),
+	g_signal_connect(message, "network-event", G_CALLBACK(on_network_event),
 			 attempt);
 	g_signal_connect(message, "restarted", G_CALLBACK(on_restarted),
 			 attempt);
 	soup_session_send_async(attempt->session, message, G_PRIORITY_DEFAULT,
-				attempt->cancellable, on_sent, attempt);
+				attempt->cancellable, on_response_headers,
+				attempt);
 	return attempt;
 }
 
@@ -508,7 +516,7 @@
 	char *text;
 	GUri *uri;
 
-	text = g_strconcat(client->base, path, NULL);
+	text = g_strconcat(client->base_url, path, NULL);
 	uri = g_uri_parse(text, SOUP_HTTP_URI_FLAGS, NULL);
 	g_free(text);
 	if (!uri)
@@ -522,19 +530,19 @@
 {
 	struct aub_attempt *attempt = context;
 
-	fail_with(attempt, AUB_ERROR_INVALID, "not a valid request");
+	fail_attempt_with(attempt, AUB_ERROR_INVALID, "not a valid request");
 	return G_SOURCE_REMOVE;
 }
 
 struct aub_attempt *aub_upstream_send(struct aub_upstream_client *client,
-				      const struct aub_call *call, bool fresh,
-				      gint64 timeout_us,
+				      const struct aub_call *call,
+				      bool new_connection, gint64 timeout_us,
 				      aub_attempt_callback *callback,
 				      void *context)
 {
 	struct aub_attempt *attempt;
 	SoupMessage *message;
-	gint64 left_us;
+	gint64 remaining_us;
 
 	message = make_message(client, call->method, call->path);
 	if (!message) {
@@ -549,15 +557,16 @@
 		g_idle_add(fail_unsendable, attempt);
 		return attempt;
 	}
-	left_us = timeout_us - aub_timer_now(client->timers);
-	aub_upstream_write_request(message, call, MAX(left_us, 0) / AUB_MS);
+	remaining_us = timeout_us - aub_timer_now(client->timers);
+	aub_upstream_write_request(message, call,
+				   MAX(remaining_us, 0) / AUB_MS);
 	/*
 	 * Failure: an old connection ends under a payment, and whether it ran
 	 * can't be told. Such a request goes over a new connection, which
 	 * libsoup never sends twice on; until it is up, nothing was run.
 	 */
-	return attempt_start(client, message, fresh || call->once, timeout_us,
-			     callback, context);
+	return attempt_start(client, message, new_connection || call->once,
+			     timeout_us, callback, context);
 }
 
 struct aub_attempt *aub_upstream_probe(struct aub_upstream_client *client,
--- a/src/transport/upstream_request.c
+++ b/src/transport/upstream_request.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /* What an answer needs to come back to the entry, on a busy machine. */
-#define ANSWER_WAY_MS 4
+#define RESPONSE_TRANSIT_MS 4
 
 static void set_number(SoupMessageHeaders *headers, const char *name,
 		       gint64 number)
@@ -25,11 +25,11 @@
  * late: the caller reads "unknown". The time told to the upstream is shorter
  * by the way of an answer; 25 levels of it take a quarter of the time.
  */
-static gint64 deadline_told_ms(gint64 left_ms)
+static gint64 upstream_deadline_ms(gint64 remaining_ms)
 {
-	gint64 margin_ms = ANSWER_WAY_MS + left_ms / 100;
+	gint64 margin_ms = RESPONSE_TRANSIT_MS + remaining_ms / 100;
 
-	return MAX(left_ms - margin_ms, 1);
+	return MAX(remaining_ms - margin_ms, 1);
 }
 
 /*
@@ -38,7 +38,8 @@
  * spend is half of its own budget, so that all levels together stay finite.
  */
 void aub_upstream_write_request(SoupMessage *message,
-				const struct aub_call *call, gint64 left_ms)
+				const struct aub_call *call,
+				gint64 remaining_ms)
 {
 	SoupMessageHeaders *headers;
 	GBytes *body;
@@ -53,8 +54,9 @@
 		   strcmp(call->method, "HEAD") != 0) {
 		soup_message_headers_set_content_length(headers, 0);
 	}
-	aub_headers_emit(call->headers, headers);
-	set_number(headers, "X-Deadline-Ms", deadline_told_ms(left_ms));
+	aub_headers_to_soup(call->headers, headers);
+	set_number(headers, "X-Deadline-Ms",
+		   upstream_deadline_ms(remaining_ms));
 	set_number(headers, "Auburnstile-Retry-Budget", call->retry_budget / 2);
 	g_snprintf(id, sizeof(id), "%016" G_GINT64_MODIFIER "x", call->id);
 	soup_message_headers_replace(headers, "Auburnstile-Request", id);
