--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -56,7 +56,7 @@
 	bool keep_alive = false;
 	bool ended = false;
 	bool midway = false;
-	enum aub_stream_end end = AUB_STREAM_EOF;
+	enum aub_stream_end_reason end = AUB_STREAM_EOF;
 
 	Caller(struct aub_poller *poller, const std::string &address)
 	{
@@ -66,7 +66,7 @@
 			.body = on_body,
 			.complete = on_complete,
 			.drained = NULL,
-			.refused = NULL,
+			.rejected = NULL,
 			.ended = on_ended,
 		};
 
@@ -91,7 +91,7 @@
 	}
 	void hold(bool hold)
 	{
-		aub_http_stream_hold(stream_, hold);
+		aub_http_stream_pause_reading(stream_, hold);
 	}
 	bool done() const
 	{
@@ -126,7 +126,7 @@
 		self->lengths.push_back(self->body.size());
 		aub_http_stream_resume(self->stream_);
 	}
-	static void on_ended(enum aub_stream_end end, bool midway,
+	static void on_ended(enum aub_stream_end_reason end, bool midway,
 			     void *context)
 	{
 		Caller *self = (Caller *)context;
--- a/tests/test_admin.cc
+++ b/tests/test_admin.cc
@@ -8,31 +8,32 @@
 #include <glib/gstdio.h>
 #include <string>
 
-static void echo(struct aub_admin_request *request, void *context)
+static void respond_with_echo(struct aub_admin_request *request, void *context)
 {
 	gsize length;
 	const char *body = aub_admin_body(request, &length);
 	const char *name = aub_admin_query(request, "name");
 
 	(void)body;
-	aub_admin_answer(request, 200,
-			 g_strdup_printf("{\"path\":\"%s\",\"length\":%zu,"
-					 "\"name\":\"%s\"}",
-					 aub_admin_path(request), length,
-					 name ? name : ""));
+	aub_admin_respond(request, 200,
+			  g_strdup_printf("{\"path\":\"%s\",\"length\":%zu,"
+					  "\"name\":\"%s\"}",
+					  aub_admin_path(request), length,
+					  name ? name : ""));
 }
 
-static void fail(struct aub_admin_request *request, void *context)
+static void respond_with_conflict(struct aub_admin_request *request,
+				  void *context)
 {
 	GError *error = nullptr;
 
 	aub_error_set(&error, AUB_ERROR_CONFLICT, "apply", "store",
 		      "it is \"newer\"");
-	aub_admin_fail(request, error);
+	aub_admin_respond_error(request, error);
 	g_error_free(error);
 }
 
-static void hold(struct aub_admin_request *request, void *context)
+static void hold_request(struct aub_admin_request *request, void *context)
 {
 	*static_cast<struct aub_admin_request **>(context) = request;
 }
@@ -61,9 +62,12 @@
 		};
 		admin = aub_admin_new(&options, nullptr);
 		ASSERT_NE(admin, nullptr);
-		aub_admin_handle(admin, "POST", "/v1/echo/", echo, nullptr);
-		aub_admin_handle(admin, "GET", "/v1/fail", fail, nullptr);
-		aub_admin_handle(admin, "GET", "/v1/hold", hold, &held);
+		aub_admin_handle(admin, "POST", "/v1/echo/", respond_with_echo,
+				 nullptr);
+		aub_admin_handle(admin, "GET", "/v1/fail",
+				 respond_with_conflict, nullptr);
+		aub_admin_handle(admin, "GET", "/v1/hold", hold_request,
+				 &held_request);
 	}
 
 	void TearDown() override
@@ -78,7 +82,7 @@
 	}
 
 	/* Open a connection and send; what comes back is read by finish(). */
-	GSocketConnection *send(const std::string &text)
+	GSocketConnection *open_and_send(const std::string &text)
 	{
 		GSocketClient *client = g_socket_client_new();
 		GSocketConnection *connection = g_socket_client_connect_to_host(
@@ -92,7 +96,7 @@
 		return connection;
 	}
 
-	std::string finish(GSocketConnection *connection)
+	std::string read_response(GSocketConnection *connection)
 	{
 		GSocket *socket = g_socket_connection_get_socket(connection);
 		std::string result;
@@ -113,8 +117,9 @@
 		return result;
 	}
 
-	std::string ask(const std::string &line, const std::string &token,
-			const std::string &body = "")
+	std::string send_request(const std::string &line,
+				 const std::string &token,
+				 const std::string &body = "")
 	{
 		std::string text = line + " HTTP/1.1\r\nHost: x\r\n"
 					  "Connection: close\r\n";
@@ -124,10 +129,10 @@
 		if (!body.empty())
 			text += "Content-Length: " +
 				std::to_string(body.size()) + "\r\n";
-		return finish(send(text + "\r\n" + body));
+		return read_response(open_and_send(text + "\r\n" + body));
 	}
 
-	static bool has(const std::string &text, const std::string &part)
+	static bool contains(const std::string &text, const std::string &part)
 	{
 		return text.find(part) != std::string::npos;
 	}
@@ -136,71 +141,81 @@
 	struct aub_event_ring *events = nullptr;
 	struct aub_metrics *metrics = nullptr;
 	struct aub_admin *admin = nullptr;
-	struct aub_admin_request *held = nullptr;
+	struct aub_admin_request *held_request = nullptr;
 	bool ready = true;
 };
 
-static const char good[] = "correct-token";
+static const char correct_token[] = "correct-token";
 
-TEST_F(Admin, OpenPathsNeedNoToken)
+TEST_F(Admin, PublicPathsNeedNoToken)
 {
 	aub_metrics_add(metrics,
 			aub_metrics_counter(metrics, "auburnstile_x_total",
 					    nullptr, "help"),
 			3);
-	EXPECT_TRUE(has(ask("GET /metrics", ""), "auburnstile_x_total 3"));
-	EXPECT_TRUE(has(ask("GET /healthz", ""), "200 OK"));
-	EXPECT_TRUE(has(ask("GET /readyz", ""), "200 OK"));
+	EXPECT_TRUE(contains(send_request("GET /metrics", ""),
+			     "auburnstile_x_total 3"));
+	EXPECT_TRUE(contains(send_request("GET /healthz", ""), "200 OK"));
+	EXPECT_TRUE(contains(send_request("GET /readyz", ""), "200 OK"));
 	ready = false;
-	EXPECT_TRUE(has(ask("GET /readyz", ""), " 503 "));
+	EXPECT_TRUE(contains(send_request("GET /readyz", ""), " 503 "));
 }
 
-TEST_F(Admin, EverythingElseNeedsTheToken)
+TEST_F(Admin, OtherPathsRequireTheToken)
 {
 	const char *wrong[] = { "", "correct-toke", "correct-tokem",
 				"correct-token2", "x" };
 
 	for (const char *token : wrong) {
-		std::string answer = ask("GET /v1/events", token);
+		std::string answer = send_request("GET /v1/events", token);
 
-		EXPECT_TRUE(has(answer, " 401 ")) << token;
-		EXPECT_TRUE(has(answer, "\"code\":\"refused\"")) << answer;
-		EXPECT_TRUE(has(ask("GET /nothing", token), " 401 "));
+		EXPECT_TRUE(contains(answer, " 401 ")) << token;
+		EXPECT_TRUE(contains(answer, "\"code\":\"refused\"")) << answer;
+		EXPECT_TRUE(
+			contains(send_request("GET /nothing", token), " 401 "));
 	}
-	EXPECT_TRUE(has(ask("GET /v1/events", good), " 200 "));
+	EXPECT_TRUE(contains(send_request("GET /v1/events", correct_token),
+			     " 200 "));
 }
 
-TEST_F(Admin, ATokenChangedOnDiskIsTakenOnReload)
+TEST_F(Admin, ReloadReadsTheChangedTokenFile)
 {
 	g_file_set_contents(token_file, "another-token", -1, nullptr);
-	EXPECT_TRUE(has(ask("GET /v1/events", good), " 200 "));
+	EXPECT_TRUE(contains(send_request("GET /v1/events", correct_token),
+			     " 200 "));
 	EXPECT_TRUE(aub_admin_reload(admin, nullptr));
-	EXPECT_TRUE(has(ask("GET /v1/events", good), " 401 "));
-	EXPECT_TRUE(has(ask("GET /v1/events", "another-token"), " 200 "));
+	EXPECT_TRUE(contains(send_request("GET /v1/events", correct_token),
+			     " 401 "));
+	EXPECT_TRUE(contains(send_request("GET /v1/events", "another-token"),
+			     " 200 "));
 	g_file_set_contents(token_file, "short", -1, nullptr);
 	EXPECT_FALSE(aub_admin_reload(admin, nullptr));
-	EXPECT_TRUE(has(ask("GET /v1/events", "another-token"), " 200 "));
+	EXPECT_TRUE(contains(send_request("GET /v1/events", "another-token"),
+			     " 200 "));
 }
 
 TEST_F(Admin, RoutesByPathAndMethod)
 {
-	std::string answer =
-		ask("POST /v1/echo/a%20b?name=n%2F", good, "12345");
+	std::string answer = send_request("POST /v1/echo/a%20b?name=n%2F",
+					  correct_token, "12345");
 
-	EXPECT_TRUE(has(answer, "{\"path\":\"/v1/echo/a b\",\"length\":5,"
-				"\"name\":\"n/\"}"))
+	EXPECT_TRUE(contains(answer, "{\"path\":\"/v1/echo/a b\",\"length\":5,"
+				     "\"name\":\"n/\"}"))
 		<< answer;
-	EXPECT_TRUE(has(ask("GET /v1/echo/a", good), " 405 "));
-	EXPECT_TRUE(has(ask("GET /v1/fails", good), " 404 "));
-	answer = ask("GET /v1/fail", good);
-	EXPECT_TRUE(has(answer, " 409 "));
-	EXPECT_TRUE(has(answer, "{\"error\":{\"code\":\"conflict\",\"step\":"
-				"\"apply\",\"peer\":\"store\",\"message\":"
-				"\"apply: store: it is \\\"newer\\\"\"}}"))
+	EXPECT_TRUE(contains(send_request("GET /v1/echo/a", correct_token),
+			     " 405 "));
+	EXPECT_TRUE(contains(send_request("GET /v1/fails", correct_token),
+			     " 404 "));
+	answer = send_request("GET /v1/fail", correct_token);
+	EXPECT_TRUE(contains(answer, " 409 "));
+	EXPECT_TRUE(contains(answer,
+			     "{\"error\":{\"code\":\"conflict\",\"step\":"
+			     "\"apply\",\"peer\":\"store\",\"message\":"
+			     "\"apply: store: it is \\\"newer\\\"\"}}"))
 		<< answer;
 }
 
-TEST_F(Admin, BodiesPastTheLimitAreRefused)
+TEST_F(Admin, BodiesOverTheLimitAreRejected)
 {
 	std::string head = "POST /v1/echo/a HTTP/1.1\r\nHost: x\r\n"
 			   "Connection: close\r\n"
@@ -208,71 +223,79 @@
 	std::string chunk(1 << 16, 'x');
 	std::string chunked = head + "Transfer-Encoding: chunked\r\n\r\n";
 
-	EXPECT_TRUE(has(ask("POST /v1/echo/a", good,
-			    std::string(AUB_ADMIN_BODY_LIMIT, 'x')),
-			"\"length\":2097152"));
-	EXPECT_TRUE(has(ask("POST /v1/echo/a", good,
-			    std::string(AUB_ADMIN_BODY_LIMIT + 1, 'x')),
-			" 413 "));
+	EXPECT_TRUE(contains(send_request("POST /v1/echo/a", correct_token,
+					  std::string(AUB_ADMIN_BODY_MAX_BYTES,
+						      'x')),
+			     "\"length\":2097152"));
+	EXPECT_TRUE(contains(
+		send_request("POST /v1/echo/a", correct_token,
+			     std::string(AUB_ADMIN_BODY_MAX_BYTES + 1, 'x')),
+		" 413 "));
 	for (int i = 0; i < 40; i++)
 		chunked += "10000\r\n" + chunk + "\r\n";
-	EXPECT_TRUE(has(finish(send(chunked + "0\r\n\r\n")), " 413 "));
+	EXPECT_TRUE(
+		contains(read_response(open_and_send(chunked + "0\r\n\r\n")),
+			 " 413 "));
 }
 
-TEST_F(Admin, EventsComeInOrderAfterASequence)
+TEST_F(Admin, EventsAfterASequenceAreReturnedInOrder)
 {
 	for (int i = 1; i <= 10; i++)
 		aub_event_note(events, AUB_EVENT_ARRIVED, (guint64)i << 60, i,
 			       "cal-1", "a\"b\n");
-	std::string answer = ask("GET /v1/events?after=8", good);
+	std::string answer =
+		send_request("GET /v1/events?after=8", correct_token);
 
-	EXPECT_TRUE(has(answer, "\"process\":\"entry-a1\",\"incarnation\":"
-				"77"))
+	EXPECT_TRUE(contains(answer, "\"process\":\"entry-a1\",\"incarnation\":"
+				     "77"))
 		<< answer;
-	EXPECT_TRUE(has(answer, "\"lost\":2"));
-	EXPECT_TRUE(has(answer, "\"events\":[{\"sequence\":9,"));
-	EXPECT_TRUE(has(answer, "\"request\":\"a000000000000000\",\"number\":"
-				"10,\"upstream\":\"cal-1\",\"text\":"
-				"\"a\\\"b\\u000a\"}]}"))
+	EXPECT_TRUE(contains(answer, "\"lost\":2"));
+	EXPECT_TRUE(contains(answer, "\"events\":[{\"sequence\":9,"));
+	EXPECT_TRUE(contains(answer,
+			     "\"request\":\"a000000000000000\",\"number\":"
+			     "10,\"upstream\":\"cal-1\",\"text\":"
+			     "\"a\\\"b\\u000a\"}]}"))
 		<< answer;
-	EXPECT_TRUE(has(ask("GET /v1/events?after=x", good), " 400 "));
+	EXPECT_TRUE(
+		contains(send_request("GET /v1/events?after=x", correct_token),
+			 " 400 "));
 }
 
 /*
  * The operator's command is stopped while the control still works on it.
  * The answer then has nowhere to go; it must not touch what is gone.
  */
-TEST_F(Admin, AnAnswerAfterTheCallerLeftIsDropped)
+TEST_F(Admin, ResponseAfterClientDisconnectIsDropped)
 {
 	GSocketConnection *connection =
-		send("GET /v1/hold HTTP/1.1\r\nHost: x\r\n"
-		     "Authorization: Bearer correct-token\r\n\r\n");
+		open_and_send("GET /v1/hold HTTP/1.1\r\nHost: x\r\n"
+			      "Authorization: Bearer correct-token\r\n\r\n");
 
-	while (!held)
+	while (!held_request)
 		g_main_context_iteration(nullptr, TRUE);
 	g_io_stream_close(G_IO_STREAM(connection), nullptr, nullptr);
 	g_object_unref(connection);
 	for (int i = 0; i < 10; i++)
 		g_main_context_iteration(nullptr, FALSE);
-	aub_admin_answer(held, 200, g_strdup("{}"));
-	EXPECT_TRUE(has(ask("GET /healthz", ""), "200 OK"));
+	aub_admin_respond(held_request, 200, g_strdup("{}"));
+	EXPECT_TRUE(contains(send_request("GET /healthz", ""), "200 OK"));
 }
 
-TEST_F(Admin, AnAnswerAfterTheListenerWasFreedIsDropped)
+TEST_F(Admin, ResponseAfterListenerIsFreedIsDropped)
 {
 	GSocketConnection *connection =
-		send("GET /v1/hold HTTP/1.1\r\nHost: x\r\n"
-		     "Authorization: Bearer correct-token\r\n\r\n");
+		open_and_send("GET /v1/hold HTTP/1.1\r\nHost: x\r\n"
+			      "Authorization: Bearer correct-token\r\n\r\n");
 
-	while (!held)
+	while (!held_request)
 		g_main_context_iteration(nullptr, TRUE);
 	aub_admin_free(admin);
 	admin = nullptr;
-	aub_admin_answer(held, 200, g_strdup("{}"));
+	aub_admin_respond(held_request, 200, g_strdup("{}"));
 	g_object_unref(connection);
 }
 
-TEST(AdminStart, FaultsAreNamed)
+TEST(AdminStart, ErrorsNameTheInvalidOption)
 {
 	struct aub_admin_options options = {};
 	GError *error = nullptr;
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -29,31 +29,32 @@
       protected:
 	struct aub_timer_service *timers = aub_timer_service_new(nullptr);
 	struct aub_caller_server *server = nullptr;
-	std::vector<struct aub_caller_request *> waiting;
+	std::vector<struct aub_caller_request *> pending;
 	std::vector<struct aub_call *> calls;
 	int gone = 0;
-	bool answer_at_once = true;
+	bool respond_immediately = true;
 
-	static void on_arrived(struct aub_caller_request *request,
-			       struct aub_call *call, void *context)
+	static void on_request_received(struct aub_caller_request *request,
+					struct aub_call *call, void *context)
 	{
 		CallerServer *test = static_cast<CallerServer *>(context);
 
 		test->calls.push_back(call);
-		test->waiting.push_back(request);
-		if (test->answer_at_once)
+		test->pending.push_back(request);
+		if (test->respond_immediately)
 			test->answer(200, "hello");
 	}
 
-	static void on_gone(struct aub_caller_request *request, void *context)
+	static void on_caller_disconnected(struct aub_caller_request *request,
+					   void *context)
 	{
 		CallerServer *test = static_cast<CallerServer *>(context);
 
-		std::erase(test->waiting, request);
+		std::erase(test->pending, request);
 		test->gone++;
 	}
 
-	static guint32 limit(const char *, void *)
+	static guint32 body_limit(const char *, void *)
 	{
 		return 100;
 	}
@@ -69,7 +70,7 @@
 
 	void answer(guint status, const std::string &body)
 	{
-		ASSERT_FALSE(waiting.empty());
+		ASSERT_FALSE(pending.empty());
 		struct aub_answer *answer =
 			(struct aub_answer *)aub_message_new(
 				AUB_MESSAGE_ANSWER);
@@ -78,23 +79,23 @@
 		answer->id = 0x1f;
 		aub_bytes_set(&answer->body, body.data(), body.size());
 		g_ptr_array_add(answer->headers, aub_header_new("X-A", "b"));
-		aub_caller_answer(waiting.back(), answer, true);
-		waiting.pop_back();
+		aub_caller_respond(pending.back(), answer, true);
+		pending.pop_back();
 	}
 
 	void open(guint connections, guint limit_ms)
 	{
 		struct aub_caller_server_options options = {};
 		options.address = "127.0.0.1:0";
-		options.connections = connections;
+		options.connections_max = connections;
 		options.header_ms = limit_ms;
 		options.idle_ms = limit_ms;
 		options.body_ms = limit_ms;
 		options.write_ms = limit_ms;
 		options.timers = timers;
-		options.arrived = on_arrived;
-		options.gone = on_gone;
-		options.body_limit = limit;
+		options.arrived = on_request_received;
+		options.gone = on_caller_disconnected;
+		options.body_limit = body_limit;
 		options.addresses = addresses;
 		options.context = this;
 		server = aub_caller_server_new(&options, nullptr);
@@ -106,7 +107,7 @@
 		return aub_caller_server_port(server);
 	}
 
-	static void until(const std::function<bool()> &done)
+	static void run_until(const std::function<bool()> &done)
 	{
 		gint64 end = g_get_monotonic_time() + 5000000;
 
@@ -131,7 +132,7 @@
 	}
 };
 
-TEST_F(CallerServer, HandsOnWholeRequestsWithoutHopByHopFields)
+TEST_F(CallerServer, DeliversRequestsWithoutHopByHopFields)
 {
 	Caller caller(port());
 
@@ -148,7 +149,7 @@
 	EXPECT_STREQ(calls[0]->path, "/fees/pay%20x?a=b");
 	EXPECT_STREQ(calls[0]->key, "g/k");
 	EXPECT_EQ(calls[0]->deadline_ms, 1500u);
-	EXPECT_EQ(calls[0]->retry_budget, AUB_RETRY_BUDGET_LIMIT);
+	EXPECT_EQ(calls[0]->retry_budget, AUB_RETRY_BUDGET_MAX_PERCENT);
 	EXPECT_EQ(calls[0]->body.length, 3u);
 	EXPECT_NE(aub_headers_find(calls[0]->headers, "X-Mine"), nullptr);
 	for (const char *name : { "X-Hop", "Keep-Alive", "Connection",
@@ -162,30 +163,30 @@
 		EXPECT_NE(answer.find(line), std::string::npos) << line;
 }
 
-TEST_F(CallerServer, AnswersWithoutBodyAndToHead)
+TEST_F(CallerServer, SendsResponsesWithoutBodyAndToHead)
 {
 	Caller caller(port());
 
-	answer_at_once = false;
+	respond_immediately = false;
 	caller.send("HEAD / HTTP/1.1\r\nHost: h\r\n\r\n");
-	until([&] { return !waiting.empty(); });
+	run_until([&] { return !pending.empty(); });
 	answer(200, "");
 	EXPECT_NE(caller.answer().find("HTTP/1.1 200"), std::string::npos);
 	caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	until([&] { return !waiting.empty(); });
+	run_until([&] { return !pending.empty(); });
 	answer(204, "");
 	std::string no_content = caller.answer();
 	EXPECT_NE(no_content.find("HTTP/1.1 204"), std::string::npos);
 	EXPECT_NE(no_content.find("Connection: close"), std::string::npos);
 	Caller another(port());
 	another.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	until([&] { return !waiting.empty(); });
+	run_until([&] { return !pending.empty(); });
 	answer(200, "");
 	EXPECT_NE(another.answer().find("Content-Length: 0"),
 		  std::string::npos);
 }
 
-TEST_F(CallerServer, SaysWhichAddressesToUse)
+TEST_F(CallerServer, ServesAddressesOfAService)
 {
 	Caller caller(port());
 
@@ -203,7 +204,7 @@
  * Requests whose end can be read in two ways, or that are too large or
  * malformed. Each is refused as not run, and none is handed on.
  */
-TEST_F(CallerServer, RefusesUnclearAndOversizedRequests)
+TEST_F(CallerServer, RejectsAmbiguousAndOversizedRequests)
 {
 	std::string large(101, 'x');
 	std::vector<std::pair<std::string, std::string>> cases = {
@@ -235,40 +236,40 @@
 }
 
 /* A caller who waits for an answer goes away: its request is given up. */
-TEST_F(CallerServer, SeesThatACallerIsGone)
+TEST_F(CallerServer, DetectsDisconnectedCaller)
 {
-	answer_at_once = false;
+	respond_immediately = false;
 	{
 		Caller caller(port());
 		caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-		until([&] { return !waiting.empty(); });
+		run_until([&] { return !pending.empty(); });
 	}
-	until([&] { return gone == 1; });
-	EXPECT_TRUE(waiting.empty());
-	until([&] { return !aub_caller_server_connections(server); });
+	run_until([&] { return gone == 1; });
+	EXPECT_TRUE(pending.empty());
+	run_until([&] { return !aub_caller_server_connections(server); });
 }
 
-TEST_F(CallerServer, ForgetsConnectionsThatEnded)
+TEST_F(CallerServer, RemovesClosedConnections)
 {
 	{
-		Caller kept(port());
-		kept.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-		EXPECT_NE(kept.answer(), "");
+		Caller keep_alive(port());
+		keep_alive.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+		EXPECT_NE(keep_alive.answer(), "");
 		Caller closing(port());
 		closing.send("GET / HTTP/1.1\r\nHost: h\r\n"
 			     "Connection: close\r\n\r\n");
 		EXPECT_NE(closing.answer(), "");
-		until([&] { return closing.ended(); });
-		EXPECT_EQ(aub_caller_server_busy(server), 0u);
+		run_until([&] { return closing.ended(); });
+		EXPECT_EQ(aub_caller_server_active(server), 0u);
 	}
-	until([&] { return !aub_caller_server_connections(server); });
+	run_until([&] { return !aub_caller_server_connections(server); });
 }
 
 /*
  * Ten times as many idle connections as are allowed: the oldest give way,
  * and a new caller still gets its answer.
  */
-TEST_F(CallerServer, IdleConnectionsGiveWay)
+TEST_F(CallerServer, ClosesOldestIdleConnectionsOverTheLimit)
 {
 	std::vector<std::unique_ptr<Caller>> idle;
 
@@ -279,11 +280,11 @@
 	Caller caller(port());
 	caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
 	EXPECT_NE(caller.answer().find("hello"), std::string::npos);
-	until([&] { return aub_caller_server_connections(server) <= 8; });
+	run_until([&] { return aub_caller_server_connections(server) <= 8; });
 }
 
 /* Callers who send a byte now and then, in header or body, are cut off. */
-TEST_F(CallerServer, SlowCallersAreCutOff)
+TEST_F(CallerServer, DisconnectsSlowCallers)
 {
 	aub_caller_server_free(server);
 	open(8, 150);
@@ -292,6 +293,6 @@
 
 	header.send("GET / HTTP");
 	body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\na");
-	until([&] { return header.ended() && body.ended(); });
+	run_until([&] { return header.ended() && body.ended(); });
 	EXPECT_TRUE(calls.empty());
 }
--- a/tests/test_http_stream.cc
+++ b/tests/test_http_stream.cc
@@ -5,7 +5,7 @@
 
 #include <sys/socket.h>
 
-class StreamTest : public ::testing::Test
+class HttpStream : public ::testing::Test
 {
       protected:
 	struct aub_poller *poller;
@@ -27,7 +27,7 @@
 	}
 	static void on_head(const struct aub_http_head *head, void *context)
 	{
-		StreamTest *self = (StreamTest *)context;
+		HttpStream *self = (HttpStream *)context;
 		const char *value = aub_http_head_find(head, "x-a");
 
 		self->log += std::string("head ") +
@@ -37,25 +37,26 @@
 	}
 	static void on_body(const char *data, gsize length, void *context)
 	{
-		((StreamTest *)context)->body.append(data, length);
+		((HttpStream *)context)->body.append(data, length);
 	}
 	static void on_complete(void *context)
 	{
-		((StreamTest *)context)->log += "complete;";
+		((HttpStream *)context)->log += "complete;";
 	}
-	static void on_refused(enum aub_stream_end end, void *context)
+	static void on_refused(enum aub_stream_end_reason reason, void *context)
 	{
-		((StreamTest *)context)->log +=
-			end == AUB_STREAM_TOO_LARGE ? "large;" : "refused;";
+		((HttpStream *)context)->log +=
+			reason == AUB_STREAM_HEAD_TOO_LARGE ? "large;" :
+							      "refused;";
 	}
-	static void on_ended(enum aub_stream_end end, bool midway,
+	static void on_ended(enum aub_stream_end_reason reason, bool in_message,
 			     void *context)
 	{
-		((StreamTest *)context)->log +=
-			std::string(end == AUB_STREAM_EOF   ? "eof" :
-				    end == AUB_STREAM_RESET ? "reset" :
-							      "other") +
-			(midway ? " midway;" : ";");
+		((HttpStream *)context)->log +=
+			std::string(reason == AUB_STREAM_EOF   ? "eof" :
+				    reason == AUB_STREAM_RESET ? "reset" :
+								 "other") +
+			(in_message ? " midway;" : ";");
 	}
 	void open(enum http_parser_type type)
 	{
@@ -65,7 +66,7 @@
 			.body = on_body,
 			.complete = on_complete,
 			.drained = NULL,
-			.refused = on_refused,
+			.rejected = on_refused,
 			.ended = on_ended,
 		};
 		int fds[2];
@@ -77,7 +78,7 @@
 		stream = aub_http_stream_new(poller, fds[0], type, false, 200,
 					     &callbacks, this);
 	}
-	void feed(const std::string &text)
+	void send_and_run(const std::string &text)
 	{
 		ASSERT_EQ(::send(peer, text.data(), text.size(), 0),
 			  (ssize_t)text.size());
@@ -85,7 +86,7 @@
 	}
 };
 
-TEST_F(StreamTest, ReadsARequestInAnyPieces)
+TEST_F(HttpStream, ParsesARequestSplitAtAnyByte)
 {
 	const std::string text = "POST /p?q HTTP/1.1\r\nX-A: one\r\n"
 				 "Content-Length: 5\r\n\r\nhello";
@@ -93,7 +94,7 @@
 	for (size_t size : { (size_t)1, (size_t)7, text.size() }) {
 		open(HTTP_REQUEST);
 		for (size_t at = 0; at < text.size(); at += size)
-			feed(text.substr(at, size));
+			send_and_run(text.substr(at, size));
 		EXPECT_EQ(log, "head /p?q 5 one;complete;");
 		EXPECT_EQ(body, "hello");
 		log.clear();
@@ -105,59 +106,61 @@
 	}
 }
 
-TEST_F(StreamTest, ParsesTheNextOnlyWhenItIsAskedFor)
+TEST_F(HttpStream, ParsesTheNextMessageOnlyAfterResume)
 {
 	open(HTTP_REQUEST);
-	feed("GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+	send_and_run("GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
 	EXPECT_EQ(log, "head /1 -1;complete;");
 	aub_http_stream_resume(stream);
 	EXPECT_EQ(log, "head /1 -1;complete;head /2 -1;complete;");
 }
 
-TEST_F(StreamTest, LeavesTrailersOut)
+TEST_F(HttpStream, DiscardsTrailers)
 {
 	open(HTTP_REQUEST);
-	feed("POST /1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nX-A: one\r\n"
-	     "\r\n3\r\nabc\r\n0\r\nX-A: two\r\n\r\n");
+	send_and_run(
+		"POST /1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nX-A: one\r\n"
+		"\r\n3\r\nabc\r\n0\r\nX-A: two\r\n\r\n");
 	EXPECT_EQ(log, "head /1 -1 one;complete;");
 	EXPECT_EQ(body, "abc");
 }
 
-TEST_F(StreamTest, EndsAnAnswerWithoutLengthWithItsConnection)
+TEST_F(HttpStream, ResponseWithoutLengthEndsAtConnectionClose)
 {
 	open(HTTP_RESPONSE);
-	feed("HTTP/1.1 200 OK\r\n\r\nabc");
+	send_and_run("HTTP/1.1 200 OK\r\n\r\nabc");
 	EXPECT_EQ(log, "head  -1;");
 	shutdown(peer, SHUT_WR);
 	run_for(5);
 	EXPECT_EQ(log, "head  -1;complete;eof;");
 }
 
-TEST_F(StreamTest, TellsThatAnAnswerEndedEarly)
+TEST_F(HttpStream, ReportsTruncatedResponse)
 {
 	open(HTTP_RESPONSE);
-	feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
+	send_and_run("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
 	shutdown(peer, SHUT_WR);
 	run_for(5);
 	EXPECT_EQ(log, "head  9;eof midway;");
 }
 
-TEST_F(StreamTest, TakesNoBytesThatNobodyAskedFor)
+TEST_F(HttpStream, RejectsUnsolicitedBytes)
 {
 	open(HTTP_RESPONSE);
-	feed("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
-	feed("HTTP/1.1 200 OK\r\n");
+	send_and_run("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
+	send_and_run("HTTP/1.1 200 OK\r\n");
 	EXPECT_EQ(log, "head  1;complete;other;");
 }
 
-TEST_F(StreamTest, RefusesALargeHead)
+TEST_F(HttpStream, RejectsOversizedHead)
 {
 	open(HTTP_REQUEST);
-	feed("GET / HTTP/1.1\r\nX-A: " + std::string(300, 'a') + "\r\n\r\n");
+	send_and_run("GET / HTTP/1.1\r\nX-A: " + std::string(300, 'a') +
+		     "\r\n\r\n");
 	EXPECT_EQ(log, "large;");
 }
 
-TEST_F(StreamTest, SurvivesAnyBytes)
+TEST_F(HttpStream, HandlesRandomInputWithoutCrashing)
 {
 	/*
 	 * No input ends the process: random changes to messages are parsed,
--- a/tests/test_link.cc
+++ b/tests/test_link.cc
@@ -10,10 +10,11 @@
 #include <string>
 #include <vector>
 
-struct end {
+struct endpoint {
 	struct aub_link *link = NULL;
 	std::string peer_name;
-	std::vector<guint64> pings; /* numbers of pongs and cancels seen */
+	std::vector<guint64>
+		received_ids; /* numbers of pongs and cancels seen */
 	std::string error;
 	bool down = false;
 };
@@ -21,32 +22,34 @@
 static void on_up(struct aub_link *link, const struct aub_hello *hello,
 		  void *context)
 {
-	struct end *end = (struct end *)context;
+	struct endpoint *endpoint = (struct endpoint *)context;
 
-	end->link = link;
-	end->peer_name = hello->name;
+	endpoint->link = link;
+	endpoint->peer_name = hello->name;
 }
 
 static void on_message(struct aub_link *link, struct aub_message *message,
 		       void *context)
 {
-	struct end *end = (struct end *)context;
+	struct endpoint *endpoint = (struct endpoint *)context;
 
 	if (message->type == AUB_MESSAGE_PONG)
-		end->pings.push_back(((struct aub_ping *)message)->number);
+		endpoint->received_ids.push_back(
+			((struct aub_ping *)message)->number);
 	if (message->type == AUB_MESSAGE_CANCEL)
-		end->pings.push_back(((struct aub_cancel *)message)->id);
+		endpoint->received_ids.push_back(
+			((struct aub_cancel *)message)->id);
 	aub_message_free(message);
 }
 
 static void on_down(struct aub_link *link, const GError *error, void *context)
 {
-	struct end *end = (struct end *)context;
+	struct endpoint *endpoint = (struct endpoint *)context;
 
-	end->down = true;
-	end->error = error->message;
+	endpoint->down = true;
+	endpoint->error = error->message;
 	aub_link_free(link);
-	end->link = NULL;
+	endpoint->link = NULL;
 }
 
 static const struct aub_link_callbacks callbacks = {
@@ -94,7 +97,7 @@
 		aub_link_server_free(server);
 		aub_message_free(&server_hello->base);
 	}
-	void Connect(const char *name)
+	void connect_as(const char *name)
 	{
 		struct aub_hello *hello = make_hello(name);
 
@@ -102,7 +105,7 @@
 					     &callbacks, &near);
 		aub_message_free(&hello->base);
 	}
-	template <class Condition> void Await(Condition condition)
+	template <class Condition> void run_until(Condition condition)
 	{
 		while (!condition())
 			g_main_context_iteration(NULL, TRUE);
@@ -111,26 +114,26 @@
 	std::string address;
 	struct aub_hello *server_hello = NULL;
 	struct aub_link_server *server = NULL;
-	struct end near, far;
+	struct endpoint near, far;
 };
 
-TEST_F(Link, HelloEachWayThenMessagesInOrder)
+TEST_F(Link, DeliversMessagesInOrderAfterHellos)
 {
 	struct aub_cancel *cancel =
 		(struct aub_cancel *)aub_message_new(AUB_MESSAGE_CANCEL);
 
-	Connect("client");
+	connect_as("client");
 	for (cancel->id = 1; cancel->id <= 1000; cancel->id++)
 		EXPECT_TRUE(aub_link_send(near.link, &cancel->base));
-	Await([&] { return far.pings.size() == 1000; });
+	run_until([&] { return far.received_ids.size() == 1000; });
 	EXPECT_EQ(near.peer_name, "server");
 	EXPECT_EQ(far.peer_name, "client");
 	for (guint64 i = 0; i < 1000; i++)
-		EXPECT_EQ(far.pings[i], i + 1);
+		EXPECT_EQ(far.received_ids[i], i + 1);
 	aub_message_free(&cancel->base);
 }
 
-TEST_F(Link, BodiesLargerThanTheSocketTakesArriveWhole)
+TEST_F(Link, DeliversBodiesLargerThanTheSocketBuffer)
 {
 	struct aub_answer *answer =
 		(struct aub_answer *)aub_message_new(AUB_MESSAGE_ANSWER);
@@ -140,11 +143,11 @@
 
 	aub_bytes_set(&answer->body, body.data(), body.size());
 	ping->number = 7;
-	Connect("client");
+	connect_as("client");
 	EXPECT_TRUE(aub_link_send(near.link, &answer->base));
 	EXPECT_TRUE(aub_link_send(near.link, &ping->base));
-	Await([&] { return near.pings.size() == 1; });
-	EXPECT_EQ(near.pings[0], 7u);
+	run_until([&] { return near.received_ids.size() == 1; });
+	EXPECT_EQ(near.received_ids[0], 7u);
 	aub_message_free(&answer->base);
 	aub_message_free(&ping->base);
 }
@@ -153,7 +156,7 @@
  * A stranger connects to the inner port and speaks HTTP. It is cut off, and
  * nobody else notices.
  */
-TEST_F(Link, StrangersBytesEndTheirConnectionOnly)
+TEST_F(Link, InvalidHandshakeClosesOnlyItsOwnConnection)
 {
 	GSocketClient *client = g_socket_client_new();
 	GSocketConnection *connection =
@@ -165,13 +168,13 @@
 
 	g_output_stream_write_all(out, request, strlen(request), NULL, NULL,
 				  NULL);
-	Connect("client");
-	Await([&] { return far.link && near.link; });
+	connect_as("client");
+	run_until([&] { return far.link && near.link; });
 	GInputStream *in =
 		g_io_stream_get_input_stream(G_IO_STREAM(connection));
 	g_socket_set_blocking(g_socket_connection_get_socket(connection),
 			      FALSE);
-	Await([&] {
+	run_until([&] {
 		char byte[512];
 		gssize got =
 			g_input_stream_read(in, byte, sizeof(byte), NULL, NULL);
@@ -182,22 +185,22 @@
 	g_object_unref(client);
 }
 
-TEST_F(Link, RefusedPeerGoesDown)
+TEST_F(Link, RejectedPeerReceivesDownCallback)
 {
-	Connect("stranger");
-	Await([&] { return near.down; });
+	connect_as("stranger");
+	run_until([&] { return near.down; });
 	EXPECT_NE(near.error.find(address), std::string::npos);
 	EXPECT_FALSE(far.down);
 }
 
-TEST_F(Link, NobodyListeningIsAnErrorNamingStepAndPeer)
+TEST_F(Link, ConnectErrorNamesStepAndPeer)
 {
 	std::string wrong = free_address();
 	struct aub_hello *hello = make_hello("client");
 
 	near.link =
 		aub_link_connect(wrong.c_str(), hello, 2000, &callbacks, &near);
-	Await([&] { return near.down; });
+	run_until([&] { return near.down; });
 	EXPECT_EQ(near.error.find("connect: " + wrong), 0u) << near.error;
 	aub_message_free(&hello->base);
 }
--- a/tests/test_node.cc
+++ b/tests/test_node.cc
@@ -400,7 +400,7 @@
 	run_for(1150);
 	auto caller = call("GET", "/safe/b", "id2");
 	ASSERT_TRUE(answered(caller));
-	EXPECT_EQ(caller->end, AUB_STREAM_REFUSED);
+	EXPECT_EQ(caller->end, AUB_STREAM_CONNECT_FAILED);
 	ASSERT_TRUE(answered(open));
 	EXPECT_EQ(open->status, 200u);
 }
--- a/tests/test_peers.cc
+++ b/tests/test_peers.cc
@@ -296,7 +296,7 @@
 	struct aub_heartbeat *heartbeat =
 		(struct aub_heartbeat *)aub_message_new(AUB_MESSAGE_HEARTBEAT);
 
-	ASSERT_TRUE(aub_socket_address(gate->address.c_str(), &to));
+	ASSERT_TRUE(aub_socket_address_parse(gate->address.c_str(), &to));
 	aub_string_set(&heartbeat->address, address.c_str());
 	heartbeat->incarnation = 7;
 	heartbeat->reply = true;
@@ -330,7 +330,7 @@
 		(struct aub_introduction *)aub_message_new(
 			AUB_MESSAGE_INTRODUCTION);
 
-	ASSERT_TRUE(aub_socket_address(gate->address.c_str(), &to));
+	ASSERT_TRUE(aub_socket_address_parse(gate->address.c_str(), &to));
 	aub_bytes_set(&half->addresses, "1234567", 7);
 	GBytes *bytes = aub_message_encode(&half->base, NULL);
 	gsize length;
--- a/tests/test_store_client.cc
+++ b/tests/test_store_client.cc
@@ -62,7 +62,7 @@
 				     objects[count - 1].length);
 }
 
-struct Watched {
+struct WatchLog {
 	std::vector<guint64> versions;
 	std::string value;
 	guint confirmations = 0;
@@ -72,15 +72,15 @@
 void on_watch(const struct aub_store_object *object, guint64 version,
 	      const GError *error, void *context)
 {
-	Watched *watched = static_cast<Watched *>(context);
+	WatchLog *watch_log = static_cast<WatchLog *>(context);
 
 	if (error) {
-		watched->failures++;
+		watch_log->failures++;
 	} else if (object) {
-		watched->versions.push_back(version);
-		watched->value.assign(object->value, object->length);
+		watch_log->versions.push_back(version);
+		watch_log->value.assign(object->value, object->length);
 	} else {
-		watched->confirmations++;
+		watch_log->confirmations++;
 	}
 }
 
@@ -127,7 +127,7 @@
 		ASSERT_EQ(status, 200u);
 	}
 
-	template <typename Condition> bool wait(Condition condition)
+	template <typename Condition> bool run_until(Condition condition)
 	{
 		gint64 end_us = g_get_monotonic_time() + 20 * G_USEC_PER_SEC;
 		guint tick = g_timeout_add(5, G_SOURCE_FUNC(on_tick), NULL);
@@ -150,7 +150,7 @@
 		aub_store_put(client, "a/one", value, strlen(value), expected,
 			      change, on_put, &result);
 		EXPECT_FALSE(result.done);
-		EXPECT_TRUE(wait([&] { return result.done; }));
+		EXPECT_TRUE(run_until([&] { return result.done; }));
 		return result;
 	}
 
@@ -159,7 +159,7 @@
 		Result result;
 
 		aub_store_get(client, "a/one", on_get, &result);
-		EXPECT_TRUE(wait([&] { return result.done; }));
+		EXPECT_TRUE(run_until([&] { return result.done; }));
 		return result;
 	}
 
@@ -170,7 +170,7 @@
 
 } // namespace
 
-TEST_F(Store, ConditionalWritesConflictAndReadsReturnTheNewest)
+TEST_F(Store, ConditionalWritesConflictAndReadsReturnNewestVersion)
 {
 	EXPECT_EQ(get().code, AUB_ERROR_NOT_FOUND);
 	EXPECT_EQ(put("first c1", 0, "c1").version, 1u);
@@ -182,7 +182,7 @@
 
 	Result list;
 	aub_store_list(client, "a/", on_list, &list);
-	EXPECT_TRUE(wait([&] { return list.done; }));
+	EXPECT_TRUE(run_until([&] { return list.done; }));
 	EXPECT_EQ(list.count, 1u);
 	EXPECT_EQ(list.value, "second c2");
 }
@@ -193,7 +193,7 @@
  * with their own edit. The client reads back, finds the change, and reports
  * the version under which it took effect, once.
  */
-TEST_F(Store, LostAnswerOfAWriteIsSettledByReadingBack)
+TEST_F(Store, LostWriteResponseIsResolvedByReadBack)
 {
 	fault("{\"lose_answers\":1}");
 	Result result = put("value c1", 0, "c1");
@@ -204,7 +204,7 @@
 	fault("{\"lose_answers\":1,\"stale\":1}");
 	Result second;
 	aub_store_put(client, "a/one", "value c2", 8, 1, "c2", on_put, &second);
-	guint lift = g_timeout_add(
+	guint timer_id = g_timeout_add(
 		150,
 		[](gpointer data) -> gboolean {
 			std::string *address = static_cast<std::string *>(data);
@@ -214,8 +214,8 @@
 			return G_SOURCE_REMOVE;
 		},
 		&url);
-	EXPECT_TRUE(wait([&] { return second.done; }));
-	EXPECT_GT(lift, 0u);
+	EXPECT_TRUE(run_until([&] { return second.done; }));
+	EXPECT_GT(timer_id, 0u);
 	EXPECT_EQ(second.code, -1);
 	EXPECT_EQ(second.version, 2u);
 	EXPECT_EQ(get().value, "value c2");
@@ -226,7 +226,7 @@
  * "ambiguous" within four timeouts, never "failed": it may have taken effect.
  * A store whose port refuses connections provably did nothing, and says so.
  */
-TEST_F(Store, UnsettledWriteIsAmbiguousAndAnUnsentOneIsNot)
+TEST_F(Store, UnresolvedWriteIsAmbiguousAndUnsentWriteIsNot)
 {
 	fault("{\"down\":\"hang\"}");
 	gint64 start_us = g_get_monotonic_time();
@@ -244,16 +244,16 @@
  * Another operator's write lands between our lost answer and the read back.
  * Whether ours took effect before it can't be told: not a conflict.
  */
-TEST_F(Store, OverwrittenDoubtfulWriteIsNotCalledAConflict)
+TEST_F(Store, OverwrittenUncertainWriteIsNotReportedAsConflict)
 {
 	guint status = 0;
 	Result result;
 
 	fault("{\"lose_answers\":1,\"delay_ms\":100}");
 	aub_store_put(client, "a/one", "value c1", 8, 0, "c1", on_put, &result);
-	Watched watched;
-	aub_store_watch_start(client, "a/", 0, on_watch, &watched);
-	EXPECT_TRUE(wait([&] { return !watched.versions.empty(); }));
+	WatchLog watch_log;
+	aub_store_watch_start(client, "a/", 0, on_watch, &watch_log);
+	EXPECT_TRUE(run_until([&] { return !watch_log.versions.empty(); }));
 	std::string command = url + "/v1/objects/a/one";
 	SoupSession *session = soup_session_new();
 	SoupMessage *message = soup_message_new("PUT", command.c_str());
@@ -269,7 +269,7 @@
 	g_object_unref(message);
 	g_object_unref(session);
 	ASSERT_EQ(status, 200u);
-	EXPECT_TRUE(wait([&] { return result.done; }));
+	EXPECT_TRUE(run_until([&] { return result.done; }));
 	/* The read back may also have come first; then it is done. */
 	EXPECT_NE(result.code, AUB_ERROR_CONFLICT);
 }
@@ -295,29 +295,29 @@
  */
 TEST_F(Store, WatchResumesAfterAnOutageAndDeliversEachChangeOnce)
 {
-	Watched watched;
+	WatchLog watch_log;
 
 	put("v1 c1", 0, "c1");
-	aub_store_watch_start(client, "a/", 0, on_watch, &watched);
-	EXPECT_TRUE(wait([&] { return watched.confirmations > 0; }));
-	EXPECT_EQ(watched.versions, std::vector<guint64>({ 1 }));
+	aub_store_watch_start(client, "a/", 0, on_watch, &watch_log);
+	EXPECT_TRUE(run_until([&] { return watch_log.confirmations > 0; }));
+	EXPECT_EQ(watch_log.versions, std::vector<guint64>({ 1 }));
 	fault("{\"down\":\"refuse\"}");
-	EXPECT_TRUE(wait([&] { return watched.failures > 1; }));
+	EXPECT_TRUE(run_until([&] { return watch_log.failures > 1; }));
 	fault("{\"down\":\"hang\"}");
-	guint failures = watched.failures;
-	EXPECT_TRUE(wait([&] { return watched.failures > failures; }));
+	guint failures = watch_log.failures;
+	EXPECT_TRUE(run_until([&] { return watch_log.failures > failures; }));
 	fault("{\"clear\":1}");
 	put("v2 c2", 1, "c2");
 	put("v3 c3", 2, "c3");
-	EXPECT_TRUE(wait([&] { return watched.value == "v3 c3"; }));
-	EXPECT_TRUE(wait([&] { return watched.confirmations > 2; }));
-	for (size_t i = 1; i < watched.versions.size(); i++)
-		EXPECT_GT(watched.versions[i], watched.versions[i - 1]);
+	EXPECT_TRUE(run_until([&] { return watch_log.value == "v3 c3"; }));
+	EXPECT_TRUE(run_until([&] { return watch_log.confirmations > 2; }));
+	for (size_t i = 1; i < watch_log.versions.size(); i++)
+		EXPECT_GT(watch_log.versions[i], watch_log.versions[i - 1]);
 	aub_store_watch_stop(client);
 }
 
 /* The platform counts calls: more than the budget wait their turn. */
-TEST_F(Store, BudgetOfCallsHolds)
+TEST_F(Store, CallBudgetIsEnforced)
 {
 	struct aub_store_client *slow = open(20);
 	Result results[50];
@@ -325,7 +325,7 @@
 
 	for (Result &result : results)
 		aub_store_get(slow, "a/one", on_get, &result);
-	EXPECT_TRUE(wait([&] {
+	EXPECT_TRUE(run_until([&] {
 		for (Result &result : results)
 			if (!result.done)
 				return false;
@@ -339,21 +339,21 @@
 TEST_F(Store, FreeingCancelsWithoutCallbacks)
 {
 	Result result;
-	Watched watched;
+	WatchLog watch_log;
 
 	aub_store_get(client, "a/one", on_get, &result);
 	aub_store_put(client, "a/one", "v", 1, 0, "v", on_put, &result);
-	aub_store_watch_start(client, "a/", 0, on_watch, &watched);
+	aub_store_watch_start(client, "a/", 0, on_watch, &watch_log);
 	g_main_context_iteration(NULL, FALSE);
 	aub_store_client_free(client);
 	client = NULL;
 	for (int i = 0; i < 20; i++)
 		g_main_context_iteration(NULL, FALSE);
 	EXPECT_FALSE(result.done);
-	EXPECT_EQ(watched.failures, 0u);
+	EXPECT_EQ(watch_log.failures, 0u);
 }
 
-TEST(StoreClient, UnusableUrlIsAnErrorNotACrash)
+TEST(StoreClient, InvalidUrlReportsAnError)
 {
 	struct aub_store_client_options options = {};
 	Result result;
--- a/tests/test_upstream_client.cc
+++ b/tests/test_upstream_client.cc
@@ -13,7 +13,7 @@
 struct Result {
 	bool done = false;
 	enum aub_attempt_result result = AUB_ATTEMPT_CANCELLED;
-	struct aub_upstream_signs signs = {};
+	struct aub_upstream_signs signals = {};
 	int status = 0;
 	std::string body;
 	std::string encoding;
@@ -21,27 +21,27 @@
 };
 
 static void on_done(enum aub_attempt_result result,
-		    const struct aub_upstream_signs *signs,
+		    const struct aub_upstream_signs *signals,
 		    struct aub_answer *answer, const GError *error,
 		    void *context)
 {
-	Result *into = static_cast<Result *>(context);
+	Result *outcome = static_cast<Result *>(context);
 
-	into->done = true;
-	into->result = result;
-	into->signs = *signs;
+	outcome->done = true;
+	outcome->result = result;
+	outcome->signals = *signals;
 	if (error)
-		into->error = error->message;
+		outcome->error = error->message;
 	if (!answer)
 		return;
-	into->status = (int)answer->status;
+	outcome->status = (int)answer->status;
 	if (answer->body.length)
-		into->body.assign((char *)answer->body.data,
-				  answer->body.length);
+		outcome->body.assign((char *)answer->body.data,
+				     answer->body.length);
 	const char *encoding =
 		aub_headers_find(answer->headers, "Content-Encoding");
 	if (encoding)
-		into->encoding = encoding;
+		outcome->encoding = encoding;
 	aub_message_free(&answer->base);
 }
 
@@ -57,7 +57,7 @@
 		struct aub_upstream_client_options options = {};
 		options.host = "127.0.0.1";
 		options.port = port;
-		options.connections = 4;
+		options.connections_max = 4;
 		options.body_limit = limit;
 		options.timers = timers;
 		client = aub_upstream_client_new(&options);
@@ -76,36 +76,36 @@
 		aub_timer_service_free(timers);
 	}
 
-	static struct aub_call *call(const char *method, bool once,
-				     const char *body = "")
+	static struct aub_call *make_call(const char *method, bool once,
+					  const char *body = "")
 	{
-		struct aub_call *made =
+		struct aub_call *call =
 			(struct aub_call *)aub_message_new(AUB_MESSAGE_CALL);
-		aub_string_set(&made->method, method);
-		aub_string_set(&made->path, "/a%20b?q=%2F");
-		aub_bytes_set(&made->body, body, strlen(body));
-		made->once = once;
-		made->id = 0xab;
-		made->retry_budget = 100;
-		return made;
+		aub_string_set(&call->method, method);
+		aub_string_set(&call->path, "/a%20b?q=%2F");
+		aub_bytes_set(&call->body, body, strlen(body));
+		call->once = once;
+		call->id = 0xab;
+		call->retry_budget = 100;
+		return call;
 	}
 
-	Result run(const char *method, bool once, gint64 ms = 2000,
-		   const char *body = "")
+	Result send_and_wait(const char *method, bool once, gint64 ms = 2000,
+			     const char *body = "")
 	{
 		Result result;
-		struct aub_call *made = call(method, once, body);
+		struct aub_call *call = make_call(method, once, body);
 
-		aub_upstream_send(client, made, false,
+		aub_upstream_send(client, call, false,
 				  g_get_monotonic_time() + ms * 1000, on_done,
 				  &result);
-		aub_message_free(&made->base);
+		aub_message_free(&call->base);
 		while (!result.done)
 			g_main_context_iteration(nullptr, TRUE);
 		return result;
 	}
 
-	void reply(const std::string &bytes, bool close = false)
+	void set_reply(const std::string &bytes, bool close = false)
 	{
 		peer.script = [bytes, close](const std::string &) {
 			return PeerReply{ bytes, close };
@@ -113,17 +113,18 @@
 	}
 };
 
-TEST_F(UpstreamClient, PassesAWholeAnswerAndItsSigns)
+TEST_F(UpstreamClient, ReturnsCompleteResponseAndHealthSignals)
 {
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Boot-Id: 7\r\n"
-	      "X-Upstream-State: cold\r\nContent-Encoding: gzip\r\n\r\nabc");
-	Result result = run("POST", false, 2000, "xyz");
+	set_reply(
+		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Boot-Id: 7\r\n"
+		"X-Upstream-State: cold\r\nContent-Encoding: gzip\r\n\r\nabc");
+	Result result = send_and_wait("POST", false, 2000, "xyz");
 
 	EXPECT_EQ(result.result, AUB_ATTEMPT_ANSWERED);
 	EXPECT_EQ(result.body, "abc");
 	EXPECT_EQ(result.encoding, "gzip");
-	EXPECT_EQ(result.signs.boot_id, 7u);
-	EXPECT_TRUE(result.signs.cold);
+	EXPECT_EQ(result.signals.boot_id, 7u);
+	EXPECT_TRUE(result.signals.cold);
 	const std::string &request = peer.requests.at(0);
 	EXPECT_EQ(request.rfind("POST /a%20b?q=%2F HTTP/1.1\r\n", 0), 0u);
 	EXPECT_NE(request.find("X-Deadline-Ms: "), std::string::npos);
@@ -132,18 +133,19 @@
 	EXPECT_NE(request.find("\r\n\r\nxyz"), std::string::npos);
 }
 
-TEST_F(UpstreamClient, PassesAnswersWithoutBody)
+TEST_F(UpstreamClient, ReturnsResponsesWithoutBody)
 {
-	reply("HTTP/1.1 204 No Content\r\n\r\n");
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_ANSWERED);
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n");
-	EXPECT_EQ(run("HEAD", false).result, AUB_ATTEMPT_ANSWERED);
-	reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	      "3\r\nabc\r\n0\r\n\r\n");
-	EXPECT_EQ(run("GET", false).body, "abc");
-	reply("HTTP/1.1 302 Found\r\nLocation: /else\r\nContent-Length: 0\r\n"
-	      "\r\n");
-	EXPECT_EQ(run("GET", false).status, 302);
+	set_reply("HTTP/1.1 204 No Content\r\n\r\n");
+	EXPECT_EQ(send_and_wait("GET", false).result, AUB_ATTEMPT_ANSWERED);
+	set_reply("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n");
+	EXPECT_EQ(send_and_wait("HEAD", false).result, AUB_ATTEMPT_ANSWERED);
+	set_reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+		  "3\r\nabc\r\n0\r\n\r\n");
+	EXPECT_EQ(send_and_wait("GET", false).body, "abc");
+	set_reply(
+		"HTTP/1.1 302 Found\r\nLocation: /else\r\nContent-Length: 0\r\n"
+		"\r\n");
+	EXPECT_EQ(send_and_wait("GET", false).status, 302);
 	EXPECT_EQ(peer.requests.size(), 4u);
 }
 
@@ -152,7 +154,7 @@
  * must never see half a page as a whole one. Each broken form is reported as
  * lost, whatever bytes came before.
  */
-TEST_F(UpstreamClient, ReportsBrokenAnswersAsLost)
+TEST_F(UpstreamClient, ReportsTruncatedResponsesAsLost)
 {
 	const char *broken[] = {
 		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
@@ -171,34 +173,37 @@
 	};
 
 	for (const char *bytes : broken) {
-		reply(bytes, true);
-		Result result = run("POST", true);
+		set_reply(bytes, true);
+		Result result = send_and_wait("POST", true);
 		EXPECT_EQ(result.result, AUB_ATTEMPT_LOST) << bytes;
 		EXPECT_NE(result.error, "") << bytes;
 	}
 	EXPECT_EQ(peer.requests.size(), G_N_ELEMENTS(broken));
 }
 
-TEST_F(UpstreamClient, SaysNotConnectedOnlyOfWhatWasNeverSent)
+TEST_F(UpstreamClient, ReportsNotConnectedOnlyForUnsentRequests)
 {
-	Peer *gone = new Peer;
-	guint16 port = gone->port;
+	Peer *closed_peer = new Peer;
+	guint16 port = closed_peer->port;
 
-	delete gone;
+	delete closed_peer;
 	aub_upstream_client_free(client);
 	open(port);
-	EXPECT_EQ(run("POST", true).result, AUB_ATTEMPT_NOT_CONNECTED);
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_NOT_CONNECTED);
+	EXPECT_EQ(send_and_wait("POST", true).result,
+		  AUB_ATTEMPT_NOT_CONNECTED);
+	EXPECT_EQ(send_and_wait("GET", false).result,
+		  AUB_ATTEMPT_NOT_CONNECTED);
 }
 
-TEST_F(UpstreamClient, TakesTheUpstreamsOwnRefusal)
+TEST_F(UpstreamClient, ReportsUpstreamRefusalAsShed)
 {
-	reply("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-	EXPECT_EQ(run("POST", true).result, AUB_ATTEMPT_SHED);
-	reply("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-	Result result = run("POST", true);
+	set_reply(
+		"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+	EXPECT_EQ(send_and_wait("POST", true).result, AUB_ATTEMPT_SHED);
+	set_reply("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+	Result result = send_and_wait("POST", true);
 	EXPECT_EQ(result.result, AUB_ATTEMPT_ANSWERED);
-	EXPECT_TRUE(result.signs.failed);
+	EXPECT_TRUE(result.signals.failed);
 }
 
 /*
@@ -208,22 +213,24 @@
  */
 TEST_F(UpstreamClient, NeverResendsOnAStaleConnection)
 {
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_ANSWERED);
-	reply("", true);
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_LOST);
+	set_reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+	EXPECT_EQ(send_and_wait("GET", false).result, AUB_ATTEMPT_ANSWERED);
+	set_reply("", true);
+	EXPECT_EQ(send_and_wait("GET", false).result, AUB_ATTEMPT_LOST);
 	EXPECT_EQ(peer.requests.size(), 2u);
 	EXPECT_EQ(peer.connections, 1);
 }
 
-TEST_F(UpstreamClient, SendsOnceRequestsOverNewConnections)
+TEST_F(UpstreamClient, SendsAtMostOnceRequestsOverNewConnections)
 {
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+	set_reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 	for (int i = 0; i < 3; i++)
-		EXPECT_EQ(run("POST", true).result, AUB_ATTEMPT_ANSWERED);
+		EXPECT_EQ(send_and_wait("POST", true).result,
+			  AUB_ATTEMPT_ANSWERED);
 	EXPECT_EQ(peer.connections, 3);
 	for (int i = 0; i < 3; i++)
-		EXPECT_EQ(run("POST", false).result, AUB_ATTEMPT_ANSWERED);
+		EXPECT_EQ(send_and_wait("POST", false).result,
+			  AUB_ATTEMPT_ANSWERED);
 	EXPECT_EQ(peer.connections, 3);
 }
 
@@ -232,48 +239,48 @@
  * not be taken for the answer to the next request; and which of the two is
  * this request's own is in doubt, so neither is passed on.
  */
-TEST_F(UpstreamClient, TakesNothingOfASurplusAnswer)
+TEST_F(UpstreamClient, DiscardsExcessResponses)
 {
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
-	      "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale");
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_LOST);
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond");
-	EXPECT_EQ(run("GET", false).body, "second");
+	set_reply("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
+		  "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale");
+	EXPECT_EQ(send_and_wait("GET", false).result, AUB_ATTEMPT_LOST);
+	set_reply("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond");
+	EXPECT_EQ(send_and_wait("GET", false).body, "second");
 }
 
 /*
  * A pooled connection went silent: the request on it times out, and the next
  * one must not wait on its neighbours in the pool.
  */
-TEST_F(UpstreamClient, LeavesThePoolAfterASilentConnection)
+TEST_F(UpstreamClient, ReplacesThePoolAfterAnUnresponsiveConnection)
 {
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_ANSWERED);
-	reply("");
-	EXPECT_EQ(run("GET", false, 100).result, AUB_ATTEMPT_TIMEOUT);
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_ANSWERED);
+	set_reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+	EXPECT_EQ(send_and_wait("GET", false).result, AUB_ATTEMPT_ANSWERED);
+	set_reply("");
+	EXPECT_EQ(send_and_wait("GET", false, 100).result, AUB_ATTEMPT_TIMEOUT);
+	set_reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+	EXPECT_EQ(send_and_wait("GET", false).result, AUB_ATTEMPT_ANSWERED);
 	EXPECT_EQ(peer.connections, 2);
 }
 
-TEST_F(UpstreamClient, RefusesAnAnswerPastTheLimit)
+TEST_F(UpstreamClient, ReportsOversizedResponseAsLost)
 {
 	std::string body(200000, 'x');
-	reply("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body);
-	EXPECT_EQ(run("GET", false).result, AUB_ATTEMPT_LOST);
+	set_reply("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body);
+	EXPECT_EQ(send_and_wait("GET", false).result, AUB_ATTEMPT_LOST);
 }
 
 TEST_F(UpstreamClient, CancelClosesTheConnection)
 {
 	Result result;
-	struct aub_call *made = call("POST", true);
+	struct aub_call *call = make_call("POST", true);
 	struct aub_attempt *attempt;
 
-	reply("");
-	attempt = aub_upstream_send(client, made, false,
+	set_reply("");
+	attempt = aub_upstream_send(client, call, false,
 				    g_get_monotonic_time() + 5000000, on_done,
 				    &result);
-	aub_message_free(&made->base);
+	aub_message_free(&call->base);
 	while (peer.requests.empty())
 		g_main_context_iteration(nullptr, TRUE);
 	aub_attempt_cancel(attempt);
@@ -282,20 +289,21 @@
 	EXPECT_EQ(result.result, AUB_ATTEMPT_CANCELLED);
 }
 
-struct Load {
+struct ProbeResult {
 	bool done = false;
 	bool answered = false;
-	struct aub_upstream_signs signs = {};
+	struct aub_upstream_signs signals = {};
 	guint32 busy = 0;
 };
 
-static void on_load(bool answered, const struct aub_upstream_signs *signs,
+static void on_load(bool answered, const struct aub_upstream_signs *signals,
 		    guint32 busy, void *context)
 {
-	*static_cast<Load *>(context) = { true, answered, *signs, busy };
+	*static_cast<ProbeResult *>(context) = { true, answered, *signals,
+						 busy };
 }
 
-TEST_F(UpstreamClient, ProbesReadTheLoadObject)
+TEST_F(UpstreamClient, ProbeParsesTheLoadObject)
 {
 	const char *bodies[] = {
 		"{\"boot_id\":5,\"state\":\"draining\",\"busy\":2}", "{}x",
@@ -303,19 +311,19 @@
 	};
 
 	for (int i = 0; i < 4; i++) {
-		Load load;
-		reply("HTTP/1.1 200 OK\r\nContent-Length: " +
-		      std::to_string(strlen(bodies[i])) + "\r\n\r\n" +
-		      bodies[i]);
+		ProbeResult probe_result;
+		set_reply("HTTP/1.1 200 OK\r\nContent-Length: " +
+			  std::to_string(strlen(bodies[i])) + "\r\n\r\n" +
+			  bodies[i]);
 		aub_upstream_probe(client, g_get_monotonic_time() + 2000000,
-				   on_load, &load);
-		while (!load.done)
+				   on_load, &probe_result);
+		while (!probe_result.done)
 			g_main_context_iteration(nullptr, TRUE);
-		EXPECT_EQ(load.answered, i == 0 || i == 3) << bodies[i];
+		EXPECT_EQ(probe_result.answered, i == 0 || i == 3) << bodies[i];
 		if (i)
 			continue;
-		EXPECT_EQ(load.signs.boot_id, 5u);
-		EXPECT_TRUE(load.signs.draining);
-		EXPECT_EQ(load.busy, 2u);
+		EXPECT_EQ(probe_result.signals.boot_id, 5u);
+		EXPECT_TRUE(probe_result.signals.draining);
+		EXPECT_EQ(probe_result.busy, 2u);
 	}
 }
--- a/tools/platform/store.c
+++ b/tools/platform/store.c
@@ -5,7 +5,7 @@
 
 #include "platform/body.h"
 
-#include <auburnstile/internal/http_service.h>
+#include <auburnstile/internal/http_listener.h>
 #include <auburnstile/internal/tcp.h>
 
 #include <arpa/inet.h>
@@ -360,7 +360,7 @@
 
 static gint64 query_number(const char *target, const char *name)
 {
-	char *text = aub_http_query(target, name);
+	char *text = aub_http_query_parameter(target, name);
 	gint64 value = text ? g_ascii_strtoll(text, NULL, 10) : -1;
 
 	g_free(text);
@@ -394,7 +394,7 @@
 static void do_list(struct connection *connection, const char *kind)
 {
 	struct platform_store *store = connection->store;
-	char *after = aub_http_query(connection->target, "after");
+	char *after = aub_http_query_parameter(connection->target, "after");
 	GString *text = g_string_new("{\"items\":[");
 	guint count = 0;
 	bool more = false;
@@ -544,7 +544,7 @@
 		reply(connection, 429, g_strdup("{}"));
 		break;
 	case PLATFORM_STORE_RESET:
-		aub_http_stream_reset(connection->stream);
+		aub_http_stream_reset_on_close(connection->stream);
 		connection_free(connection);
 		break;
 	case PLATFORM_STORE_SILENT:
@@ -560,7 +560,7 @@
 	}
 }
 
-static void on_ended(enum aub_stream_end end, bool midway, void *context)
+static void on_ended(enum aub_stream_end_reason end, bool midway, void *context)
 {
 	connection_free(context);
 }
@@ -613,7 +613,7 @@
 	store->objects = g_ptr_array_new_with_free_func(object_free);
 	store->changes = g_ptr_array_new_with_free_func(change_free);
 	store->connections = g_ptr_array_new();
-	store->listener = aub_tcp_listen_any(&store->address);
+	store->listener = aub_tcp_listen_loopback(&store->address);
 	store->watch = aub_poller_add(poller, store->listener, EPOLLIN,
 				      on_acceptable, store);
 	return store;
--- a/tools/platform/upstream.c
+++ b/tools/platform/upstream.c
@@ -114,7 +114,7 @@
 
 static void reset(struct connection *connection)
 {
-	aub_http_stream_reset(connection->stream);
+	aub_http_stream_reset_on_close(connection->stream);
 	connection_free(connection);
 }
 
@@ -142,13 +142,13 @@
 		put_head(connection, 200, id, true);
 		put(connection, "Connection: close\r\n\r\n");
 		put_body(connection, bytes);
-		aub_http_stream_finish(connection->stream);
+		aub_http_stream_close_gracefully(connection->stream);
 		return false;
 	case PLATFORM_ANSWER_TRUNCATED:
 		put_head(connection, 200, id, true);
 		put(connection, "Content-Length: %zu\r\n\r\n", bytes + 100);
 		put_body(connection, bytes);
-		aub_http_stream_finish(connection->stream);
+		aub_http_stream_close_gracefully(connection->stream);
 		return false;
 	case PLATFORM_ANSWER_RESET:
 		reset(connection);
@@ -299,7 +299,7 @@
 		run(connection);
 }
 
-static void on_ended(enum aub_stream_end end, bool midway, void *context)
+static void on_ended(enum aub_stream_end_reason end, bool midway, void *context)
 {
 	connection_free(context);
 }
@@ -350,7 +350,7 @@
 	upstream->connections = g_ptr_array_new();
 	upstream->headers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	upstream->listener = aub_tcp_listen_any(&upstream->address);
+	upstream->listener = aub_tcp_listen_loopback(&upstream->address);
 	listen_on(upstream);
 	return upstream;
 }
--- a/tools/soak/soak_callers.c
+++ b/tools/soak/soak_callers.c
@@ -85,7 +85,7 @@
 	aub_http_stream_resume(caller->stream);
 }
 
-static void on_ended(enum aub_stream_end end, bool midway, void *context)
+static void on_ended(enum aub_stream_end_reason end, bool midway, void *context)
 {
 	struct caller *caller = context;
 
