--- a/include/auburnstile/admin.h
+++ b/include/auburnstile/admin.h
@@ -1,12 +1,13 @@
 /*
- * The admin listener every process has: metrics, health, events, and at the
- * control the operators' API. HTTP by libsoup, on its own address.
+ * The admin HTTP listener of each process, on its own address: metrics,
+ * health, events and, on the control, the operators' API. It runs on libsoup.
  *
- *   GET /metrics   common text format           GET /healthz, /readyz
- *   GET /v1/events?after=N   the time line, JSON (operators' token)
+ *   GET /metrics             Prometheus text format
+ *   GET /healthz, /readyz    health and readiness
+ *   GET /v1/events?after=N   event log as JSON (requires the token)
  *
- * Paths under /v1 need "Authorization: Bearer TOKEN"; the token is read from
- * a file, compared in constant time and never logged.
+ * Paths under /v1 require "Authorization: Bearer TOKEN". The operators' token
+ * is read from a file, compared in constant time and never logged.
  */
 #ifndef AUBURNSTILE_ADMIN_H
 #define AUBURNSTILE_ADMIN_H
@@ -18,16 +19,16 @@
 G_BEGIN_DECLS
 
 struct aub_admin;
-struct aub_admin_request; /* one request being answered */
+struct aub_admin_request; /* a request without a response yet */
 
 struct aub_admin_options {
 	const char *address; /* "ip:port" */
-	const char *token_file; /* NULL: paths under /v1 are refused */
-	const char *process; /* name in events, "entry-a1" */
+	const char *token_file; /* NULL: all paths under /v1 are refused */
+	const char *process; /* process name in events, e.g. "entry-a1" */
 	guint64 incarnation;
-	struct aub_metrics *metrics; /* borrowed */
-	struct aub_event_ring *events; /* borrowed */
-	bool (*ready)(void *context); /* NULL: always */
+	struct aub_metrics *metrics; /* not owned */
+	struct aub_event_ring *events; /* not owned */
+	bool (*ready)(void *context); /* NULL: always ready */
 	void *context;
 };
 
@@ -36,9 +37,10 @@
 void aub_admin_free(struct aub_admin *admin);
 
 /*
- * A handler answers now or later, exactly once, by aub_admin_respond() or
- * aub_admin_respond_error(). `method` is exact; `path` is exact, or ends in "/"
- * to match what is below it.
+ * Registers a handler. The handler calls aub_admin_respond() or
+ * aub_admin_respond_error() exactly once for each request, either before it
+ * returns or later. `method` is matched exactly; `path` is matched exactly, or
+ * as a prefix if it ends in "/".
  */
 typedef void aub_admin_handler(struct aub_admin_request *request,
 			       void *context);
@@ -47,28 +49,38 @@
 		      void *context);
 
 const char *aub_admin_path(const struct aub_admin_request *request);
-const char *aub_admin_query(const struct aub_admin_request *request,
-			    const char *name); /* NULL if absent */
+const char *aub_admin_query(
+	const struct aub_admin_request *request,
+	const char *name); /* NULL if the parameter is missing */
 const char *aub_admin_body(const struct aub_admin_request *request,
 			   gsize *length);
 
-/* `json` is taken over (g_free). */
+/*
+ * Sends a JSON response and frees `request`. Takes ownership of `json`
+ * (g_free).
+ */
 void aub_admin_respond(struct aub_admin_request *request, guint status,
 		       char *json);
-/* {"error": {"code", "step", "peer", "message"}} with a fitting status. */
+/*
+ * Sends {"error": {"code", "step", "peer", "message"}} with the HTTP status
+ * that corresponds to the error code, and frees `request`.
+ */
 void aub_admin_respond_error(struct aub_admin_request *request,
 			     const GError *error);
 
-/* The port listened on: of use where the address named port 0. */
+/*
+ * Returns the port the listener is bound to. Useful if the configured port is
+ * 0.
+ */
 guint aub_admin_port(const struct aub_admin *admin);
 
 /*
- * Read the token file again (on SIGHUP). False leaves the old token in
- * force.
+ * Rereads the token file (on SIGHUP). On failure, returns false, sets `error`
+ * and keeps the previous token in effect.
  */
 bool aub_admin_reload(struct aub_admin *admin, GError **error);
 
-/* Largest body of a request in bytes; a larger one gets 413. */
+/* Maximum request body in bytes; a larger body gets status 413. */
 #define AUB_ADMIN_BODY_MAX_BYTES (2u << 20)
 
 G_END_DECLS
--- a/include/auburnstile/internal/caller_groups.h
+++ b/include/auburnstile/internal/caller_groups.h
@@ -1,10 +1,11 @@
 /*
- * Connections of callers, handed to libsoup in groups.
+ * Accepts callers' connections and serves them in groups, each with its own
+ * SoupServer.
  *
- * libsoup 3.2 leaks two things: sockets that it accepts itself, and kept
- * connections that the other end closes. So connections are accepted here,
- * and each group of them has a SoupServer that is thrown away when its last
- * connection ended; that frees all.
+ * libsoup 3.2 leaks sockets that it accepts itself, and keep-alive connections
+ * that the peer closes. Connections are therefore accepted here and added to a
+ * group. The group's SoupServer is freed once all connections of the group
+ * have closed, which frees everything libsoup retained for them.
  */
 #ifndef AUBURNSTILE_INTERNAL_CALLER_GROUPS_H
 #define AUBURNSTILE_INTERNAL_CALLER_GROUPS_H
@@ -19,11 +20,12 @@
 
 struct aub_caller_groups_options {
 	const char *address; /* "ip:port" to listen on */
-	/* Connect handlers and signals of a new group's server. */
+	/* Registers handlers and signals on the server of a new group. */
 	void (*configure_server)(SoupServer *soup, void *context);
 	/*
-	 * A connection came. `remote` tells its messages: it is the very
-	 * object that soup_server_message_get_remote_address() returns.
+	 * Called for each accepted connection. `remote` identifies the
+	 * messages of the connection: soup_server_message_get_remote_address()
+	 * returns the same object.
 	 */
 	void (*accepted)(struct aub_caller_group *group, GSocket *socket,
 			 GSocketAddress *remote, void *context);
@@ -35,19 +37,23 @@
 void aub_caller_groups_free(struct aub_caller_groups *groups);
 guint aub_caller_groups_port(const struct aub_caller_groups *groups);
 
-/* Let go of a connection that is about to be closed from this side. */
+/* Stops tracking an idle connection that the owner is about to close. */
 void aub_caller_group_release(struct aub_caller_group *group, GSocket *socket);
 
-/* One of the group's connections ended. */
+/* Notes that one of the group's connections has closed. */
 void aub_caller_group_connection_closed(struct aub_caller_group *group);
 
 /*
- * True when few of a full group are left: they should be closed after their
- * next answer, so that the group can go.
+ * Returns true if the group is full and only a few of its connections are
+ * still open. They are then to be closed after their next response so that the
+ * group can be freed.
  */
 bool aub_caller_group_should_drain(const struct aub_caller_group *group);
 
-/* Throw empty groups away. Not from within libsoup's callbacks. */
+/*
+ * Frees full groups without open connections. Must not be called from within a
+ * libsoup callback.
+ */
 void aub_caller_groups_free_empty(struct aub_caller_groups *groups);
 
 G_END_DECLS
--- a/include/auburnstile/internal/caller_message.h
+++ b/include/auburnstile/internal/caller_message.h
@@ -1,5 +1,6 @@
 /*
- * A caller's request as a call, and an answer as its response.
+ * Converts a caller's HTTP request to a call message, and an answer message to
+ * the HTTP response.
  */
 #ifndef AUBURNSTILE_INTERNAL_CALLER_MESSAGE_H
 #define AUBURNSTILE_INTERNAL_CALLER_MESSAGE_H
@@ -10,12 +11,12 @@
 G_BEGIN_DECLS
 
 /*
- * The whole request as a call, owned by the caller of this function; NULL
- * where one of the project's own headers is malformed.
+ * Returns the complete request as a call, owned by the caller of the function.
+ * Returns NULL if one of the Auburnstile-* request headers is malformed.
  */
 struct aub_call *aub_caller_parse_request(SoupServerMessage *message);
 
-/* Fill the response in; the body is taken out of `answer`. */
+/* Fills in the HTTP response. Moves the body out of `answer`. */
 void aub_caller_write_response(SoupServerMessage *message,
 			       struct aub_answer *answer, bool stale);
 
--- a/include/auburnstile/internal/caller_server.h
+++ b/include/auburnstile/internal/caller_server.h
@@ -1,8 +1,10 @@
 /*
- * The listener for callers: whole requests in, whole answers out.
+ * The HTTP listener for callers. It delivers complete requests and sends
+ * complete responses.
  *
- * Bounded on all sides: connections, time for header and body, size of a
- * body. Asynchronous, on the thread's default main context.
+ * The number of connections, the time for header, body and response, and the
+ * size of a body are limited. Asynchronous, on the thread's default main
+ * context.
  */
 #ifndef AUBURNSTILE_INTERNAL_CALLER_SERVER_H
 #define AUBURNSTILE_INTERNAL_CALLER_SERVER_H
@@ -12,41 +14,49 @@
 
 G_BEGIN_DECLS
 
-/* Attempts beyond the first where the caller names none, in 1/100. */
+/*
+ * Retries allowed per request in percent (100: one retry): default if the
+ * caller sends no budget, and maximum.
+ */
 #define AUB_RETRY_BUDGET_DEFAULT_PERCENT 100
 #define AUB_RETRY_BUDGET_MAX_PERCENT 400
 
 #define AUB_ADDRESSES_PATH "/.auburnstile/addresses"
 
 struct aub_caller_server;
-struct aub_caller_request; /* one request being answered */
+struct aub_caller_request; /* a request without a response yet */
 
 struct aub_caller_server_options {
 	const char *address; /* "ip:port" */
-	guint connections_max; /* open at most */
+	guint connections_max; /* maximum number of open connections */
 	guint header_ms; /* from accept to the end of the first header */
-	guint idle_ms; /* from an answer to the end of the next header */
-	guint body_ms; /* from header to the end of the body */
-	guint write_ms; /* from answer's start to its end */
-	struct aub_timer_service *timers; /* borrowed */
+	guint idle_ms; /* from a response to the end of the next header */
+	guint body_ms; /* from the end of the header to the end of the body */
+	guint write_ms; /* from the start to the end of the response */
+	struct aub_timer_service *timers; /* not owned */
 
 	/*
-	 * A whole request came. `call` is owned by the callee; its id, service
-	 * and `once` are not set, and deadline_ms is 0 where the caller named
-	 * none. Exactly one aub_caller_respond() follows, unless `gone` did.
+	 * Called when a complete request has been received. The callee owns
+	 * `call`; its id, service and `once` are not set, and deadline_ms is 0
+	 * if the caller sent no deadline. The callee calls
+	 * aub_caller_respond() exactly once unless `gone` is called first.
 	 */
 	void (*arrived)(struct aub_caller_request *request,
 			struct aub_call *call, void *context);
 
-	/* The caller went away: `request` must not be used any more. */
+	/*
+	 * Called if the caller disconnects before the response is sent.
+	 * `request` must not be used after this call.
+	 */
 	void (*gone)(struct aub_caller_request *request, void *context);
 
-	/* Largest body for `path`, in bytes. */
+	/* Returns the maximum body in bytes for `path`. */
 	guint32 (*body_limit)(const char *path, void *context);
 
 	/*
-	 * Which addresses to use, as JSON (g_free), for a service or, where
-	 * that is NULL, a path. NULL with `*status` where there is no answer.
+	 * Returns the addresses to use as JSON (g_free), for a service or, if
+	 * `service` is NULL, for a path. Returns NULL and sets `*status` to
+	 * the HTTP status if there are none.
 	 */
 	char *(*addresses)(const char *service, const char *path, guint *status,
 			   void *context);
@@ -58,18 +68,21 @@
 void aub_caller_server_free(struct aub_caller_server *server);
 
 /*
- * Send the final answer; `answer` is taken over. `stale` tells the caller to
- * ask anew which addresses to use.
+ * Sends the response and takes ownership of `answer`. `stale` adds a header by
+ * which the caller knows that it should request its list of addresses again.
  */
 void aub_caller_respond(struct aub_caller_request *request,
 			struct aub_answer *answer, bool stale);
 
-/* Slot for the owner of the request's further state; NULL at first. */
+/* User data attached to the request by its owner; NULL initially. */
 void aub_caller_request_set_data(struct aub_caller_request *request,
 				 void *data);
 void *aub_caller_request_data(const struct aub_caller_request *request);
 
-/* Connections with a request under way, answers being written included. */
+/*
+ * Returns the number of connections with a request in progress, including
+ * those whose response is still being written.
+ */
 guint aub_caller_server_active(const struct aub_caller_server *server);
 guint aub_caller_server_connections(const struct aub_caller_server *server);
 guint aub_caller_server_port(const struct aub_caller_server *server);
--- a/include/auburnstile/internal/events_json.h
+++ b/include/auburnstile/internal/events_json.h
@@ -1,5 +1,6 @@
 /*
- * A page of events for GET /v1/events; its form is in docs/ADMIN.md.
+ * Formats one page of events for GET /v1/events; the format is described in
+ * docs/ADMIN.md.
  */
 #ifndef AUBURNSTILE_INTERNAL_EVENTS_JSON_H
 #define AUBURNSTILE_INTERNAL_EVENTS_JSON_H
@@ -9,8 +10,8 @@
 G_BEGIN_DECLS
 
 /*
- * Events with a sequence above `after`, a page at most. `ring` may be NULL.
- * Owned by the caller.
+ * Returns up to one page of the events with a sequence number above `after` as
+ * JSON, owned by the caller. `ring` may be NULL.
  */
 char *aub_events_json(const struct aub_event_ring *ring, const char *process,
 		      guint64 incarnation, guint64 after);
--- a/include/auburnstile/internal/headers.h
+++ b/include/auburnstile/internal/headers.h
@@ -1,6 +1,6 @@
 /*
- * HTTP header fields on their way through: which are passed on, and how they
- * move between libsoup's form and the messages of the project.
+ * HTTP header fields: which of them are forwarded, and their conversion
+ * between libsoup's headers and the project's messages.
  */
 #ifndef AUBURNSTILE_INTERNAL_HEADERS_H
 #define AUBURNSTILE_INTERNAL_HEADERS_H
@@ -10,32 +10,35 @@
 
 G_BEGIN_DECLS
 
-/* True for fields that are the project's own ("Auburnstile-Key"). */
+/* Returns true for header fields of the proxy itself ("Auburnstile-Key"). */
 bool aub_header_is_internal(const char *name);
 
 /*
- * Append to `list` (of struct aub_header) every end-to-end field of `from`:
- * without hop-by-hop fields (RFC 9110, 7.6.1), those that Connection names,
- * message framing, and the project's own.
+ * Appends all end-to-end fields of `from` to `list` (of struct aub_header).
+ * Omits hop-by-hop fields (RFC 9110, 7.6.1), fields listed in Connection,
+ * message framing fields and the proxy's own fields.
  */
 void aub_headers_from_soup(SoupMessageHeaders *from, GPtrArray *list);
 
-/* Append the fields of `list` to `to`. */
+/* Appends the fields of `list` to `to`. */
 void aub_headers_to_soup(const GPtrArray *list, SoupMessageHeaders *to);
 
-/* First value of a field in `list`; borrowed; NULL if absent. */
+/*
+ * Returns the first value of the field in `list` (not owned), or NULL if it is
+ * missing.
+ */
 const char *aub_headers_find(const GPtrArray *list, const char *name);
 
 /*
- * A whole number in decimal digits and nothing else. False for anything
- * else, also for what doesn't fit into 64 bits.
+ * Parses an unsigned integer that consists only of decimal digits. Returns
+ * false for any other text, and for numbers that do not fit into 64 bits.
  */
 bool aub_parse_number(const char *text, guint64 *number);
 
 /*
- * False where the length of a message can be read in two ways: repeated or
- * malformed Content-Length, Content-Length beside Transfer-Encoding, or a
- * transfer coding other than "chunked".
+ * Returns false if the length of the message is ambiguous: repeated or
+ * malformed Content-Length, Content-Length together with Transfer-Encoding, or
+ * a transfer coding other than "chunked" (RFC 9112, 6.3).
  */
 bool aub_headers_framing_is_unambiguous(SoupMessageHeaders *headers);
 
--- a/include/auburnstile/internal/http_client.h
+++ b/include/auburnstile/internal/http_client.h
@@ -1,9 +1,9 @@
 /*
- * Requests to upstreams and to the platform's store: one exchange a request,
- * over a kept connection or a new one.
+ * HTTP client for upstreams and the platform's store. Each request is one
+ * exchange, over a pooled or a new connection.
  *
- * Never sends anything twice. What an exchange's end says of the request is
- * certain: UNREACHABLE means that not a byte of it left.
+ * The client never retries. AUB_EXCHANGE_UNREACHABLE guarantees that no byte
+ * of the request was sent.
  */
 #ifndef AUBURNSTILE_INTERNAL_HTTP_CLIENT_H
 #define AUBURNSTILE_INTERNAL_HTTP_CLIENT_H
@@ -17,48 +17,53 @@
 struct aub_exchange;
 
 enum aub_exchange_result {
-	AUB_EXCHANGE_COMPLETE, /* the answer is complete */
-	AUB_EXCHANGE_UNREACHABLE, /* nothing was sent */
-	AUB_EXCHANGE_CONNECTION_LOST, /* the connection broke, or bytes made no
-					 sense */
-	AUB_EXCHANGE_TIMEOUT /* only of aub_http_call() */
+	AUB_EXCHANGE_COMPLETE, /* the response is complete */
+	AUB_EXCHANGE_UNREACHABLE, /* no byte of the request was sent */
+	AUB_EXCHANGE_CONNECTION_LOST, /* connection closed or response malformed
+				       */
+	AUB_EXCHANGE_TIMEOUT /* aub_http_call only */
 };
 
 struct aub_exchange_callbacks {
-	/* An answer's head. aub_exchange_discard_response() waits for another
-	 * one. */
+	/*
+	 * Called with the head of a response. If the callee calls
+	 * aub_exchange_discard_response(), the exchange waits for another
+	 * response.
+	 */
 	void (*head)(const struct aub_http_head *head, void *context);
 	void (*body)(const char *data, gsize length, void *context);
-	/* What was written has left; may be NULL. */
+	/* Called when the output buffer has been sent; may be NULL. */
 	void (*drained)(void *context);
-	/* Last callback; the exchange is gone when it returns. */
+	/* Last callback. The exchange is freed when it returns. */
 	void (*ended)(enum aub_exchange_result result, void *context);
 };
 
 struct aub_exchange_options {
 	const char *address; /* "ip:port" */
-	const char
-		*pool_name; /* connections are kept by address and this; "" */
-	gint64 idle_max_us; /* oldest kept connection to use; 0: a new one */
-	bool is_head; /* the request is HEAD */
+	const char *pool_name; /* connections are pooled by address and name */
+	gint64 idle_max_us; /* of a pooled connection; 0: use a new one */
+	bool is_head; /* the response has no body */
 };
 
 struct aub_http_client *aub_http_client_new(struct aub_poller *poller,
 					    struct aub_timer_service *timers);
 void aub_http_client_free(struct aub_http_client *client);
 
-/* Close kept connections that are idle for too long. Call now and then. */
+/*
+ * Closes pooled connections that have been idle for too long. Must be called
+ * periodically.
+ */
 void aub_http_client_close_expired(struct aub_http_client *client,
 				   gint64 now_us);
 
 struct aub_timer_service *aub_http_client_timers(
 	const struct aub_http_client *client);
 
-/* Connections opened since the start, for metrics. */
+/* Returns the number of connections opened since the start, for metrics. */
 guint64 aub_http_client_connections_opened(
 	const struct aub_http_client *client);
 
-/* Never calls back before it has returned. */
+/* Starts an exchange. No callback is called before the function returns. */
 struct aub_exchange *aub_exchange_new(
 	struct aub_http_client *client,
 	const struct aub_exchange_options *options,
@@ -66,20 +71,27 @@
 void aub_exchange_write(struct aub_exchange *exchange, const void *data,
 			gsize length);
 void aub_exchange_flush(struct aub_exchange *exchange);
-/* The whole request is written: the connection may be kept after it. */
+/*
+ * Marks the request as completely written, so that the connection may be
+ * pooled after the response.
+ */
 void aub_exchange_request_done(struct aub_exchange *exchange);
 gsize aub_exchange_queued_bytes(const struct aub_exchange *exchange);
-/* Some of the request may have reached the peer. */
+/* Returns true if part of the request may have reached the peer. */
 bool aub_exchange_may_have_sent(const struct aub_exchange *exchange);
-/* The head just told belongs to another request: drop that answer. */
+/*
+ * Discards the response whose head has just been reported, because it belongs
+ * to another request.
+ */
 void aub_exchange_discard_response(struct aub_exchange *exchange);
 void aub_exchange_pause_reading(struct aub_exchange *exchange, bool paused);
-/* Close the connection; no callback follows. */
+/* Closes the connection and frees the exchange. No callback follows. */
 void aub_exchange_cancel(struct aub_exchange *exchange);
 
 /*
- * A whole small call. `head` is NULL unless `end` is WHOLE; all borrowed.
- * The handle is valid until the callback.
+ * A small request with its complete response in memory. `head` is NULL unless
+ * `result` is AUB_EXCHANGE_COMPLETE. All arguments are valid only during the
+ * callback. The handle is valid until the callback.
  */
 typedef void aub_http_call_callback(enum aub_exchange_result result,
 				    const struct aub_http_head *head,
--- a/include/auburnstile/internal/http_listener.h
+++ b/include/auburnstile/internal/http_listener.h
@@ -1,5 +1,6 @@
 /*
- * A listener for small calls without a body: readiness, addresses, metrics.
+ * HTTP listener for small requests without a body: readiness, addresses,
+ * metrics.
  */
 #ifndef AUBURNSTILE_INTERNAL_HTTP_LISTENER_H
 #define AUBURNSTILE_INTERNAL_HTTP_LISTENER_H
@@ -14,10 +15,13 @@
 struct aub_http_response {
 	guint status;
 	const char *content_type; /* of the body */
-	GBytes *body; /* NULL for none; the service frees it */
+	GBytes *body; /* NULL for none; freed by the listener */
 };
 
-/* Answer one call at once. `reply` is zeroed with status 404. */
+/*
+ * Fills in the response to one request before it returns. `response` is
+ * initialised with status 404 and no body.
+ */
 typedef void aub_http_listener_handler(const struct aub_http_head *head,
 				       struct aub_http_response *response,
 				       void *context);
@@ -28,9 +32,12 @@
 	GError **error);
 void aub_http_listener_free(struct aub_http_listener *listener);
 
-/* Value of a query's parameter, decoded; g_free; NULL if it is not there. */
+/*
+ * Returns the decoded value of a query parameter (g_free), or NULL if it is
+ * missing.
+ */
 char *aub_http_query_parameter(const char *target, const char *name);
-/* Is this the path of the target? */
+/* Returns true if `path` is the path component of `target`. */
 bool aub_http_target_has_path(const char *target, const char *path);
 
 G_END_DECLS
--- a/include/auburnstile/internal/http_stream.h
+++ b/include/auburnstile/internal/http_stream.h
@@ -1,8 +1,8 @@
 /*
- * One HTTP/1.1 connection, in either direction, as a stream of messages.
+ * One HTTP/1.1 connection, client or server side, as a stream of messages.
  *
- * Bodies are handed on as they come; nothing is collected here but the head.
- * Parsing is http-parser's. The stream never sends anything by itself.
+ * Body data is passed on as it is received; only the head is buffered. Parsing
+ * is done by http-parser. The stream sends only what its owner writes.
  */
 #ifndef AUBURNSTILE_INTERNAL_HTTP_STREAM_H
 #define AUBURNSTILE_INTERNAL_HTTP_STREAM_H
@@ -21,92 +21,120 @@
 	const char *value;
 };
 
-/* The head of a message; valid until its end is reported. */
+/* The head of a message; valid until the end of the message is reported. */
 struct aub_http_head {
-	guint method; /* enum http_method; requests */
-	guint status; /* answers */
-	const char *target; /* requests */
+	guint method; /* enum http_method; requests only */
+	guint status; /* responses only */
+	const char *target; /* requests only */
 	GArray *headers; /* of struct aub_http_header */
-	gint64 length; /* of the body; -1: not announced */
+	gint64 length; /* of the body; -1: unknown */
 	bool chunked;
-	bool keep_alive; /* the connection may carry another message */
+	bool keep_alive; /* the connection stays open after this message */
 };
 
-/* Borrowed; NULL where it is missing. Names compare without case. */
+/*
+ * Returns the value of a header field (not owned), or NULL if it is missing.
+ * Names are compared case-insensitively.
+ */
 const char *aub_http_head_find(const struct aub_http_head *head,
 			       const char *name);
 guint aub_http_head_count(const struct aub_http_head *head, const char *name);
 
 enum aub_stream_end_reason {
-	AUB_STREAM_EOF, /* the peer ended it in order */
-	AUB_STREAM_RESET, /* reset, or the path failed */
-	AUB_STREAM_CONNECT_FAILED, /* never connected */
-	AUB_STREAM_MALFORMED, /* bytes that are no message */
-	AUB_STREAM_HEAD_TOO_LARGE /* head past its limit */
+	AUB_STREAM_EOF, /* the peer closed the connection */
+	AUB_STREAM_RESET, /* connection reset, or network failure */
+	AUB_STREAM_CONNECT_FAILED, /* the connection could not be established */
+	AUB_STREAM_MALFORMED, /* not a valid HTTP message */
+	AUB_STREAM_HEAD_TOO_LARGE /* the head exceeds the limit */
 };
 
 struct aub_http_callbacks {
 	void (*connected)(void *context); /* may be NULL */
 	void (*head)(const struct aub_http_head *head, void *context);
 	void (*body)(const char *data, gsize length, void *context);
-	/* The message is whole. Nothing more is parsed before _resume(). */
+	/*
+	 * Called when the message is complete. The next message is not parsed
+	 * before aub_http_stream_resume().
+	 */
 	void (*complete)(void *context);
-	/* The output buffer has emptied; may be NULL. */
+	/* Called when the output buffer has been sent; may be NULL. */
 	void (*drained)(void *context);
 	/*
-	 * What came is no message, or its head is too large; may be NULL.
-	 * Nothing more is read: the callee answers and finishes the stream.
+	 * Called if the input is not a valid message or its head is too large;
+	 * may be NULL. No more input is read. The callee may respond and then
+	 * closes the stream with aub_http_stream_close_gracefully().
 	 */
 	void (*rejected)(enum aub_stream_end_reason reason, void *context);
-	/* Last callback. `midway`: inside a message. The callee frees. */
+	/*
+	 * Last callback. `in_message` is true if the stream ended inside a
+	 * message. The callee frees the stream.
+	 */
 	void (*ended)(enum aub_stream_end_reason reason, bool in_message,
 		      void *context);
 };
 
-/* Takes over `fd`, non-blocking, connected or connecting. */
+/*
+ * Creates a stream for a connected or connecting non-blocking socket. Takes
+ * ownership of `fd`.
+ */
 struct aub_http_stream *aub_http_stream_new(
 	struct aub_poller *poller, int fd, enum http_parser_type type,
 	bool connecting, guint head_limit,
 	const struct aub_http_callbacks *callbacks, void *context);
 
-/* Closes at once. Allowed in callbacks. NULL is ignored. */
+/*
+ * Closes the connection immediately and frees the stream. May be called in
+ * callbacks. NULL is ignored.
+ */
 void aub_http_stream_free(struct aub_http_stream *stream);
 
 void aub_http_stream_set_callbacks(struct aub_http_stream *stream,
 				   const struct aub_http_callbacks *callbacks,
 				   void *context);
 
-/* Queue bytes; aub_http_stream_flush() sends what the socket takes. */
+/*
+ * Queues output; aub_http_stream_flush() sends as much as the socket accepts.
+ */
 void aub_http_stream_write(struct aub_http_stream *stream, const void *data,
 			   gsize length);
 void aub_http_stream_flush(struct aub_http_stream *stream);
 gsize aub_http_stream_queued_bytes(const struct aub_http_stream *stream);
 guint64 aub_http_stream_sent_bytes(const struct aub_http_stream *stream);
 
-/* Parse the next message: bytes that came early are taken first. */
+/*
+ * Continues with the next message, starting with input that was received
+ * early.
+ */
 void aub_http_stream_resume(struct aub_http_stream *stream);
 
-/* The next answer has no body (the request was HEAD). */
+/* Sets whether the next response has no body (because the request is HEAD). */
 void aub_http_stream_expect_no_body(struct aub_http_stream *stream,
 				    bool no_body);
 
-/* Back pressure: stop or go on reading from the socket. */
+/* Pauses or resumes reading from the socket (back pressure). */
 void aub_http_stream_pause_reading(struct aub_http_stream *stream, bool paused);
 
-/* Bytes were read that no message has claimed. */
+/*
+ * Returns true if input was received that does not belong to any message
+ * parsed so far.
+ */
 bool aub_http_stream_has_excess_bytes(const struct aub_http_stream *stream);
 
-/* Part of a message has been read. */
+/* Returns true if a message has been partly received. */
 bool aub_http_stream_in_message(const struct aub_http_stream *stream);
 
 /*
- * End in order: send the rest, shut the writing side down and drop what
- * comes. The owner frees the stream on `ended` or after its own time limit.
- * A close() with unread input would reset answers still on their way.
+ * Sends the queued output, shuts down the write side and discards further
+ * input. The owner frees the stream on `ended` or after its own time limit.
+ * close() with unread input would send a reset, which can discard responses
+ * that the peer has not read yet.
  */
 void aub_http_stream_close_gracefully(struct aub_http_stream *stream);
 
-/* When it is freed the peer sees a reset, whatever it has read. */
+/*
+ * Makes aub_http_stream_free() reset the connection (RST) instead of closing
+ * it in order.
+ */
 void aub_http_stream_reset_on_close(struct aub_http_stream *stream);
 
 G_END_DECLS
--- a/include/auburnstile/internal/poller.h
+++ b/include/auburnstile/internal/poller.h
@@ -1,8 +1,10 @@
 /*
- * Readiness of many sockets for one main loop, by one epoll source.
+ * Readiness notifications for many sockets on one main loop, with a single
+ * epoll source.
  *
- * A GSource a socket makes each turn of GLib's loop walk all of them; with
- * hundreds of kept connections that walk was most of the processor time.
+ * With one GSource per socket, GLib's main loop checks every source in each
+ * iteration; with hundreds of keep-alive connections, these checks took most
+ * of the processor time.
  */
 #ifndef AUBURNSTILE_INTERNAL_POLLER_H
 #define AUBURNSTILE_INTERNAL_POLLER_H
@@ -15,20 +17,26 @@
 struct aub_poller;
 struct aub_poll_watch;
 
-/* `events` are EPOLLIN, EPOLLOUT, EPOLLERR and EPOLLHUP. */
+/* `events` is a mask of EPOLLIN, EPOLLOUT, EPOLLERR and EPOLLHUP. */
 typedef void aub_poll_callback(void *context, guint events);
 
-/* For the thread's default main context. Owned by the caller. */
+/* Creates a poller on the default main context. Owned by the caller. */
 struct aub_poller *aub_poller_new(void);
 void aub_poller_free(struct aub_poller *poller);
 
-/* Watch `fd`, which stays the caller's. The handle ends with _remove(). */
+/*
+ * Starts to watch `fd`; the caller still owns it. The handle is valid until
+ * aub_poll_watch_remove().
+ */
 struct aub_poll_watch *aub_poller_add(struct aub_poller *poller, int fd,
 				      guint events, aub_poll_callback *callback,
 				      void *context);
 void aub_poll_watch_set_events(struct aub_poll_watch *watch, guint events);
 
-/* Ends the watch, also from within a callback. Call before close(). */
+/*
+ * Stops the watch and frees it; may be called in a callback. Must be called
+ * before `fd` is closed.
+ */
 void aub_poll_watch_remove(struct aub_poll_watch *watch);
 
 G_END_DECLS
--- a/include/auburnstile/internal/tcp.h
+++ b/include/auburnstile/internal/tcp.h
@@ -1,6 +1,4 @@
-/*
- * TCP and UDP sockets by IP number, non-blocking.
- */
+/* Non-blocking TCP and UDP sockets. Hosts are given as IP addresses. */
 #ifndef AUBURNSTILE_INTERNAL_TCP_H
 #define AUBURNSTILE_INTERNAL_TCP_H
 
@@ -10,22 +8,28 @@
 
 G_BEGIN_DECLS
 
-/* "ip:port", IPv4, as a socket address; false for anything else. */
+/* Parses an IPv4 "ip:port". Returns false if the text is invalid. */
 bool aub_socket_address_parse(const char *address, struct sockaddr_in *to);
 
-/* A listener on "ip:port"; -1 with an error that names the address. */
+/*
+ * Listens on "ip:port". Returns the descriptor, or -1 with an error that names
+ * the address.
+ */
 int aub_tcp_listen(const char *address, GError **error);
 
-/* On a free port of loopback; `*address` tells which (g_free). */
+/*
+ * Listens on a free port of the loopback interface. Sets `*address` to the
+ * "ip:port" (g_free).
+ */
 int aub_tcp_listen_loopback(char **address);
 
-/* Begin to connect; -1 with an error when that fails at once. */
+/* Starts a connection. Returns -1 and sets `error` if it fails immediately. */
 int aub_tcp_connect(const char *address, GError **error);
 
-/* Accept one connection; -1 when there is none. */
+/* Accepts one connection. Returns -1 if none is pending. */
 int aub_tcp_accept(int listener);
 
-/* A bound UDP socket; -1 with an error. */
+/* Returns a bound UDP socket, or -1 with an error. */
 int aub_udp_bind(const char *address, GError **error);
 
 G_END_DECLS
--- a/include/auburnstile/internal/upstream_client.h
+++ b/include/auburnstile/internal/upstream_client.h
@@ -1,9 +1,9 @@
 /*
- * One upstream's HTTP client: sends single attempts and probes, and says of
- * each what is known to have become of it.
+ * The HTTP client of one upstream: sends single attempts and probes and
+ * reports what is known about the execution of each.
  *
- * Asynchronous, on the thread's default main context. Never sends a request
- * twice on its own; retries belong to the dispatcher.
+ * Asynchronous, on the thread's default main context. The client never
+ * retries; retries are up to the dispatcher.
  */
 #ifndef AUBURNSTILE_INTERNAL_UPSTREAM_CLIENT_H
 #define AUBURNSTILE_INTERNAL_UPSTREAM_CLIENT_H
@@ -15,29 +15,30 @@
 G_BEGIN_DECLS
 
 struct aub_upstream_client;
-struct aub_attempt; /* one request on its way */
+struct aub_attempt; /* a request in flight */
 
 struct aub_upstream_client_options {
-	const char *host; /* IP number; copied */
+	const char *host; /* IP address; copied */
 	guint16 port;
-	guint connections_max; /* most open at once */
-	guint32 body_limit; /* bytes of an answer's body */
-	struct aub_timer_service *timers; /* borrowed */
+	guint connections_max; /* maximum number of open connections */
+	guint32 body_limit; /* maximum response body in bytes */
+	struct aub_timer_service *timers; /* not owned */
 };
 
 struct aub_upstream_client *aub_upstream_client_new(
 	const struct aub_upstream_client_options *options);
 
 /*
- * Give the client up. What is in flight finishes, and its callbacks come;
- * aub_attempt_abandon() ends that.
+ * Releases the client. Attempts in flight continue and their callbacks are
+ * called; aub_attempt_abandon() prevents that.
  */
 void aub_upstream_client_free(struct aub_upstream_client *client);
 
 /*
- * Called exactly once, never from within aub_upstream_send(). `answer` is
- * set for ANSWERED alone and owned by the callee; `signs` is borrowed;
- * `error` says why a result is not ANSWERED.
+ * Called exactly once for each attempt, never from within aub_upstream_send().
+ * `answer` is set only for AUB_ATTEMPT_ANSWERED and is owned by the callee;
+ * `signals` is valid during the callback; `error` gives the reason for any
+ * other result.
  */
 typedef void aub_attempt_callback(enum aub_attempt_result result,
 				  const struct aub_upstream_signs *signals,
@@ -45,10 +46,11 @@
 				  const GError *error, void *context);
 
 /*
- * Send `call`, giving up at `timeout_us` (monotonic). `fresh` asks for a new
- * connection (retries and hedges, which may be there because a pooled one
- * went silent); requests that may not be repeated always get one. The handle
- * is borrowed and valid until the callback.
+ * Sends `call` and gives up at `timeout_us` (monotonic). `new_connection`
+ * forces a new connection, for retries and hedges, because the first attempt
+ * may have failed on an unresponsive pooled connection. Non-idempotent
+ * requests always use a new connection. The handle is valid until the
+ * callback.
  */
 struct aub_attempt *aub_upstream_send(struct aub_upstream_client *client,
 				      const struct aub_call *call,
@@ -56,15 +58,18 @@
 				      aub_attempt_callback *callback,
 				      void *context);
 
-/* Abort: closes its connection; the callback follows with CANCELLED. */
+/*
+ * Aborts the attempt and closes its connection. The callback follows with
+ * AUB_ATTEMPT_CANCELLED.
+ */
 void aub_attempt_cancel(struct aub_attempt *attempt);
 
-/* Abort, and never call back. */
+/* Aborts the attempt without calling its callback. */
 void aub_attempt_abandon(struct aub_attempt *attempt);
 
 /*
- * Result of a probe (GET /load). `busy` is as the upstream reports it. The
- * handle is as that of aub_upstream_send().
+ * Result of a probe (GET /load). `busy` is the value reported by the upstream.
+ * The handle has the same lifetime as that of aub_upstream_send().
  */
 typedef void aub_probe_callback(bool answered,
 				const struct aub_upstream_signs *signals,
--- a/include/auburnstile/internal/upstream_request.h
+++ b/include/auburnstile/internal/upstream_request.h
@@ -1,6 +1,4 @@
-/*
- * Writes a caller's request into a message for an upstream.
- */
+/* Builds the HTTP request to an upstream from a caller's request. */
 #ifndef AUBURNSTILE_INTERNAL_UPSTREAM_REQUEST_H
 #define AUBURNSTILE_INTERNAL_UPSTREAM_REQUEST_H
 
@@ -10,7 +8,9 @@
 
 G_BEGIN_DECLS
 
-/* Headers and body of `call`; `remaining_ms` is what it has left of its time.
+/*
+ * Sets headers and body from `call`. `remaining_ms` is the time left until the
+ * deadline of the call.
  */
 void aub_upstream_write_request(SoupMessage *message,
 				const struct aub_call *call,
--- a/include/auburnstile/internal/upstream_set.h
+++ b/include/auburnstile/internal/upstream_set.h
@@ -1,6 +1,4 @@
-/*
- * The clients of all upstreams in the inventory, by name.
- */
+/* The clients of all upstreams in the inventory, by upstream name. */
 #ifndef AUBURNSTILE_INTERNAL_UPSTREAM_SET_H
 #define AUBURNSTILE_INTERNAL_UPSTREAM_SET_H
 
@@ -13,11 +11,17 @@
 struct aub_upstream_set *aub_upstream_set_new(struct aub_timer_service *timers);
 void aub_upstream_set_free(struct aub_upstream_set *set);
 
-/* Make clients for upstreams that are new or changed; drop those gone. */
+/*
+ * Creates clients for new or changed upstreams and frees those of removed
+ * upstreams.
+ */
 void aub_upstream_set_configure(struct aub_upstream_set *set,
 				const struct aub_inventory *inventory);
 
-/* Borrowed until the next configuration; NULL if there is none. */
+/*
+ * Returns the client of an upstream, or NULL if there is none. Valid until the
+ * next aub_upstream_set_configure().
+ */
 struct aub_upstream_client *aub_upstream_set_find(
 	const struct aub_upstream_set *set, const char *name);
 
--- a/include/auburnstile/internal/upstream_signals.h
+++ b/include/auburnstile/internal/upstream_signals.h
@@ -1,6 +1,4 @@
-/*
- * What an upstream's answers tell of its state.
- */
+/* Health signals in an upstream's responses. */
 #ifndef AUBURNSTILE_INTERNAL_UPSTREAM_SIGNALS_H
 #define AUBURNSTILE_INTERNAL_UPSTREAM_SIGNALS_H
 
@@ -9,14 +7,23 @@
 
 G_BEGIN_DECLS
 
-/* From X-Boot-Id, X-Upstream-State and the status of an answer. */
+/*
+ * Reads the health signals from X-Boot-Id, X-Upstream-State and the status of
+ * a response.
+ */
 void aub_signals_from_response(SoupMessage *message,
 			       struct aub_upstream_signs *signals);
 
-/* The upstream's own refusal: it promises that nothing was run. */
+/*
+ * Returns true if the upstream refused the request itself and guarantees that
+ * it was not executed (status 503 with X-Not-Run: 1).
+ */
 bool aub_response_is_shed(SoupMessage *message);
 
-/* From the answer to a probe; false where it is not the agreed object. */
+/*
+ * Parses the response body of a probe. Returns false if it is not a JSON
+ * object of the expected form.
+ */
 bool aub_signals_parse_load(const void *data, gsize length,
 			    struct aub_upstream_signs *signals, guint32 *busy);
 
--- a/include/auburnstile/link.h
+++ b/include/auburnstile/link.h
@@ -1,12 +1,13 @@
 /*
- * Links: TCP connections between own processes that carry framed messages.
+ * Links: TCP connections between processes of the load balancer that carry
+ * framed messages.
  *
- * Asynchronous, on the thread's default main context. A link opens with a
- * hello each way; the first hello has to come within a second. A bad frame,
- * a frame past the limit, an output queue past its limit or a closed peer
- * ends the link with an error that names step and peer. A link that was
- * closed is never used again. Pings are answered by the link itself; pongs
- * are delivered like any message.
+ * Asynchronous, on the thread's default main context. Each side first sends a
+ * hello; an accepted peer has to send its hello within one second. A malformed
+ * frame, a frame over the size limit, an output queue over its limit or a
+ * closed connection ends the link with an error that names step and peer. A
+ * closed link is not reused. The link itself answers pings; pongs are
+ * delivered like any other message.
  */
 #ifndef AUBURNSTILE_LINK_H
 #define AUBURNSTILE_LINK_H
@@ -19,23 +20,26 @@
 struct aub_link_server;
 
 struct aub_link_callbacks {
-	/* The peer's hello came: the link may be used. `hello` borrowed. */
+	/*
+	 * Called when the peer's hello has been received and the link can be
+	 * used. `hello` is valid during the callback.
+	 */
 	void (*up)(struct aub_link *link, const struct aub_hello *hello,
 		   void *context);
-	/* A message came; owned by the callee (aub_message_free). */
+	/* Called for each message, which the callee owns (aub_message_free). */
 	void (*message)(struct aub_link *link, struct aub_message *message,
 			void *context);
 	/*
-	 * The link ended, or never came up. Called exactly once, unless
-	 * aub_link_free() came first. The callee frees the link, in the
-	 * callback or later.
+	 * Called once when the link has ended or could not be established,
+	 * unless aub_link_free() was called before. The callee frees the link,
+	 * during the callback or later.
 	 */
 	void (*down)(struct aub_link *link, const GError *error, void *context);
 };
 
 /*
- * Connect to "ip:port". `hello` is borrowed for the call (copied). Never
- * fails at once: what goes wrong comes through `down`. Owned by the caller.
+ * Connects to "ip:port". `hello` is copied. Never fails immediately: errors
+ * are reported through `down`. Owned by the caller.
  */
 struct aub_link *aub_link_connect(const char *address,
 				  const struct aub_hello *hello,
@@ -45,29 +49,34 @@
 void aub_link_free(struct aub_link *link);
 
 /*
- * Queue a message; borrowed. Returns false (and the link goes down) if it
- * can't be encoded or the queue passes `AUB_LINK_QUEUE_MAX_BYTES`.
+ * Queues a message, which the caller still owns. Returns false, and the link
+ * ends, if the message cannot be encoded or the queue exceeds
+ * AUB_LINK_QUEUE_MAX_BYTES.
  */
-#define AUB_LINK_QUEUE_MAX_BYTES (64u << 20) /* bytes waiting to be written */
+#define AUB_LINK_QUEUE_MAX_BYTES \
+	(64u << 20) /* maximum size of the output queue */
 bool aub_link_send(struct aub_link *link, const struct aub_message *message);
 
 bool aub_link_is_up(const struct aub_link *link);
-const char *aub_link_peer(const struct aub_link *link); /* borrowed */
+const char *aub_link_peer(const struct aub_link *link); /* not owned */
 const struct aub_hello *aub_link_peer_hello(const struct aub_link *link);
 gint64 aub_link_last_received_us(const struct aub_link *link); /* monotonic */
-gsize aub_link_queued_bytes(const struct aub_link *link); /* bytes */
+gsize aub_link_queued_bytes(
+	const struct aub_link *link); /* waiting to be written */
 
-/* Bytes read and written over one link. */
+/* Returns the bytes received and sent over one link. */
 guint64 aub_link_transferred_bytes(const struct aub_link *link);
 
-/* Bytes read and written by all links of this process, for metrics. */
+/*
+ * Sets the bytes received and sent by all links of this process, for metrics.
+ */
 void aub_link_process_bytes(guint64 *bytes_received, guint64 *bytes_sent);
 
 /*
- * Accept links on "ip:port". `accepted` is called when a peer's hello came
- * and decides: it returns callbacks and sets `*context` to keep the link
- * (then `up` follows), or NULL to refuse it. Once kept, the link belongs to
- * the callee.
+ * Accepts links on "ip:port". `accepted` is called when the peer's hello has
+ * been received. To accept the link it returns callbacks and sets `*context`;
+ * then `up` follows. To reject the link it returns NULL. The callee owns an
+ * accepted link.
  */
 typedef const struct aub_link_callbacks *aub_link_accept_callback(
 	struct aub_link *link, const struct aub_hello *hello,
--- a/include/auburnstile/store_client.h
+++ b/include/auburnstile/store_client.h
@@ -1,5 +1,5 @@
 /*
- * Client of the platform's object API.
+ * Client of the platform's object store.
  *
  * Published protocol (HTTP; docs/PROTOCOL.md):
  *   GET  /v1/objects/KEY          200 body, X-Version: N | 404
@@ -8,11 +8,12 @@
  *                                 200 X-Version: N | 412 X-Version: current
  *   GET  /v1/watch?prefix=P&since=N&wait_ms=M
  *                                 200 {"version":N,"changes":[{...}]}
- * Versions rise over the whole store. Every call counts against a budget,
- * a waiting watch as one. Calls are asynchronous on the thread's default
- * main context; a callback is called exactly once, never from within the
- * call. Freeing the client cancels what is open; callbacks are not called. It
- * must not be freed from within one of its callbacks.
+ * Versions increase over the whole store. Each call counts against a budget of
+ * calls per second; a waiting watch counts as one. Calls are asynchronous on
+ * the thread's default main context. Each callback is called exactly once,
+ * never from within the call. Freeing the client cancels open calls without
+ * calling their callbacks. The client must not be freed from within one of its
+ * callbacks.
  */
 #ifndef AUBURNSTILE_STORE_CLIENT_H
 #define AUBURNSTILE_STORE_CLIENT_H
@@ -24,26 +25,29 @@
 struct aub_store_client;
 
 struct aub_store_client_options {
-	const char *url; /* "http://127.0.0.1:7000"; copied */
-	guint timeout_ms; /* of one try, watches excepted */
-	guint watch_ms; /* how long a watch waits */
-	guint calls_per_s; /* own budget; more wait their turn */
-	guint32 seed; /* of the backoff's jitter */
+	const char *url; /* e.g. "http://127.0.0.1:7000"; copied */
+	guint timeout_ms; /* of one attempt, except for watches */
+	guint watch_ms; /* how long the store holds a watch request */
+	guint calls_per_s; /* call budget; further calls are queued */
+	guint32 seed; /* for the jitter of the backoff */
 };
 
 struct aub_store_client *aub_store_client_new(
 	const struct aub_store_client_options *options);
 void aub_store_client_free(struct aub_store_client *client);
 
-/* An object as read; borrowed for the callback. */
+/* An object as read; valid during the callback. */
 struct aub_store_object {
 	const char *key;
-	const char *value; /* not NUL-terminated by contract */
+	const char *value; /* need not be NUL-terminated */
 	gsize length;
 	guint64 version;
 };
 
-/* `error` NULL on success; AUB_ERROR_NOT_FOUND where there is no object. */
+/*
+ * `error` is NULL on success, AUB_ERROR_NOT_FOUND if the object does not
+ * exist.
+ */
 typedef void aub_store_get_callback(const struct aub_store_object *object,
 				    const GError *error, void *context);
 void aub_store_get(struct aub_store_client *client, const char *key,
@@ -56,12 +60,15 @@
 		    aub_store_list_callback *callback, void *context);
 
 /*
- * Write `value` if the object's version is `expected` (0: does not exist).
- * On success `version` is the new one. AUB_ERROR_CONFLICT: `version` is the
- * current one. AUB_ERROR_AMBIGUOUS: the write may have taken effect and
- * could not be settled within `timeout_ms` times 4. `change` is a string
- * that occurs in `value` and in no other write: a lost answer is settled by
- * reading back and looking for it.
+ * Writes `value` if the version of the object is `expected` (0: the object
+ * does not exist). On success, `version` is the new version. On
+ * AUB_ERROR_CONFLICT, it is the current version. AUB_ERROR_AMBIGUOUS means
+ * that the write may have taken effect and that this could not be determined
+ * within 4 times `timeout_ms`.
+ *
+ * `change_marker` is a string that occurs in `value` and in no other write. If
+ * the response to the write is lost, the client reads the object back and
+ * searches it for the marker.
  */
 typedef void aub_store_put_callback(guint64 version, const GError *error,
 				    void *context);
@@ -71,11 +78,11 @@
 		   void *context);
 
 /*
- * Watch a prefix from version `since` on until stopped. The client resumes
- * after errors with backoff and jitter. Called for each change (object set),
- * for each confirmation that nothing changed (object NULL, error NULL), and
- * for each failed try (error set). A version seen never goes back: stale
- * reads are dropped. One watch a client.
+ * Watches a prefix from version `since` until stopped. After errors the client
+ * resumes the watch with backoff and jitter. The callback is called for each
+ * change (object set), for each confirmation that nothing has changed (object
+ * and error NULL), and for each failed attempt (error set). Versions never
+ * decrease: stale reads are dropped. A client has at most one watch.
  */
 typedef void aub_store_watch_callback(const struct aub_store_object *object,
 				      guint64 version, const GError *error,
@@ -85,7 +92,7 @@
 			   void *context);
 void aub_store_watch_stop(struct aub_store_client *client);
 
-/* Calls made since the start, for metrics. */
+/* Returns the number of calls made since the start, for metrics. */
 guint64 aub_store_client_calls(const struct aub_store_client *client);
 
 G_END_DECLS
