--- a/include/auburnstile/internal/http_client.h
+++ b/include/auburnstile/internal/http_client.h
@@ -19,8 +19,7 @@
 enum aub_exchange_result {
 	AUB_EXCHANGE_COMPLETE, /* the response is complete */
 	AUB_EXCHANGE_UNREACHABLE, /* no byte of the request was sent */
-	AUB_EXCHANGE_CONNECTION_LOST, /* connection closed or response malformed
-				       */
+	AUB_EXCHANGE_CONNECTION_LOST, /* closed or malformed response */
 	AUB_EXCHANGE_TIMEOUT /* aub_http_call only */
 };
 
--- a/include/auburnstile/internal/link_socket.h
+++ b/include/auburnstile/internal/link_socket.h
@@ -10,8 +10,8 @@
 
 G_BEGIN_DECLS
 
-#define AUBI_HANDSHAKE_TIMEOUT_MS 1000 /* maximum time until the peer's hello \
-					*/
+/* Maximum time until an accepted peer's hello. */
+#define AUBI_HANDSHAKE_TIMEOUT_MS 1000
 
 /*
  * Parses "ip:port". Returns a socket address owned by the caller; returns NULL
--- a/src/transport/admin.c
+++ b/src/transport/admin.c
@@ -1,7 +1,6 @@
 /*
- * The admin listener: metrics, health, events and the operators' API.
- *
- * What is registered under /v1 is reached with the operators' token only.
+ * The admin listener: metrics, health, events and the operators' API. All
+ * routes registered with aub_admin_handle() require the operators' token.
  */
 #include <auburnstile/admin.h>
 #include <auburnstile/error.h>
@@ -31,15 +30,16 @@
 	bool (*ready)(void *context);
 	void *context;
 	GArray *routes; /* of struct route */
-	GPtrArray *pending_requests; /* of struct aub_admin_request, borrowed */
+	GPtrArray
+		*pending_requests; /* of struct aub_admin_request, not owned */
 };
 
 struct aub_admin_request {
-	struct aub_admin *admin; /* NULL once it was freed */
+	struct aub_admin *admin; /* NULL if the listener was freed */
 	SoupServerMessage *message;
 	char *path;
 	GHashTable *query;
-	bool finished; /* the connection ended before the answer */
+	bool finished; /* no response can be sent any more */
 };
 
 static void route_clear(gpointer data)
@@ -73,7 +73,7 @@
 	return g_string_free(out, FALSE);
 }
 
-/* Refuse at the door: nothing was begun. */
+/* Rejects a request before any handler has been called. */
 static void respond_refusal(SoupServerMessage *message, guint status,
 			    const char *text)
 {
@@ -219,7 +219,9 @@
 					 strlen(text));
 }
 
-/* Paths that need no token; true if this was one of them. */
+/*
+ * Responds to the paths that need no token. Returns false for any other path.
+ */
 static bool serve_public_path(struct aub_admin *admin,
 			      SoupServerMessage *message, const char *path)
 {
@@ -291,7 +293,7 @@
 	const char *method = soup_server_message_get_method(message);
 
 	if (soup_server_message_get_status(message))
-		return; /* turned away when its headers came */
+		return; /* already rejected in on_got_headers() */
 	if (strcmp(method, SOUP_METHOD_GET) == 0 &&
 	    serve_public_path(admin, message, path))
 		return;
@@ -332,7 +334,7 @@
 		refuse_body(message);
 }
 
-/* Bodies without a length: the limit is found as they come. */
+/* The size of a body without Content-Length is checked as it is received. */
 static void on_got_chunk(SoupServerMessage *message, GBytes *chunk,
 			 gpointer data)
 {
--- a/src/transport/caller_groups.c
+++ b/src/transport/caller_groups.c
@@ -1,6 +1,4 @@
-/*
- * Accepting callers, and the life of the groups they are served in.
- */
+/* Accepts callers' connections and manages the groups they are served in. */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/caller_groups.h>
 
@@ -10,13 +8,15 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-#define LISTEN_BACKLOG 4096 /* connections not yet accepted; a term opens */
+#define LISTEN_BACKLOG \
+	4096 /* connections not yet accepted, at the start of a school term */
 
 #define EVENTS_PER_ITERATION 64
 
 /*
- * Connections in a group. What ended stays in memory (about 4 KB each) until
- * its group goes, so small groups; each costs a descriptor, so not too small.
+ * libsoup retains about 4 KB for each closed connection until its group is
+ * freed, which favours small groups. Each group needs a descriptor, which
+ * favours large ones.
  */
 #define GROUP_CONNECTIONS_MAX 32
 #define GROUP_DRAIN_CONNECTIONS 8
@@ -24,7 +24,7 @@
 struct aub_caller_group {
 	struct aub_caller_groups *groups;
 	SoupServer *soup;
-	guint accepted_count; /* connections ever */
+	guint accepted_count; /* connections accepted since the group exists */
 	guint open_count;
 };
 
@@ -39,11 +39,10 @@
 	GSocket *listener;
 	GSource *listener_source;
 	guint port;
-	int idle_epoll; /* epoll set of connections that sent nothing yet */
+	int idle_epoll; /* epoll set of connections without input so far */
 	guint idle_source_id;
 	GHashTable *idle_connections; /* GSocket -> struct idle_connection */
-	GPtrArray *
-		all_groups; /* of struct aub_caller_group, the last one fills */
+	GPtrArray *all_groups; /* of struct aub_caller_group */
 };
 
 static void group_free(void *data)
@@ -56,8 +55,9 @@
 }
 
 /*
- * libsoup keeps connections alive only while its server listens somewhere.
- * This socket is connected to itself: nobody can reach it.
+ * libsoup keeps connections open between requests only if its server listens
+ * on a socket. Returns a UDP socket connected to itself, which no peer can
+ * reach.
  */
 static GSocket *self_connected_socket(void)
 {
@@ -82,7 +82,10 @@
 	return socket;
 }
 
-/* The group that takes the next connection; NULL without descriptors. */
+/*
+ * Returns the group for the next connection, or NULL if no descriptor is
+ * available.
+ */
 static struct aub_caller_group *current_group(struct aub_caller_groups *groups)
 {
 	struct aub_caller_group *group;
@@ -108,38 +111,41 @@
 
 static void idle_connection_free(void *data)
 {
-	struct idle_connection *parked = data;
+	struct idle_connection *idle = data;
 
-	g_object_unref(parked->stream);
-	g_object_unref(parked->remote);
-	g_free(parked);
+	g_object_unref(idle->stream);
+	g_object_unref(idle->remote);
+	g_free(idle);
 }
 
-/* Its first bytes came, or its end: from now on it is libsoup's. */
+/*
+ * Passes a connection to libsoup once it is readable (data or end of stream).
+ */
 static void hand_to_libsoup(struct aub_caller_groups *groups, GSocket *socket)
 {
-	struct idle_connection *parked =
+	struct idle_connection *idle =
 		g_hash_table_lookup(groups->idle_connections, socket);
 	GSocketAddress *local;
 
-	if (!parked)
+	if (!idle)
 		return;
 	epoll_ctl(groups->idle_epoll, EPOLL_CTL_DEL, g_socket_get_fd(socket),
 		  NULL);
 	g_hash_table_steal(groups->idle_connections, socket);
 	local = g_socket_get_local_address(socket, NULL);
 	if (local)
-		soup_server_accept_iostream(parked->group->soup,
-					    G_IO_STREAM(parked->stream), local,
-					    parked->remote, NULL);
+		soup_server_accept_iostream(idle->group->soup,
+					    G_IO_STREAM(idle->stream), local,
+					    idle->remote, NULL);
 	g_clear_object(&local);
-	idle_connection_free(parked);
+	idle_connection_free(idle);
 }
 
 /*
- * Failure: callers open thousands of connections and send nothing; GLib's
- * loop looks at each one in every turn, and all others wait: 13 ms a request
- * with 3900 of them. They are kept out of the loop until they speak.
+ * GLib's main loop checks every source in each iteration, so thousands of
+ * connections that send nothing delay all requests (13 ms per request with
+ * 3900 of them). Connections are therefore kept outside the main loop, in an
+ * epoll set, until they send their first byte.
  */
 static gboolean on_idle_readable(int fd, GIOCondition condition, void *context)
 {
@@ -158,12 +164,12 @@
 				GSocketAddress *remote)
 {
 	struct epoll_event event = { .events = EPOLLIN, .data.ptr = socket };
-	struct idle_connection *parked = g_new(struct idle_connection, 1);
+	struct idle_connection *idle = g_new(struct idle_connection, 1);
 
-	parked->group = group;
-	parked->stream = g_socket_connection_factory_create_connection(socket);
-	parked->remote = g_object_ref(remote);
-	g_hash_table_insert(groups->idle_connections, socket, parked);
+	idle->group = group;
+	idle->stream = g_socket_connection_factory_create_connection(socket);
+	idle->remote = g_object_ref(remote);
+	g_hash_table_insert(groups->idle_connections, socket, idle);
 	if (epoll_ctl(groups->idle_epoll, EPOLL_CTL_ADD,
 		      g_socket_get_fd(socket), &event) < 0)
 		hand_to_libsoup(groups, socket);
@@ -186,7 +192,10 @@
 	GSocketAddress *remote = g_socket_get_remote_address(socket, NULL);
 
 	if (group && remote) {
-		/* Without this, answers wait for acknowledgements: 40 ms. */
+		/*
+		 * With Nagle's algorithm, responses wait up to 40 ms for
+		 * acknowledgements.
+		 */
 		g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 		group->accepted_count++;
 		group->open_count++;
@@ -198,8 +207,9 @@
 }
 
 /*
- * Failure: thousands connect at once, and with one accepted a turn of the
- * main loop, which looks at every connection, the last waits for seconds.
+ * If only one connection were accepted per iteration of the main loop, which
+ * checks every connection each time, the last of thousands of simultaneous
+ * connections would wait for seconds.
  */
 static gboolean on_listener_readable(GSocket *listener, GIOCondition condition,
 				     void *context)
--- a/src/transport/caller_message.c
+++ b/src/transport/caller_message.c
@@ -1,11 +1,15 @@
 /*
- * Callers' requests and answers between libsoup's form and the project's.
+ * Converts callers' requests and responses between libsoup's messages and the
+ * project's messages.
  */
 #include <auburnstile/internal/caller_message.h>
 #include <auburnstile/internal/caller_server.h>
 #include <auburnstile/internal/headers.h>
 
-/* An optional number in a header; false where it isn't one. */
+/*
+ * Parses an optional number in a header and limits it to `max`. Returns false
+ * if the value is not a number.
+ */
 static bool parse_bounded_number(SoupMessageHeaders *headers, const char *name,
 				 guint64 max, guint32 *number)
 {
@@ -98,13 +102,19 @@
 	headers = soup_server_message_get_response_headers(message);
 	if (soup_server_message_get_method(message) == SOUP_METHOD_HEAD) {
 		length = aub_headers_find(answer->headers, "Content-Length");
-		/* Without either, the end of the connection would end it. */
+		/*
+		 * Without Content-Length or chunked encoding, libsoup would
+		 * close the connection to mark the end of the response.
+		 */
 		if (!length)
 			soup_message_headers_set_encoding(
 				headers, SOUP_ENCODING_CHUNKED);
 		return;
 	}
-	/* libsoup 3.2 closes after these and doesn't say so. */
+	/*
+	 * libsoup 3.2 closes the connection after these statuses without
+	 * sending "Connection: close".
+	 */
 	if (answer->status == SOUP_STATUS_NO_CONTENT ||
 	    answer->status == SOUP_STATUS_NOT_MODIFIED)
 		soup_message_headers_replace(headers, "Connection", "close");
@@ -123,7 +133,10 @@
 
 	headers = soup_server_message_get_response_headers(message);
 	write_body(message, answer);
-	/* libsoup has put one in already; the upstream's own is passed on. */
+	/*
+	 * libsoup has already added a Date header; the upstream's Date
+	 * replaces it.
+	 */
 	if (aub_headers_find(answer->headers, "Date"))
 		soup_message_headers_remove(headers, "Date");
 	aub_headers_to_soup(answer->headers, headers);
--- a/src/transport/caller_server.c
+++ b/src/transport/caller_server.c
@@ -1,9 +1,10 @@
 /*
- * Callers' HTTP over libsoup's server.
+ * The callers' listener on libsoup's server.
  *
- * libsoup reads and writes; this module bounds it: it watches each
- * connection's phase and shuts the socket of one that takes too long, and
- * looks every few milliseconds whether callers who wait are still there.
+ * libsoup reads and writes the messages; this module enforces the limits. It
+ * tracks the phase of each connection, shuts down the socket of a connection
+ * that exceeds its time limit, and checks periodically whether callers that
+ * wait for a response are still connected.
  */
 #include <auburnstile/internal/caller_groups.h>
 #include <auburnstile/internal/caller_message.h>
@@ -14,37 +15,41 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* How often connections are looked at; a gone caller is seen in this time. */
+/*
+ * Interval of the checks; also the maximum delay until the disconnection of a
+ * waiting caller is detected.
+ */
 #define SWEEP_INTERVAL_US (50 * AUB_MS)
 
-/* How often an unused connection is looked at. */
+/* Interval at which connections without a request are checked. */
 #define IDLE_CHECK_INTERVAL_US AUB_SECOND
 
 /*
- * Kept connections that cost a request little: GLib's loop looks at each in
- * every turn, 0.9 ms a request with 500. The more there are, the sooner
- * unused ones are closed.
+ * GLib's main loop checks every keep-alive connection in each iteration (0.9
+ * ms per request with 500 connections). Above this number, the idle time limit
+ * decreases in proportion to the number of connections.
  */
 #define KEEP_ALIVE_CONNECTIONS_SOFT_MAX 256
 
 enum phase {
-	PHASE_HEADER, /* waiting for, or reading, a header */
+	PHASE_HEADER, /* waiting for or reading a header */
 	PHASE_BODY,
-	PHASE_IN_PROGRESS, /* handed on, no answer yet */
+	PHASE_IN_PROGRESS, /* request delivered, no response yet */
 	PHASE_WRITING
 };
 
 struct connection {
 	struct aub_caller_server *server;
-	struct aub_caller_group *group; /* borrowed */
-	GSocket *socket; /* borrowed: the row goes with the socket */
-	GSocketAddress *remote; /* owned; its pointer is the row's key */
+	struct aub_caller_group *group; /* not owned */
+	GSocket *socket; /* not owned: the entry is removed with the socket */
+	GSocketAddress
+		*remote; /* owned; its pointer is the key in `connections` */
 	enum phase phase;
-	bool has_carried_request; /* it already carried a request */
+	bool has_carried_request; /* at least one request was received */
 	bool shut_down;
-	gint64 phase_since_us; /* start of this phase */
-	gint64 last_check_us; /* last look whether the other end is there */
-	struct aub_caller_request *request; /* in RUNNING */
+	gint64 phase_since_us; /* start of the current phase */
+	gint64 last_check_us; /* last check whether the peer is connected */
+	struct aub_caller_request *request; /* in PHASE_IN_PROGRESS */
 };
 
 struct aub_caller_request {
@@ -106,7 +111,10 @@
 	connection_free(data);
 }
 
-/* The other end is gone and libsoup has forgotten the connection. */
+/*
+ * Closes a connection whose peer has disconnected and which libsoup no longer
+ * tracks.
+ */
 static void connection_close(struct connection *connection)
 {
 	GSocket *socket = g_object_ref(connection->socket);
@@ -118,7 +126,10 @@
 	g_object_unref(socket);
 }
 
-/* The connection that has waited longest for a next request, or NULL. */
+/*
+ * Returns the connection that has waited longest for its next request, or
+ * NULL.
+ */
 static struct connection *longest_idle_connection(
 	struct aub_caller_server *server)
 {
@@ -153,9 +164,9 @@
 	connection->remote = g_object_ref(remote);
 	set_phase(connection, PHASE_HEADER);
 	/*
-	 * Failure: idle connections use up the descriptors, and new callers
-	 * are turned away. The one idle longest makes room; a caller's library
-	 * opens another when it needs one.
+	 * Idle connections could use up all descriptors, so that new callers
+	 * would be rejected. At the limit, the connection that has been idle
+	 * longest is closed; an HTTP client reconnects when it needs to.
 	 */
 	if (g_hash_table_size(server->connections) >=
 	    server->options.connections_max) {
@@ -174,7 +185,10 @@
 					   message));
 }
 
-/* Answer made here, without the entry's decisions: always "not run". */
+/*
+ * Sends a response without consulting the entry. The outcome is always
+ * "not-run".
+ */
 static void refuse(SoupServerMessage *message, guint status, const char *reason)
 {
 	SoupMessageHeaders *headers;
@@ -190,8 +204,9 @@
 }
 
 /*
- * A body of unclear length or size: nothing more is read of the connection,
- * and libsoup would answer only after the body's end, which may never come.
+ * Rejects a body of ambiguous or excessive length. Nothing more is read from
+ * the connection. The response is written directly, because libsoup would send
+ * it only after the end of the body, which may never arrive.
  */
 static void refuse_and_close(struct connection *connection,
 			     SoupServerMessage *message, guint status,
@@ -252,9 +267,10 @@
 	length = soup_message_headers_get_one(headers, "Content-Length");
 	aub_parse_number(length, &bytes);
 	/*
-	 * Failure: two readers disagree where a request ends, and a caller
-	 * gets the answer to another's. What can be read in two ways is
-	 * refused, and its connection closed with all that follows on it.
+	 * If two HTTP implementations disagree about where a request ends, a
+	 * caller can receive the response to another caller's request (request
+	 * smuggling). Requests with ambiguous framing are rejected and their
+	 * connection is closed.
 	 */
 	if (!aub_headers_framing_is_unambiguous(headers))
 		refuse_and_close(connection, message, SOUP_STATUS_BAD_REQUEST,
@@ -369,7 +385,10 @@
 	struct aub_caller_server *server = context;
 	struct connection *connection = find_connection(server, message);
 
-	/* Stands in what libsoup refuses by itself: nothing was run. */
+	/*
+	 * Part of the responses that libsoup sends by itself: the request was
+	 * not executed.
+	 */
 	soup_message_headers_append(soup_server_message_get_response_headers(
 					    message),
 				    "Auburnstile-Outcome",
@@ -398,9 +417,10 @@
 }
 
 /*
- * Failure: a caller goes away and its request goes on taking a slot that
- * others wait for. libsoup doesn't read while an answer is awaited, so the
- * socket is peeked at: end of stream or an error means that nobody waits.
+ * The request of a caller that has disconnected would continue to use capacity
+ * that others wait for. libsoup does not read while a response is pending, so
+ * the socket is peeked at: end of stream or an error means that the caller has
+ * disconnected.
  */
 static bool peer_has_closed(const struct connection *connection)
 {
@@ -445,7 +465,10 @@
 	return now_us - connection->phase_since_us > limit_ms * AUB_MS;
 }
 
-/* Is anybody at the other end? An unused connection is asked less often. */
+/*
+ * Returns true if the peer has disconnected. Connections without a request in
+ * progress are checked less often.
+ */
 static bool check_peer_closed(struct connection *connection, gint64 now_us)
 {
 	gint64 every_us = connection->phase == PHASE_IN_PROGRESS ?
@@ -463,7 +486,10 @@
 	return peer_has_closed(connection);
 }
 
-/* Its request is given up; what libsoup still writes goes nowhere. */
+/*
+ * Aborts the request of a disconnected caller. The response that libsoup still
+ * writes is discarded.
+ */
 static void abort_request(struct connection *connection)
 {
 	SoupServerMessage *message;
--- a/src/transport/events_json.c
+++ b/src/transport/events_json.c
@@ -1,16 +1,16 @@
 /*
- * A page of a process's events as JSON.
+ * Formats a page of a process's events as JSON.
  *
- * Written by hand into one string: thousands of objects of a library would
- * hold the thread for longer.
+ * The text is written directly into one string: building thousands of JSON
+ * objects with a library would block the thread for longer.
  */
 #include <auburnstile/internal/events_json.h>
 #include <auburnstile/internal/json.h>
 
 /*
- * Events in one answer. All of a full ring would take the thread for tens of
- * milliseconds, and a caller's request would wait that long; a reader asks
- * again from the last sequence it got.
+ * Maximum number of events per response. Formatting a full ring would block
+ * the thread for tens of milliseconds and delay callers' requests. Clients
+ * request the next page with the last sequence number they received.
  */
 #define EVENTS_PER_PAGE 250
 
--- a/src/transport/headers.c
+++ b/src/transport/headers.c
@@ -1,5 +1,5 @@
 /*
- * Header fields that are passed on, and the framing rules both sides share.
+ * Header fields that are forwarded, and the framing rules for both directions.
  */
 #include <auburnstile/internal/headers.h>
 
@@ -7,7 +7,7 @@
 
 #define INTERNAL_HEADER_PREFIX "Auburnstile-"
 
-/* Fields that concern one connection, and those that libsoup writes. */
+/* Fields that apply to one connection only, and fields that libsoup writes. */
 static const char *const hop_by_hop_fields[] = {
 	"Connection",
 	"Keep-Alive",
--- a/src/transport/http_call.c
+++ b/src/transport/http_call.c
@@ -1,19 +1,19 @@
 /*
- * Whole small calls: probes, and calls to the platform's store.
+ * Small requests with the complete response in memory: probes, and calls to
+ * the platform's store.
  */
 #include <auburnstile/internal/http_client.h>
 
 #include <string.h>
 
-#define BODY_MAX_BYTES \
-	(8u << 20) /* a page of the store holds a megabyte or so */
+#define BODY_MAX_BYTES (8u << 20) /* a page of the store has about 1 MB */
 
 struct aub_http_call {
 	struct aub_timer_service *timers;
 	struct aub_exchange *exchange;
 	aub_http_call_callback *ended;
 	void *context;
-	const struct aub_http_head *head; /* the stream's, while it lasts */
+	const struct aub_http_head *head; /* owned by the stream */
 	GByteArray *body;
 	guint timer;
 };
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -1,6 +1,4 @@
-/*
- * Exchanges and the connections kept between them.
- */
+/* Exchanges and the pool of idle connections. */
 #include <auburnstile/internal/http_client.h>
 #include <auburnstile/internal/tcp.h>
 
@@ -8,27 +6,27 @@
 #include <string.h>
 
 /*
- * Paths take a few ms. A dropped opening packet is sent again after a
- * second: trying elsewhere is sooner.
+ * Network paths take a few ms. A lost SYN is retransmitted only after a
+ * second, so that trying another upstream is faster.
  */
 #define CONNECT_TIMEOUT_MS 400
 #define HEAD_MAX_BYTES (64u << 10)
-#define KEEP_ALIVE_DEFAULT_US \
-	(8 * AUB_SECOND) /* idle limit where none is told */
-#define KEEP_ALIVE_FRACTION 0.7 /* of the idle limit that the peer tells */
+/* Idle time limit of pooled connections if the peer sends none. */
+#define KEEP_ALIVE_DEFAULT_US (8 * AUB_SECOND)
+#define KEEP_ALIVE_FRACTION 0.7 /* of the idle limit sent by the peer */
 #define POOLED_CONNECTIONS_MAX 32
 
 struct aub_http_client {
 	struct aub_poller *poller;
 	struct aub_timer_service *timers;
-	GHashTable *pooled; /* "address peer" -> GQueue of struct kept */
+	GHashTable *pooled; /* "address pool" -> GQueue of struct pooled */
 	guint64 connections_opened;
 };
 
-/* A connection with nothing under way. */
+/* An idle connection in the pool. */
 struct pooled {
 	struct aub_http_client *client;
-	GQueue *queue; /* the one it stands in */
+	GQueue *queue; /* queue that contains the connection */
 	struct aub_http_stream *stream;
 	gint64 since_us;
 	gint64 expires_us;
@@ -36,17 +34,18 @@
 
 struct aub_exchange {
 	struct aub_http_client *client;
-	struct aub_http_stream *stream; /* NULL: could not even begin */
+	struct aub_http_stream
+		*stream; /* NULL: the connection could not be started */
 	struct aub_exchange_callbacks callbacks;
 	void *context;
 	char *pool_key;
-	guint timer; /* of the connect, or of a failure to tell */
-	guint64 sent_before_bytes; /* by the connection's earlier exchanges */
+	guint timer; /* connect timeout, or deferred failure */
+	guint64 sent_before_bytes; /* by earlier exchanges */
 	gint64 pool_us;
 	bool request_done;
 	bool keep_alive;
-	bool discarding; /* the answer that comes in is another request's */
-	bool not_reusable; /* stray answers came: not to be kept */
+	bool discarding; /* the current response belongs to another request */
+	bool not_reusable; /* unexpected responses were received: do not pool */
 };
 
 static void pooled_free(struct pooled *pooled)
@@ -62,7 +61,10 @@
 	pooled_free(context);
 }
 
-/* Nobody asked: whatever answers here would be taken for the next answer. */
+/*
+ * A response without a request would be taken for the response to the next
+ * request.
+ */
 static void on_pooled_head(const struct aub_http_head *head, void *context)
 {
 	pooled_free(context);
@@ -151,7 +153,10 @@
 	}
 }
 
-/* The connection used last, if it is young enough; it is taken out. */
+/*
+ * Removes the most recently used connection from the pool and returns it;
+ * returns NULL if it has been idle for too long.
+ */
 static struct aub_http_stream *pool_take(struct aub_http_client *client,
 					 const char *pool_key, gint64 idle_us)
 {
@@ -221,7 +226,10 @@
 	exchange->timer = 0;
 }
 
-/* "timeout=5, max=100": how long the peer keeps an idle connection. */
+/*
+ * Returns the idle time allowed by a Keep-Alive header such as "timeout=5,
+ * max=100".
+ */
 static gint64 keep_alive_us(const struct aub_http_head *head)
 {
 	const char *text = aub_http_head_find(head, "Keep-Alive");
@@ -338,7 +346,7 @@
 					    HTTP_RESPONSE, true, HEAD_MAX_BYTES,
 					    &stream_callbacks, exchange);
 	else
-		wait_us = 0; /* told from the main loop */
+		wait_us = 0; /* report the failure from the main loop */
 	exchange->timer =
 		aub_timer_at(timers, "connect", aub_timer_now(timers) + wait_us,
 			     on_connect_timeout, exchange);
--- a/src/transport/http_listener.c
+++ b/src/transport/http_listener.c
@@ -1,6 +1,6 @@
 /*
- * The listener for small calls. Connections are few and short-lived; a
- * silent one is closed after a while.
+ * HTTP listener for small requests. Connections are few and short-lived; idle
+ * ones are closed after a time limit.
  */
 #include <auburnstile/internal/http_listener.h>
 #include <auburnstile/internal/tcp.h>
--- a/src/transport/http_stream.c
+++ b/src/transport/http_stream.c
@@ -1,8 +1,8 @@
 /*
- * HTTP streams over http-parser.
+ * HTTP streams based on http-parser.
  *
- * Callbacks may free the stream: `depth` counts the calls under way and the
- * memory goes when the outermost returns.
+ * Callbacks may free the stream: `callback_depth` counts the active calls, and
+ * the memory is freed when the outermost call returns.
  */
 #include <auburnstile/internal/http_stream.h>
 
@@ -11,9 +11,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_MAX_BYTES (64u << 10) /* a read; bounds what one turn hands on */
-#define UNPARSED_MAX_BYTES (64u << 10) /* bytes kept of messages not yet due \
-					*/
+#define READ_MAX_BYTES \
+	(64u << 10) /* per read; limits the data handled per iteration */
+#define UNPARSED_MAX_BYTES \
+	(64u << 10) /* input received before it may be parsed */
 
 struct header_offsets {
 	guint name; /* offsets into `text` */
@@ -31,19 +32,19 @@
 	GArray *offsets; /* of struct header_offsets */
 	guint head_bytes;
 	guint head_limit;
-	bool in_value; /* the parser's last piece was of a value */
-	bool head_done; /* header pieces that follow are trailers: dropped */
-	GByteArray *unparsed; /* read, not parsed */
+	bool in_value; /* the parser's last callback was for a value */
+	bool head_done; /* header fields that follow are trailers: discarded */
+	GByteArray *unparsed; /* received but not parsed */
 	GByteArray *out;
 	gsize out_sent; /* bytes of `out` already sent */
 	guint64 sent;
 	guint callback_depth;
 	bool connecting;
 	bool reading_paused;
-	bool awaiting_resume; /* a message is complete and not yet answered */
+	bool awaiting_resume; /* a message is complete; waits for resume */
 	bool in_message;
 	bool no_body;
-	bool rejected; /* what came is no message: nothing more is read */
+	bool rejected; /* invalid input: nothing more is read */
 	bool closing;
 	bool write_shut;
 	bool freed;
@@ -188,7 +189,7 @@
 	struct aub_http_stream *stream = parser->data;
 
 	if (parser->type == HTTP_RESPONSE && stream->head.status < 200)
-		return 0; /* 100 Continue: the answer proper follows */
+		return 0; /* 100 Continue: the final response follows */
 	stream->in_message = false;
 	stream->awaiting_resume = true;
 	http_parser_pause(parser, 1);
@@ -252,7 +253,7 @@
 	stream->callbacks.rejected(reason, stream->context);
 }
 
-/* Parse `length` bytes; returns how many were taken. */
+/* Parses `length` bytes; returns how many were consumed. */
 static gsize stream_parse(struct aub_http_stream *stream, const char *data,
 			  gsize length)
 {
@@ -273,7 +274,7 @@
 		stream->callbacks.complete(stream->context);
 		return length;
 	}
-	/* An end inside a message is told as such, by `midway`. */
+	/* End of stream inside a message is reported through `in_message`. */
 	if (error != HPE_OK && data) {
 		bool large = stream->head_bytes > stream->head_limit ||
 			     error == HPE_HEADER_OVERFLOW;
@@ -296,7 +297,10 @@
 		}
 		g_byte_array_append(stream->unparsed, (const guint8 *)data,
 				    (guint)length);
-		/* Whoever keeps an idle connection learns of stray bytes. */
+		/*
+		 * Reports unsolicited bytes on an idle client connection to
+		 * its owner.
+		 */
 		if (stream->parser.type == HTTP_RESPONSE)
 			stream_end(stream, AUB_STREAM_MALFORMED);
 		return;
@@ -318,7 +322,10 @@
 			stream_end(stream, AUB_STREAM_RESET);
 		return;
 	}
-	/* A body without a length ends here; `complete` comes first. */
+	/*
+	 * A body without Content-Length ends here; `complete` is called before
+	 * `ended`.
+	 */
 	if (stream->in_message && !stream->awaiting_resume &&
 	    !stream->closing && !stream->rejected)
 		stream_parse(stream, NULL, 0);
@@ -453,7 +460,7 @@
 		if (stream->out_sent == stream->out->len)
 			on_output_drained(stream);
 	}
-	/* A failed send shows as a reset when the socket is read next. */
+	/* A send error is reported as a reset by the next read. */
 	watch_update(stream);
 	stream->callback_depth--;
 	stream_release(stream);
--- a/src/transport/link.c
+++ b/src/transport/link.c
@@ -1,14 +1,15 @@
 /*
- * One link: a non-blocking TCP socket, an input and an output buffer.
+ * One link: a non-blocking TCP socket with an input and an output buffer.
  *
- * Rules kept here:
- * - `down` is never called from within a call of the owner, always from the
- *   main loop; the owner may free the link in any callback.
- * - Frames are delivered in order, whole, and only after the peer's hello.
+ * Invariants:
+ * - `down` is always called from the main loop, never from within a call by
+ *   the owner; the owner may free the link in any callback.
+ * - Frames are delivered complete and in order, and only after the peer's
+ *   hello.
  * - After the first error nothing more is read, written or delivered.
  *
- * Fast path: a message is written to the socket at once when nothing waits
- * before it; only what the socket does not take is kept for later.
+ * Fast path: if the output buffer is empty, a message is written to the socket
+ * immediately; only what the socket does not accept stays in the buffer.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/link_socket.h>
@@ -20,43 +21,46 @@
 #include <string.h>
 
 #define LENGTH_PREFIX_BYTES 4
-#define READ_CHUNK_BYTES (64u << 10) /* taken from the socket at a time */
+#define READ_CHUNK_BYTES (64u << 10) /* per read */
 #define COMPACT_THRESHOLD_BYTES \
-	(256u << 10) /* consumed bytes kept before a move */
+	(256u << 10) /* consumed bytes before the buffer is moved */
 
 enum link_state {
 	LINK_CONNECTING,
-	LINK_HANDSHAKE, /* connected, the peer's hello not yet here */
+	LINK_HANDSHAKE, /* connected, waiting for the peer's hello */
 	LINK_UP,
-	LINK_FAILED /* `down` is due, or was called */
+	LINK_FAILED /* `down` is scheduled or was called */
 };
 
-/* A byte queue: data between `start` and `bytes->len` is still to be used. */
+/*
+ * A byte queue: the data from `start` to `bytes->len` is still to be
+ * processed.
+ */
 struct buffer {
 	GByteArray *bytes;
 	gsize start;
 };
 
 struct aub_link {
-	int references; /* owner's, and one while a callback runs */
+	int references; /* of the owner, and one during each callback */
 	enum link_state state;
-	bool freed; /* the owner let go */
+	bool freed; /* aub_link_free() was called */
 	GSocket *socket;
 	GSource *readable;
 	GSource *writable;
 	GSource *handshake_timer;
 	GSource *down_source;
-	GError *error; /* why it failed */
+	GError *error; /* reason of the failure */
 	char *peer;
-	struct aub_hello *hello; /* the peer's */
+	struct aub_hello *hello; /* of the peer */
 	struct buffer in;
 	struct buffer out;
 	gint64 last_received_us;
-	guint64 bytes; /* read and written */
+	guint64 bytes; /* received and sent */
 	const struct aub_link_callbacks *callbacks;
 	void *context;
 	struct aubi_link_accept_callbacks
-		acceptor; /* accepted links, till greeted */
+		acceptor; /* of accepted links, until the hello */
 };
 
 static guint64 total_bytes_in;
@@ -132,7 +136,10 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Takes `error`. The first failure counts; later ones are dropped. */
+/*
+ * Ends the link. Takes ownership of `error`. Only the first failure is
+ * reported.
+ */
 static void link_fail(struct aub_link *link, GError *error)
 {
 	if (link->state == LINK_FAILED) {
@@ -159,7 +166,7 @@
 	link_fail(link, error);
 }
 
-/* Takes `cause`, an error of the socket. */
+/* Ends the link with a socket error. Takes ownership of `cause`. */
 static void link_fail_io(struct aub_link *link, const char *step, GError *cause)
 {
 	link_fail_text(link, AUB_ERROR_CLOSED, step, cause->message);
@@ -169,7 +176,10 @@
 static gboolean on_writable(GSocket *socket, GIOCondition condition,
 			    void *data);
 
-/* Write what waits; false when the link failed. */
+/*
+ * Sends the output buffer as far as the socket accepts it. Returns false if
+ * the link failed.
+ */
 static bool flush(struct aub_link *link)
 {
 	while (buffer_length(&link->out)) {
@@ -211,7 +221,10 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* The hello decides for an accepted link who owns it. */
+/*
+ * Handles the first message of the peer. For an accepted link it determines
+ * the owner.
+ */
 static void on_hello(struct aub_link *link, struct aub_message *message)
 {
 	struct aubi_link_accept_callbacks acceptor = link->acceptor;
@@ -252,8 +265,8 @@
 }
 
 /*
- * Take one whole frame from the input; NULL when there is none yet, or when
- * the link failed on a bad one.
+ * Removes one complete frame from the input and decodes it. Returns NULL if
+ * there is none yet, or if the link failed on a malformed frame.
  */
 static struct aub_message *next_message(struct aub_link *link)
 {
@@ -367,7 +380,10 @@
 static void start_handshake(struct aub_link *link)
 {
 	link->state = LINK_HANDSHAKE;
-	/* Without this, small messages wait for acknowledgements: 40 ms. */
+	/*
+	 * With Nagle's algorithm, small messages wait up to 40 ms for
+	 * acknowledgements.
+	 */
 	g_socket_set_option(link->socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 	link->readable =
 		aubi_socket_watch(link->socket, G_IO_IN, on_readable, link);
--- a/src/transport/link_server.c
+++ b/src/transport/link_server.c
@@ -1,8 +1,9 @@
 /*
  * The listening side of links.
  *
- * Links whose peer has not said hello yet belong to the server; their number
- * is bounded, so that strangers who connect and stay silent cost little.
+ * The server owns accepted links until the peer's hello is received. Their
+ * number is limited, so that unknown peers that connect and send nothing use
+ * few resources.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/link_socket.h>
@@ -12,12 +13,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HANDSHAKES_MAX 256 /* links without a hello at a time */
+#define HANDSHAKES_MAX 256 /* concurrent links without a hello */
 
 struct aub_link_server {
 	GSocket *socket;
 	GSource *readable;
-	struct aub_hello *hello; /* own */
+	struct aub_hello *hello; /* of this process */
 	GHashTable *handshaking; /* set of struct aub_link, owned */
 	aub_link_accept_callback *accepted;
 	void *context;
--- a/src/transport/poller.c
+++ b/src/transport/poller.c
@@ -1,8 +1,8 @@
 /*
  * One epoll descriptor as one GSource.
  *
- * A watch that a callback removes may still stand in the list of events of
- * the same turn, so removed watches are freed only when the turn is over.
+ * A watch removed by a callback may still be in the list of events of the
+ * current iteration, so removed watches are freed only at its end.
  */
 #include <auburnstile/internal/poller.h>
 
@@ -10,13 +10,13 @@
 #include <stdbool.h>
 #include <unistd.h>
 
-#define EVENTS_PER_ITERATION 64 /* a fair share before timers get their turn \
-				 */
+#define EVENTS_PER_ITERATION \
+	64 /* then other sources and timers are dispatched */
 
 struct aub_poller {
 	int epoll;
 	GSource *source;
-	GPtrArray *removed_watches; /* watches to free after the turn */
+	GPtrArray *removed_watches; /* watches to free after the iteration */
 	bool dispatching;
 };
 
@@ -24,7 +24,7 @@
 	struct aub_poller *poller;
 	int fd;
 	guint events;
-	aub_poll_callback *callback; /* NULL once removed */
+	aub_poll_callback *callback; /* NULL if removed */
 	void *context;
 };
 
--- a/src/transport/store_client.c
+++ b/src/transport/store_client.c
@@ -1,12 +1,12 @@
 /*
- * The store client itself: its life, and what its parts share.
+ * Creation and release of the store client, and functions shared by its parts.
  */
 #include <auburnstile/internal/store_client.h>
 
 #include <auburnstile/error.h>
 #include <string.h>
 
-#define CONNECTIONS_MAX 16 /* open to the store at most */
+#define CONNECTIONS_MAX 16 /* open connections to the store */
 
 struct aub_store_client *aub_store_client_new(
 	const struct aub_store_client_options *options)
--- a/src/transport/store_exchange.c
+++ b/src/transport/store_exchange.c
@@ -1,21 +1,21 @@
 /*
- * One HTTP exchange with the store, under a deadline of its own and within
- * the client's budget of calls a second.
+ * One HTTP exchange with the store, with a deadline of its own and within the
+ * client's budget of calls per second.
  *
- * The budget is a token bucket as deep as one second's calls; exchanges
- * beyond it wait in order.
+ * The budget is a token bucket with a capacity of one second's calls;
+ * exchanges over the budget are queued in FIFO order.
  */
 #include <auburnstile/internal/store_client.h>
 
 #include <auburnstile/error.h>
 
-#define BACKOFF_INITIAL_MS 50 /* bound of the first wait */
-#define BACKOFF_MAX_MS 2000 /* a store that came back is found in 2 s */
+#define BACKOFF_INITIAL_MS 50 /* upper limit of the first delay */
+#define BACKOFF_MAX_MS 2000 /* a recovered store is detected within 2 s */
 #define BACKOFF_DOUBLINGS_MAX 6
 
 struct store_exchange {
-	struct aub_store_client *client; /* NULL once cancelled */
-	SoupMessage *message; /* owned reference, NULL for a bad URL */
+	struct aub_store_client *client; /* NULL if cancelled */
+	SoupMessage *message; /* owned reference, NULL for an invalid URL */
 	GCancellable *cancellable;
 	GSource *timer;
 	guint timeout_ms;
@@ -60,7 +60,7 @@
 	g_free(exchange);
 }
 
-/* Takes the exchange from its client's lists; it may outlive the client. */
+/* Removes the exchange from its client's lists; it may outlive the client. */
 static void exchange_detach(struct store_exchange *exchange)
 {
 	struct aub_store_client *client = exchange->client;
--- a/src/transport/store_operation.c
+++ b/src/transport/store_operation.c
@@ -1,10 +1,10 @@
 /*
- * Operations on the store: get, list and conditional put, each repeated with
- * backoff until four times the timeout of one try has passed.
+ * Operations on the store: get, list and conditional put, each retried with
+ * backoff until four times the timeout of one attempt has passed.
  *
- * A put whose answer is lost is settled by reading back. Once a try may have
- * taken effect, the put is never reported as refused or conflicting, only as
- * done or ambiguous.
+ * If the response to a put is lost, its result is determined by reading the
+ * object back. If an attempt may have taken effect, the put is never reported
+ * as refused or conflicting, only as successful or ambiguous.
  */
 #include <auburnstile/internal/store_client.h>
 
@@ -12,23 +12,23 @@
 #include <string.h>
 
 #define OPERATION_TIMEOUT_ATTEMPTS \
-	4 /* an operation's time, in timeouts of one try */
+	4 /* time limit of an operation, in timeouts of one attempt */
 
 enum operation_kind { OPERATION_GET, OPERATION_LIST, OPERATION_PUT };
 
 struct operation {
-	struct aub_store_client *client; /* borrowed */
+	struct aub_store_client *client; /* not owned */
 	enum operation_kind kind;
 	char *key; /* or the prefix */
 	GBytes *value; /* PUT */
 	guint64 expected; /* PUT */
 	char *change_marker; /* PUT */
 	guint64 min_version; /* PUT: reads below this version are stale */
-	bool may_have_applied; /* PUT: an earlier try may have taken effect */
-	bool reading_back; /* PUT: the open or next exchange reads back */
+	bool may_have_applied; /* PUT: may have taken effect */
+	bool reading_back; /* PUT: in the current or next exchange */
 	gint64 deadline_us;
 	guint failures;
-	GError *error; /* of the last failed try */
+	GError *error; /* of the last failed attempt */
 	struct store_exchange *exchange;
 	GSource *timer;
 	union {
@@ -53,7 +53,7 @@
 	g_free(operation);
 }
 
-/* Report and forget the operation. `error` NULL: done. */
+/* Reports the result and frees the operation. `error` is NULL on success. */
 static void finish(struct operation *operation,
 		   const struct aub_store_object *objects, guint count,
 		   guint64 version, const GError *error)
@@ -101,7 +101,10 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Takes `error` over. */
+/*
+ * Schedules another attempt, or ends the operation if the deadline would have
+ * passed. Takes ownership of `error`.
+ */
 static void retry_after_backoff(struct operation *operation, GError *error)
 {
 	guint delay_ms =
@@ -132,7 +135,10 @@
 	retry_after_backoff(operation, error);
 }
 
-/* True when the try failed and the operation was repeated or ended. */
+/*
+ * Returns true if the attempt failed, in which case the operation has been
+ * retried or ended.
+ */
 static bool handle_failed_attempt(struct operation *operation,
 				  const struct store_result *result)
 {
@@ -198,7 +204,10 @@
 	}
 }
 
-/* Objects of a list's body; false where malformed. They borrow from `root`. */
+/*
+ * Parses the objects in the body of a list. Returns false if it is malformed.
+ * The objects point into `root`.
+ */
 static bool parse_objects(JsonNode *root, GArray *objects)
 {
 	struct aub_store_object object;
@@ -265,10 +274,11 @@
 }
 
 /*
- * The answer of a write that took effect was lost; repeated blindly, it
- * would be told a conflict with itself. The object is read back: our change
- * in it means done; the version we expected means that it may be repeated;
- * anything else may have overwritten ours, and is called ambiguous.
+ * Handles the read-back after the response to a write was lost. Repeating the
+ * write without it could conflict with the write itself. If the object
+ * contains the change marker, the write succeeded. If it has the expected
+ * version, the write is repeated. Otherwise another writer may have
+ * overwritten the change, and the result is ambiguous.
  */
 static void handle_read_back_result(struct operation *operation,
 				    const struct store_result *result)
@@ -359,9 +369,10 @@
 }
 
 /*
- * Pooled connections can be silent for good, and a library may resend on one
- * that closed; the caller would see timeouts, or a conflict with its own
- * write. Writes and repeats therefore open a connection of their own.
+ * A pooled connection may be unresponsive, which causes timeouts, or libsoup
+ * may resend a request on a closed one, which causes a conflict with the
+ * client's own write. Writes and retries therefore always open a new
+ * connection.
  */
 static void start_attempt(struct operation *operation)
 {
--- a/src/transport/store_watch.c
+++ b/src/transport/store_watch.c
@@ -1,20 +1,20 @@
 /*
- * The watch: one long poll after another, resumed from the highest version
+ * The watch: consecutive long polls, each resumed from the highest version
  * delivered.
  *
- * An answer from a store version older than one already seen is a stale
- * read. It is reported as a failed try: taken for a confirmation, it would
- * let a process believe itself fresh.
+ * A response with a store version lower than one already seen is a stale read.
+ * It is reported as a failed attempt, because a process that took it for a
+ * confirmation would consider outdated data current.
  */
 #include <auburnstile/internal/store_client.h>
 
 #include <auburnstile/error.h>
 
 struct store_watch {
-	struct aub_store_client *client; /* borrowed */
+	struct aub_store_client *client; /* not owned */
 	char *prefix;
 	guint64 since; /* highest version delivered */
-	guint64 store_version; /* highest the store has told */
+	guint64 store_version; /* highest store version received */
 	guint failures;
 	struct store_exchange *exchange;
 	GSource *timer;
@@ -33,7 +33,10 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Takes `error` over. The callback may stop the watch. */
+/*
+ * Schedules the next poll with backoff and reports the failure. Takes
+ * ownership of `error`. The callback may stop the watch.
+ */
 static void handle_poll_failure(struct store_watch *watch, GError *error)
 {
 	struct aub_store_client *client = watch->client;
@@ -52,7 +55,10 @@
 	return (one > two) - (one < two);
 }
 
-/* False where the answer is malformed. Objects borrow from `root`. */
+/*
+ * Parses the response of a poll. Returns false if it is malformed. The objects
+ * point into `root`.
+ */
 static bool parse_changes(JsonNode *root, guint64 *version, GArray *changes)
 {
 	struct aub_store_object object;
@@ -80,7 +86,10 @@
 	return true;
 }
 
-/* False when a callback stopped the watch: `watch` is gone then. */
+/*
+ * Reports the changes. Returns false if a callback stopped the watch, in which
+ * case `watch` has been freed.
+ */
 static bool deliver_changes(struct store_watch *watch, const GArray *changes)
 {
 	struct aub_store_client *client = watch->client;
--- a/src/transport/tcp.c
+++ b/src/transport/tcp.c
@@ -1,6 +1,4 @@
-/*
- * Sockets with the options that all of the project's connections have.
- */
+/* Sockets with the options common to all of the project's connections. */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/problems.h>
 #include <auburnstile/internal/tcp.h>
@@ -12,18 +10,17 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LISTEN_BACKLOG                                               \
-	512 /* a full queue costs callers seconds: opening is resent \
-	     */
+#define LISTEN_BACKLOG \
+	512 /* a full queue costs callers seconds, because SYN is resent */
 
 /*
- * Failure: a path or a peer's power goes, and a kept connection hangs.
- * Symptom: requests wait for their whole deadline. Enough: bytes not
- * acknowledged for this long end the connection; round trips take 20 ms.
+ * If a network path fails or a peer loses power, requests on a pooled
+ * connection would wait for their whole deadline. A connection whose data is
+ * not acknowledged within this time is closed; round trips take 20 ms.
  */
 #define USER_TIMEOUT_MS 2000u
 
-/* The same for connections on which nothing is under way. */
+/* The same for idle connections. */
 #define KEEPALIVE_IDLE_S 2
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES_MAX 2
@@ -89,9 +86,10 @@
 	if (fd < 0)
 		return fail_with_errno(fd, step, address, error);
 	/*
-	 * Failure: two processes are given one address for datagrams. Symptom:
-	 * one of them never hears anything, without an error. Enough: only
-	 * listeners, whose old connections linger, may take an address again.
+	 * SO_REUSEADDR on UDP sockets would let two processes bind the same
+	 * address, and one of them would receive no datagrams, without an
+	 * error. Only TCP listeners, whose old connections remain in
+	 * TIME_WAIT, need to reuse an address.
 	 */
 	if (type == SOCK_STREAM)
 		setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
--- a/src/transport/token.c
+++ b/src/transport/token.c
@@ -1,6 +1,4 @@
-/*
- * The operators' token.
- */
+/* The operators' token. */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/token.h>
 
@@ -36,9 +34,9 @@
 }
 
 /*
- * A comparison that stops at the first difference lets a stranger guess the
- * token byte by byte from the time an answer takes. Digests of one length
- * are compared to their end: time depends on neither token.
+ * Compares digests in constant time. A comparison that stops at the first
+ * difference would let an attacker find out the token byte by byte from the
+ * response time.
  */
 static bool equal_in_constant_time(const char *left, const char *right,
 				   gsize length)
--- a/src/transport/upstream_client.c
+++ b/src/transport/upstream_client.c
@@ -1,9 +1,9 @@
 /*
  * Attempts at one upstream over libsoup.
  *
- * An answer counts as whole only if its length was announced and kept, or
- * its last chunk came. What ends with the connection may be cut off and is
- * reported as lost.
+ * A response is complete only if its announced length was received, or its
+ * last chunk. A response delimited by the end of the connection may be
+ * truncated and is reported as lost.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/headers.h>
@@ -16,15 +16,16 @@
 #include <sys/socket.h>
 
 /*
- * Seconds an unused connection is kept. Short, because one that went silent
- * can't be told from a good one; a new one costs about 1 ms.
+ * Idle time limit of pooled connections. Short, because an unresponsive
+ * connection can't be distinguished from a working one; a new connection costs
+ * about 1 ms.
  */
 #define IDLE_TIMEOUT_S 2
 
 #define READ_CHUNK_BYTES (16u << 10)
 
 struct aub_upstream_client {
-	guint references; /* its owner's and one for each attempt */
+	guint references; /* of the owner and of each attempt */
 	char *base_url; /* "http://ip:port" */
 	char *peer; /* "ip:port", for errors */
 	guint connections_max;
@@ -35,18 +36,18 @@
 };
 
 struct aub_attempt {
-	struct aub_upstream_client *client; /* counted */
+	struct aub_upstream_client *client; /* counted reference */
 	SoupSession *session; /* owned reference */
 	SoupMessage *message; /* owned reference */
 	GCancellable *cancellable;
-	GSocket *new_socket; /* owned: of a connection made for this attempt */
-	GInputStream *stream; /* of the answer's body, once it began */
+	GSocket *
+		new_socket; /* of a connection opened for this attempt, owned */
+	GInputStream *stream; /* of the response body, once it has begun */
 	GByteArray *body;
 	gsize body_max_bytes;
 	guint timer;
-	bool handed_to_connection; /* handed to a connection: may have been sent
-				    */
-	bool may_use_pool; /* may have used an old connection */
+	bool handed_to_connection; /* the request may have been sent */
+	bool may_use_pool; /* the request may use a pooled connection */
 	bool timed_out;
 	bool cancelled;
 	aub_attempt_callback *callback; /* of a request, or NULL */
@@ -104,9 +105,9 @@
 }
 
 /*
- * Failure: a connection in the pool went silent; the request sent over it is
- * never answered, and the next one would wait just as long. A session with an
- * empty pool takes over; what is in flight finishes in the old one.
+ * After a request on a pooled connection got no response, other connections of
+ * the pool may be unresponsive too. A session with an empty pool replaces the
+ * current one; attempts in flight finish in the old session.
  */
 static void replace_session(struct aub_upstream_client *client)
 {
@@ -191,9 +192,10 @@
 }
 
 /*
- * Failure: a request that ran is reported as not run, and the caller's
- * payment is sent again. Only what was never handed to a connection counts
- * as not run: libsoup emits "starting" before it writes the first byte.
+ * Derives the result from what is known about the request. Reporting an
+ * executed request as not executed would let a caller repeat a payment. Only a
+ * request that was never handed to a connection counts as not executed:
+ * libsoup emits "starting" before it writes the first byte.
  */
 static void fail_attempt(struct aub_attempt *attempt, const GError *error)
 {
@@ -222,27 +224,31 @@
 }
 
 /*
- * Failure: an upstream dies between two chunks; libsoup takes the end of the
- * connection for the end of the body, and half a page reaches the caller.
- * A chunked body counts as whole only if its connection outlasts it; one that
- * is announced to close can't be told from a cut and counts as lost too.
+ * If an upstream fails between two chunks, libsoup takes the end of the
+ * connection for the end of the body, and the caller would receive a truncated
+ * response. A chunked body therefore counts as complete only if the connection
+ * is still open afterwards. With "Connection: close" this can't be
+ * distinguished from a truncated body, which counts as lost too.
  */
 static bool connection_is_open(const struct aub_attempt *attempt)
 {
 	guint64 id = soup_message_get_connection_id(attempt->message);
 	GSocket *socket;
-	ssize_t count;
+	ssize_t received;
 	char byte;
 
 	socket = g_hash_table_lookup(attempt->client->sockets, &id);
 	if (!socket || g_socket_is_closed(socket))
 		return false;
-	count = recv(g_socket_get_fd(socket), &byte, 1,
-		     MSG_PEEK | MSG_DONTWAIT);
-	return count > 0 || (count < 0 && errno == EAGAIN);
+	received = recv(g_socket_get_fd(socket), &byte, 1,
+			MSG_PEEK | MSG_DONTWAIT);
+	return received > 0 || (received < 0 && errno == EAGAIN);
 }
 
-/* The body ended where its framing said, and that framing is unambiguous. */
+/*
+ * Returns true if the body ended where its framing says and that framing is
+ * unambiguous.
+ */
 static bool is_complete(const struct aub_attempt *attempt)
 {
 	SoupMessageHeaders *headers;
@@ -261,11 +267,11 @@
 }
 
 /*
- * Failure: an upstream announces fewer bytes than it sends; half a page
- * reaches the caller as a whole one, and what is left over is taken for the
- * next answer. Bytes after the announced end put the framing in doubt, so
- * the answer is lost and the connection ends. Bytes that come later still
- * are seen by libsoup before it uses the connection again.
+ * If an upstream sends more bytes than announced, a truncated response would
+ * be taken for a complete one and the excess for the next response. Excess
+ * bytes make the framing unreliable, so the response is reported as lost and
+ * the connection is closed. Excess bytes that arrive later are detected by
+ * libsoup before it reuses the connection.
  */
 static bool has_excess_bytes(struct aub_attempt *attempt)
 {
@@ -275,7 +281,10 @@
 	GSocket *socket;
 	char byte;
 
-	/* The lowest stream above the socket holds what was read too far. */
+	/*
+	 * The lowest stream above the socket buffers the bytes read beyond the
+	 * body.
+	 */
 	while (G_IS_FILTER_INPUT_STREAM(base)) {
 		stream = base;
 		base = g_filter_input_stream_get_base_stream(
@@ -291,7 +300,10 @@
 	return true;
 }
 
-/* Answers to HEAD, 204 and 304 have none, whatever their length says. */
+/*
+ * Responses to HEAD, 204 and 304 have no body, whatever Content-Length says
+ * (RFC 9112, 6.3).
+ */
 static bool has_body(const struct aub_attempt *attempt)
 {
 	guint status = soup_message_get_status(attempt->message);
@@ -327,12 +339,12 @@
 
 static void on_read(GObject *source, GAsyncResult *result, void *context);
 
-/* Read what is there without a turn of the main loop, then wait for more. */
+/* Reads the available data in a loop, then waits for more asynchronously. */
 static void read_body(struct aub_attempt *attempt)
 {
 	GPollableInputStream *pollable;
 	GError *error = NULL;
-	gssize count;
+	gssize received;
 	guint length;
 
 	pollable = G_POLLABLE_INPUT_STREAM(attempt->stream);
@@ -345,14 +357,14 @@
 			return;
 		}
 		g_byte_array_set_size(attempt->body, length + READ_CHUNK_BYTES);
-		count = g_pollable_input_stream_read_nonblocking(
+		received = g_pollable_input_stream_read_nonblocking(
 			pollable, attempt->body->data + length,
 			READ_CHUNK_BYTES, attempt->cancellable, &error);
-		g_byte_array_set_size(attempt->body, length + MAX(count, 0));
-		if (count <= 0)
+		g_byte_array_set_size(attempt->body, length + MAX(received, 0));
+		if (received <= 0)
 			break;
 	}
-	if (!count) {
+	if (!received) {
 		finish_body(attempt);
 		return;
 	}
@@ -373,16 +385,16 @@
 {
 	struct aub_attempt *attempt = context;
 	GError *error = NULL;
-	gssize count;
+	gssize received;
 
-	count = g_input_stream_read_finish(attempt->stream, result, &error);
+	received = g_input_stream_read_finish(attempt->stream, result, &error);
 	g_byte_array_set_size(attempt->body, attempt->body->len -
 						     READ_CHUNK_BYTES +
-						     MAX(count, 0));
-	if (count < 0) {
+						     MAX(received, 0));
+	if (received < 0) {
 		fail_attempt(attempt, error);
 		g_error_free(error);
-	} else if (!count) {
+	} else if (!received) {
 		finish_body(attempt);
 	} else {
 		read_body(attempt);
@@ -438,10 +450,10 @@
 }
 
 /*
- * Failure: a pooled connection ends without a byte and libsoup sends the
- * request again by itself, perhaps one that has just brought the upstream
- * down. The dispatcher would count one attempt for two; so it is aborted and
- * reported as lost.
+ * When a pooled connection closes without a response, libsoup resends the
+ * request by itself, possibly one that has just crashed the upstream, and the
+ * dispatcher would count one attempt instead of two. The attempt is aborted
+ * instead and reported as lost.
  */
 static void on_restarted(SoupMessage *message, void *context)
 {
@@ -508,7 +520,7 @@
 	return attempt;
 }
 
-/* NULL where method or path don't make a request. */
+/* Returns NULL if method or path are invalid. */
 static SoupMessage *make_message(const struct aub_upstream_client *client,
 				 const char *method, const char *path)
 {
@@ -561,9 +573,10 @@
 	aub_upstream_write_request(message, call,
 				   MAX(remaining_us, 0) / AUB_MS);
 	/*
-	 * Failure: an old connection ends under a payment, and whether it ran
-	 * can't be told. Such a request goes over a new connection, which
-	 * libsoup never sends twice on; until it is up, nothing was run.
+	 * If a pooled connection closes during a non-idempotent request, it is
+	 * unknown whether the request was executed. Such a request uses a new
+	 * connection, on which libsoup never resends; until it is established,
+	 * nothing has been executed.
 	 */
 	return attempt_start(client, message, new_connection || call->once,
 			     timeout_us, callback, context);
--- a/src/transport/upstream_request.c
+++ b/src/transport/upstream_request.c
@@ -1,13 +1,13 @@
 /*
- * A caller's request as it goes to an upstream: its headers, and what the
- * upstream may spend on calls of its own.
+ * Builds the request to an upstream: headers, body, and the limits for calls
+ * that the upstream makes on behalf of it.
  */
 #include <auburnstile/internal/headers.h>
 #include <auburnstile/internal/upstream_request.h>
 
 #include <string.h>
 
-/* What an answer needs to come back to the entry, on a busy machine. */
+/* Time for a response to return to the entry on a loaded machine. */
 #define RESPONSE_TRANSIT_MS 4
 
 static void set_number(SoupMessageHeaders *headers, const char *name,
@@ -20,10 +20,11 @@
 }
 
 /*
- * Failure: an upstream's own calls are given up at the very moment at which
- * its caller gives it up, and a definite "not run" from below arrives too
- * late: the caller reads "unknown". The time told to the upstream is shorter
- * by the way of an answer; 25 levels of it take a quarter of the time.
+ * If an upstream's own calls timed out at the same time as its caller's, a
+ * definite "not-run" from below would arrive too late and the caller would
+ * receive "unknown". The deadline passed to the upstream is therefore shorter
+ * by the time a response takes; over 25 levels this adds up to a quarter of
+ * the time.
  */
 static gint64 upstream_deadline_ms(gint64 remaining_ms)
 {
@@ -33,9 +34,9 @@
 }
 
 /*
- * Failure: each level of a call tree retries, and a failing leaf of 25 levels
- * gets millions of attempts. What the calls made on behalf of this one may
- * spend is half of its own budget, so that all levels together stay finite.
+ * If each level of a call tree retried with the full budget, a failing leaf 25
+ * levels down would receive millions of attempts. Calls made on behalf of this
+ * one get half of its retry budget, so that the total stays finite.
  */
 void aub_upstream_write_request(SoupMessage *message,
 				const struct aub_call *call,
--- a/src/transport/upstream_set.c
+++ b/src/transport/upstream_set.c
@@ -1,17 +1,18 @@
 /*
- * Clients by upstream name. A client lives as long as address and limits of
- * its upstream stay the same, so that connections outlast a configuration.
+ * Upstream clients by name. A client is retained while address and limits of
+ * its upstream stay the same, so that its connections survive configuration
+ * changes.
  */
 #include <auburnstile/internal/upstream_set.h>
 
 struct client_entry {
 	struct aub_upstream_client *client;
-	char *settings_key; /* all that its client depends on, as text */
+	char *settings_key; /* address and limits of the client, as text */
 };
 
 struct aub_upstream_set {
 	struct aub_timer_service *timers;
-	GHashTable *entries; /* name -> struct row */
+	GHashTable *entries; /* name -> struct client_entry */
 };
 
 static void entry_free(void *data)
--- a/src/transport/upstream_signals.c
+++ b/src/transport/upstream_signals.c
@@ -1,12 +1,13 @@
 /*
- * Signs of an upstream's state: headers of its answers and its load object.
+ * Health signals of an upstream, from its response headers and its load
+ * object.
  */
 #include <auburnstile/internal/headers.h>
 #include <auburnstile/internal/upstream_signals.h>
 
 #include <json-glib/json-glib.h>
 
-#define LOAD_MAX_BYTES 4096 /* bytes of a load object */
+#define LOAD_MAX_BYTES 4096 /* size of a load object */
 
 void aub_signals_from_response(SoupMessage *message,
 			       struct aub_upstream_signs *signals)
--- a/tests/test_admin.cc
+++ b/tests/test_admin.cc
@@ -1,4 +1,4 @@
-/* The admin listener: who may ask, for what, and how faults are answered. */
+/* Tests of the admin listener: authorization, routing and error responses. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/admin.h>
@@ -81,7 +81,10 @@
 		g_free(token_file);
 	}
 
-	/* Open a connection and send; what comes back is read by finish(). */
+	/*
+	 * Opens a connection and sends `text`; read_response() reads the
+	 * response.
+	 */
 	GSocketConnection *open_and_send(const std::string &text)
 	{
 		GSocketClient *client = g_socket_client_new();
@@ -262,8 +265,9 @@
 }
 
 /*
- * The operator's command is stopped while the control still works on it.
- * The answer then has nowhere to go; it must not touch what is gone.
+ * An operator's command is interrupted while the control still processes the
+ * request. The response is then discarded without access to the closed
+ * connection.
  */
 TEST_F(Admin, ResponseAfterClientDisconnectIsDropped)
 {
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -1,6 +1,7 @@
 /*
- * The callers' listener: requests arrive whole or are refused as not run;
- * slow, idle, gone and malformed callers cost others nothing.
+ * Tests of the callers' listener: requests are delivered complete or rejected
+ * as "not-run"; slow, idle, disconnected and malformed callers do not affect
+ * others.
  */
 #include <gtest/gtest.h>
 
@@ -13,10 +14,11 @@
 #include <string>
 #include <vector>
 
-/* libsoup 3.2 leaks the path of a request whose framing it refuses itself. */
+/* libsoup 3.2 leaks the path of a request whose framing it rejects itself. */
 extern "C" const char *__asan_default_options()
 {
-	return "fast_unwind_on_malloc=0"; /* the suppression needs the stack */
+	return "fast_unwind_on_malloc=0"; /* the suppression needs the full
+					     stack */
 }
 
 extern "C" const char *__lsan_default_suppressions()
@@ -201,8 +203,8 @@
 }
 
 /*
- * Requests whose end can be read in two ways, or that are too large or
- * malformed. Each is refused as not run, and none is handed on.
+ * Requests with ambiguous framing, oversized or malformed requests. Each is
+ * rejected as "not-run" and none is delivered.
  */
 TEST_F(CallerServer, RejectsAmbiguousAndOversizedRequests)
 {
@@ -235,7 +237,9 @@
 	EXPECT_TRUE(calls.empty());
 }
 
-/* A caller who waits for an answer goes away: its request is given up. */
+/*
+ * A caller disconnects while it waits for a response: its request is aborted.
+ */
 TEST_F(CallerServer, DetectsDisconnectedCaller)
 {
 	respond_immediately = false;
@@ -266,8 +270,8 @@
 }
 
 /*
- * Ten times as many idle connections as are allowed: the oldest give way,
- * and a new caller still gets its answer.
+ * Ten times as many idle connections as allowed: the oldest are closed, and a
+ * new caller still receives its response.
  */
 TEST_F(CallerServer, ClosesOldestIdleConnectionsOverTheLimit)
 {
@@ -283,7 +287,9 @@
 	run_until([&] { return aub_caller_server_connections(server) <= 8; });
 }
 
-/* Callers who send a byte now and then, in header or body, are cut off. */
+/*
+ * Callers that send a byte occasionally, in header or body, are disconnected.
+ */
 TEST_F(CallerServer, DisconnectsSlowCallers)
 {
 	aub_caller_server_free(server);
--- a/tests/test_http_stream.cc
+++ b/tests/test_http_stream.cc
@@ -1,4 +1,4 @@
-/* Streams of messages: pieces, framing, ends, back pressure. */
+/* Tests of HTTP streams: split input, framing, end of stream. */
 #include "gateway_rig.h"
 
 #include <auburnstile/internal/http_client.h>
@@ -11,7 +11,7 @@
 	struct aub_poller *poller;
 	struct aub_http_stream *stream = NULL;
 	int peer = -1;
-	std::string log; /* what the callbacks told */
+	std::string log; /* callbacks in the order of their calls */
 	std::string body;
 
 	void SetUp() override
@@ -163,8 +163,8 @@
 TEST_F(HttpStream, HandlesRandomInputWithoutCrashing)
 {
 	/*
-	 * No input ends the process: random changes to messages are parsed,
-	 * refused or wait for more, under the sanitizers.
+	 * Randomly modified messages must be parsed, rejected or wait for more
+	 * input, without errors reported by the sanitizers.
 	 */
 	const std::string messages[] = {
 		"POST /p HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello",
--- a/tests/test_link.cc
+++ b/tests/test_link.cc
@@ -1,4 +1,7 @@
-/* Links: hello first, whole messages in order, errors that name the peer. */
+/*
+ * Tests of links: hello first, complete messages in order, errors that name
+ * the peer.
+ */
 #include "addresses.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +17,7 @@
 	struct aub_link *link = NULL;
 	std::string peer_name;
 	std::vector<guint64>
-		received_ids; /* numbers of pongs and cancels seen */
+		received_ids; /* numbers of pongs, ids of cancels */
 	std::string error;
 	bool down = false;
 };
@@ -153,8 +156,8 @@
 }
 
 /*
- * A stranger connects to the inner port and speaks HTTP. It is cut off, and
- * nobody else notices.
+ * An unknown client connects to the internal port and sends HTTP. It is
+ * disconnected; other links are not affected.
  */
 TEST_F(Link, InvalidHandshakeClosesOnlyItsOwnConnection)
 {
--- a/tests/test_store_client.cc
+++ b/tests/test_store_client.cc
@@ -1,6 +1,7 @@
 /*
- * The store client against the stand-in store as a real process: outages,
- * lost answers, stale reads, the budget, and the resumed watch.
+ * Tests of the store client with the stand-in store as a separate process:
+ * outages, lost responses, stale reads, call budget, and resumption of the
+ * watch.
  */
 #include <gtest/gtest.h>
 
@@ -188,10 +189,10 @@
 }
 
 /*
- * An operator applies a configuration; the store writes it and its answer is
- * lost. Told a failure, the operator would apply again and meet a conflict
- * with their own edit. The client reads back, finds the change, and reports
- * the version under which it took effect, once.
+ * The store writes a configuration and its response is lost. If the client
+ * reported a failure, the operator would apply it again and conflict with
+ * their own change. The client reads the object back, finds the change and
+ * reports its version, once.
  */
 TEST_F(Store, LostWriteResponseIsResolvedByReadBack)
 {
@@ -200,7 +201,7 @@
 	EXPECT_EQ(result.code, -1);
 	EXPECT_EQ(result.version, 1u);
 
-	/* The read back is stale at first: it must not cause a second write. */
+	/* The read-back is stale at first: it must not cause a second write. */
 	fault("{\"lose_answers\":1,\"stale\":1}");
 	Result second;
 	aub_store_put(client, "a/one", "value c2", 8, 1, "c2", on_put, &second);
@@ -222,9 +223,10 @@
 }
 
 /*
- * A write is sent, the store hangs past every try. The caller sees one
- * "ambiguous" within four timeouts, never "failed": it may have taken effect.
- * A store whose port refuses connections provably did nothing, and says so.
+ * After a write is sent, the store hangs during all attempts. The client
+ * reports AUB_ERROR_AMBIGUOUS once within four timeouts and no definite
+ * failure, because the write may have taken effect. If the store refuses
+ * connections, nothing was sent and the result is not ambiguous.
  */
 TEST_F(Store, UnresolvedWriteIsAmbiguousAndUnsentWriteIsNot)
 {
@@ -241,8 +243,9 @@
 }
 
 /*
- * Another operator's write lands between our lost answer and the read back.
- * Whether ours took effect before it can't be told: not a conflict.
+ * Another operator's write follows between the lost response and the
+ * read-back. Whether our write took effect before it is unknown, so no
+ * conflict is reported.
  */
 TEST_F(Store, OverwrittenUncertainWriteIsNotReportedAsConflict)
 {
@@ -270,13 +273,13 @@
 	g_object_unref(session);
 	ASSERT_EQ(status, 200u);
 	EXPECT_TRUE(run_until([&] { return result.done; }));
-	/* The read back may also have come first; then it is done. */
+	/* If the read-back came first, the write was successful. */
 	EXPECT_NE(result.code, AUB_ERROR_CONFLICT);
 }
 
 /*
- * A reader behind the writer answers with an older object. Taken as the
- * newest, it would turn a configuration back. It is refused instead.
+ * A replica that lags behind returns an older object. If it were taken for the
+ * newest, a configuration would be reverted, so it is rejected.
  */
 TEST_F(Store, StaleReadIsNeverDelivered)
 {
@@ -290,8 +293,8 @@
 }
 
 /*
- * The store goes away for a while and comes back. The watch reports failed
- * tries, resumes by itself from where it was, and delivers each change once.
+ * The store is unavailable for a while. The watch reports failed attempts,
+ * resumes from the last version, and delivers each change once.
  */
 TEST_F(Store, WatchResumesAfterAnOutageAndDeliversEachChangeOnce)
 {
@@ -316,7 +319,7 @@
 	aub_store_watch_stop(client);
 }
 
-/* The platform counts calls: more than the budget wait their turn. */
+/* The platform limits calls per second: calls over the budget are queued. */
 TEST_F(Store, CallBudgetIsEnforced)
 {
 	struct aub_store_client *slow = open(20);
--- a/tests/test_upstream_client.cc
+++ b/tests/test_upstream_client.cc
@@ -1,7 +1,8 @@
 /*
- * The upstream client: what is known of an attempt is never overstated. An
- * answer is whole or lost; "not connected" is said only of what was never
- * sent; a request that may not be repeated reaches the upstream once.
+ * Tests of the upstream client: a result never claims more than is known of
+ * the attempt. A response is complete or reported as lost, "not connected" is
+ * reported only for requests that were never sent, and a non-idempotent
+ * request reaches the upstream at most once.
  */
 #include <gtest/gtest.h>
 
@@ -150,9 +151,9 @@
 }
 
 /*
- * A parent books; the upstream ends in the middle of its answer. The caller
- * must never see half a page as a whole one. Each broken form is reported as
- * lost, whatever bytes came before.
+ * An upstream fails in the middle of its response, e.g. to a booking. The
+ * caller must not receive a truncated response as a complete one. Each form is
+ * reported as lost, whatever was received before.
  */
 TEST_F(UpstreamClient, ReportsTruncatedResponsesAsLost)
 {
@@ -207,9 +208,10 @@
 }
 
 /*
- * The upstream ends a kept connection on the next request, having run it.
- * libsoup would send a GET again by itself; the dispatcher would not know.
- * The attempt is reported lost and the upstream has seen it once.
+ * The upstream executes a request on a keep-alive connection and closes it
+ * without a response. libsoup would resend a GET by itself, unknown to the
+ * dispatcher. The attempt is reported as lost and the upstream has received it
+ * once.
  */
 TEST_F(UpstreamClient, NeverResendsOnAStaleConnection)
 {
@@ -235,9 +237,9 @@
 }
 
 /*
- * A second answer arrives on a connection that was already answered. It must
- * not be taken for the answer to the next request; and which of the two is
- * this request's own is in doubt, so neither is passed on.
+ * A second response follows on a connection. It must not be taken for the
+ * response to the next request, and since it is unknown which of the two
+ * belongs to this request, neither is delivered.
  */
 TEST_F(UpstreamClient, DiscardsExcessResponses)
 {
@@ -249,8 +251,8 @@
 }
 
 /*
- * A pooled connection went silent: the request on it times out, and the next
- * one must not wait on its neighbours in the pool.
+ * A request on an unresponsive pooled connection times out. The next request
+ * must not use another connection of the pool, which may be unresponsive too.
  */
 TEST_F(UpstreamClient, ReplacesThePoolAfterAnUnresponsiveConnection)
 {
