--- a/include/auburnstile/internal/caller_server.h
+++ b/include/auburnstile/internal/caller_server.h
@@ -29,10 +29,13 @@
 struct aub_caller_server_options {
 	const char *address; /* "ip:port" */
 	guint connections_max; /* maximum number of open connections */
-	guint header_ms; /* from accept to the end of the first header */
-	guint idle_ms; /* from a response to the end of the next header */
-	guint body_ms; /* from the end of the header to the end of the body */
-	guint write_ms; /* from the start to the end of the response */
+	guint header_timeout_ms; /* from accept to the end of the first header
+				  */
+	guint idle_timeout_ms; /* from a response to the end of the next header
+				*/
+	guint body_timeout_ms; /* from the end of the header to the end of the
+				  body */
+	guint write_timeout_ms; /* from the start to the end of the response */
 	struct aub_timer_service *timers; /* not owned */
 
 	/*
--- a/include/auburnstile/internal/http_client.h
+++ b/include/auburnstile/internal/http_client.h
@@ -74,7 +74,7 @@
  * Marks the request as completely written, so that the connection may be
  * pooled after the response.
  */
-void aub_exchange_request_done(struct aub_exchange *exchange);
+void aub_exchange_mark_request_complete(struct aub_exchange *exchange);
 gsize aub_exchange_queued_bytes(const struct aub_exchange *exchange);
 /* Returns true if part of the request may have reached the peer. */
 bool aub_exchange_may_have_sent(const struct aub_exchange *exchange);
--- a/include/auburnstile/internal/http_stream.h
+++ b/include/auburnstile/internal/http_stream.h
@@ -79,7 +79,7 @@
  */
 struct aub_http_stream *aub_http_stream_new(
 	struct aub_poller *poller, int fd, enum http_parser_type type,
-	bool connecting, guint head_limit,
+	bool connecting, guint head_max_bytes,
 	const struct aub_http_callbacks *callbacks, void *context);
 
 /*
--- a/include/auburnstile/internal/tcp.h
+++ b/include/auburnstile/internal/tcp.h
@@ -9,7 +9,8 @@
 G_BEGIN_DECLS
 
 /* Parses an IPv4 "ip:port". Returns false if the text is invalid. */
-bool aub_socket_address_parse(const char *address, struct sockaddr_in *to);
+bool aub_socket_address_parse(const char *address,
+			      struct sockaddr_in *socket_address);
 
 /*
  * Listens on "ip:port". Returns the descriptor, or -1 with an error that names
--- a/include/auburnstile/internal/upstream_client.h
+++ b/include/auburnstile/internal/upstream_client.h
@@ -46,7 +46,7 @@
 				  const GError *error, void *context);
 
 /*
- * Sends `call` and gives up at `timeout_us` (monotonic). `new_connection`
+ * Sends `call` and gives up at `deadline_us` (monotonic). `new_connection`
  * forces a new connection, for retries and hedges, because the first attempt
  * may have failed on an unresponsive pooled connection. Non-idempotent
  * requests always use a new connection. The handle is valid until the
@@ -54,7 +54,7 @@
  */
 struct aub_attempt *aub_upstream_send(struct aub_upstream_client *client,
 				      const struct aub_call *call,
-				      bool new_connection, gint64 timeout_us,
+				      bool new_connection, gint64 deadline_us,
 				      aub_attempt_callback *callback,
 				      void *context);
 
@@ -75,7 +75,7 @@
 				const struct aub_upstream_signs *signals,
 				guint32 busy, void *context);
 struct aub_attempt *aub_upstream_probe(struct aub_upstream_client *client,
-				       gint64 timeout_us,
+				       gint64 deadline_us,
 				       aub_probe_callback *callback,
 				       void *context);
 
--- a/include/auburnstile/store_client.h
+++ b/include/auburnstile/store_client.h
@@ -27,7 +27,7 @@
 struct aub_store_client_options {
 	const char *url; /* e.g. "http://127.0.0.1:7000"; copied */
 	guint timeout_ms; /* of one attempt, except for watches */
-	guint watch_ms; /* how long the store holds a watch request */
+	guint watch_wait_ms; /* how long the store holds a watch request */
 	guint calls_per_s; /* call budget; further calls are queued */
 	guint32 seed; /* for the jitter of the backoff */
 };
@@ -73,7 +73,7 @@
 typedef void aub_store_put_callback(guint64 version, const GError *error,
 				    void *context);
 void aub_store_put(struct aub_store_client *client, const char *key,
-		   const char *value, gsize length, guint64 expected,
+		   const char *value, gsize length, guint64 expected_version,
 		   const char *change_marker, aub_store_put_callback *callback,
 		   void *context);
 
@@ -88,8 +88,8 @@
 				      guint64 version, const GError *error,
 				      void *context);
 void aub_store_watch_start(struct aub_store_client *client, const char *prefix,
-			   guint64 since, aub_store_watch_callback *callback,
-			   void *context);
+			   guint64 since_version,
+			   aub_store_watch_callback *callback, void *context);
 void aub_store_watch_stop(struct aub_store_client *client);
 
 /* Returns the number of calls made since the start, for metrics. */
--- a/src/coordination/control_store.c
+++ b/src/coordination/control_store.c
@@ -240,7 +240,7 @@
 	struct aub_store_client_options options = {
 		.url = control->settings->store,
 		.timeout_ms = TRY_MS,
-		.watch_ms = WATCH_MS,
+		.watch_wait_ms = WATCH_MS,
 		.calls_per_s = CALLS_PER_S,
 		.seed = (guint32)control->incarnation,
 	};
--- a/src/coordination/gateway_attempt.c
+++ b/src/coordination/gateway_attempt.c
@@ -222,7 +222,7 @@
 {
 	if (attempt->request->body_length < 0)
 		aub_exchange_write(attempt->exchange, "0\r\n\r\n", 5);
-	aub_exchange_request_done(attempt->exchange);
+	aub_exchange_mark_request_complete(attempt->exchange);
 }
 
 struct aub_attempt_state *aub_attempt_start(struct aub_request *request,
--- a/src/transport/admin.c
+++ b/src/transport/admin.c
@@ -201,7 +201,7 @@
 	if (text && !g_ascii_string_to_unsigned(text, 10, 0, G_MAXUINT64,
 						&after, NULL)) {
 		aub_error_set(&error, AUB_ERROR_INVALID, "read events", NULL,
-			      "after=%s is no sequence number", text);
+			      "after=%s is not a sequence number", text);
 		aub_admin_respond_error(request, error);
 		g_error_free(error);
 		return;
@@ -278,10 +278,10 @@
 	}
 	if (path_known)
 		respond_refusal(message, SOUP_STATUS_METHOD_NOT_ALLOWED,
-				"this path has no such method");
+				"method not allowed for this path");
 	else
 		respond_refusal(message, SOUP_STATUS_NOT_FOUND,
-				"there is no such path");
+				"path not found");
 }
 
 static void on_request(SoupServer *server, SoupServerMessage *message,
@@ -299,13 +299,13 @@
 		return;
 	if (!admin->token_digest)
 		respond_refusal(message, SOUP_STATUS_FORBIDDEN,
-				"this process has no token file, so its API is "
-				"closed");
+				"no token file is configured, so the API is "
+				"disabled");
 	else if (!aub_token_authorizes(admin->token_digest,
 				       soup_message_headers_get_one(
 					       headers, "Authorization")))
 		respond_refusal(message, SOUP_STATUS_UNAUTHORIZED,
-				"the operators' token is needed: "
+				"the operators' token is required: "
 				"Authorization: Bearer TOKEN");
 	else
 		dispatch_to_route(admin, message, path, query);
@@ -321,7 +321,7 @@
 					 FALSE);
 	soup_message_headers_replace(headers, "Connection", "close");
 	respond_refusal(message, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
-			"the body is larger than 2 MB");
+			"request body exceeds 2 MB");
 }
 
 static void on_got_headers(SoupServerMessage *message, gpointer data)
--- a/src/transport/caller_groups.c
+++ b/src/transport/caller_groups.c
@@ -8,8 +8,8 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-#define LISTEN_BACKLOG \
-	4096 /* connections not yet accepted, at the start of a school term */
+/* Connections not yet accepted; sufficient for the start of a school term. */
+#define LISTEN_BACKLOG 4096
 
 #define EVENTS_PER_ITERATION 64
 
@@ -19,7 +19,7 @@
  * favours large ones.
  */
 #define GROUP_CONNECTIONS_MAX 32
-#define GROUP_DRAIN_CONNECTIONS 8
+#define GROUP_DRAIN_CONNECTIONS_MAX 8
 
 struct aub_caller_group {
 	struct aub_caller_groups *groups;
@@ -243,7 +243,7 @@
 	g_object_unref(connectable);
 	if (!address)
 		aub_error_set(error, AUB_ERROR_INVALID, "listen for callers",
-			      text, "not an IP number and port");
+			      text, "not an IP address and port");
 	return address;
 }
 
@@ -335,7 +335,7 @@
 bool aub_caller_group_should_drain(const struct aub_caller_group *group)
 {
 	return group->accepted_count == GROUP_CONNECTIONS_MAX &&
-	       group->open_count <= GROUP_DRAIN_CONNECTIONS;
+	       group->open_count <= GROUP_DRAIN_CONNECTIONS_MAX;
 }
 
 void aub_caller_groups_free_empty(struct aub_caller_groups *groups)
--- a/src/transport/caller_server.c
+++ b/src/transport/caller_server.c
@@ -19,7 +19,7 @@
  * Interval of the checks; also the maximum delay until the disconnection of a
  * waiting caller is detected.
  */
-#define SWEEP_INTERVAL_US (50 * AUB_MS)
+#define CHECK_INTERVAL_US (50 * AUB_MS)
 
 /* Interval at which connections without a request are checked. */
 #define IDLE_CHECK_INTERVAL_US AUB_SECOND
@@ -62,7 +62,7 @@
 	struct aub_caller_groups *groups;
 	struct aub_caller_server_options options;
 	GHashTable *connections; /* GSocketAddress -> struct connection */
-	guint sweep_timer;
+	guint check_timer;
 	guint keep_alive_count; /* connections that carried a request */
 };
 
@@ -189,7 +189,8 @@
  * Sends a response without consulting the entry. The outcome is always
  * "not-run".
  */
-static void refuse(SoupServerMessage *message, guint status, const char *reason)
+static void respond_not_run(SoupServerMessage *message, guint status,
+			    const char *reason)
 {
 	SoupMessageHeaders *headers;
 
@@ -208,9 +209,9 @@
  * the connection. The response is written directly, because libsoup would send
  * it only after the end of the body, which may never arrive.
  */
-static void refuse_and_close(struct connection *connection,
-			     SoupServerMessage *message, guint status,
-			     const char *reason)
+static void respond_not_run_and_close(struct connection *connection,
+				      SoupServerMessage *message, guint status,
+				      const char *reason)
 {
 	char text[256];
 
@@ -245,9 +246,9 @@
 
 	if (connection && !connection->shut_down &&
 	    body->length > body_limit(server, message))
-		refuse_and_close(connection, message,
-				 SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
-				 "body-too-large");
+		respond_not_run_and_close(connection, message,
+					  SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
+					  "body-too-large");
 }
 
 static void on_early_request(SoupServer *soup, SoupServerMessage *message,
@@ -273,16 +274,17 @@
 	 * connection is closed.
 	 */
 	if (!aub_headers_framing_is_unambiguous(headers))
-		refuse_and_close(connection, message, SOUP_STATUS_BAD_REQUEST,
-				 "unclear-length");
+		respond_not_run_and_close(connection, message,
+					  SOUP_STATUS_BAD_REQUEST,
+					  "unclear-length");
 	else if (soup_server_message_get_method(message) == SOUP_METHOD_CONNECT)
-		refuse_and_close(connection, message,
-				 SOUP_STATUS_METHOD_NOT_ALLOWED,
-				 "method-not-served");
+		respond_not_run_and_close(connection, message,
+					  SOUP_STATUS_METHOD_NOT_ALLOWED,
+					  "method-not-served");
 	else if (bytes > body_limit(server, message))
-		refuse_and_close(connection, message,
-				 SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
-				 "body-too-large");
+		respond_not_run_and_close(connection, message,
+					  SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
+					  "body-too-large");
 	else if (!length && soup_message_headers_get_encoding(headers) ==
 				    SOUP_ENCODING_CHUNKED)
 		g_signal_connect(message, "got-chunk", G_CALLBACK(on_chunk),
@@ -302,13 +304,14 @@
 		path = g_hash_table_lookup(query, "path");
 	}
 	if (!service && !path) {
-		refuse(message, SOUP_STATUS_BAD_REQUEST, "no-service-named");
+		respond_not_run(message, SOUP_STATUS_BAD_REQUEST,
+				"no-service-named");
 		return;
 	}
 	json = server->options.addresses(service, path, &status,
 					 server->options.context);
 	if (!json) {
-		refuse(message, status, "no-addresses");
+		respond_not_run(message, status, "no-addresses");
 		return;
 	}
 	soup_message_headers_replace(soup_server_message_get_response_headers(
@@ -329,7 +332,8 @@
 
 	connection = find_connection(server, message);
 	if (!connection || connection->request || connection->shut_down) {
-		refuse(message, SOUP_STATUS_SERVICE_UNAVAILABLE, "closing");
+		respond_not_run(message, SOUP_STATUS_SERVICE_UNAVAILABLE,
+				"closing");
 		return;
 	}
 	if (!strcmp(path, AUB_ADDRESSES_PATH)) {
@@ -339,7 +343,8 @@
 	}
 	call = aub_caller_parse_request(message);
 	if (!call) {
-		refuse(message, SOUP_STATUS_BAD_REQUEST, "malformed-header");
+		respond_not_run(message, SOUP_STATUS_BAD_REQUEST,
+				"malformed-header");
 		set_phase(connection, PHASE_WRITING);
 		return;
 	}
@@ -437,7 +442,7 @@
 	guint keep_alive_count =
 		MAX(server->keep_alive_count, KEEP_ALIVE_CONNECTIONS_SOFT_MAX);
 
-	return (guint)((guint64)server->options.idle_ms *
+	return (guint)((guint64)server->options.idle_timeout_ms *
 		       KEEP_ALIVE_CONNECTIONS_SOFT_MAX / keep_alive_count);
 }
 
@@ -451,13 +456,13 @@
 	case PHASE_HEADER:
 		limit_ms = connection->has_carried_request ?
 				   keep_alive_ms(connection->server) :
-				   options->header_ms;
+				   options->header_timeout_ms;
 		break;
 	case PHASE_BODY:
-		limit_ms = options->body_ms;
+		limit_ms = options->body_timeout_ms;
 		break;
 	case PHASE_WRITING:
-		limit_ms = options->write_ms;
+		limit_ms = options->write_timeout_ms;
 		break;
 	case PHASE_IN_PROGRESS:
 		return false;
@@ -471,16 +476,16 @@
  */
 static bool check_peer_closed(struct connection *connection, gint64 now_us)
 {
-	gint64 every_us = connection->phase == PHASE_IN_PROGRESS ?
-				  SWEEP_INTERVAL_US :
-				  IDLE_CHECK_INTERVAL_US;
+	gint64 interval_us = connection->phase == PHASE_IN_PROGRESS ?
+				     CHECK_INTERVAL_US :
+				     IDLE_CHECK_INTERVAL_US;
 
 	if (connection->phase == PHASE_BODY ||
 	    connection->phase == PHASE_WRITING)
 		return false;
 	if (now_us -
 		    MAX(connection->phase_since_us, connection->last_check_us) <
-	    every_us)
+	    interval_us)
 		return false;
 	connection->last_check_us = now_us;
 	return peer_has_closed(connection);
@@ -497,15 +502,15 @@
 	message = g_object_ref(connection->request->message);
 	abandon_request(connection);
 	shut_down(connection);
-	refuse(message, SOUP_STATUS_REQUEST_TIMEOUT, "caller-gone");
+	respond_not_run(message, SOUP_STATUS_REQUEST_TIMEOUT, "caller-gone");
 	soup_server_message_unpause(message);
 	g_object_unref(message);
 }
 
-static void on_sweep(void *context, gint64 now_us)
+static void on_check_timer(void *context, gint64 now_us)
 {
 	struct aub_caller_server *server = context;
-	GPtrArray *ended = g_ptr_array_new();
+	GPtrArray *disconnected = g_ptr_array_new();
 	GHashTableIter iterator;
 	guint keep_alive_count = 0;
 	void *value;
@@ -517,12 +522,12 @@
 		keep_alive_count += connection->has_carried_request;
 		if (connection->shut_down ||
 		    check_peer_closed(connection, now_us))
-			g_ptr_array_add(ended, connection);
+			g_ptr_array_add(disconnected, connection);
 		else if (is_overdue(connection, now_us))
 			shut_down(connection);
 	}
-	for (guint i = 0; i < ended->len; i++) {
-		struct connection *connection = ended->pdata[i];
+	for (guint i = 0; i < disconnected->len; i++) {
+		struct connection *connection = disconnected->pdata[i];
 
 		if (connection->request)
 			abort_request(connection);
@@ -530,7 +535,7 @@
 			connection_close(connection);
 	}
 	server->keep_alive_count = keep_alive_count;
-	g_ptr_array_unref(ended);
+	g_ptr_array_unref(disconnected);
 	aub_caller_groups_free_empty(server->groups);
 }
 
@@ -569,9 +574,9 @@
 		aub_caller_server_free(server);
 		return NULL;
 	}
-	server->sweep_timer =
-		aub_timer_every(options->timers, "callers", SWEEP_INTERVAL_US,
-				on_sweep, server);
+	server->check_timer =
+		aub_timer_every(options->timers, "callers", CHECK_INTERVAL_US,
+				on_check_timer, server);
 	return server;
 }
 
@@ -582,7 +587,7 @@
 
 	if (!server)
 		return;
-	aub_timer_cancel(server->options.timers, server->sweep_timer);
+	aub_timer_cancel(server->options.timers, server->check_timer);
 	for (;;) {
 		struct connection *connection;
 
--- a/src/transport/http_call.c
+++ b/src/transport/http_call.c
@@ -91,7 +91,7 @@
 		g_string_append_len(text, g_bytes_get_data(options->body, NULL),
 				    (gssize)g_bytes_get_size(options->body));
 	aub_exchange_write(call->exchange, text->str, text->len);
-	aub_exchange_request_done(call->exchange);
+	aub_exchange_mark_request_complete(call->exchange);
 	aub_exchange_flush(call->exchange);
 	g_string_free(text, TRUE);
 }
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -14,21 +14,21 @@
 /* Idle time limit of pooled connections if the peer sends none. */
 #define KEEP_ALIVE_DEFAULT_US (8 * AUB_SECOND)
 #define KEEP_ALIVE_FRACTION 0.7 /* of the idle limit sent by the peer */
-#define POOLED_CONNECTIONS_MAX 32
+#define POOLED_PER_KEY_MAX 32
 
 struct aub_http_client {
 	struct aub_poller *poller;
 	struct aub_timer_service *timers;
-	GHashTable *pooled; /* "address pool" -> GQueue of struct pooled */
+	GHashTable *pools; /* "address pool" -> GQueue of connections */
 	guint64 connections_opened;
 };
 
 /* An idle connection in the pool. */
-struct pooled {
+struct pooled_connection {
 	struct aub_http_client *client;
 	GQueue *queue; /* queue that contains the connection */
 	struct aub_http_stream *stream;
-	gint64 since_us;
+	gint64 idle_since_us;
 	gint64 expires_us;
 };
 
@@ -41,14 +41,14 @@
 	char *pool_key;
 	guint timer; /* connect timeout, or deferred failure */
 	guint64 sent_before_bytes; /* by earlier exchanges */
-	gint64 pool_us;
-	bool request_done;
+	gint64 pool_time_us;
+	bool request_complete;
 	bool keep_alive;
 	bool discarding; /* the current response belongs to another request */
 	bool not_reusable; /* unexpected responses were received: do not pool */
 };
 
-static void pooled_free(struct pooled *pooled)
+static void pooled_connection_free(struct pooled_connection *pooled)
 {
 	g_queue_remove(pooled->queue, pooled);
 	aub_http_stream_free(pooled->stream);
@@ -58,7 +58,7 @@
 static void on_pooled_ended(enum aub_stream_end_reason reason, bool in_message,
 			    void *context)
 {
-	pooled_free(context);
+	pooled_connection_free(context);
 }
 
 /*
@@ -67,7 +67,7 @@
  */
 static void on_pooled_head(const struct aub_http_head *head, void *context)
 {
-	pooled_free(context);
+	pooled_connection_free(context);
 }
 
 static void on_pooled_body(const char *data, gsize length, void *context)
@@ -76,7 +76,7 @@
 
 static void on_pooled_complete(void *context)
 {
-	pooled_free(context);
+	pooled_connection_free(context);
 }
 
 static const struct aub_http_callbacks pooled_callbacks = {
@@ -91,7 +91,7 @@
 	GQueue *queue = data;
 
 	while (!g_queue_is_empty(queue))
-		pooled_free(g_queue_peek_head(queue));
+		pooled_connection_free(g_queue_peek_head(queue));
 	g_queue_free(queue);
 }
 
@@ -102,8 +102,8 @@
 
 	client->poller = poller;
 	client->timers = timers;
-	client->pooled = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					       queue_free);
+	client->pools = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					      queue_free);
 	return client;
 }
 
@@ -111,7 +111,7 @@
 {
 	if (!client)
 		return;
-	g_hash_table_unref(client->pooled);
+	g_hash_table_unref(client->pools);
 	g_free(client);
 }
 
@@ -131,11 +131,11 @@
 	GList *link = queue->head;
 
 	while (link) {
-		struct pooled *pooled = link->data;
+		struct pooled_connection *pooled = link->data;
 
 		link = link->next;
 		if (pooled->expires_us <= now_us)
-			pooled_free(pooled);
+			pooled_connection_free(pooled);
 	}
 }
 
@@ -145,7 +145,7 @@
 	GHashTableIter iter;
 	void *queue;
 
-	g_hash_table_iter_init(&iter, client->pooled);
+	g_hash_table_iter_init(&iter, client->pools);
 	while (g_hash_table_iter_next(&iter, NULL, &queue)) {
 		queue_sweep(queue, now_us);
 		if (g_queue_is_empty(queue))
@@ -158,22 +158,23 @@
  * returns NULL if it has been idle for too long.
  */
 static struct aub_http_stream *pool_take(struct aub_http_client *client,
-					 const char *pool_key, gint64 idle_us)
+					 const char *pool_key,
+					 gint64 idle_max_us)
 {
 	gint64 now = aub_timer_now(client->timers);
-	GQueue *queue = g_hash_table_lookup(client->pooled, pool_key);
+	GQueue *queue = g_hash_table_lookup(client->pools, pool_key);
 	struct aub_http_stream *stream;
-	struct pooled *pooled;
+	struct pooled_connection *pooled;
 
-	if (!queue || !idle_us)
+	if (!queue || !idle_max_us)
 		return NULL;
 	queue_sweep(queue, now);
 	pooled = g_queue_peek_tail(queue);
 	if (pooled && aub_http_stream_in_message(pooled->stream)) {
-		pooled_free(pooled);
+		pooled_connection_free(pooled);
 		return NULL;
 	}
-	if (!pooled || now - pooled->since_us > idle_us)
+	if (!pooled || now - pooled->idle_since_us > idle_max_us)
 		return NULL;
 	stream = pooled->stream;
 	g_queue_remove(queue, pooled);
@@ -182,22 +183,22 @@
 }
 
 static void pool_add(struct aub_http_client *client, const char *pool_key,
-		     struct aub_http_stream *stream, gint64 pool_us)
+		     struct aub_http_stream *stream, gint64 pool_time_us)
 {
-	GQueue *queue = g_hash_table_lookup(client->pooled, pool_key);
-	struct pooled *pooled = g_new0(struct pooled, 1);
+	GQueue *queue = g_hash_table_lookup(client->pools, pool_key);
+	struct pooled_connection *pooled = g_new0(struct pooled_connection, 1);
 
 	if (!queue) {
 		queue = g_queue_new();
-		g_hash_table_insert(client->pooled, g_strdup(pool_key), queue);
+		g_hash_table_insert(client->pools, g_strdup(pool_key), queue);
 	}
-	if (g_queue_get_length(queue) >= POOLED_CONNECTIONS_MAX)
-		pooled_free(g_queue_peek_head(queue));
+	if (g_queue_get_length(queue) >= POOLED_PER_KEY_MAX)
+		pooled_connection_free(g_queue_peek_head(queue));
 	pooled->client = client;
 	pooled->queue = queue;
 	pooled->stream = stream;
-	pooled->since_us = aub_timer_now(client->timers);
-	pooled->expires_us = pooled->since_us + pool_us;
+	pooled->idle_since_us = aub_timer_now(client->timers);
+	pooled->expires_us = pooled->idle_since_us + pool_time_us;
 	aub_http_stream_set_callbacks(stream, &pooled_callbacks, pooled);
 	aub_http_stream_pause_reading(stream, false);
 	g_queue_push_tail(queue, pooled);
@@ -248,7 +249,7 @@
 
 	exchange->discarding = false;
 	exchange->keep_alive = head->keep_alive;
-	exchange->pool_us = keep_alive_us(head);
+	exchange->pool_time_us = keep_alive_us(head);
 	exchange->callbacks.head(head, exchange->context);
 }
 
@@ -262,8 +263,8 @@
 
 static bool may_pool(const struct aub_exchange *exchange)
 {
-	return exchange->keep_alive && exchange->request_done &&
-	       !exchange->not_reusable && exchange->pool_us > 0 &&
+	return exchange->keep_alive && exchange->request_complete &&
+	       !exchange->not_reusable && exchange->pool_time_us > 0 &&
 	       !aub_http_stream_queued_bytes(exchange->stream) &&
 	       !aub_http_stream_has_excess_bytes(exchange->stream);
 }
@@ -284,7 +285,7 @@
 	if (may_pool(exchange)) {
 		aub_http_stream_resume(exchange->stream);
 		pool_add(exchange->client, exchange->pool_key, exchange->stream,
-			 exchange->pool_us);
+			 exchange->pool_time_us);
 		exchange->stream = NULL;
 	}
 	exchange_free(exchange);
@@ -336,7 +337,7 @@
 			const struct aub_exchange_options *options)
 {
 	struct aub_timer_service *timers = exchange->client->timers;
-	gint64 wait_us = CONNECT_TIMEOUT_MS * AUB_MS;
+	gint64 timeout_us = CONNECT_TIMEOUT_MS * AUB_MS;
 	int fd = aub_tcp_connect(options->address, NULL);
 
 	exchange->client->connections_opened++;
@@ -346,10 +347,10 @@
 					    HTTP_RESPONSE, true, HEAD_MAX_BYTES,
 					    &stream_callbacks, exchange);
 	else
-		wait_us = 0; /* report the failure from the main loop */
-	exchange->timer =
-		aub_timer_at(timers, "connect", aub_timer_now(timers) + wait_us,
-			     on_connect_timeout, exchange);
+		timeout_us = 0; /* report the failure from the main loop */
+	exchange->timer = aub_timer_at(timers, "connect",
+				       aub_timer_now(timers) + timeout_us,
+				       on_connect_timeout, exchange);
 }
 
 struct aub_exchange *aub_exchange_new(
@@ -393,9 +394,9 @@
 		aub_http_stream_flush(exchange->stream);
 }
 
-void aub_exchange_request_done(struct aub_exchange *exchange)
+void aub_exchange_mark_request_complete(struct aub_exchange *exchange)
 {
-	exchange->request_done = true;
+	exchange->request_complete = true;
 }
 
 gsize aub_exchange_queued_bytes(const struct aub_exchange *exchange)
--- a/src/transport/http_listener.c
+++ b/src/transport/http_listener.c
@@ -118,7 +118,7 @@
 	}
 }
 
-static void on_sweep(void *context, gint64 now_us)
+static void on_idle_timer(void *context, gint64 now_us)
 {
 	struct aub_http_listener *listener = context;
 	GList *link = listener->connections.head;
@@ -153,7 +153,7 @@
 					 on_listener_readable, listener);
 	listener->sweep_timer =
 		aub_timer_every(timers, "service sweep", SWEEP_INTERVAL_US,
-				on_sweep, listener);
+				on_idle_timer, listener);
 	return listener;
 }
 
--- a/src/transport/http_stream.c
+++ b/src/transport/http_stream.c
@@ -11,10 +11,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_MAX_BYTES \
-	(64u << 10) /* per read; limits the data handled per iteration */
-#define UNPARSED_MAX_BYTES \
-	(64u << 10) /* input received before it may be parsed */
+/* Per read; limits the data handled per iteration of the main loop. */
+#define READ_MAX_BYTES (64u << 10)
+/* Input received before it may be parsed. */
+#define UNPARSED_MAX_BYTES (64u << 10)
 
 struct header_offsets {
 	guint name; /* offsets into `text` */
@@ -31,13 +31,13 @@
 	GString *text; /* target, names and values, each NUL-terminated */
 	GArray *offsets; /* of struct header_offsets */
 	guint head_bytes;
-	guint head_limit;
+	guint head_max_bytes;
 	bool in_value; /* the parser's last callback was for a value */
 	bool head_done; /* header fields that follow are trailers: discarded */
 	GByteArray *unparsed; /* received but not parsed */
-	GByteArray *out;
-	gsize out_sent; /* bytes of `out` already sent */
-	guint64 sent;
+	GByteArray *output;
+	gsize out_sent_bytes; /* bytes of `output` already sent */
+	guint64 sent_bytes;
 	guint callback_depth;
 	bool connecting;
 	bool reading_paused;
@@ -96,7 +96,7 @@
 static int add_head_bytes(struct aub_http_stream *stream, gsize length)
 {
 	stream->head_bytes += length;
-	return stream->head_bytes > stream->head_limit ? -1 : 0;
+	return stream->head_bytes > stream->head_max_bytes ? -1 : 0;
 }
 
 static int on_url(http_parser *parser, const char *data, size_t length)
@@ -214,7 +214,7 @@
 	g_array_unref(stream->offsets);
 	g_array_unref(stream->head.headers);
 	g_byte_array_unref(stream->unparsed);
-	g_byte_array_unref(stream->out);
+	g_byte_array_unref(stream->output);
 	g_free(stream);
 }
 
@@ -226,7 +226,7 @@
 		return;
 	if (!stream->reading_paused && !stream->connecting)
 		events |= EPOLLIN;
-	if (stream->connecting || stream->out->len > stream->out_sent)
+	if (stream->connecting || stream->output->len > stream->out_sent_bytes)
 		events |= EPOLLOUT;
 	aub_poll_watch_set_events(stream->watch, events);
 }
@@ -276,7 +276,7 @@
 	}
 	/* End of stream inside a message is reported through `in_message`. */
 	if (error != HPE_OK && data) {
-		bool large = stream->head_bytes > stream->head_limit ||
+		bool large = stream->head_bytes > stream->head_max_bytes ||
 			     error == HPE_HEADER_OVERFLOW;
 
 		stream_reject(stream, large ? AUB_STREAM_HEAD_TOO_LARGE :
@@ -371,14 +371,14 @@
 
 struct aub_http_stream *aub_http_stream_new(
 	struct aub_poller *poller, int fd, enum http_parser_type type,
-	bool connecting, guint head_limit,
+	bool connecting, guint head_max_bytes,
 	const struct aub_http_callbacks *callbacks, void *context)
 {
 	struct aub_http_stream *stream = g_new0(struct aub_http_stream, 1);
 
 	stream->fd = fd;
 	stream->connecting = connecting;
-	stream->head_limit = head_limit;
+	stream->head_max_bytes = head_max_bytes;
 	stream->callbacks = *callbacks;
 	stream->context = context;
 	stream->text = g_string_new(NULL);
@@ -387,7 +387,7 @@
 	stream->head.headers =
 		g_array_new(FALSE, FALSE, sizeof(struct aub_http_header));
 	stream->unparsed = g_byte_array_new();
-	stream->out = g_byte_array_new();
+	stream->output = g_byte_array_new();
 	http_parser_init(&stream->parser, type);
 	stream->parser.data = stream;
 	stream->watch =
@@ -418,23 +418,23 @@
 void aub_http_stream_write(struct aub_http_stream *stream, const void *data,
 			   gsize length)
 {
-	g_byte_array_append(stream->out, data, (guint)length);
+	g_byte_array_append(stream->output, data, (guint)length);
 }
 
 gsize aub_http_stream_queued_bytes(const struct aub_http_stream *stream)
 {
-	return stream->out->len - stream->out_sent;
+	return stream->output->len - stream->out_sent_bytes;
 }
 
 guint64 aub_http_stream_sent_bytes(const struct aub_http_stream *stream)
 {
-	return stream->sent;
+	return stream->sent_bytes;
 }
 
 static void on_output_drained(struct aub_http_stream *stream)
 {
-	g_byte_array_set_size(stream->out, 0);
-	stream->out_sent = 0;
+	g_byte_array_set_size(stream->output, 0);
+	stream->out_sent_bytes = 0;
 	if (stream->closing && !stream->write_shut) {
 		stream->write_shut = true;
 		shutdown(stream->fd, SHUT_WR);
@@ -452,12 +452,12 @@
 	    !length)
 		return;
 	stream->callback_depth++;
-	sent = send(stream->fd, stream->out->data + stream->out_sent, length,
-		    MSG_NOSIGNAL);
+	sent = send(stream->fd, stream->output->data + stream->out_sent_bytes,
+		    length, MSG_NOSIGNAL);
 	if (sent > 0) {
-		stream->sent += (guint64)sent;
-		stream->out_sent += (gsize)sent;
-		if (stream->out_sent == stream->out->len)
+		stream->sent_bytes += (guint64)sent;
+		stream->out_sent_bytes += (gsize)sent;
+		if (stream->out_sent_bytes == stream->output->len)
 			on_output_drained(stream);
 	}
 	/* A send error is reported as a reset by the next read. */
@@ -484,9 +484,10 @@
 	stream_release(stream);
 }
 
-void aub_http_stream_expect_no_body(struct aub_http_stream *stream, bool none)
+void aub_http_stream_expect_no_body(struct aub_http_stream *stream,
+				    bool no_body)
 {
-	stream->no_body = none;
+	stream->no_body = no_body;
 }
 
 void aub_http_stream_pause_reading(struct aub_http_stream *stream, bool paused)
@@ -523,7 +524,7 @@
 
 void aub_http_stream_reset_on_close(struct aub_http_stream *stream)
 {
-	const struct linger none = { .l_onoff = 1, .l_linger = 0 };
+	const struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
-	setsockopt(stream->fd, SOL_SOCKET, SO_LINGER, &none, sizeof(none));
+	setsockopt(stream->fd, SOL_SOCKET, SO_LINGER, &linger, sizeof(linger));
 }
--- a/src/transport/link.c
+++ b/src/transport/link.c
@@ -280,7 +280,7 @@
 	length = GUINT32_FROM_BE(length);
 	if (length > AUB_FRAME_LIMIT) {
 		link_fail_text(link, AUB_ERROR_TOO_LARGE, "read frame",
-			       "frame is past the limit");
+			       "frame exceeds the size limit");
 		return NULL;
 	}
 	if (buffer_length(&link->in) < LENGTH_PREFIX_BYTES + length)
@@ -351,7 +351,7 @@
 		link->state == LINK_CONNECTING ? "connect" : "read hello";
 
 	link->references++;
-	link_fail_text(link, AUB_ERROR_TIMEOUT, step, "no answer in time");
+	link_fail_text(link, AUB_ERROR_TIMEOUT, step, "timed out");
 	link_unref(link);
 	return G_SOURCE_REMOVE;
 }
@@ -406,7 +406,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-static void start_connecting(struct aub_link *link, const char *address)
+static void start_connect(struct aub_link *link, const char *address)
 {
 	GSocketAddress *target = NULL;
 	GError *error = NULL;
@@ -448,7 +448,7 @@
 
 	link->callbacks = callbacks;
 	link->context = context;
-	start_connecting(link, address);
+	start_connect(link, address);
 	return link;
 }
 
@@ -506,7 +506,7 @@
 	g_bytes_unref(payload);
 	if (buffer_length(&link->out) > AUB_LINK_QUEUE_MAX_BYTES) {
 		link_fail_text(link, AUB_ERROR_TOO_LARGE, "queue message",
-			       "the peer does not keep up");
+			       "output queue exceeds its limit");
 		return false;
 	}
 	if (link->state == LINK_CONNECTING || link->writable)
--- a/src/transport/link_server.c
+++ b/src/transport/link_server.c
@@ -44,7 +44,7 @@
 		return address;
 invalid:
 	aub_error_set(error, AUB_ERROR_INVALID, "parse address", text,
-		      "want \"ip:port\"");
+		      "expected \"ip:port\"");
 	return NULL;
 }
 
@@ -85,7 +85,7 @@
 {
 	struct aub_link_server *server = context;
 
-	aub_log_info("link refused: %s", error->message);
+	aub_log_info("link rejected: %s", error->message);
 	g_hash_table_remove(server->handshaking, link);
 }
 
--- a/src/transport/store_exchange.c
+++ b/src/transport/store_exchange.c
@@ -112,10 +112,10 @@
 				G_IO_ERROR_CONNECTION_REFUSED);
 	if (exchange->timed_out)
 		aub_error_set(&error, AUB_ERROR_TIMEOUT, "call store", peer,
-			      "no answer in %u ms", exchange->timeout_ms);
+			      "no response within %u ms", exchange->timeout_ms);
 	else
 		aub_error_set(&error, AUB_ERROR_CLOSED, "call store", peer,
-			      "%s", cause ? cause->message : "bad URL");
+			      "%s", cause ? cause->message : "invalid URL");
 	result.error = error;
 	exchange_finish(exchange, &result);
 	g_error_free(error);
--- a/src/transport/store_operation.c
+++ b/src/transport/store_operation.c
@@ -11,8 +11,8 @@
 #include <auburnstile/error.h>
 #include <string.h>
 
-#define OPERATION_TIMEOUT_ATTEMPTS \
-	4 /* time limit of an operation, in timeouts of one attempt */
+/* Time limit of an operation, in timeouts of one attempt. */
+#define OPERATION_TIMEOUT_ATTEMPTS 4
 
 enum operation_kind { OPERATION_GET, OPERATION_LIST, OPERATION_PUT };
 
@@ -21,7 +21,7 @@
 	enum operation_kind kind;
 	char *key; /* or the prefix */
 	GBytes *value; /* PUT */
-	guint64 expected; /* PUT */
+	guint64 expected_version; /* PUT */
 	char *change_marker; /* PUT */
 	guint64 min_version; /* PUT: reads below this version are stale */
 	bool may_have_applied; /* PUT: may have taken effect */
@@ -261,7 +261,7 @@
 				   g_bytes_get_size(result->body), NULL);
 	if (!parse_objects(json_parser_get_root(parser), objects)) {
 		aub_error_set(&error, AUB_ERROR_INVALID, "list objects",
-			      operation->client->url, "malformed answer");
+			      operation->client->url, "malformed response");
 		retry_after_backoff(operation, error);
 	} else if (!record_versions(operation->client, objects)) {
 		retry_stale(operation);
@@ -298,13 +298,14 @@
 		operation->change_marker &&
 		memmem(object.value, object.length, operation->change_marker,
 		       strlen(operation->change_marker));
-	if (object.version < MAX(operation->min_version, operation->expected)) {
+	if (object.version <
+	    MAX(operation->min_version, operation->expected_version)) {
 		retry_stale(operation);
 	} else if (has_marker) {
 		store_record_version(operation->client, operation->key,
 				     object.version);
 		finish(operation, NULL, 0, object.version, NULL);
-	} else if (object.version == operation->expected) {
+	} else if (object.version == operation->expected_version) {
 		operation->reading_back = false;
 		start_attempt(operation);
 	} else if (operation->may_have_applied) {
@@ -336,7 +337,7 @@
 		start_attempt(operation);
 	} else if (operation->may_have_applied) {
 		finish_with_code(operation, AUB_ERROR_AMBIGUOUS, 0,
-				 "refused after a lost answer");
+				 "refused after a lost response");
 	} else {
 		finish_with_status(operation, result);
 	}
@@ -386,7 +387,7 @@
 		.method = write ? "PUT" : "GET",
 		.path = path,
 		.body = write ? operation->value : NULL,
-		.if_match = operation->expected,
+		.if_match = operation->expected_version,
 		.timeout_ms =
 			CLAMP(remaining_ms, 1, client->options.timeout_ms),
 		.new_connection = write || operation->failures > 0,
@@ -435,7 +436,7 @@
 }
 
 void aub_store_put(struct aub_store_client *client, const char *key,
-		   const char *value, gsize length, guint64 expected,
+		   const char *value, gsize length, guint64 expected_version,
 		   const char *change_marker, aub_store_put_callback *callback,
 		   void *context)
 {
@@ -443,7 +444,7 @@
 		operation_new(client, OPERATION_PUT, key, context);
 
 	operation->value = g_bytes_new(value, length);
-	operation->expected = expected;
+	operation->expected_version = expected_version;
 	operation->change_marker = change_marker && *change_marker ?
 					   g_strdup(change_marker) :
 					   NULL;
--- a/src/transport/store_watch.c
+++ b/src/transport/store_watch.c
@@ -13,7 +13,7 @@
 struct store_watch {
 	struct aub_store_client *client; /* not owned */
 	char *prefix;
-	guint64 since; /* highest version delivered */
+	guint64 since_version; /* highest version delivered */
 	guint64 store_version; /* highest store version received */
 	guint failures;
 	struct store_exchange *exchange;
@@ -43,16 +43,16 @@
 	guint delay_ms = store_backoff_ms(client, watch->failures++);
 
 	watch->timer = store_timer(client, delay_ms, on_retry_timer, watch);
-	watch->callback(NULL, watch->since, error, watch->context);
+	watch->callback(NULL, watch->since_version, error, watch->context);
 	g_error_free(error);
 }
 
 static gint by_version(gconstpointer a, gconstpointer b)
 {
-	guint64 one = ((const struct aub_store_object *)a)->version;
-	guint64 two = ((const struct aub_store_object *)b)->version;
+	guint64 left = ((const struct aub_store_object *)a)->version;
+	guint64 right = ((const struct aub_store_object *)b)->version;
 
-	return (one > two) - (one < two);
+	return (left > right) - (left < right);
 }
 
 /*
@@ -94,20 +94,20 @@
 {
 	struct aub_store_client *client = watch->client;
 	const struct aub_store_object *object;
-	guint64 since = watch->since;
+	guint64 since_version = watch->since_version;
 	guint i;
 
 	for (i = 0; i < changes->len; i++) {
 		object = &g_array_index(changes, struct aub_store_object, i);
-		if (object->version <= since ||
+		if (object->version <= since_version ||
 		    !store_record_version(client, object->key, object->version))
 			continue;
-		watch->since = object->version;
+		watch->since_version = object->version;
 		watch->callback(object, object->version, NULL, watch->context);
 		if (client->watch != watch)
 			return false;
 	}
-	if (watch->since == since)
+	if (watch->since_version == since_version)
 		watch->callback(NULL, watch->store_version, NULL,
 				watch->context);
 	return client->watch == watch;
@@ -126,7 +126,7 @@
 				   g_bytes_get_size(body), NULL);
 	if (!parse_changes(json_parser_get_root(parser), &version, changes))
 		aub_error_set(&error, AUB_ERROR_INVALID, "watch store", peer,
-			      "malformed answer");
+			      "malformed response");
 	else if (version < watch->store_version)
 		aub_error_set(&error, AUB_ERROR_UNAVAILABLE, "watch store",
 			      peer, "stale read");
@@ -167,12 +167,13 @@
 	char *path =
 		g_strdup_printf("/v1/watch?prefix=%s&since=%" G_GUINT64_FORMAT
 				"&wait_ms=%u",
-				prefix, watch->since, client->options.watch_ms);
+				prefix, watch->since_version,
+				client->options.watch_wait_ms);
 	struct store_request request = {
 		.method = "GET",
 		.path = path,
-		.timeout_ms =
-			client->options.watch_ms + client->options.timeout_ms,
+		.timeout_ms = client->options.watch_wait_ms +
+			      client->options.timeout_ms,
 		.new_connection = watch->failures > 0,
 	};
 
@@ -183,8 +184,8 @@
 }
 
 void aub_store_watch_start(struct aub_store_client *client, const char *prefix,
-			   guint64 since, aub_store_watch_callback *callback,
-			   void *context)
+			   guint64 since_version,
+			   aub_store_watch_callback *callback, void *context)
 {
 	struct store_watch *watch;
 
@@ -192,8 +193,8 @@
 	watch = g_new0(struct store_watch, 1);
 	watch->client = client;
 	watch->prefix = g_strdup(prefix);
-	watch->since = since;
-	watch->store_version = since;
+	watch->since_version = since_version;
+	watch->store_version = since_version;
 	watch->callback = callback;
 	watch->context = context;
 	client->watch = watch;
--- a/src/transport/tcp.c
+++ b/src/transport/tcp.c
@@ -25,7 +25,8 @@
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES_MAX 2
 
-bool aub_socket_address_parse(const char *address, struct sockaddr_in *to)
+bool aub_socket_address_parse(const char *address,
+			      struct sockaddr_in *socket_address)
 {
 	char *host = NULL;
 	guint16 port;
@@ -33,10 +34,10 @@
 
 	if (!aub_address_parse(address, &host, &port))
 		return false;
-	memset(to, 0, sizeof(*to));
-	to->sin_family = AF_INET;
-	to->sin_port = htons(port);
-	valid = inet_pton(AF_INET, host, &to->sin_addr) == 1;
+	memset(socket_address, 0, sizeof(*socket_address));
+	socket_address->sin_family = AF_INET;
+	socket_address->sin_port = htons(port);
+	valid = inet_pton(AF_INET, host, &socket_address->sin_addr) == 1;
 	g_free(host);
 	return valid;
 }
@@ -74,12 +75,12 @@
 		       GError **error)
 {
 	const int on = 1;
-	struct sockaddr_in to;
+	struct sockaddr_in socket_address;
 	int fd;
 
-	if (!aub_socket_address_parse(address, &to)) {
+	if (!aub_socket_address_parse(address, &socket_address)) {
 		aub_error_set(error, AUB_ERROR_INVALID, step, address,
-			      "is no ip:port");
+			      "not an ip:port address");
 		return -1;
 	}
 	fd = socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -93,7 +94,8 @@
 	 */
 	if (type == SOCK_STREAM)
 		setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	if (bind(fd, (struct sockaddr *)&to, sizeof(to)) < 0)
+	if (bind(fd, (struct sockaddr *)&socket_address,
+		 sizeof(socket_address)) < 0)
 		return fail_with_errno(fd, step, address, error);
 	return fd;
 }
@@ -114,19 +116,20 @@
 
 int aub_tcp_connect(const char *address, GError **error)
 {
-	struct sockaddr_in to;
+	struct sockaddr_in socket_address;
 	int fd;
 
-	if (!aub_socket_address_parse(address, &to)) {
+	if (!aub_socket_address_parse(address, &socket_address)) {
 		aub_error_set(error, AUB_ERROR_INVALID, "connect", address,
-			      "is no ip:port");
+			      "not an ip:port address");
 		return -1;
 	}
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd < 0)
 		return fail_with_errno(fd, "connect", address, error);
 	set_options(fd);
-	if (connect(fd, (struct sockaddr *)&to, sizeof(to)) < 0 &&
+	if (connect(fd, (struct sockaddr *)&socket_address,
+		    sizeof(socket_address)) < 0 &&
 	    errno != EINPROGRESS)
 		return fail_with_errno(fd, "connect", address, error);
 	return fd;
--- a/src/transport/upstream_client.c
+++ b/src/transport/upstream_client.c
@@ -325,10 +325,12 @@
 	complete = complete && !has_excess_bytes(attempt);
 	g_input_stream_close(attempt->stream, NULL, NULL);
 	if (attempt->cancelled || attempt->timed_out)
-		fail_attempt_with(attempt, AUB_ERROR_TIMEOUT, "given up");
+		fail_attempt_with(attempt, AUB_ERROR_TIMEOUT,
+				  "attempt cancelled or timed out");
 	else if (!complete)
-		fail_attempt_with(attempt, AUB_ERROR_CLOSED,
-				  "answer cut off, or more than announced");
+		fail_attempt_with(
+			attempt, AUB_ERROR_CLOSED,
+			"response truncated or longer than announced");
 	else
 		finish_attempt(attempt,
 			       aub_response_is_shed(attempt->message) ?
@@ -353,7 +355,7 @@
 		if (length > attempt->body_max_bytes) {
 			g_cancellable_cancel(attempt->cancellable);
 			fail_attempt_with(attempt, AUB_ERROR_TOO_LARGE,
-					  "answer past the limit");
+					  "response body exceeds the limit");
 			return;
 		}
 		g_byte_array_set_size(attempt->body, length + READ_CHUNK_BYTES);
@@ -486,7 +488,8 @@
 
 static struct aub_attempt *attempt_start(struct aub_upstream_client *client,
 					 SoupMessage *message,
-					 bool new_connection, gint64 timeout_us,
+					 bool new_connection,
+					 gint64 deadline_us,
 					 aub_attempt_callback *callback,
 					 void *context)
 {
@@ -503,7 +506,7 @@
 	attempt->may_use_pool = !new_connection;
 	attempt->callback = callback;
 	attempt->context = context;
-	attempt->timer = aub_timer_at(client->timers, "attempt", timeout_us,
+	attempt->timer = aub_timer_at(client->timers, "attempt", deadline_us,
 				      on_timeout, attempt);
 	/* IDEMPOTENT lets any method use the pool; see on_restarted(). */
 	flags |= new_connection ? SOUP_MESSAGE_NEW_CONNECTION :
@@ -548,7 +551,7 @@
 
 struct aub_attempt *aub_upstream_send(struct aub_upstream_client *client,
 				      const struct aub_call *call,
-				      bool new_connection, gint64 timeout_us,
+				      bool new_connection, gint64 deadline_us,
 				      aub_attempt_callback *callback,
 				      void *context)
 {
@@ -569,7 +572,7 @@
 		g_idle_add(fail_unsendable, attempt);
 		return attempt;
 	}
-	remaining_us = timeout_us - aub_timer_now(client->timers);
+	remaining_us = deadline_us - aub_timer_now(client->timers);
 	aub_upstream_write_request(message, call,
 				   MAX(remaining_us, 0) / AUB_MS);
 	/*
@@ -579,18 +582,18 @@
 	 * nothing has been executed.
 	 */
 	return attempt_start(client, message, new_connection || call->once,
-			     timeout_us, callback, context);
+			     deadline_us, callback, context);
 }
 
 struct aub_attempt *aub_upstream_probe(struct aub_upstream_client *client,
-				       gint64 timeout_us,
+				       gint64 deadline_us,
 				       aub_probe_callback *callback,
 				       void *context)
 {
 	struct aub_attempt *attempt;
 
 	attempt = attempt_start(client, make_message(client, "GET", "/load"),
-				false, timeout_us, NULL, context);
+				false, deadline_us, NULL, context);
 	attempt->probe = callback;
 	return attempt;
 }
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -90,10 +90,10 @@
 		struct aub_caller_server_options options = {};
 		options.address = "127.0.0.1:0";
 		options.connections_max = connections;
-		options.header_ms = limit_ms;
-		options.idle_ms = limit_ms;
-		options.body_ms = limit_ms;
-		options.write_ms = limit_ms;
+		options.header_timeout_ms = limit_ms;
+		options.idle_timeout_ms = limit_ms;
+		options.body_timeout_ms = limit_ms;
+		options.write_timeout_ms = limit_ms;
 		options.timers = timers;
 		options.arrived = on_request_received;
 		options.gone = on_caller_disconnected;
--- a/tests/test_store_client.cc
+++ b/tests/test_store_client.cc
@@ -113,7 +113,7 @@
 
 		options.url = url.c_str();
 		options.timeout_ms = 300;
-		options.watch_ms = 200;
+		options.watch_wait_ms = 200;
 		options.calls_per_s = calls_per_s;
 		options.seed = 7;
 		return aub_store_client_new(&options);
--- a/tests/test_upstream_client.cc
+++ b/tests/test_upstream_client.cc
@@ -157,7 +157,7 @@
  */
 TEST_F(UpstreamClient, ReportsTruncatedResponsesAsLost)
 {
-	const char *broken[] = {
+	const char *truncated[] = {
 		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		"3\r\nabc\r\n",
@@ -173,13 +173,13 @@
 		"",
 	};
 
-	for (const char *bytes : broken) {
+	for (const char *bytes : truncated) {
 		set_reply(bytes, true);
 		Result result = send_and_wait("POST", true);
 		EXPECT_EQ(result.result, AUB_ATTEMPT_LOST) << bytes;
 		EXPECT_NE(result.error, "") << bytes;
 	}
-	EXPECT_EQ(peer.requests.size(), G_N_ELEMENTS(broken));
+	EXPECT_EQ(peer.requests.size(), G_N_ELEMENTS(truncated));
 }
 
 TEST_F(UpstreamClient, ReportsNotConnectedOnlyForUnsentRequests)
