--- a/include/auburnstile/internal/caller_server.h
+++ b/include/auburnstile/internal/caller_server.h
@@ -29,13 +29,10 @@
 struct aub_caller_server_options {
 	const char *address; /* "ip:port" */
 	guint connections_max; /* maximum number of open connections */
-	guint header_timeout_ms; /* from accept to the end of the first header
-				  */
-	guint idle_timeout_ms; /* from a response to the end of the next header
-				*/
-	guint body_timeout_ms; /* from the end of the header to the end of the
-				  body */
-	guint write_timeout_ms; /* from the start to the end of the response */
+	guint header_timeout_ms; /* accept to end of first header */
+	guint idle_timeout_ms; /* response to end of next header */
+	guint body_timeout_ms; /* end of header to end of body */
+	guint write_timeout_ms; /* start to end of the response */
 	struct aub_timer_service *timers; /* not owned */
 
 	/*
--- a/include/auburnstile/store_client.h
+++ b/include/auburnstile/store_client.h
@@ -60,8 +60,8 @@
 		    aub_store_list_callback *callback, void *context);
 
 /*
- * Writes `value` if the version of the object is `expected` (0: the object
- * does not exist). On success, `version` is the new version. On
+ * Writes `value` if the version of the object is `expected_version` (0: the
+ * object does not exist). On success, `version` is the new version. On
  * AUB_ERROR_CONFLICT, it is the current version. AUB_ERROR_AMBIGUOUS means
  * that the write may have taken effect and that this could not be determined
  * within 4 times `timeout_ms`.
@@ -78,11 +78,11 @@
 		   void *context);
 
 /*
- * Watches a prefix from version `since` until stopped. After errors the client
- * resumes the watch with backoff and jitter. The callback is called for each
- * change (object set), for each confirmation that nothing has changed (object
- * and error NULL), and for each failed attempt (error set). Versions never
- * decrease: stale reads are dropped. A client has at most one watch.
+ * Watches a prefix from version `since_version` until stopped. After errors the
+ * client resumes the watch with backoff and jitter. The callback is called for
+ * each change (object set), for each confirmation that nothing has changed
+ * (object and error NULL), and for each failed attempt (error set). Versions
+ * never decrease: stale reads are dropped. A client has at most one watch.
  */
 typedef void aub_store_watch_callback(const struct aub_store_object *object,
 				      guint64 version, const GError *error,
--- a/src/transport/caller_server.c
+++ b/src/transport/caller_server.c
@@ -42,8 +42,7 @@
 	struct aub_caller_server *server;
 	struct aub_caller_group *group; /* not owned */
 	GSocket *socket; /* not owned: the entry is removed with the socket */
-	GSocketAddress
-		*remote; /* owned; its pointer is the key in `connections` */
+	GSocketAddress *remote; /* owned; key in `connections` by pointer */
 	enum phase phase;
 	bool has_carried_request; /* at least one request was received */
 	bool shut_down;
@@ -391,7 +390,7 @@
 	struct connection *connection = find_connection(server, message);
 
 	/*
-	 * Part of the responses that libsoup sends by itself: the request was
+	 * Also sent in responses that libsoup creates itself: the request was
 	 * not executed.
 	 */
 	soup_message_headers_append(soup_server_message_get_response_headers(
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -34,8 +34,7 @@
 
 struct aub_exchange {
 	struct aub_http_client *client;
-	struct aub_http_stream
-		*stream; /* NULL: the connection could not be started */
+	struct aub_http_stream *stream; /* NULL: could not be opened */
 	struct aub_exchange_callbacks callbacks;
 	void *context;
 	char *pool_key;
--- a/src/transport/link.c
+++ b/src/transport/link.c
@@ -22,8 +22,8 @@
 
 #define LENGTH_PREFIX_BYTES 4
 #define READ_CHUNK_BYTES (64u << 10) /* per read */
-#define COMPACT_THRESHOLD_BYTES \
-	(256u << 10) /* consumed bytes before the buffer is moved */
+/* Consumed bytes after which the rest of the buffer is moved to its start. */
+#define COMPACT_THRESHOLD_BYTES (256u << 10)
 
 enum link_state {
 	LINK_CONNECTING,
@@ -59,8 +59,8 @@
 	guint64 bytes; /* received and sent */
 	const struct aub_link_callbacks *callbacks;
 	void *context;
-	struct aubi_link_accept_callbacks
-		acceptor; /* of accepted links, until the hello */
+	/* Callbacks of an accepted link until the hello. */
+	struct aubi_link_accept_callbacks acceptor;
 };
 
 static guint64 total_bytes_in;
@@ -222,8 +222,8 @@
 }
 
 /*
- * Handles the first message of the peer. For an accepted link it determines
- * the owner.
+ * Handles the first message of the peer. If the link was accepted, the server
+ * returns the callbacks of its new owner, or rejects it.
  */
 static void on_hello(struct aub_link *link, struct aub_message *message)
 {
--- a/src/transport/tcp.c
+++ b/src/transport/tcp.c
@@ -10,8 +10,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LISTEN_BACKLOG \
-	512 /* a full queue costs callers seconds, because SYN is resent */
+/* A full queue delays callers by seconds, because they resend the SYN. */
+#define LISTEN_BACKLOG 512
 
 /*
  * If a network path fails or a peer loses power, requests on a pooled
@@ -20,7 +20,7 @@
  */
 #define USER_TIMEOUT_MS 2000u
 
-/* The same for idle connections. */
+/* TCP keep-alive detects the same fault on idle connections. */
 #define KEEPALIVE_IDLE_S 2
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES_MAX 2
--- a/src/transport/upstream_client.c
+++ b/src/transport/upstream_client.c
@@ -40,8 +40,7 @@
 	SoupSession *session; /* owned reference */
 	SoupMessage *message; /* owned reference */
 	GCancellable *cancellable;
-	GSocket *
-		new_socket; /* of a connection opened for this attempt, owned */
+	GSocket *new_socket; /* opened for this attempt, owned */
 	GInputStream *stream; /* of the response body, once it has begun */
 	GByteArray *body;
 	gsize body_max_bytes;
--- a/tests/test_admin.cc
+++ b/tests/test_admin.cc
@@ -170,10 +170,11 @@
 				"correct-token2", "x" };
 
 	for (const char *token : wrong) {
-		std::string answer = send_request("GET /v1/events", token);
+		std::string response = send_request("GET /v1/events", token);
 
-		EXPECT_TRUE(contains(answer, " 401 ")) << token;
-		EXPECT_TRUE(contains(answer, "\"code\":\"refused\"")) << answer;
+		EXPECT_TRUE(contains(response, " 401 ")) << token;
+		EXPECT_TRUE(contains(response, "\"code\":\"refused\""))
+			<< response;
 		EXPECT_TRUE(
 			contains(send_request("GET /nothing", token), " 401 "));
 	}
@@ -199,23 +200,24 @@
 
 TEST_F(Admin, RoutesByPathAndMethod)
 {
-	std::string answer = send_request("POST /v1/echo/a%20b?name=n%2F",
-					  correct_token, "12345");
+	std::string response = send_request("POST /v1/echo/a%20b?name=n%2F",
+					    correct_token, "12345");
 
-	EXPECT_TRUE(contains(answer, "{\"path\":\"/v1/echo/a b\",\"length\":5,"
-				     "\"name\":\"n/\"}"))
-		<< answer;
+	EXPECT_TRUE(contains(response,
+			     "{\"path\":\"/v1/echo/a b\",\"length\":5,"
+			     "\"name\":\"n/\"}"))
+		<< response;
 	EXPECT_TRUE(contains(send_request("GET /v1/echo/a", correct_token),
 			     " 405 "));
 	EXPECT_TRUE(contains(send_request("GET /v1/fails", correct_token),
 			     " 404 "));
-	answer = send_request("GET /v1/fail", correct_token);
-	EXPECT_TRUE(contains(answer, " 409 "));
-	EXPECT_TRUE(contains(answer,
+	response = send_request("GET /v1/fail", correct_token);
+	EXPECT_TRUE(contains(response, " 409 "));
+	EXPECT_TRUE(contains(response,
 			     "{\"error\":{\"code\":\"conflict\",\"step\":"
 			     "\"apply\",\"peer\":\"store\",\"message\":"
 			     "\"apply: store: it is \\\"newer\\\"\"}}"))
-		<< answer;
+		<< response;
 }
 
 TEST_F(Admin, BodiesOverTheLimitAreRejected)
@@ -246,19 +248,20 @@
 	for (int i = 1; i <= 10; i++)
 		aub_event_note(events, AUB_EVENT_ARRIVED, (guint64)i << 60, i,
 			       "cal-1", "a\"b\n");
-	std::string answer =
+	std::string response =
 		send_request("GET /v1/events?after=8", correct_token);
 
-	EXPECT_TRUE(contains(answer, "\"process\":\"entry-a1\",\"incarnation\":"
-				     "77"))
-		<< answer;
-	EXPECT_TRUE(contains(answer, "\"lost\":2"));
-	EXPECT_TRUE(contains(answer, "\"events\":[{\"sequence\":9,"));
-	EXPECT_TRUE(contains(answer,
+	EXPECT_TRUE(contains(response,
+			     "\"process\":\"entry-a1\",\"incarnation\":"
+			     "77"))
+		<< response;
+	EXPECT_TRUE(contains(response, "\"lost\":2"));
+	EXPECT_TRUE(contains(response, "\"events\":[{\"sequence\":9,"));
+	EXPECT_TRUE(contains(response,
 			     "\"request\":\"a000000000000000\",\"number\":"
 			     "10,\"upstream\":\"cal-1\",\"text\":"
 			     "\"a\\\"b\\u000a\"}]}"))
-		<< answer;
+		<< response;
 	EXPECT_TRUE(
 		contains(send_request("GET /v1/events?after=x", correct_token),
 			 " 400 "));
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -33,7 +33,7 @@
 	struct aub_caller_server *server = nullptr;
 	std::vector<struct aub_caller_request *> pending;
 	std::vector<struct aub_call *> calls;
-	int gone = 0;
+	int disconnected_count = 0;
 	bool respond_immediately = true;
 
 	static void on_request_received(struct aub_caller_request *request,
@@ -53,7 +53,7 @@
 		CallerServer *test = static_cast<CallerServer *>(context);
 
 		std::erase(test->pending, request);
-		test->gone++;
+		test->disconnected_count++;
 	}
 
 	static guint32 body_limit(const char *, void *)
@@ -248,7 +248,7 @@
 		caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
 		run_until([&] { return !pending.empty(); });
 	}
-	run_until([&] { return gone == 1; });
+	run_until([&] { return disconnected_count == 1; });
 	EXPECT_TRUE(pending.empty());
 	run_until([&] { return !aub_caller_server_connections(server); });
 }
--- a/tests/test_store_client.cc
+++ b/tests/test_store_client.cc
@@ -264,10 +264,10 @@
 	soup_message_headers_replace(soup_message_get_request_headers(message),
 				     "If-Match", "1");
 	soup_message_set_request_body_from_bytes(message, "text/plain", body);
-	GBytes *answer =
+	GBytes *response =
 		soup_session_send_and_read(session, message, NULL, NULL);
 	status = soup_message_get_status(message);
-	g_bytes_unref(answer);
+	g_bytes_unref(response);
 	g_bytes_unref(body);
 	g_object_unref(message);
 	g_object_unref(session);
--- a/tests/test_upstream_client.cc
+++ b/tests/test_upstream_client.cc
@@ -77,7 +77,7 @@
 		aub_timer_service_free(timers);
 	}
 
-	static struct aub_call *make_call(const char *method, bool once,
+	static struct aub_call *make_call(const char *method, bool at_most_once,
 					  const char *body = "")
 	{
 		struct aub_call *call =
@@ -85,17 +85,17 @@
 		aub_string_set(&call->method, method);
 		aub_string_set(&call->path, "/a%20b?q=%2F");
 		aub_bytes_set(&call->body, body, strlen(body));
-		call->once = once;
+		call->once = at_most_once;
 		call->id = 0xab;
 		call->retry_budget = 100;
 		return call;
 	}
 
-	Result send_and_wait(const char *method, bool once, gint64 ms = 2000,
-			     const char *body = "")
+	Result send_and_wait(const char *method, bool at_most_once,
+			     gint64 ms = 2000, const char *body = "")
 	{
 		Result result;
-		struct aub_call *call = make_call(method, once, body);
+		struct aub_call *call = make_call(method, at_most_once, body);
 
 		aub_upstream_send(client, call, false,
 				  g_get_monotonic_time() + ms * 1000, on_done,
