--- a/include/auburnstile/internal/control.h
+++ b/include/auburnstile/internal/control.h
@@ -46,8 +46,8 @@
 struct aubi_peers;
 struct aubi_store_task;
 struct aubi_entry_task;
-struct aubi_book;
-struct aubi_applies;
+struct aubi_config_history;
+struct aubi_config_changes;
 
 struct aubi_control {
 	const struct aubi_control_settings *settings;
@@ -59,24 +59,24 @@
 	struct aub_admin *admin;
 	struct aubi_membership *membership;
 	struct aubi_agreement agreement;
-	struct aubi_book *book; /* configurations seen */
+	struct aubi_config_history *history; /* configurations seen */
 	struct aub_inventory *inventory; /* of the one held; NULL for none */
 	struct aubi_assignments *assignments; /* held; epoch 0 for none */
 	struct aubi_peers *peers;
 	struct aubi_store_task *store;
 	struct aubi_entry_task *entry;
-	struct aubi_applies *applies;
+	struct aubi_config_changes *changes;
 	bool store_reachable;
-	GHashTable *seen; /* member name -> state last noted */
+	GHashTable *last_states; /* member name -> state last noted */
 	bool superseded; /* noted */
 	bool leaving; /* planned stop */
-	gint64 left_us; /* when it began */
+	gint64 leave_started_us; /* when it began */
 	bool finished; /* the planned stop is done */
-	gint64 leave_by_us;
-	gint64 stopped_us; /* when STOPPED was told to peers; 0 before */
+	gint64 leave_deadline_us;
+	gint64 stop_announced_us; /* when STOPPED was told to peers; 0 before */
 	guint series_messages;
 	guint series_exchanges;
-	guint series_silent;
+	guint series_unresponsive_links;
 	guint series_proposals;
 };
 
@@ -91,10 +91,10 @@
  * Something newer came from `source` ("store", a peer's name). True if it
  * was taken. What doesn't parse is refused and logged.
  */
-bool aubi_control_take_config(struct aubi_control *control, const char *json,
+bool aubi_control_adopt_config(struct aubi_control *control, const char *json,
 			      gsize length, guint64 version,
 			      const char *source);
-bool aubi_control_take_assignments(struct aubi_control *control,
+bool aubi_control_adopt_assignments(struct aubi_control *control,
 				   const char *json, gsize length,
 				   guint64 version, const char *source);
 
@@ -102,11 +102,11 @@
 void aubi_control_members_changed(struct aubi_control *control);
 
 /* The store answered, or failed to (`error`). */
-void aubi_control_store_heard(struct aubi_control *control,
+void aubi_control_store_result(struct aubi_control *control,
 			      const GError *error);
 
 /* Record an event; texts may be NULL. */
-void aubi_control_note(struct aubi_control *control, enum aub_event_type type,
+void aubi_control_record_event(struct aubi_control *control, enum aub_event_type type,
 		       guint64 number, const char *peer, const char *zone,
 		       const char *text);
 
@@ -115,26 +115,26 @@
 				const char *zone);
 guint aubi_control_rank(const struct aubi_control *control, bool in_region,
 			gint64 now_us);
-bool aubi_control_owns_any(const struct aubi_control *control);
+bool aubi_control_owns_services(const struct aubi_control *control);
 
 /* control_book.c: the configurations seen lately, the held one last. */
-struct aubi_book *aubi_book_new(void);
-void aubi_book_free(struct aubi_book *book);
-void aubi_book_add(struct aubi_book *book, struct aub_config *config,
+struct aubi_config_history *aubi_config_history_new(void);
+void aubi_config_history_free(struct aubi_config_history *history);
+void aubi_config_history_add(struct aubi_config_history *history, struct aub_config *config,
 		   const char *json, gsize length); /* takes config over */
-const struct aub_config *aubi_book_held(const struct aubi_book *book);
-const struct aub_config *aubi_book_find(const struct aubi_book *book,
+const struct aub_config *aubi_config_history_current(const struct aubi_config_history *history);
+const struct aub_config *aubi_config_history_find(const struct aubi_config_history *history,
 					guint64 version);
-const char *aubi_book_json(const struct aubi_book *book, gsize *length);
+const char *aubi_config_history_json(const struct aubi_config_history *history, gsize *length);
 /* The same, compressed; borrowed until the next is added. */
-GBytes *aubi_book_packed(struct aubi_book *book);
+GBytes *aubi_config_history_compressed(struct aubi_config_history *history);
 
 /* control_peers.c */
 struct aubi_peers *aubi_peers_new(struct aubi_control *control, GError **error);
 void aubi_peers_free(struct aubi_peers *peers);
 /* Exchange with a few peers now: there is news. Bounded in rate. */
-void aubi_peers_hurry(struct aubi_peers *peers, bool urgent);
-void aubi_peers_hello(const struct aubi_control *control,
+void aubi_peers_gossip_now(struct aubi_peers *peers, bool urgent);
+void aubi_peers_fill_hello(const struct aubi_control *control,
 		      struct aub_hello *hello);
 
 /* control_store.c */
@@ -150,17 +150,17 @@
 const struct aub_link_callbacks *aubi_entry_task_callbacks(void);
 bool aubi_entry_task_accept(struct aubi_entry_task *task, struct aub_link *link,
 			    const struct aub_hello *hello);
-void aubi_entry_task_changed(struct aubi_entry_task *task);
+void aubi_entry_task_schedule_view(struct aubi_entry_task *task);
 void aubi_entry_task_tick(struct aubi_entry_task *task, gint64 now_us);
 bool aubi_entry_task_connected(const struct aubi_entry_task *task);
 guint64 aubi_entry_task_bytes(const struct aubi_entry_task *task);
 bool aubi_entry_task_stopping(const struct aubi_entry_task *task);
 
 /* control_apply.c and control_admin.c */
-struct aubi_applies *aubi_applies_new(struct aubi_control *control);
-void aubi_applies_install(struct aubi_applies *applies);
-void aubi_applies_free(struct aubi_applies *applies);
-void aubi_applies_tick(struct aubi_applies *applies, gint64 now_us);
+struct aubi_config_changes *aubi_config_changes_new(struct aubi_control *control);
+void aubi_config_changes_install(struct aubi_config_changes *changes);
+void aubi_config_changes_free(struct aubi_config_changes *changes);
+void aubi_config_changes_tick(struct aubi_config_changes *changes, gint64 now_us);
 void aubi_admin_install(struct aubi_control *control);
 
 /* control_metrics.c */
--- a/include/auburnstile/internal/control_edit.h
+++ b/include/auburnstile/internal/control_edit.h
@@ -12,9 +12,9 @@
 /* What /v1/KIND/NAME/WORD does to the configuration. */
 struct aubi_edit {
 	const char *kind;
-	const char *word;
+	const char *action;
 	bool add; /* to the list, else off it */
-	size_t list; /* offset of it in struct aub_config */
+	size_t list_offset; /* offset of it in struct aub_config */
 	bool (*exists)(const struct aub_inventory *inventory, const char *name);
 };
 
@@ -22,7 +22,7 @@
  * The edit that a path "/v1/KIND/NAME/WORD" asks for, and its name (owned by
  * the caller); NULL for another path.
  */
-const struct aubi_edit *aubi_edit_of(const char *path, char **name);
+const struct aubi_edit *aubi_edit_from_path(const char *path, char **name);
 
 /* False with no error: it is so already. */
 bool aubi_edit_list(const struct aubi_edit *edit, const char *name,
--- a/include/auburnstile/internal/control_json.h
+++ b/include/auburnstile/internal/control_json.h
@@ -17,7 +17,7 @@
  * Who holds `version` and who doesn't: a list of {"member", "version",
  * "state"}, of all members that count. Owned by the caller.
  */
-JsonArray *aubi_json_in_force(const struct aubi_control *control,
+JsonArray *aubi_json_config_activation(const struct aubi_control *control,
 			      guint64 version, gint64 now_us);
 
 /*
@@ -25,7 +25,7 @@
  * one. A member unheard of for three seconds takes no new work and is not
  * waited for.
  */
-bool aubi_in_force_everywhere(const struct aubi_control *control,
+bool aubi_config_active_everywhere(const struct aubi_control *control,
 			      guint64 version, gint64 now_us);
 
 G_END_DECLS
--- a/include/auburnstile/internal/dispatch_probes.h
+++ b/include/auburnstile/internal/dispatch_probes.h
@@ -20,12 +20,12 @@
 	guint32 busy; /* requests at once, by its own report */
 };
 
-typedef void aub_probe_reported(const struct aub_probe_report *report,
+typedef void aub_probe_report_callback(const struct aub_probe_report *report,
 				void *context);
 
 /* `upstreams` is borrowed. Freeing ends all probes without a report. */
 struct aub_probes *aub_probes_new(struct aub_upstream_set *upstreams,
-				  aub_probe_reported *reported, void *context);
+				  aub_probe_report_callback *callback, void *context);
 void aub_probes_free(struct aub_probes *probes);
 
 /* Probe an upstream of `inventory`; reported once, until `timeout_us`. */
--- a/include/auburnstile/internal/dispatch_task.h
+++ b/include/auburnstile/internal/dispatch_task.h
@@ -36,7 +36,7 @@
 /* Unknown services are ignored. See aub_dispatcher_set_role(). */
 void aub_dispatch_task_set_role(struct aub_dispatch_task *task,
 				const char *service,
-				enum aub_dispatch_role role, gint64 settle_us);
+				enum aub_dispatch_role role, gint64 warm_up_us);
 
 /* A service's dispatcher, borrowed; NULL where there is none. */
 struct aub_dispatcher *aub_dispatch_task_dispatcher(
--- a/include/auburnstile/internal/entry.h
+++ b/include/auburnstile/internal/entry.h
@@ -5,7 +5,7 @@
 #define AUBURNSTILE_INTERNAL_ENTRY_H
 
 #include <auburnstile/admin.h>
-#include <auburnstile/internal/front.h>
+#include <auburnstile/internal/request_router.h>
 #include <auburnstile/settings.h>
 
 G_BEGIN_DECLS
--- a/include/auburnstile/internal/entry_view.h
+++ b/include/auburnstile/internal/entry_view.h
@@ -44,7 +44,7 @@
 	const struct aub_entry_view *view, guint64 incarnation);
 
 /* Who took over the keys of an entry that stopped in order; 0 if unknown. */
-guint64 aub_entry_view_heir(const struct aub_entry_view *view,
+guint64 aub_entry_view_successor(const struct aub_entry_view *view,
 			    guint64 incarnation);
 
 /* Call `visit` for each assignment or member. */
@@ -61,7 +61,7 @@
 
 /* Told to the control with the next acknowledgement, which goes at once. */
 void aub_entry_view_set_stopping(struct aub_entry_view *view);
-void aub_entry_view_set_heir(struct aub_entry_view *view, guint64 heir);
+void aub_entry_view_set_successor(struct aub_entry_view *view, guint64 successor);
 void aub_entry_view_set_load(struct aub_entry_view *view, guint32 permille);
 
 /* True when nothing waits to be written to the control. */
--- a/include/auburnstile/internal/membership.h
+++ b/include/auburnstile/internal/membership.h
@@ -26,11 +26,11 @@
 
 G_BEGIN_DECLS
 
-#define AUBI_MEMBER_LIVE_US ((gint64)3000000) /* unheard of: dead */
-#define AUBI_MEMBER_EXPIRE_US ((gint64)900000000) /* dead: forgotten */
-#define AUBI_MEMBER_STOPPED_US ((gint64)3900000000) /* past keys */
-#define AUBI_GOSSIP_US ((gint64)333000) /* between exchanges */
-#define AUBI_MEMBER_NEVER G_MAXINT64 /* an age that is not known */
+#define AUBI_MEMBER_TIMEOUT_US ((gint64)3000000) /* unheard of: dead */
+#define AUBI_MEMBER_DEAD_RETENTION_US ((gint64)900000000) /* dead: forgotten */
+#define AUBI_MEMBER_STOPPED_RETENTION_US ((gint64)3900000000) /* past keys */
+#define AUBI_GOSSIP_INTERVAL_US ((gint64)333000) /* between exchanges */
+#define AUBI_AGE_UNKNOWN_US G_MAXINT64 /* an age that is not known */
 
 struct aubi_membership;
 
@@ -56,7 +56,7 @@
 bool aubi_membership_superseded(const struct aubi_membership *membership);
 
 /* Message 1. The caller fills in versions and the store's state. */
-void aubi_membership_ask(const struct aubi_membership *membership,
+void aubi_membership_begin_exchange(const struct aubi_membership *membership,
 			 struct aub_gossip *gossip, gint64 now_us);
 
 /*
@@ -64,7 +64,7 @@
  * is the sender's name, `start` its control's incarnation. Messages 1 and 4
  * bring no ages.
  */
-bool aubi_membership_hear(struct aubi_membership *membership, const char *from,
+bool aubi_membership_receive(struct aubi_membership *membership, const char *from,
 			  guint64 start, const struct aub_gossip *gossip,
 			  gint64 now_us);
 
@@ -74,8 +74,8 @@
  * `behind`: a peer holds a newer configuration. Then no proofs of others are
  * relayed, so that a proof never overtakes the version that came with it.
  */
-bool aubi_membership_answer(const struct aubi_membership *membership,
-			    const struct aub_gossip *heard, bool behind,
+bool aubi_membership_reply(const struct aubi_membership *membership,
+			    const struct aub_gossip *received, bool behind,
 			    struct aub_gossip *gossip, gint64 now_us);
 
 /* Upper bound of the time since `gossip`'s sender wrote it. */
@@ -100,7 +100,7 @@
  * none. Mostly a live one; now and then a dead one or a seed, so that halves
  * of a fleet find each other again.
  */
-const char *aubi_membership_pick(struct aubi_membership *membership,
+const char *aubi_membership_pick_peer(struct aubi_membership *membership,
 				 gint64 now_us);
 
 /* Copies with state and age as of now; list owned by the caller. */
@@ -108,22 +108,22 @@
 				gint64 now_us);
 
 /* Members that count: neither stopped in order nor forgotten. */
-guint aubi_membership_known(const struct aubi_membership *membership);
-guint aubi_membership_live(const struct aubi_membership *membership,
+guint aubi_membership_count(const struct aubi_membership *membership);
+guint aubi_membership_count_live(const struct aubi_membership *membership,
 			   gint64 now_us);
 
 /*
  * Age of the oldest proof among the `count` members proved most lately,
- * itself included; AUBI_MEMBER_NEVER if fewer were ever proved.
+ * itself included; AUBI_AGE_UNKNOWN_US if fewer were ever proved.
  */
-gint64 aubi_membership_heard_us(const struct aubi_membership *membership,
+gint64 aubi_membership_proof_age_us(const struct aubi_membership *membership,
 				guint count, gint64 now_us);
 
 /*
  * Members that count and whose control is known to hold `version` or a newer
  * one, itself included.
  */
-guint aubi_membership_holders(const struct aubi_membership *membership,
+guint aubi_membership_count_holding(const struct aubi_membership *membership,
 			      guint64 version);
 
 /*
--- a/include/auburnstile/internal/membership_table.h
+++ b/include/auburnstile/internal/membership_table.h
@@ -13,10 +13,10 @@
 	struct aub_member *member; /* owned */
 	char *key; /* name, or name#incarnation of one that left */
 	guint32 tag;
-	gint64 heard_us; /* any sign of life; 0 for none */
-	gint64 proved_us; /* sign of life bounded by a round trip */
+	gint64 last_heard_us; /* any sign of life; 0 for none */
+	gint64 last_proof_us; /* sign of life bounded by a round trip */
 	guint64 held_version; /* newest its control is known to hold */
-	bool shown_live; /* as last reported by tick */
+	bool reported_live; /* as last reported by tick */
 };
 
 struct aubi_membership {
@@ -38,8 +38,8 @@
 	const struct aub_member *member);
 
 /* Keep a member that left in order for its heir. True if it is new. */
-bool aubi_membership_keep_past(struct aubi_membership *membership,
-			       const struct aub_member *past, gint64 now_us);
+bool aubi_membership_retain_stopped(struct aubi_membership *membership,
+			       const struct aub_member *stopped, gint64 now_us);
 
 /* Compute tags and roster hash anew, after any change of records. */
 void aubi_membership_rehash(struct aubi_membership *membership);
--- a/include/auburnstile/internal/ownership.h
+++ b/include/auburnstile/internal/ownership.h
@@ -18,7 +18,7 @@
 /* The stored object: {"change": "ID", "assignments": [...]}. */
 struct aubi_assignments {
 	guint64 epoch; /* store version */
-	GPtrArray *lines; /* of struct aub_assignment, sorted by service */
+	GPtrArray *list; /* of struct aub_assignment, sorted by service */
 };
 
 struct aubi_assignments *aubi_assignments_new(void);
@@ -54,7 +54,7 @@
  * only if the need has lasted a step longer. No election, no herd on the
  * store. `needed_us` is when the need was first seen here, 0 for none.
  */
-bool aubi_ownership_turn(guint rank, gint64 needed_us, gint64 now_us);
+bool aubi_ownership_is_turn(guint rank, gint64 needed_us, gint64 now_us);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/relay.h
+++ b/include/auburnstile/internal/relay.h
@@ -21,7 +21,7 @@
 	struct aub_event_ring *events; /* borrowed */
 
 	/* May an entry of this incarnation link to this one? */
-	bool (*known)(guint64 incarnation, void *context);
+	bool (*is_member)(guint64 incarnation, void *context);
 	/*
 	 * A call came in; `call` is owned by the callee. Exactly one
 	 * aub_relay_answer() follows, unless `gone` came first.
@@ -86,10 +86,10 @@
 
 /*
  * Keep a link to this member from now on, and look often whether it lives.
- * aub_relay_watch_none() ends all watches; links stay until unused.
+ * aub_relay_unwatch_all() ends all watches; links stay until unused.
  */
 void aub_relay_watch(struct aub_relay *relay, const struct aub_member *member);
-void aub_relay_watch_none(struct aub_relay *relay);
+void aub_relay_unwatch_all(struct aub_relay *relay);
 
 enum aub_peer_state {
 	AUB_PEER_UNTRIED, /* no link yet, or one is being opened */
--- a/include/auburnstile/internal/store_sync.h
+++ b/include/auburnstile/internal/store_sync.h
@@ -17,7 +17,7 @@
 	struct aub_http_client *client;
 	struct aub_timer_service *timers;
 	const char *address; /* of the store */
-	bool takes_orders; /* orders to change versions are read, too */
+	bool follows_rollouts; /* orders to change versions are read, too */
 	/*
 	 * An object is there, has changed, or is gone; `record` is borrowed.
 	 * Contents may be taken out of it (set to NULL).
@@ -25,7 +25,7 @@
 	void (*changed)(enum aub_store_kind kind, struct aub_record *record,
 			void *context);
 	/* All changes of an answer have been told. */
-	void (*told)(void *context);
+	void (*batch_done)(void *context);
 	/* The store's answer to a watch, for others who do not watch. */
 	void (*share)(enum aub_store_kind kind, gint64 after, gint64 until,
 		      const char *body, gsize length, void *context);
@@ -43,12 +43,12 @@
 void aub_store_sync_free(struct aub_store_sync *sync);
 
 /* Record this gateway for the others to find; repeated until it is there. */
-void aub_store_sync_enrol(struct aub_store_sync *sync, const char *name,
+void aub_store_sync_register(struct aub_store_sync *sync, const char *name,
 			  const struct aub_member_record *member);
 /* Ask the store where other gateways are, now. */
 void aub_store_sync_list_members(struct aub_store_sync *sync);
 /* Take the record back: a planned stop. Told once, not repeated. */
-void aub_store_sync_leave(struct aub_store_sync *sync);
+void aub_store_sync_deregister(struct aub_store_sync *sync);
 
 /* Another gateway knows of a change of `kind` at `revision`. */
 void aub_store_sync_announce(struct aub_store_sync *sync,
@@ -57,19 +57,19 @@
  * What a watching gateway was told: the changes after `after` up to `until`.
  * Taken if nothing before them is missing here; else the store is asked.
  */
-void aub_store_sync_take(struct aub_store_sync *sync, enum aub_store_kind kind,
+void aub_store_sync_apply_shared(struct aub_store_sync *sync, enum aub_store_kind kind,
 			 gint64 after, gint64 until, const char *body,
 			 gsize length);
 /* Who watches may have changed: begin, if it is this process now. */
-void aub_store_sync_check(struct aub_store_sync *sync);
+void aub_store_sync_check_watch_duty(struct aub_store_sync *sync);
 /* Revision of the store at the last change that is known here. */
-gint64 aub_store_sync_known(const struct aub_store_sync *sync,
+gint64 aub_store_sync_known_revision(const struct aub_store_sync *sync,
 			    enum aub_store_kind kind);
 /* For how long the store has failed to answer about some kind; 0: it does. */
-gint64 aub_store_sync_lost_us(const struct aub_store_sync *sync);
+gint64 aub_store_sync_unavailable_us(const struct aub_store_sync *sync);
 
 /* When the store last answered about `kind`; 0: never. */
-gint64 aub_store_sync_heard_us(const struct aub_store_sync *sync,
+gint64 aub_store_sync_answered_us(const struct aub_store_sync *sync,
 			       enum aub_store_kind kind);
 
 /* How calls of the store ended, by the kind of object they were about. */
@@ -86,12 +86,12 @@
  * returned call is cancelled first; with AUB_STORE_REFUSED and conflict where
  * the object is at another revision than the body names.
  */
-typedef void aub_store_written(enum aub_store_result result, bool conflict,
+typedef void aub_store_write_callback(enum aub_store_result result, bool conflict,
 			       void *context);
 struct aub_store_write;
 struct aub_store_write *aub_store_sync_write_state(
 	struct aub_store_sync *sync, enum aub_store_kind kind, const char *name,
-	GBytes *body, aub_store_written *written, void *context);
+	GBytes *body, aub_store_write_callback *written, void *context);
 void aub_store_write_cancel(struct aub_store_write *write);
 
 guint64 aub_store_sync_calls(const struct aub_store_sync *sync,
--- a/include/auburnstile/internal/states.h
+++ b/include/auburnstile/internal/upstream_states.h
@@ -1,8 +1,8 @@
 /*
  * What an owner tells its stand-by of its upstreams, as a message.
  */
-#ifndef AUBURNSTILE_INTERNAL_STATES_H
-#define AUBURNSTILE_INTERNAL_STATES_H
+#ifndef AUBURNSTILE_INTERNAL_UPSTREAM_STATES_H
+#define AUBURNSTILE_INTERNAL_UPSTREAM_STATES_H
 
 #include <auburnstile/dispatch.h>
 #include <auburnstile/message.h>
@@ -10,11 +10,11 @@
 G_BEGIN_DECLS
 
 /* What the dispatcher knows; owned by the caller. */
-struct aub_states *aub_states_make(const struct aub_dispatcher *dispatcher,
+struct aub_states *aub_states_from_dispatcher(const struct aub_dispatcher *dispatcher,
 				   const char *service, gint64 now_us);
 
 /* Let a dispatcher without a role know it; others ignore it. */
-void aub_states_learn(struct aub_dispatcher *dispatcher,
+void aub_states_apply(struct aub_dispatcher *dispatcher,
 		      const struct aub_states *states, gint64 now_us);
 
 G_END_DECLS
--- a/src/coordination/agreement.c
+++ b/src/coordination/agreement.c
@@ -9,17 +9,17 @@
  */
 #include <auburnstile/internal/agreement.h>
 
-#define JOIN_US ((gint64)1000000) /* peers answer first after a start */
-#define ANXIOUS_US ((gint64)1500000) /* half of AUBI_FRESH_US */
-#define BEHIND_US ((gint64)1000000) /* a pull takes much less */
-#define WATCH_HOLD_US ((gint64)5000000)
+#define STARTUP_GRACE_US ((gint64)1000000) /* peers answer first after a start */
+#define CONFIRMATION_OVERDUE_US ((gint64)1500000) /* half of AUBI_CONFIG_FRESH_MAX_US */
+#define BEHIND_GRACE_US ((gint64)1000000) /* a pull takes much less */
+#define WATCH_MIN_US ((gint64)5000000)
 
 struct aubi_agreement aubi_agreement_start(gint64 now_us)
 {
 	return (struct aubi_agreement){ .started_us = now_us };
 }
 
-bool aubi_agreement_hold_config(struct aubi_agreement *agreement,
+bool aubi_agreement_adopt_config(struct aubi_agreement *agreement,
 				guint64 version)
 {
 	/*
@@ -33,7 +33,7 @@
 	return true;
 }
 
-bool aubi_agreement_hold_epoch(struct aubi_agreement *agreement, guint64 epoch)
+bool aubi_agreement_adopt_epoch(struct aubi_agreement *agreement, guint64 epoch)
 {
 	if (epoch <= agreement->epoch)
 		return false;
@@ -54,17 +54,17 @@
 	agreement->confirmed_us = at_us;
 }
 
-void aubi_agreement_relayed(struct aubi_agreement *agreement,
+void aubi_agreement_receive_gossip(struct aubi_agreement *agreement,
 			    const struct aub_gossip *gossip, gint64 now_us)
 {
 	gint64 delay_us = aubi_gossip_delay_us(gossip, now_us);
 	bool was_behind = aubi_agreement_is_behind(agreement);
 
-	agreement->heard_version =
-		MAX(agreement->heard_version, gossip->config_version);
+	agreement->peer_version =
+		MAX(agreement->peer_version, gossip->config_version);
 	if (!was_behind && aubi_agreement_is_behind(agreement))
-		agreement->behind_us = now_us;
-	if (delay_us == AUBI_MEMBER_NEVER || gossip->fresh_ms == G_MAXUINT32)
+		agreement->behind_since_us = now_us;
+	if (delay_us == AUBI_AGE_UNKNOWN_US || gossip->fresh_ms == G_MAXUINT32)
 		return;
 	aubi_agreement_confirm(agreement, gossip->config_version,
 			       now_us - delay_us -
@@ -73,25 +73,25 @@
 
 bool aubi_agreement_is_behind(const struct aubi_agreement *agreement)
 {
-	return agreement->heard_version > agreement->config_version;
+	return agreement->peer_version > agreement->config_version;
 }
 
-gint64 aubi_agreement_fresh_us(const struct aubi_agreement *agreement,
+gint64 aubi_agreement_config_age_us(const struct aubi_agreement *agreement,
 			       gint64 now_us)
 {
 	if (!agreement->confirmed_us ||
 	    agreement->config_version < agreement->confirmed_version)
-		return AUBI_MEMBER_NEVER;
+		return AUBI_AGE_UNKNOWN_US;
 	return MAX(now_us - agreement->confirmed_us, 0);
 }
 
 /* Age of the proof that the members not heard are no majority. */
-static gint64 half_heard_us(const struct aubi_membership *membership,
+static gint64 half_proof_age_us(const struct aubi_membership *membership,
 			    gint64 now_us)
 {
-	guint known = aubi_membership_known(membership);
+	guint known = aubi_membership_count(membership);
 
-	return aubi_membership_heard_us(membership, (known + 1) / 2, now_us);
+	return aubi_membership_proof_age_us(membership, (known + 1) / 2, now_us);
 }
 
 /*
@@ -101,13 +101,13 @@
  * had no leave a second ago gets none, and another keeps its own for a second
  * at most, until it holds what it has heard of.
  */
-static bool may_be_behind(const struct aubi_agreement *agreement, gint64 now_us)
+static bool may_serve_while_behind(const struct aubi_agreement *agreement, gint64 now_us)
 {
-	return now_us - agreement->behind_us < BEHIND_US &&
-	       now_us - agreement->serving_us < BEHIND_US;
+	return now_us - agreement->behind_since_us < BEHIND_GRACE_US &&
+	       now_us - agreement->last_serving_us < BEHIND_GRACE_US;
 }
 
-gint64 aubi_agreement_serve_us(const struct aubi_agreement *agreement,
+gint64 aubi_agreement_serve_lease_us(const struct aubi_agreement *agreement,
 			       const struct aubi_membership *membership,
 			       gint64 now_us)
 {
@@ -117,38 +117,38 @@
 	    aubi_membership_superseded(membership))
 		return 0;
 	if (aubi_agreement_is_behind(agreement) &&
-	    !may_be_behind(agreement, now_us))
+	    !may_serve_while_behind(agreement, now_us))
 		return 0;
-	age_us = MIN(aubi_agreement_fresh_us(agreement, now_us),
-		     half_heard_us(membership, now_us));
+	age_us = MIN(aubi_agreement_config_age_us(agreement, now_us),
+		     half_proof_age_us(membership, now_us));
 	/*
 	 * Cut off from store and peers, it would miss a change for good.
 	 * Requests would go on to a zone that was taken out.
-	 * The permission ends AUBI_FRESH_US after the last proof, wherever
+	 * The permission ends AUBI_CONFIG_FRESH_MAX_US after the last proof, wherever
 	 * the process hangs, as it is handed out as time left.
 	 */
-	if (age_us >= AUBI_FRESH_US)
+	if (age_us >= AUBI_CONFIG_FRESH_MAX_US)
 		return 0;
-	return MIN(AUBI_FRESH_US - age_us, AUBI_SERVE_MAX_US);
+	return MIN(AUBI_CONFIG_FRESH_MAX_US - age_us, AUBI_SERVE_LEASE_MAX_US);
 }
 
 void aubi_agreement_tick(struct aubi_agreement *agreement,
 			 const struct aubi_membership *membership,
 			 gint64 now_us)
 {
-	if (aubi_agreement_serve_us(agreement, membership, now_us) > 0)
-		agreement->serving_us = now_us;
+	if (aubi_agreement_serve_lease_us(agreement, membership, now_us) > 0)
+		agreement->last_serving_us = now_us;
 }
 
-bool aubi_agreement_may_accept(const struct aubi_membership *membership,
+bool aubi_agreement_can_accept_changes(const struct aubi_membership *membership,
 			       gint64 now_us)
 {
-	guint majority = aubi_membership_known(membership) / 2 + 1;
+	guint majority = aubi_membership_count(membership) / 2 + 1;
 
 	if (aubi_membership_superseded(membership))
 		return false;
-	return aubi_membership_heard_us(membership, majority, now_us) <
-	       AUBI_FRESH_US;
+	return aubi_membership_proof_age_us(membership, majority, now_us) <
+	       AUBI_CONFIG_FRESH_MAX_US;
 }
 
 bool aubi_agreement_is_accepted(const struct aubi_agreement *agreement,
@@ -163,18 +163,18 @@
 	 * serves without the store hears one of these.
 	 */
 	return agreement->config_version >= version &&
-	       aubi_membership_holders(membership, version) * 2 >
-		       aubi_membership_known(membership);
+	       aubi_membership_count_holding(membership, version) * 2 >
+		       aubi_membership_count(membership);
 }
 
-bool aubi_agreement_watches(struct aubi_agreement *agreement,
+bool aubi_agreement_should_watch_store(struct aubi_agreement *agreement,
 			    const struct aubi_membership *membership,
 			    guint rank, gint64 now_us)
 {
-	bool joined = now_us - agreement->started_us >= JOIN_US;
-	bool anxious =
-		aubi_agreement_fresh_us(agreement, now_us) > ANXIOUS_US &&
-		half_heard_us(membership, now_us) > ANXIOUS_US;
+	bool joined = now_us - agreement->started_us >= STARTUP_GRACE_US;
+	bool overdue =
+		aubi_agreement_config_age_us(agreement, now_us) > CONFIRMATION_OVERDUE_US &&
+		half_proof_age_us(membership, now_us) > CONFIRMATION_OVERDUE_US;
 
 	/*
 	 * A whole zone that restarts would read the store all at once.
@@ -182,7 +182,7 @@
 	 * For its first second a control only asks peers, and only a few
 	 * of a region watch at any time.
 	 */
-	if (joined && (rank < AUBI_WATCHERS || anxious))
-		agreement->watch_until_us = now_us + WATCH_HOLD_US;
+	if (joined && (rank < AUBI_STORE_WATCHERS_PER_REGION || overdue))
+		agreement->watch_until_us = now_us + WATCH_MIN_US;
 	return now_us < agreement->watch_until_us;
 }
--- a/src/coordination/assignments.c
+++ b/src/coordination/assignments.c
@@ -14,7 +14,7 @@
 	struct aubi_assignments *assignments;
 
 	assignments = g_new0(struct aubi_assignments, 1);
-	assignments->lines = g_ptr_array_new_with_free_func(
+	assignments->list = g_ptr_array_new_with_free_func(
 		(GDestroyNotify)aub_assignment_free);
 	return assignments;
 }
@@ -23,7 +23,7 @@
 {
 	if (!assignments)
 		return;
-	g_ptr_array_unref(assignments->lines);
+	g_ptr_array_unref(assignments->list);
 	g_free(assignments);
 }
 
@@ -32,39 +32,39 @@
 {
 	guint i;
 
-	for (i = 0; i < assignments->lines->len; i++) {
-		const struct aub_assignment *line =
-			assignments->lines->pdata[i];
+	for (i = 0; i < assignments->list->len; i++) {
+		const struct aub_assignment *assignment =
+			assignments->list->pdata[i];
 
-		if (!strcmp(line->service, service))
-			return line;
+		if (!strcmp(assignment->service, service))
+			return assignment;
 	}
 	return NULL;
 }
 
-static const char *text_of(JsonObject *object, const char *name)
+static const char *string_member(JsonObject *object, const char *name)
 {
 	const char *text = aub_json_string(object, name);
 
 	return text ? text : "";
 }
 
-static guint64 number_of(JsonObject *object, const char *name)
+static guint64 integer_member(JsonObject *object, const char *name)
 {
 	return (guint64)aub_json_integer(object, name);
 }
 
-static struct aub_assignment *parse_line(JsonObject *object)
+static struct aub_assignment *parse_assignment(JsonObject *object)
 {
-	struct aub_assignment *line = aub_assignment_new();
-
-	aub_string_set(&line->service, text_of(object, "service"));
-	aub_string_set(&line->owner, text_of(object, "owner"));
-	aub_string_set(&line->standby, text_of(object, "standby"));
-	line->owner_incarnation = number_of(object, "owner_incarnation");
-	line->standby_incarnation = number_of(object, "standby_incarnation");
-	line->epoch = number_of(object, "epoch");
-	return line;
+	struct aub_assignment *assignment = aub_assignment_new();
+
+	aub_string_set(&assignment->service, string_member(object, "service"));
+	aub_string_set(&assignment->owner, string_member(object, "owner"));
+	aub_string_set(&assignment->standby, string_member(object, "standby"));
+	assignment->owner_incarnation = integer_member(object, "owner_incarnation");
+	assignment->standby_incarnation = integer_member(object, "standby_incarnation");
+	assignment->epoch = integer_member(object, "epoch");
+	return assignment;
 }
 
 struct aubi_assignments *aubi_assignments_parse(const char *json, gsize length,
@@ -86,31 +86,31 @@
 	assignments = aubi_assignments_new();
 	assignments->epoch = version;
 	for (i = 0; i < json_array_get_length(lines); i++) {
-		JsonObject *line = aub_json_element(lines, i);
+		JsonObject *assignment = aub_json_element(lines, i);
 
-		if (line)
-			g_ptr_array_add(assignments->lines, parse_line(line));
+		if (assignment)
+			g_ptr_array_add(assignments->list, parse_assignment(assignment));
 	}
 out:
 	json_object_unref(root);
 	return assignments;
 }
 
-static void build_line(JsonBuilder *builder, const struct aub_assignment *line)
+static void build_assignment(JsonBuilder *builder, const struct aub_assignment *assignment)
 {
 	json_builder_begin_object(builder);
 	json_builder_set_member_name(builder, "service");
-	json_builder_add_string_value(builder, line->service);
+	json_builder_add_string_value(builder, assignment->service);
 	json_builder_set_member_name(builder, "owner");
-	json_builder_add_string_value(builder, line->owner);
+	json_builder_add_string_value(builder, assignment->owner);
 	json_builder_set_member_name(builder, "owner_incarnation");
-	json_builder_add_int_value(builder, (gint64)line->owner_incarnation);
+	json_builder_add_int_value(builder, (gint64)assignment->owner_incarnation);
 	json_builder_set_member_name(builder, "standby");
-	json_builder_add_string_value(builder, line->standby);
+	json_builder_add_string_value(builder, assignment->standby);
 	json_builder_set_member_name(builder, "standby_incarnation");
-	json_builder_add_int_value(builder, (gint64)line->standby_incarnation);
+	json_builder_add_int_value(builder, (gint64)assignment->standby_incarnation);
 	json_builder_set_member_name(builder, "epoch");
-	json_builder_add_int_value(builder, (gint64)line->epoch);
+	json_builder_add_int_value(builder, (gint64)assignment->epoch);
 	json_builder_end_object(builder);
 }
 
@@ -127,8 +127,8 @@
 	json_builder_add_string_value(builder, change);
 	json_builder_set_member_name(builder, "assignments");
 	json_builder_begin_array(builder);
-	for (i = 0; i < assignments->lines->len; i++)
-		build_line(builder, assignments->lines->pdata[i]);
+	for (i = 0; i < assignments->list->len; i++)
+		build_assignment(builder, assignments->list->pdata[i]);
 	json_builder_end_array(builder);
 	json_builder_end_object(builder);
 	root = json_builder_get_root(builder);
--- a/src/coordination/control.c
+++ b/src/coordination/control.c
@@ -8,12 +8,12 @@
 
 #include <string.h>
 
-#define TICK_US ((gint64)100000)
-#define METRICS_US ((gint64)1000000)
-#define FAREWELL_US ((gint64)500000) /* for peers to hear of the stop */
-#define ALONE_US ((gint64)2000000) /* entry goes on: only control stops */
+#define TICK_INTERVAL_US ((gint64)100000)
+#define METRICS_INTERVAL_US ((gint64)1000000)
+#define STOP_ANNOUNCE_US ((gint64)500000) /* for peers to hear of the stop */
+#define CONTROL_ONLY_STOP_US ((gint64)2000000) /* entry goes on: only control stops */
 
-struct aubi_seen {
+struct aubi_member_last_state {
 	enum aub_member_state state;
 	guint64 incarnation;
 };
@@ -48,9 +48,9 @@
 				    (void *)control, now_us);
 }
 
-bool aubi_control_owns_any(const struct aubi_control *control)
+bool aubi_control_owns_services(const struct aubi_control *control)
 {
-	const GPtrArray *lines = control->assignments->lines;
+	const GPtrArray *lines = control->assignments->list;
 	guint i;
 
 	for (i = 0; i < lines->len; i++) {
@@ -62,14 +62,14 @@
 	return false;
 }
 
-static void tell_all(struct aubi_control *control, bool urgent)
+static void propagate_change(struct aubi_control *control, bool urgent)
 {
 	aubi_store_task_members_changed(control->store);
-	aubi_entry_task_changed(control->entry);
-	aubi_peers_hurry(control->peers, urgent);
+	aubi_entry_task_schedule_view(control->entry);
+	aubi_peers_gossip_now(control->peers, urgent);
 }
 
-void aubi_control_note(struct aubi_control *control, enum aub_event_type type,
+void aubi_control_record_event(struct aubi_control *control, enum aub_event_type type,
 		       guint64 number, const char *peer, const char *zone,
 		       const char *text)
 {
@@ -81,7 +81,7 @@
 	aub_event_record(control->events, &event);
 }
 
-bool aubi_control_take_config(struct aubi_control *control, const char *json,
+bool aubi_control_adopt_config(struct aubi_control *control, const char *json,
 			      gsize length, guint64 version, const char *source)
 {
 	struct aub_inventory *inventory = NULL;
@@ -101,20 +101,20 @@
 		g_error_free(error);
 		return false;
 	}
-	aubi_agreement_hold_config(&control->agreement, version);
-	aubi_book_add(control->book, config, json, length);
+	aubi_agreement_adopt_config(&control->agreement, version);
+	aubi_config_history_add(control->history, config, json, length);
 	if (control->inventory)
 		aub_inventory_unref(control->inventory);
 	control->inventory = inventory;
 	aub_log_message("configuration %" G_GUINT64_FORMAT " from %s", version,
 			source);
-	aubi_control_note(control, AUB_EVENT_CONFIG, version, source, NULL,
+	aubi_control_record_event(control, AUB_EVENT_CONFIG, version, source, NULL,
 			  config->change);
-	tell_all(control, true);
+	propagate_change(control, true);
 	return true;
 }
 
-bool aubi_control_take_assignments(struct aubi_control *control,
+bool aubi_control_adopt_assignments(struct aubi_control *control,
 				   const char *json, gsize length,
 				   guint64 version, const char *source)
 {
@@ -130,34 +130,34 @@
 		g_error_free(error);
 		return false;
 	}
-	aubi_agreement_hold_epoch(&control->agreement, version);
+	aubi_agreement_adopt_epoch(&control->agreement, version);
 	aubi_assignments_free(control->assignments);
 	control->assignments = assignments;
 	aub_log_info("assignments %" G_GUINT64_FORMAT " from %s", version,
 		     source);
-	aubi_control_note(control, AUB_EVENT_ASSIGNMENT, version, source, NULL,
+	aubi_control_record_event(control, AUB_EVENT_ASSIGNMENT, version, source, NULL,
 			  NULL);
-	tell_all(control, true);
+	propagate_change(control, true);
 	return true;
 }
 
-static void note_member(struct aubi_control *control,
+static void record_member_state(struct aubi_control *control,
 			const struct aub_member *member)
 {
-	struct aubi_seen *seen;
+	struct aubi_member_last_state *last;
 
-	seen = g_hash_table_lookup(control->seen, member->name);
-	if (seen && seen->state == member->state &&
-	    seen->incarnation == member->incarnation)
+	last = g_hash_table_lookup(control->last_states, member->name);
+	if (last && last->state == member->state &&
+	    last->incarnation == member->incarnation)
 		return;
-	if (!seen) {
-		seen = g_new0(struct aubi_seen, 1);
-		g_hash_table_insert(control->seen, g_strdup(member->name),
-				    seen);
+	if (!last) {
+		last = g_new0(struct aubi_member_last_state, 1);
+		g_hash_table_insert(control->last_states, g_strdup(member->name),
+				    last);
 	}
-	seen->state = member->state;
-	seen->incarnation = member->incarnation;
-	aubi_control_note(control, AUB_EVENT_MEMBER, member->incarnation,
+	last->state = member->state;
+	last->incarnation = member->incarnation;
+	aubi_control_record_event(control, AUB_EVENT_MEMBER, member->incarnation,
 			  member->name, member->zone,
 			  aub_member_state_name(member->state));
 	aub_log_info("member %s is %s, entry %" G_GINT64_MODIFIER "x",
@@ -177,7 +177,7 @@
 
 		if (member->state != AUB_MEMBER_STOPPED ||
 		    member->control_incarnation)
-			note_member(control, member);
+			record_member_state(control, member);
 	}
 	g_ptr_array_unref(members);
 	if (aubi_membership_superseded(control->membership) &&
@@ -187,10 +187,10 @@
 				"one serves no longer",
 				control->settings->name);
 	}
-	tell_all(control, false);
+	propagate_change(control, false);
 }
 
-void aubi_control_store_heard(struct aubi_control *control, const GError *error)
+void aubi_control_store_result(struct aubi_control *control, const GError *error)
 {
 	bool reachable = !error;
 
@@ -198,11 +198,11 @@
 		      error->code == AUB_ERROR_NOT_FOUND))
 		reachable = true;
 	if (reachable)
-		control->agreement.store_us = aub_timer_now(control->timers);
+		control->agreement.store_answered_us = aub_timer_now(control->timers);
 	if (reachable == control->store_reachable)
 		return;
 	control->store_reachable = reachable;
-	aubi_control_note(control, AUB_EVENT_STORE, reachable, NULL, NULL,
+	aubi_control_record_event(control, AUB_EVENT_STORE, reachable, NULL, NULL,
 			  reachable ? "back" : "away");
 	if (reachable)
 		aub_log_message("the store answers");
@@ -231,11 +231,11 @@
 	if (control->leaving)
 		return;
 	control->leaving = true;
-	control->left_us = now_us;
-	control->leave_by_us = now_us + control->settings->stop_ms * 1000;
+	control->leave_started_us = now_us;
+	control->leave_deadline_us = now_us + control->settings->stop_ms * 1000;
 	aub_log_message("stopping: at most %d ms",
 			(int)control->settings->stop_ms);
-	aubi_control_note(control, AUB_EVENT_STOPPING, 0, NULL, NULL, NULL);
+	aubi_control_record_event(control, AUB_EVENT_STOPPING, 0, NULL, NULL, NULL);
 	set_state(control, AUB_MEMBER_LEAVING);
 }
 
@@ -243,20 +243,20 @@
 static void leave_tick(struct aubi_control *control, gint64 now_us)
 {
 	bool entry = aubi_entry_task_connected(control->entry);
-	bool alone = entry && !aubi_entry_task_stopping(control->entry) &&
-		     now_us - control->left_us >= ALONE_US;
-	bool owning = aubi_control_owns_any(control) &&
-		      aubi_membership_live(control->membership, now_us) > 1;
-
-	if (now_us >= control->leave_by_us ||
-	    (control->stopped_us &&
-	     now_us - control->stopped_us >= FAREWELL_US)) {
+	bool control_only = entry && !aubi_entry_task_stopping(control->entry) &&
+		     now_us - control->leave_started_us >= CONTROL_ONLY_STOP_US;
+	bool owning = aubi_control_owns_services(control) &&
+		      aubi_membership_count_live(control->membership, now_us) > 1;
+
+	if (now_us >= control->leave_deadline_us ||
+	    (control->stop_announced_us &&
+	     now_us - control->stop_announced_us >= STOP_ANNOUNCE_US)) {
 		control->finished = true;
 		return;
 	}
-	if (control->stopped_us || owning || (entry && !alone))
+	if (control->stop_announced_us || owning || (entry && !control_only))
 		return;
-	control->stopped_us = now_us;
+	control->stop_announced_us = now_us;
 	if (!entry)
 		set_state(control, AUB_MEMBER_STOPPED);
 }
@@ -270,7 +270,7 @@
 	aubi_agreement_tick(&control->agreement, control->membership, now_us);
 	aubi_store_task_tick(control->store, now_us);
 	aubi_entry_task_tick(control->entry, now_us);
-	aubi_applies_tick(control->applies, now_us);
+	aubi_config_changes_tick(control->changes, now_us);
 	if (control->leaving)
 		leave_tick(control, now_us);
 }
@@ -287,7 +287,7 @@
 	return control->agreement.config_version > 0 && !control->leaving;
 }
 
-static struct aubi_membership *membership_of(struct aubi_control *control)
+static struct aubi_membership *create_membership(struct aubi_control *control)
 {
 	const struct aubi_control_settings *settings = control->settings;
 	struct aub_member *self = aub_member_new();
@@ -343,25 +343,25 @@
 	now_us = aub_timer_now(control->timers);
 	control->metrics = aub_metrics_new();
 	control->events = aub_event_ring_new((guint)settings->event_capacity);
-	control->seen =
+	control->last_states =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	control->agreement = aubi_agreement_start(now_us);
-	control->membership = membership_of(control);
-	control->book = aubi_book_new();
+	control->membership = create_membership(control);
+	control->history = aubi_config_history_new();
 	control->assignments = aubi_assignments_new();
 	aubi_control_metrics_register(control);
 	control->entry = aubi_entry_task_new(control);
-	control->applies = aubi_applies_new(control);
+	control->changes = aubi_config_changes_new(control);
 	control->store = aubi_store_task_new(control);
 	control->peers = aubi_peers_new(control, error);
 	if (!control->peers || !open_admin(control, error)) {
 		aubi_control_free(control);
 		return NULL;
 	}
-	aub_timer_every(control->timers, "tick", TICK_US, on_tick, control);
-	aub_timer_every(control->timers, "metrics", METRICS_US, on_metrics,
+	aub_timer_every(control->timers, "tick", TICK_INTERVAL_US, on_tick, control);
+	aub_timer_every(control->timers, "metrics", METRICS_INTERVAL_US, on_metrics,
 			control);
-	aubi_control_note(control, AUB_EVENT_STARTED, control->incarnation,
+	aubi_control_record_event(control, AUB_EVENT_STARTED, control->incarnation,
 			  NULL, settings->zone, NULL);
 	return control;
 }
@@ -371,7 +371,7 @@
 	if (!control)
 		return;
 	aub_admin_free(control->admin);
-	aubi_applies_free(control->applies);
+	aubi_config_changes_free(control->changes);
 	aubi_peers_free(control->peers);
 	aubi_store_task_free(control->store);
 	aubi_entry_task_free(control->entry);
@@ -379,9 +379,9 @@
 	aubi_assignments_free(control->assignments);
 	if (control->inventory)
 		aub_inventory_unref(control->inventory);
-	aubi_book_free(control->book);
+	aubi_config_history_free(control->history);
 	aubi_membership_free(control->membership);
-	g_hash_table_destroy(control->seen);
+	g_hash_table_destroy(control->last_states);
 	aub_event_ring_free(control->events);
 	aub_metrics_free(control->metrics);
 	g_free(control->process);
--- a/src/coordination/control_admin.c
+++ b/src/coordination/control_admin.c
@@ -7,12 +7,12 @@
 
 #include <string.h>
 
-static bool counts(const struct aub_member *member)
+static bool is_counted(const struct aub_member *member)
 {
 	return member->state != AUB_MEMBER_STOPPED;
 }
 
-static bool is_awaited(const struct aub_member *member)
+static bool is_required(const struct aub_member *member)
 {
 	return member->incarnation && (member->state == AUB_MEMBER_LIVE ||
 				       member->state == AUB_MEMBER_LEAVING);
@@ -38,7 +38,7 @@
 	g_free(json);
 }
 
-JsonArray *aubi_json_in_force(const struct aubi_control *control,
+JsonArray *aubi_json_config_activation(const struct aubi_control *control,
 			      guint64 version, gint64 now_us)
 {
 	GPtrArray *members = aubi_membership_list(control->membership, now_us);
@@ -49,7 +49,7 @@
 		const struct aub_member *member = members->pdata[i];
 		JsonObject *line;
 
-		if (!counts(member))
+		if (!is_counted(member))
 			continue;
 		line = json_object_new();
 		json_object_set_string_member(line, "member", member->name);
@@ -70,7 +70,7 @@
 	return list;
 }
 
-bool aubi_in_force_everywhere(const struct aubi_control *control,
+bool aubi_config_active_everywhere(const struct aubi_control *control,
 			      guint64 version, gint64 now_us)
 {
 	GPtrArray *members = aubi_membership_list(control->membership, now_us);
@@ -80,7 +80,7 @@
 	for (i = 0; i < members->len; i++) {
 		const struct aub_member *member = members->pdata[i];
 
-		if (is_awaited(member) && member->config_version < version)
+		if (is_required(member) && member->config_version < version)
 			everywhere = false;
 	}
 	g_ptr_array_unref(members);
@@ -94,11 +94,11 @@
 
 	json_object_set_int_member(answer, "version",
 				   (gint64)control->agreement.config_version);
-	aubi_json_set_config(answer, "config", aubi_book_held(control->book));
+	aubi_json_set_config(answer, "config", aubi_config_history_current(control->history));
 	aub_admin_answer(request, 200, aub_json_print(answer));
 }
 
-static void on_in_force(struct aub_admin_request *request, void *context)
+static void on_config_activation(struct aub_admin_request *request, void *context)
 {
 	const struct aubi_control *control = context;
 	const char *text = aub_admin_query(request, "version");
@@ -110,11 +110,11 @@
 		version = g_ascii_strtoull(text, NULL, 10);
 	json_object_set_int_member(answer, "version", (gint64)version);
 	json_object_set_boolean_member(answer, "everywhere",
-				       aubi_in_force_everywhere(control,
+				       aubi_config_active_everywhere(control,
 								version,
 								now_us));
 	json_object_set_array_member(answer, "members",
-				     aubi_json_in_force(control, version,
+				     aubi_json_config_activation(control, version,
 							now_us));
 	aub_admin_answer(request, 200, aub_json_print(answer));
 }
@@ -162,7 +162,7 @@
 
 static JsonArray *json_assignments(const struct aubi_control *control)
 {
-	const GPtrArray *lines = control->assignments->lines;
+	const GPtrArray *lines = control->assignments->list;
 	JsonArray *list = json_array_new();
 	guint i;
 
@@ -204,8 +204,8 @@
 	const struct aubi_control *control = context;
 	gint64 now_us = aub_timer_now(control->timers);
 	JsonObject *answer = json_object_new();
-	gint64 fresh_us = aubi_agreement_fresh_us(&control->agreement, now_us);
-	gint64 serve_us = aubi_agreement_serve_us(&control->agreement,
+	gint64 fresh_us = aubi_agreement_config_age_us(&control->agreement, now_us);
+	gint64 serve_us = aubi_agreement_serve_lease_us(&control->agreement,
 						  control->membership, now_us);
 
 	json_object_set_string_member(answer, "member",
@@ -217,13 +217,13 @@
 	json_object_set_boolean_member(answer, "store_reachable",
 				       control->store_reachable);
 	json_object_set_int_member(answer, "fresh_ms",
-				   fresh_us == AUBI_MEMBER_NEVER ?
+				   fresh_us == AUBI_AGE_UNKNOWN_US ?
 					   -1 :
 					   fresh_us / 1000);
 	json_object_set_boolean_member(answer, "serve", serve_us > 0);
 	json_object_set_boolean_member(
 		answer, "accepts",
-		aubi_agreement_may_accept(control->membership, now_us));
+		aubi_agreement_can_accept_changes(control->membership, now_us));
 	json_object_set_array_member(answer, "members",
 				     json_members(control, now_us));
 	json_object_set_array_member(answer, "assignments",
@@ -236,9 +236,9 @@
 {
 	aub_admin_handle(control->admin, "GET", "/v1/config", on_config,
 			 control);
-	aub_admin_handle(control->admin, "GET", "/v1/in-force", on_in_force,
+	aub_admin_handle(control->admin, "GET", "/v1/in-force", on_config_activation,
 			 control);
 	aub_admin_handle(control->admin, "GET", "/v1/status", on_status,
 			 control);
-	aubi_applies_install(control->applies);
+	aubi_config_changes_install(control->changes);
 }
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -14,70 +14,70 @@
 
 #include <string.h>
 
-#define IN_FORCE_US ((gint64)9000000) /* the letter's 9 s */
-#define SETTLE_US ((gint64)300000) /* a look at peers before the answer */
-#define TRIES 5 /* of a change that is rebased by itself */
+#define ACTIVATION_TIMEOUT_US ((gint64)9000000) /* the letter's 9 s */
+#define ANSWER_DELAY_US ((gint64)300000) /* a look at peers before the answer */
+#define WRITE_ATTEMPTS_MAX 5 /* of a change that is rebased by itself */
 #define STEP "apply change"
 
-struct apply {
-	struct aubi_applies *owner;
+struct change {
+	struct aubi_config_changes *owner;
 	struct aub_admin_request *request;
 	const struct aubi_edit *edit; /* NULL: a whole inventory */
 	char *name; /* of what is edited */
 	char *text; /* of the inventory */
 	char *author;
-	char *change;
-	bool chosen; /* `change` came with the request */
-	guint64 base;
+	char *change_id;
+	bool client_chosen_id; /* `change` came with the request */
+	guint64 base_version;
 	bool override; /* the operator knows that a majority is gone */
-	guint tries;
+	guint attempts;
 	char *json; /* being written */
 	guint64 version; /* accepted; 0 before */
 	gint64 accepted_us;
 };
 
-struct aubi_applies {
+struct aubi_config_changes {
 	struct aubi_control *control;
 	GPtrArray *open; /* of struct apply */
 };
 
-static void apply_free(void *data)
+static void change_free(void *data)
 {
-	struct apply *apply = data;
-
-	g_free(apply->name);
-	g_free(apply->text);
-	g_free(apply->author);
-	g_free(apply->change);
-	g_free(apply->json);
-	g_free(apply);
+	struct change *change = data;
+
+	g_free(change->name);
+	g_free(change->text);
+	g_free(change->author);
+	g_free(change->change_id);
+	g_free(change->json);
+	g_free(change);
 }
 
 /* Ends the apply; the request must have been answered. */
-static void apply_end(struct apply *apply)
+static void change_end(struct change *change)
 {
-	g_ptr_array_remove_fast(apply->owner->open, apply);
+	g_ptr_array_remove_fast(change->owner->open, change);
 }
 
-static void apply_fail(struct apply *apply, const GError *error)
+static void change_fail(struct change *change, const GError *error)
 {
-	aub_admin_fail(apply->request, error);
-	apply_end(apply);
+	aub_admin_fail(change->request, error);
+	change_end(change);
 }
 
-static void apply_refuse(struct apply *apply, enum aub_error_code code,
+static void change_refuse(struct change *change, enum aub_error_code code,
 			 const char *text)
 {
 	GError *error = NULL;
 
 	aub_error_set(&error, code, STEP, NULL, "%s", text);
-	apply_fail(apply, error);
+	change_fail(change, error);
 	g_error_free(error);
 }
 
-static void apply_conflict(struct apply *apply)
+static void change_conflict(struct change *change)
 {
-	const struct aubi_book *book = apply->owner->control->book;
+	const struct aubi_config_history *history = change->owner->control->history;
 	JsonObject *answer = json_object_new();
 	JsonObject *error = json_object_new();
 
@@ -89,37 +89,37 @@
 				      "the version this edit began from");
 	json_object_set_object_member(answer, "error", error);
 	aubi_json_set_config(answer, "base_config",
-			     aubi_book_find(book, apply->base));
-	aubi_json_set_config(answer, "current_config", aubi_book_held(book));
+			     aubi_config_history_find(history, change->base_version));
+	aubi_json_set_config(answer, "current_config", aubi_config_history_current(history));
 	json_object_set_int_member(
 		answer, "current_version",
-		(gint64)apply->owner->control->agreement.config_version);
-	aub_admin_answer(apply->request, 409, aub_json_print(answer));
-	apply_end(apply);
+		(gint64)change->owner->control->agreement.config_version);
+	aub_admin_answer(change->request, 409, aub_json_print(answer));
+	change_end(change);
 }
 
 /* The answer of a change that was accepted, or needed no write. */
-static void apply_done(struct apply *apply, gint64 now_us)
+static void change_complete(struct change *change, gint64 now_us)
 {
-	struct aubi_control *control = apply->owner->control;
+	struct aubi_control *control = change->owner->control;
 	JsonObject *answer = json_object_new();
 
 	json_object_set_boolean_member(answer, "accepted", TRUE);
-	json_object_set_int_member(answer, "version", (gint64)apply->version);
+	json_object_set_int_member(answer, "version", (gint64)change->version);
 	json_object_set_string_member(answer, "change",
-				      apply->change ? apply->change : "");
+				      change->change_id ? change->change_id : "");
 	json_object_set_boolean_member(answer, "everywhere",
-				       aubi_in_force_everywhere(control,
-								apply->version,
+				       aubi_config_active_everywhere(control,
+								change->version,
 								now_us));
 	json_object_set_array_member(answer, "in_force",
-				     aubi_json_in_force(control, apply->version,
+				     aubi_json_config_activation(control, change->version,
 							now_us));
-	aub_admin_answer(apply->request, 200, aub_json_print(answer));
-	apply_end(apply);
+	aub_admin_answer(change->request, 200, aub_json_print(answer));
+	change_end(change);
 }
 
-static void apply_read(struct apply *apply);
+static void change_read_store(struct change *change);
 
 /*
  * Failure: the answer to an accepted change was lost, and the operator's
@@ -127,53 +127,53 @@
  * written once more over what came after. The id it chose is among those of
  * the configuration held: it was accepted, there is nothing to write.
  */
-static bool is_held_already(struct apply *apply)
+static bool is_applied_already(struct change *change)
 {
 	const struct aub_config *held =
-		aubi_book_held(apply->owner->control->book);
+		aubi_config_history_current(change->owner->control->history);
 
-	if (!apply->chosen || !held ||
-	    !aub_config_has_change(held, apply->change))
+	if (!change->client_chosen_id || !held ||
+	    !aub_config_has_change(held, change->change_id))
 		return false;
-	apply->version = held->version;
-	apply->accepted_us = aub_timer_now(apply->owner->control->timers);
+	change->version = held->version;
+	change->accepted_us = aub_timer_now(change->owner->control->timers);
 	return true;
 }
 
 static void on_reread(const struct aub_store_object *object,
 		      const GError *error, void *context)
 {
-	struct apply *apply = context;
-	struct aubi_control *control = apply->owner->control;
+	struct change *change = context;
+	struct aubi_control *control = change->owner->control;
 
 	if (object)
-		aubi_control_take_config(control, object->value, object->length,
+		aubi_control_adopt_config(control, object->value, object->length,
 					 object->version, "store");
-	if (!is_held_already(apply))
-		apply_conflict(apply);
+	if (!is_applied_already(change))
+		change_conflict(change);
 }
 
 static void on_written(guint64 version, const GError *error, void *context)
 {
-	struct apply *apply = context;
-	struct aubi_control *control = apply->owner->control;
+	struct change *change = context;
+	struct aubi_control *control = change->owner->control;
 
-	aubi_control_store_heard(control, error);
+	aubi_control_store_result(control, error);
 	if (error && error->code == AUB_ERROR_CONFLICT) {
-		if (apply->edit && apply->tries < TRIES)
-			apply_read(apply);
+		if (change->edit && change->attempts < WRITE_ATTEMPTS_MAX)
+			change_read_store(change);
 		else
 			aub_store_get(aubi_store_task_client(control->store),
-				      AUB_CONFIG_KEY, on_reread, apply);
+				      AUB_CONFIG_KEY, on_reread, change);
 		return;
 	}
 	if (error) {
-		apply_fail(apply, error);
+		change_fail(change, error);
 		return;
 	}
-	apply->version = version;
-	apply->accepted_us = aub_timer_now(control->timers);
-	aubi_control_take_config(control, apply->json, strlen(apply->json),
+	change->version = version;
+	change->accepted_us = aub_timer_now(control->timers);
+	aubi_control_adopt_config(control, change->json, strlen(change->json),
 				 version, "operator");
 }
 
@@ -183,58 +183,58 @@
  * operators believe empty. So nothing is written unless a majority is heard;
  * is_accepted() sees to a cut that comes just then.
  */
-static bool may_accept(struct apply *apply)
+static bool can_accept(struct change *change)
 {
-	const struct aubi_control *control = apply->owner->control;
+	const struct aubi_control *control = change->owner->control;
 	gint64 now_us = aub_timer_now(control->timers);
 
-	return apply->override ||
-	       aubi_agreement_may_accept(control->membership, now_us);
+	return change->override ||
+	       aubi_agreement_can_accept_changes(control->membership, now_us);
 }
 
-static void apply_write(struct apply *apply)
+static void change_write(struct change *change)
 {
-	struct aubi_control *control = apply->owner->control;
-	const struct aub_config *held = aubi_book_held(control->book);
+	struct aubi_control *control = change->owner->control;
+	const struct aub_config *held = aubi_config_history_current(control->history);
 	struct aub_config *config;
 	GError *error = NULL;
 	bool edited;
 
 	config = held ? aub_config_copy(held) : aub_config_new();
-	edited = apply->edit ?
-			 aubi_edit_list(apply->edit, apply->name,
+	edited = change->edit ?
+			 aubi_edit_list(change->edit, change->name,
 					control->inventory, config, &error) :
-			 aubi_edit_inventory(config, apply->text, &error);
-	if (apply->edit && !edited && !apply->tries) {
+			 aubi_edit_inventory(config, change->text, &error);
+	if (change->edit && !edited && !change->attempts) {
 		/* By what is held there is nothing to do: ask the store. */
 		g_clear_error(&error);
-		apply_read(apply);
+		change_read_store(change);
 	} else if (error) {
-		apply_fail(apply, error);
+		change_fail(change, error);
 		g_error_free(error);
 	} else if (!edited) {
-		apply->version =
-			apply->owner->control->agreement.config_version;
-		apply->accepted_us = aub_timer_now(control->timers);
-	} else if (!may_accept(apply)) {
-		apply_refuse(apply, AUB_ERROR_UNAVAILABLE,
+		change->version =
+			change->owner->control->agreement.config_version;
+		change->accepted_us = aub_timer_now(control->timers);
+	} else if (!can_accept(change)) {
+		change_refuse(change, AUB_ERROR_UNAVAILABLE,
 			     "a majority of the members isn't heard: nothing "
 			     "was changed (\"override\" accepts it anyway)");
 	} else {
-		if (!apply->chosen) {
-			g_free(apply->change);
-			apply->change =
+		if (!change->client_chosen_id) {
+			g_free(change->change_id);
+			change->change_id =
 				g_strdup_printf("%08x%08x", g_random_int(),
 						g_random_int());
 		}
-		aub_config_change_set(config, apply->change);
-		aub_string_set(&config->author, apply->author);
-		g_free(apply->json);
-		apply->json = aub_config_serialize(config);
+		aub_config_change_set(config, change->change_id);
+		aub_string_set(&config->author, change->author);
+		g_free(change->json);
+		change->json = aub_config_serialize(config);
 		aub_store_put(aubi_store_task_client(control->store),
-			      AUB_CONFIG_KEY, apply->json, strlen(apply->json),
-			      control->agreement.config_version, apply->change,
-			      on_written, apply);
+			      AUB_CONFIG_KEY, change->json, strlen(change->json),
+			      control->agreement.config_version, change->change_id,
+			      on_written, change);
 	}
 	aub_config_free(config);
 }
@@ -242,43 +242,43 @@
 static void on_read(const struct aub_store_object *object, const GError *error,
 		    void *context)
 {
-	struct apply *apply = context;
-	struct aubi_control *control = apply->owner->control;
+	struct change *change = context;
+	struct aubi_control *control = change->owner->control;
 
-	aubi_control_store_heard(control, error);
+	aubi_control_store_result(control, error);
 	if (error && error->code != AUB_ERROR_NOT_FOUND) {
-		apply_fail(apply, error);
+		change_fail(change, error);
 		return;
 	}
 	if (object)
-		aubi_control_take_config(control, object->value, object->length,
+		aubi_control_adopt_config(control, object->value, object->length,
 					 object->version, "store");
-	if (is_held_already(apply))
+	if (is_applied_already(change))
 		return;
-	if (!apply->edit && apply->base != control->agreement.config_version)
-		apply_conflict(apply);
+	if (!change->edit && change->base_version != control->agreement.config_version)
+		change_conflict(change);
 	else
-		apply_write(apply);
+		change_write(change);
 }
 
-static void apply_read(struct apply *apply)
+static void change_read_store(struct change *change)
 {
-	apply->tries++;
-	aub_store_get(aubi_store_task_client(apply->owner->control->store),
-		      AUB_CONFIG_KEY, on_read, apply);
+	change->attempts++;
+	aub_store_get(aubi_store_task_client(change->owner->control->store),
+		      AUB_CONFIG_KEY, on_read, change);
 }
 
-static bool is_accepted(const struct apply *apply)
+static bool is_accepted(const struct change *change)
 {
-	const struct aubi_control *control = apply->owner->control;
+	const struct aubi_control *control = change->owner->control;
 
-	return apply->override ||
+	return change->override ||
 	       aubi_agreement_is_accepted(&control->agreement,
-					  control->membership, apply->version);
+					  control->membership, change->version);
 }
 
 /* Written, but no majority is known to hold it. */
-static void apply_undecided(struct apply *apply)
+static void change_undecided(struct change *change)
 {
 	GError *error = NULL;
 
@@ -287,29 +287,29 @@
 		      ", change %s, but no majority of the members is known "
 		      "to hold it: until one is, it is in force only where it "
 		      "was heard of (see /v1/in-force)",
-		      apply->version, apply->change ? apply->change : "");
-	apply_fail(apply, error);
+		      change->version, change->change_id ? change->change_id : "");
+	change_fail(change, error);
 	g_error_free(error);
 }
 
-void aubi_applies_tick(struct aubi_applies *applies, gint64 now_us)
+void aubi_config_changes_tick(struct aubi_config_changes *changes, gint64 now_us)
 {
 	guint i;
 
-	for (i = applies->open->len; i > 0; i--) {
-		struct apply *apply = applies->open->pdata[i - 1];
-		gint64 waited_us = now_us - apply->accepted_us;
+	for (i = changes->open->len; i > 0; i--) {
+		struct change *change = changes->open->pdata[i - 1];
+		gint64 waited_us = now_us - change->accepted_us;
 
-		if (!apply->version || waited_us < SETTLE_US)
+		if (!change->version || waited_us < ANSWER_DELAY_US)
 			continue;
-		if (waited_us < IN_FORCE_US &&
-		    !aubi_in_force_everywhere(applies->control, apply->version,
+		if (waited_us < ACTIVATION_TIMEOUT_US &&
+		    !aubi_config_active_everywhere(changes->control, change->version,
 					      now_us))
 			continue;
-		if (is_accepted(apply))
-			apply_done(apply, now_us);
-		else if (waited_us >= IN_FORCE_US)
-			apply_undecided(apply);
+		if (is_accepted(change))
+			change_complete(change, now_us);
+		else if (waited_us >= ACTIVATION_TIMEOUT_US)
+			change_undecided(change);
 	}
 }
 
@@ -319,20 +319,20 @@
  * Enough: it is written onto what is held, and the write's condition tells
  * if that wasn't the newest; only then is the store read.
  */
-static void apply_start(struct apply *apply)
+static void change_start(struct change *change)
 {
-	guint64 held = apply->owner->control->agreement.config_version;
+	guint64 held = change->owner->control->agreement.config_version;
 
-	if (is_held_already(apply))
+	if (is_applied_already(change))
 		return;
-	if (apply->edit ? held > 0 : apply->base == held)
-		apply_write(apply);
+	if (change->edit ? held > 0 : change->base_version == held)
+		change_write(change);
 	else
-		apply_read(apply);
+		change_read_store(change);
 }
 
 /* The request's body as an object; answers and returns NULL if it is none. */
-static JsonObject *body_of(struct aub_admin_request *request)
+static JsonObject *parse_body(struct aub_admin_request *request)
 {
 	GError *error = NULL;
 	JsonObject *body;
@@ -365,104 +365,104 @@
 	aubi_control_members_changed(control);
 }
 
-static struct apply *apply_new(struct aubi_applies *applies,
+static struct change *change_new(struct aubi_config_changes *changes,
 			       struct aub_admin_request *request,
 			       JsonObject *body)
 {
-	struct apply *apply = g_new0(struct apply, 1);
+	struct change *change = g_new0(struct change, 1);
 	const char *author = aub_json_string(body, "author");
 
-	apply->owner = applies;
-	apply->request = request;
-	apply->author = g_strdup(author ? author : "");
-	apply->override = aub_json_boolean(body, "override");
-	if (apply->override)
-		forget_dead(applies->control);
-	apply->change = g_strdup(aub_json_string(body, "change"));
-	apply->chosen = apply->change != NULL;
-	g_ptr_array_add(applies->open, apply);
-	return apply;
+	change->owner = changes;
+	change->request = request;
+	change->author = g_strdup(author ? author : "");
+	change->override = aub_json_boolean(body, "override");
+	if (change->override)
+		forget_dead(changes->control);
+	change->change_id = g_strdup(aub_json_string(body, "change"));
+	change->client_chosen_id = change->change_id != NULL;
+	g_ptr_array_add(changes->open, change);
+	return change;
 }
 
-#define CHANGE_RULE "\"change\" must be 8 to 64 letters, digits or hyphens"
+#define CHANGE_ID_RULE "\"change\" must be 8 to 64 letters, digits or hyphens"
 
 /* An id is looked for in the object's text: it must stand out there. */
-static bool change_is_good(const struct apply *apply)
+static bool change_id_is_valid(const struct change *change)
 {
 	gsize length;
 
-	if (!apply->chosen)
+	if (!change->client_chosen_id)
 		return true;
-	length = strlen(apply->change);
+	length = strlen(change->change_id);
 	return length >= 8 && length <= 64 &&
-	       strspn(apply->change, "abcdefghijklmnopqrstuvwxyz"
+	       strspn(change->change_id, "abcdefghijklmnopqrstuvwxyz"
 				     "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 				     "0123456789-") == length;
 }
 
 static void on_apply(struct aub_admin_request *request, void *context)
 {
-	JsonObject *body = body_of(request);
-	struct apply *apply;
+	JsonObject *body = parse_body(request);
+	struct change *change;
 	const char *text;
 
 	if (!body)
 		return;
-	apply = apply_new(context, request, body);
+	change = change_new(context, request, body);
 	text = aub_json_string(body, "inventory");
-	apply->text = g_strdup(text);
-	apply->base = (guint64)aub_json_integer(body, "base");
+	change->text = g_strdup(text);
+	change->base_version = (guint64)aub_json_integer(body, "base");
 	if (!text)
-		apply_refuse(apply, AUB_ERROR_INVALID,
+		change_refuse(change, AUB_ERROR_INVALID,
 			     "\"inventory\" is missing");
-	else if (!change_is_good(apply))
-		apply_refuse(apply, AUB_ERROR_INVALID, CHANGE_RULE);
+	else if (!change_id_is_valid(change))
+		change_refuse(change, AUB_ERROR_INVALID, CHANGE_ID_RULE);
 	else
-		apply_start(apply);
+		change_start(change);
 	json_object_unref(body);
 }
 
 static void on_edit(struct aub_admin_request *request, void *context)
 {
-	JsonObject *body = body_of(request);
-	struct apply *apply;
+	JsonObject *body = parse_body(request);
+	struct change *change;
 
 	if (!body)
 		return;
-	apply = apply_new(context, request, body);
-	apply->edit = aubi_edit_of(aub_admin_path(request), &apply->name);
-	if (!apply->edit)
-		apply_refuse(apply, AUB_ERROR_NOT_FOUND, "no such command");
-	else if (!change_is_good(apply))
-		apply_refuse(apply, AUB_ERROR_INVALID, CHANGE_RULE);
+	change = change_new(context, request, body);
+	change->edit = aubi_edit_from_path(aub_admin_path(request), &change->name);
+	if (!change->edit)
+		change_refuse(change, AUB_ERROR_NOT_FOUND, "no such command");
+	else if (!change_id_is_valid(change))
+		change_refuse(change, AUB_ERROR_INVALID, CHANGE_ID_RULE);
 	else
-		apply_start(apply);
+		change_start(change);
 	json_object_unref(body);
 }
 
-struct aubi_applies *aubi_applies_new(struct aubi_control *control)
+struct aubi_config_changes *aubi_config_changes_new(struct aubi_control *control)
 {
-	struct aubi_applies *applies = g_new0(struct aubi_applies, 1);
+	struct aubi_config_changes *changes = g_new0(struct aubi_config_changes, 1);
 
-	applies->control = control;
-	applies->open = g_ptr_array_new_with_free_func(apply_free);
-	return applies;
+	changes->control = control;
+	changes->open = g_ptr_array_new_with_free_func(change_free);
+	return changes;
 }
 
-void aubi_applies_install(struct aubi_applies *applies)
+void aubi_config_changes_install(struct aubi_config_changes *changes)
 {
-	struct aub_admin *admin = applies->control->admin;
+	struct aub_admin *admin = changes->control->admin;
 
-	aub_admin_handle(admin, "POST", "/v1/config/apply", on_apply, applies);
-	aub_admin_handle(admin, "POST", "/v1/zones/", on_edit, applies);
-	aub_admin_handle(admin, "POST", "/v1/vms/", on_edit, applies);
-	aub_admin_handle(admin, "POST", "/v1/upstreams/", on_edit, applies);
+	aub_admin_handle(admin, "POST", "/v1/config/apply", on_apply, changes);
+	aub_admin_handle(admin, "POST", "/v1/zones/", on_edit, changes);
+	aub_admin_handle(admin, "POST", "/v1/vms/", on_edit, changes);
+	aub_admin_handle(admin, "POST", "/v1/upstreams/", on_edit, changes);
 }
 
-void aubi_applies_free(struct aubi_applies *applies)
+void aubi_config_changes_free(struct aubi_config_changes *changes)
 {
-	if (!applies)
+	if (!changes)
 		return;
-	g_ptr_array_unref(applies->open);
-	g_free(applies);
+	g_ptr_array_unref(changes->open);
+	g_free(changes);
 }
--- a/src/coordination/control_edit.c
+++ b/src/coordination/control_edit.c
@@ -32,20 +32,20 @@
 	return aub_inventory_upstream(inventory, name) != AUB_NO_HANDLE;
 }
 
-#define LIST(member) offsetof(struct aub_config, member)
+#define LIST_OFFSET(member) offsetof(struct aub_config, member)
 
 static const struct aubi_edit edits[] = {
-	{ "zones", "out", true, LIST(zones_out), zone_exists },
-	{ "zones", "in", false, LIST(zones_out), zone_exists },
-	{ "vms", "leave", true, LIST(vms_leaving), vm_exists },
-	{ "vms", "return", false, LIST(vms_leaving), vm_exists },
-	{ "upstreams", "leave", true, LIST(upstreams_leaving),
+	{ "zones", "out", true, LIST_OFFSET(zones_out), zone_exists },
+	{ "zones", "in", false, LIST_OFFSET(zones_out), zone_exists },
+	{ "vms", "leave", true, LIST_OFFSET(vms_leaving), vm_exists },
+	{ "vms", "return", false, LIST_OFFSET(vms_leaving), vm_exists },
+	{ "upstreams", "leave", true, LIST_OFFSET(upstreams_leaving),
 	  upstream_exists },
-	{ "upstreams", "return", false, LIST(upstreams_leaving),
+	{ "upstreams", "return", false, LIST_OFFSET(upstreams_leaving),
 	  upstream_exists },
 };
 
-static GPtrArray *list_of(const struct aub_config *config, size_t offset)
+static GPtrArray *list_at(const struct aub_config *config, size_t offset)
 {
 	return *(GPtrArray *const *)((const char *)config + offset);
 }
@@ -61,7 +61,7 @@
 	return -1;
 }
 
-static void prune(GPtrArray *list, const struct aub_inventory *inventory,
+static void remove_unknown_names(GPtrArray *list, const struct aub_inventory *inventory,
 		  bool (*exists)(const struct aub_inventory *inventory,
 				 const char *name))
 {
@@ -82,9 +82,9 @@
 	if (!inventory)
 		return false;
 	aub_string_set(&config->text, text);
-	prune(config->zones_out, inventory, zone_exists);
-	prune(config->vms_leaving, inventory, vm_exists);
-	prune(config->upstreams_leaving, inventory, upstream_exists);
+	remove_unknown_names(config->zones_out, inventory, zone_exists);
+	remove_unknown_names(config->vms_leaving, inventory, vm_exists);
+	remove_unknown_names(config->upstreams_leaving, inventory, upstream_exists);
 	aub_inventory_unref(inventory);
 	return true;
 }
@@ -93,7 +93,7 @@
 		    const struct aub_inventory *inventory,
 		    struct aub_config *config, GError **error)
 {
-	GPtrArray *list = list_of(config, edit->list);
+	GPtrArray *list = list_at(config, edit->list_offset);
 	int index = list_index(list, name);
 
 	if (!inventory || (index < 0 && !edit->exists(inventory, name))) {
@@ -110,7 +110,7 @@
 	return true;
 }
 
-const struct aubi_edit *aubi_edit_of(const char *path, char **name)
+const struct aubi_edit *aubi_edit_from_path(const char *path, char **name)
 {
 	char **parts = g_strsplit(path, "/", -1);
 	const struct aubi_edit *edit = NULL;
@@ -120,7 +120,7 @@
 		goto out;
 	for (i = 0; i < G_N_ELEMENTS(edits); i++) {
 		if (!strcmp(edits[i].kind, parts[2]) &&
-		    !strcmp(edits[i].word, parts[4]))
+		    !strcmp(edits[i].action, parts[4]))
 			edit = &edits[i];
 	}
 	if (edit)
--- a/src/coordination/control_entry.c
+++ b/src/coordination/control_entry.c
@@ -8,28 +8,28 @@
 
 #include <string.h>
 
-#define VIEW_US ((gint64)500000) /* between views that bring no news */
-#define RESEND_US ((gint64)2000000) /* a configuration not acknowledged */
-#define ABSENT_US ((gint64)300000) /* time to connect again */
-#define SILENT_US ((gint64)1500000) /* without acknowledgement: paused */
+#define VIEW_INTERVAL_US ((gint64)500000) /* between views that bring no news */
+#define CONFIG_RESEND_US ((gint64)2000000) /* a configuration not acknowledged */
+#define RECONNECT_GRACE_US ((gint64)300000) /* time to connect again */
+#define ACK_TIMEOUT_US ((gint64)1500000) /* without acknowledgement: paused */
 
 struct aubi_entry_task {
 	struct aubi_control *control;
 	struct aub_link *link; /* owned; NULL while there is no entry */
 	guint view_source; /* a view is due as soon as the loop is idle */
-	gint64 viewed_us; /* last view sent */
-	guint64 sent_version; /* configuration bytes last sent */
-	gint64 sent_us;
+	gint64 view_sent_us; /* last view sent */
+	guint64 config_sent_version; /* configuration bytes last sent */
+	gint64 config_sent_us;
 	guint64 acked_version;
 	guint64 ack_number;
 	gint64 acked_us; /* or since the link came up */
-	gint64 lost_us; /* link went down; 0 while it is up or long gone */
+	gint64 link_lost_us; /* link went down; 0 while it is up or long gone */
 	bool stopping;
-	guint64 heir;
+	guint64 successor;
 	guint64 bytes; /* over links that ended */
 };
 
-static gint64 now_of(const struct aubi_entry_task *task)
+static gint64 now(const struct aubi_entry_task *task)
 {
 	return aub_timer_now(task->control->timers);
 }
@@ -44,7 +44,7 @@
 static void copy_assignments(struct aubi_entry_task *task,
 			     struct aub_view *view)
 {
-	const GPtrArray *lines = task->control->assignments->lines;
+	const GPtrArray *lines = task->control->assignments->list;
 	guint i;
 
 	view->epoch = task->control->assignments->epoch;
@@ -64,22 +64,22 @@
 	view->config_version = version;
 	if (!version || task->acked_version >= version)
 		return;
-	if (task->sent_version == version && now_us - task->sent_us < RESEND_US)
+	if (task->config_sent_version == version && now_us - task->config_sent_us < CONFIG_RESEND_US)
 		return;
-	task->sent_version = version;
-	task->sent_us = now_us;
-	json = aubi_book_json(task->control->book, &length);
+	task->config_sent_version = version;
+	task->config_sent_us = now_us;
+	json = aubi_config_history_json(task->control->history, &length);
 	aub_bytes_set(&view->config, json, length);
 }
 
 static void send_view(struct aubi_entry_task *task)
 {
 	struct aubi_control *control = task->control;
-	gint64 now_us = now_of(task);
+	gint64 now_us = now(task);
 	struct aub_view *view;
 	gint64 serve_us;
 
-	serve_us = aubi_agreement_serve_us(&control->agreement,
+	serve_us = aubi_agreement_serve_lease_us(&control->agreement,
 					   control->membership, now_us);
 	view = (struct aub_view *)aub_message_new(AUB_MESSAGE_VIEW);
 	copy_config(task, view, now_us);
@@ -88,7 +88,7 @@
 	view->serve = serve_us > 0;
 	view->serve_ms = (guint32)(serve_us / 1000);
 	view->echo = task->ack_number;
-	task->viewed_us = now_us;
+	task->view_sent_us = now_us;
 	aub_link_send(task->link, &view->base);
 	aub_message_free(&view->base);
 }
@@ -103,7 +103,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-void aubi_entry_task_changed(struct aubi_entry_task *task)
+void aubi_entry_task_schedule_view(struct aubi_entry_task *task)
 {
 	if (task && task->link && !task->view_source)
 		task->view_source = g_idle_add_full(G_PRIORITY_DEFAULT,
@@ -125,26 +125,26 @@
 		aub_string_set(&self->callers_address, hello->callers_address);
 		aub_string_set(&self->entry_admin, hello->admin_address);
 		self->state = AUB_MEMBER_LIVE;
-	} else if (task->stopping && task->heir) {
+	} else if (task->stopping && task->successor) {
 		self->state = AUB_MEMBER_STOPPED;
 	} else {
 		self->incarnation = 0;
 	}
 	if (present && (task->stopping || control->leaving))
 		self->state = AUB_MEMBER_LEAVING;
-	self->heir = task->stopping ? task->heir : 0;
+	self->heir = task->stopping ? task->successor : 0;
 	self->config_version = present ? task->acked_version : 0;
-	aubi_membership_update_self(control->membership, self, now_of(task));
+	aubi_membership_update_self(control->membership, self, now(task));
 	aub_member_free(self);
 	aubi_control_members_changed(control);
 }
 
-static void forget_link(struct aubi_entry_task *task)
+static void close_link(struct aubi_entry_task *task)
 {
 	task->bytes += aub_link_bytes(task->link);
 	aub_link_free(task->link);
 	task->link = NULL;
-	task->lost_us = now_of(task);
+	task->link_lost_us = now(task);
 }
 
 bool aubi_entry_task_accept(struct aubi_entry_task *task, struct aub_link *link,
@@ -160,13 +160,13 @@
 	if (old && hello->incarnation < old->incarnation)
 		return false;
 	if (task->link)
-		forget_link(task);
+		close_link(task);
 	task->link = link;
-	task->sent_version = 0;
+	task->config_sent_version = 0;
 	task->acked_version = 0;
 	task->ack_number = 0;
 	task->stopping = false;
-	task->heir = 0;
+	task->successor = 0;
 	return true;
 }
 
@@ -176,8 +176,8 @@
 	struct aubi_entry_task *task = context;
 
 	aub_log_info("entry %s is here", hello->callers_address);
-	task->lost_us = 0;
-	task->acked_us = now_of(task);
+	task->link_lost_us = 0;
+	task->acked_us = now(task);
 	update_self(task, true);
 	send_view(task);
 }
@@ -187,18 +187,18 @@
 	struct aubi_control *control = task->control;
 	const struct aub_member *self;
 	struct aub_member *copy;
-	bool news;
+	bool state_changed;
 
-	news = ack->stopping != task->stopping || ack->heir != task->heir;
-	task->acked_us = now_of(task);
+	state_changed = ack->stopping != task->stopping || ack->heir != task->successor;
+	task->acked_us = now(task);
 	task->ack_number = ack->number;
 	task->stopping = ack->stopping;
-	task->heir = ack->heir;
+	task->successor = ack->heir;
 	self = aubi_membership_self(control->membership);
 	if (ack->config_version != task->acked_version)
-		aubi_control_note(control, AUB_EVENT_VIEW, ack->config_version,
+		aubi_control_record_event(control, AUB_EVENT_VIEW, ack->config_version,
 				  NULL, NULL, "in force at the entry");
-	if (news || !self->incarnation ||
+	if (state_changed || !self->incarnation ||
 	    ack->config_version != task->acked_version) {
 		task->acked_version = ack->config_version;
 		update_self(task, true);
@@ -206,7 +206,7 @@
 	}
 	copy = aub_member_copy(self);
 	copy->load_permille = ack->load_permille;
-	aubi_membership_update_self(control->membership, copy, now_of(task));
+	aubi_membership_update_self(control->membership, copy, now(task));
 	aub_member_free(copy);
 }
 
@@ -220,7 +220,7 @@
 	} else {
 		aub_log_warning("entry's link: unexpected %s",
 				aub_message_type_name(message->type));
-		forget_link(task);
+		close_link(task);
 	}
 	aub_message_free(message);
 }
@@ -235,7 +235,7 @@
 		aub_link_free(link);
 		return;
 	}
-	forget_link(task);
+	close_link(task);
 	if (task->stopping)
 		update_self(task, false);
 }
@@ -261,14 +261,14 @@
 	const struct aub_member *self =
 		aubi_membership_self(task->control->membership);
 
-	if (task->lost_us && now_us - task->lost_us >= ABSENT_US) {
-		task->lost_us = 0;
+	if (task->link_lost_us && now_us - task->link_lost_us >= RECONNECT_GRACE_US) {
+		task->link_lost_us = 0;
 		if (self->state != AUB_MEMBER_STOPPED && self->incarnation)
 			update_self(task, false);
 		return;
 	}
 	if (task->link && self->incarnation &&
-	    now_us - task->acked_us >= SILENT_US) {
+	    now_us - task->acked_us >= ACK_TIMEOUT_US) {
 		aub_log_warning("entry has not acknowledged a view for %d ms",
 				(int)((now_us - task->acked_us) / 1000));
 		update_self(task, false);
@@ -279,7 +279,7 @@
 {
 	check_presence(task, now_us);
 	if (task->link && aub_link_is_up(task->link) &&
-	    now_us - task->viewed_us >= VIEW_US)
+	    now_us - task->view_sent_us >= VIEW_INTERVAL_US)
 		send_view(task);
 }
 
--- a/src/coordination/control_metrics.c
+++ b/src/coordination/control_metrics.c
@@ -27,12 +27,12 @@
 
 static gint64 read_known(const struct aubi_control *control, gint64 now_us)
 {
-	return aubi_membership_known(control->membership);
+	return aubi_membership_count(control->membership);
 }
 
 static gint64 read_live(const struct aubi_control *control, gint64 now_us)
 {
-	return aubi_membership_live(control->membership, now_us);
+	return aubi_membership_count_live(control->membership, now_us);
 }
 
 static gint64 read_reachable(const struct aubi_control *control, gint64 now_us)
@@ -42,14 +42,14 @@
 
 static gint64 read_fresh(const struct aubi_control *control, gint64 now_us)
 {
-	gint64 age_us = aubi_agreement_fresh_us(&control->agreement, now_us);
+	gint64 age_us = aubi_agreement_config_age_us(&control->agreement, now_us);
 
-	return age_us == AUBI_MEMBER_NEVER ? -1 : age_us / 1000;
+	return age_us == AUBI_AGE_UNKNOWN_US ? -1 : age_us / 1000;
 }
 
 static gint64 read_serve(const struct aubi_control *control, gint64 now_us)
 {
-	return aubi_agreement_serve_us(&control->agreement, control->membership,
+	return aubi_agreement_serve_lease_us(&control->agreement, control->membership,
 				       now_us) /
 	       1000;
 }
@@ -140,7 +140,7 @@
 		aub_metrics_counter(metrics,
 				    "auburnstile_gossip_exchanges_total", NULL,
 				    "gossip exchanges begun");
-	control->series_silent = aub_metrics_counter(
+	control->series_unresponsive_links = aub_metrics_counter(
 		metrics, "auburnstile_silent_links_total", NULL,
 		"links closed because an answer was overdue");
 	control->series_proposals =
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -10,22 +10,22 @@
 
 #include <string.h>
 
-#define CONNECT_MS 700
-#define SILENT_US ((gint64)1000000) /* no answer for so long: dead link */
-#define IDLE_US ((gint64)60000000) /* unused for so long: closed */
-#define PULL_US ((gint64)1000000) /* wait for one pull before another */
-#define OBJECT_LIMIT ((gsize)2 << 20) /* the store's is a megabyte */
-#define HURRY_PEERS 3
-#define HURRY_PER_S 6 /* extra exchanges a second, for news of members */
-#define URGENT_PER_S 24 /* and of configuration or assignments: rare */
+#define CONNECT_TIMEOUT_MS 700
+#define ANSWER_TIMEOUT_US ((gint64)1000000) /* no answer for so long: dead link */
+#define LINK_IDLE_TIMEOUT_US ((gint64)60000000) /* unused for so long: closed */
+#define PULL_TIMEOUT_US ((gint64)1000000) /* wait for one pull before another */
+#define OBJECT_MAX_BYTES ((gsize)2 << 20) /* the store's is a megabyte */
+#define EXTRA_EXCHANGE_PEERS 3
+#define EXTRA_EXCHANGES_PER_S 6 /* extra exchanges a second, for news of members */
+#define URGENT_EXCHANGES_PER_S 24 /* and of configuration or assignments: rare */
 
 /* A link to or from one peer. */
 struct peer {
 	struct aubi_peers *task;
 	struct aub_link *link; /* owned */
 	char *address; /* that was connected to; NULL for accepted ones */
-	bool wants_ask; /* ask as soon as it is up */
-	gint64 asked_us; /* an answer is due; 0 for none */
+	bool exchange_pending; /* ask as soon as it is up */
+	gint64 request_sent_us; /* an answer is due; 0 for none */
 	gint64 used_us;
 };
 
@@ -38,11 +38,11 @@
 	gint64 pulled_us;
 	guint64 pulled_version;
 	guint64 pulled_epoch;
-	gint64 hurry_from_us; /* start of the second being counted */
-	guint hurried;
+	gint64 extra_window_us; /* start of the second being counted */
+	guint extra_exchanges;
 };
 
-static gint64 now_of(const struct aubi_peers *task)
+static gint64 now(const struct aubi_peers *task)
 {
 	return aub_timer_now(task->control->timers);
 }
@@ -70,7 +70,7 @@
 	struct aubi_control *control = peer->task->control;
 
 	aub_metrics_add(control->metrics, control->series_messages, 1);
-	peer->used_us = now_of(peer->task);
+	peer->used_us = now(peer->task);
 	aub_link_send(peer->link, message);
 }
 
@@ -82,55 +82,55 @@
 	gint64 fresh_us;
 
 	gossip = (struct aub_gossip *)aub_message_new(AUB_MESSAGE_GOSSIP);
-	fresh_us = aubi_agreement_fresh_us(&control->agreement, now_us);
+	fresh_us = aubi_agreement_config_age_us(&control->agreement, now_us);
 	gossip->config_version = control->agreement.config_version;
 	gossip->epoch = control->agreement.epoch;
 	gossip->store_reachable = control->store_reachable;
 	gossip->fresh_ms = G_MAXUINT32;
-	if (fresh_us != AUBI_MEMBER_NEVER)
+	if (fresh_us != AUBI_AGE_UNKNOWN_US)
 		gossip->fresh_ms =
 			(guint32)MIN(fresh_us / 1000 + 1, G_MAXUINT32);
 	return gossip;
 }
 
-static void peer_ask(struct peer *peer)
+static void peer_begin_exchange(struct peer *peer)
 {
 	struct aubi_control *control = peer->task->control;
-	gint64 now_us = now_of(peer->task);
+	gint64 now_us = now(peer->task);
 	struct aub_gossip *gossip;
 
 	if (!aub_link_is_up(peer->link)) {
-		peer->wants_ask = true;
+		peer->exchange_pending = true;
 		return;
 	}
-	peer->wants_ask = false;
-	if (!peer->asked_us)
-		peer->asked_us = now_us;
+	peer->exchange_pending = false;
+	if (!peer->request_sent_us)
+		peer->request_sent_us = now_us;
 	gossip = gossip_new(control, now_us);
-	aubi_membership_ask(control->membership, gossip, now_us);
+	aubi_membership_begin_exchange(control->membership, gossip, now_us);
 	aub_metrics_add(control->metrics, control->series_exchanges, 1);
 	peer_send(peer, &gossip->base);
 	aub_message_free(&gossip->base);
 }
 
 /* Ask for what the peer holds and this control doesn't, once at a time. */
-static void pull(struct peer *peer, const struct aub_gossip *heard)
+static void pull(struct peer *peer, const struct aub_gossip *received)
 {
 	struct aubi_peers *task = peer->task;
 	const struct aubi_agreement *held = &task->control->agreement;
-	gint64 now_us = now_of(task);
+	gint64 now_us = now(task);
 	struct aub_config_pull *message;
 
-	if (heard->config_version <= held->config_version &&
-	    heard->epoch <= held->epoch)
+	if (received->config_version <= held->config_version &&
+	    received->epoch <= held->epoch)
 		return;
-	if (now_us - task->pulled_us < PULL_US &&
-	    heard->config_version <= task->pulled_version &&
-	    heard->epoch <= task->pulled_epoch)
+	if (now_us - task->pulled_us < PULL_TIMEOUT_US &&
+	    received->config_version <= task->pulled_version &&
+	    received->epoch <= task->pulled_epoch)
 		return;
 	task->pulled_us = now_us;
-	task->pulled_version = heard->config_version;
-	task->pulled_epoch = heard->epoch;
+	task->pulled_version = received->config_version;
+	task->pulled_epoch = received->epoch;
 	message = (struct aub_config_pull *)aub_message_new(
 		AUB_MESSAGE_CONFIG_PULL);
 	message->config_version = held->config_version;
@@ -139,34 +139,34 @@
 	aub_message_free(&message->base);
 }
 
-static void on_gossip(struct peer *peer, const struct aub_gossip *heard)
+static void on_gossip(struct peer *peer, const struct aub_gossip *received)
 {
 	struct aubi_control *control = peer->task->control;
 	const struct aub_hello *hello = aub_link_hello(peer->link);
-	gint64 now_us = now_of(peer->task);
+	gint64 now_us = now(peer->task);
 	struct aub_gossip *answer = gossip_new(control, now_us);
 	bool changed;
 
-	if (heard->echo)
-		peer->asked_us = 0;
-	changed = aubi_membership_hear(control->membership, hello->name,
-				       hello->incarnation, heard, now_us);
-	aubi_agreement_relayed(&control->agreement, heard, now_us);
-	if (aubi_membership_answer(control->membership, heard,
+	if (received->echo)
+		peer->request_sent_us = 0;
+	changed = aubi_membership_receive(control->membership, hello->name,
+				       hello->incarnation, received, now_us);
+	aubi_agreement_receive_gossip(&control->agreement, received, now_us);
+	if (aubi_membership_reply(control->membership, received,
 				   aubi_agreement_is_behind(
 					   &control->agreement),
 				   answer, now_us))
 		peer_send(peer, &answer->base);
 	aub_message_free(&answer->base);
-	pull(peer, heard);
+	pull(peer, received);
 	if (changed)
 		aubi_control_members_changed(control);
 }
 
-static void set_packed(struct aub_bytes *field, GBytes *packed)
+static void set_bytes(struct aub_bytes *field, GBytes *compressed)
 {
 	gsize length;
-	const void *data = g_bytes_get_data(packed, &length);
+	const void *data = g_bytes_get_data(compressed, &length);
 
 	aub_bytes_set(field, data, length);
 }
@@ -175,33 +175,33 @@
 {
 	struct aubi_control *control = peer->task->control;
 	struct aub_config_push *push;
-	GBytes *packed;
+	GBytes *compressed;
 	char *text;
 
 	push = (struct aub_config_push *)aub_message_new(AUB_MESSAGE_CONFIG);
 	if (control->agreement.config_version > wanted->config_version) {
 		push->config_version = control->agreement.config_version;
-		set_packed(&push->config, aubi_book_packed(control->book));
+		set_bytes(&push->config, aubi_config_history_compressed(control->history));
 	}
 	if (control->agreement.epoch > wanted->epoch) {
 		push->epoch = control->agreement.epoch;
 		text = aubi_assignments_serialize(control->assignments, "");
-		packed = aubi_pack(text, strlen(text));
-		set_packed(&push->assignments, packed);
-		g_bytes_unref(packed);
+		compressed = aubi_pack(text, strlen(text));
+		set_bytes(&push->assignments, compressed);
+		g_bytes_unref(compressed);
 		g_free(text);
 	}
 	peer_send(peer, &push->base);
 	aub_message_free(&push->base);
 }
 
-/* aubi_control_take_config() or its like of the assignments. */
-typedef bool take_function(struct aubi_control *control, const char *json,
+/* aubi_control_adopt_config() or its like of the assignments. */
+typedef bool adopt_function(struct aubi_control *control, const char *json,
 			   gsize length, guint64 version, const char *source);
 
 /* Unpack one object and hand it to the hub. */
-static void take_packed(struct peer *peer, const struct aub_bytes *packed,
-			guint64 version, take_function *take)
+static void adopt_compressed(struct peer *peer, const struct aub_bytes *compressed,
+			guint64 version, adopt_function *adopt)
 {
 	const char *from = aub_link_hello(peer->link)->name;
 	GError *error = NULL;
@@ -209,7 +209,7 @@
 	GBytes *bytes;
 	gsize length;
 
-	bytes = aubi_unpack(packed->data, packed->length, OBJECT_LIMIT, from,
+	bytes = aubi_unpack(compressed->data, compressed->length, OBJECT_MAX_BYTES, from,
 			    &error);
 	if (!bytes) {
 		aub_log_warning("version %" G_GUINT64_FORMAT " refused: %s",
@@ -218,7 +218,7 @@
 		return;
 	}
 	json = g_bytes_get_data(bytes, &length);
-	take(peer->task->control, json, length, version, from);
+	adopt(peer->task->control, json, length, version, from);
 	g_bytes_unref(bytes);
 }
 
@@ -226,11 +226,11 @@
 {
 	peer->task->pulled_us = 0;
 	if (push->config_version)
-		take_packed(peer, &push->config, push->config_version,
-			    aubi_control_take_config);
+		adopt_compressed(peer, &push->config, push->config_version,
+			    aubi_control_adopt_config);
 	if (push->epoch)
-		take_packed(peer, &push->assignments, push->epoch,
-			    aubi_control_take_assignments);
+		adopt_compressed(peer, &push->assignments, push->epoch,
+			    aubi_control_adopt_assignments);
 }
 
 static void on_up(struct aub_link *link, const struct aub_hello *hello,
@@ -243,8 +243,8 @@
 		peer_drop(peer);
 		return;
 	}
-	if (peer->wants_ask)
-		peer_ask(peer);
+	if (peer->exchange_pending)
+		peer_begin_exchange(peer);
 }
 
 static void on_message(struct aub_link *link, struct aub_message *message,
@@ -300,13 +300,13 @@
 	peer = g_new0(struct peer, 1);
 	peer->task = task;
 	peer->link = link;
-	peer->used_us = now_of(task);
+	peer->used_us = now(task);
 	g_hash_table_add(task->inward, peer);
 	*context = peer;
 	return &peer_callbacks;
 }
 
-void aubi_peers_hello(const struct aubi_control *control,
+void aubi_peers_fill_hello(const struct aubi_control *control,
 		      struct aub_hello *hello)
 {
 	hello->role = AUB_ROLE_CONTROL;
@@ -326,13 +326,13 @@
 	if (peer)
 		return peer;
 	hello = (struct aub_hello *)aub_message_new(AUB_MESSAGE_HELLO);
-	aubi_peers_hello(task->control, hello);
+	aubi_peers_fill_hello(task->control, hello);
 	peer = g_new0(struct peer, 1);
 	peer->task = task;
 	peer->address = g_strdup(address);
-	peer->used_us = now_of(task);
+	peer->used_us = now(task);
 	g_hash_table_insert(task->outward, peer->address, peer);
-	peer->link = aub_link_connect(address, hello, CONNECT_MS,
+	peer->link = aub_link_connect(address, hello, CONNECT_TIMEOUT_MS,
 				      &peer_callbacks, peer);
 	aub_message_free(&hello->base);
 	return peer;
@@ -343,26 +343,26 @@
 	struct aubi_control *control = task->control;
 	const char *address;
 
-	address = aubi_membership_pick(control->membership, now_of(task));
+	address = aubi_membership_pick_peer(control->membership, now(task));
 	if (address && strcmp(address, control->settings->inner) != 0)
-		peer_ask(connect_to(task, address));
+		peer_begin_exchange(connect_to(task, address));
 }
 
-void aubi_peers_hurry(struct aubi_peers *task, bool urgent)
+void aubi_peers_gossip_now(struct aubi_peers *task, bool urgent)
 {
-	guint limit = urgent ? URGENT_PER_S : HURRY_PER_S;
+	guint limit = urgent ? URGENT_EXCHANGES_PER_S : EXTRA_EXCHANGES_PER_S;
 	gint64 now_us;
 	guint i;
 
 	if (!task)
 		return;
-	now_us = now_of(task);
-	if (now_us - task->hurry_from_us >= AUB_SECOND) {
-		task->hurry_from_us = now_us;
-		task->hurried = 0;
+	now_us = now(task);
+	if (now_us - task->extra_window_us >= AUB_SECOND) {
+		task->extra_window_us = now_us;
+		task->extra_exchanges = 0;
 	}
-	for (i = 0; i < HURRY_PEERS && task->hurried < limit; i++) {
-		task->hurried++;
+	for (i = 0; i < EXTRA_EXCHANGE_PEERS && task->extra_exchanges < limit; i++) {
+		task->extra_exchanges++;
 		exchange(task);
 	}
 }
@@ -372,27 +372,27 @@
  * would look dead though it lives. An answer overdue by a second ends the
  * link; the next exchange opens another.
  */
-static gboolean is_spent(void *key, void *value, void *context)
+static gboolean should_close(void *key, void *value, void *context)
 {
 	struct peer *peer = value;
-	gint64 now_us = now_of(peer->task);
+	gint64 now_us = now(peer->task);
 	struct aubi_control *control = peer->task->control;
 
-	if (peer->asked_us && now_us - peer->asked_us > SILENT_US) {
-		aub_metrics_add(control->metrics, control->series_silent, 1);
+	if (peer->request_sent_us && now_us - peer->request_sent_us > ANSWER_TIMEOUT_US) {
+		aub_metrics_add(control->metrics, control->series_unresponsive_links, 1);
 		aub_log_info("control link %s is silent: closed",
 			     aub_link_peer(peer->link));
 		return TRUE;
 	}
-	return now_us - peer->used_us > IDLE_US;
+	return now_us - peer->used_us > LINK_IDLE_TIMEOUT_US;
 }
 
 static void on_gossip_due(void *context, gint64 now_us)
 {
 	struct aubi_peers *task = context;
 
-	g_hash_table_foreach_remove(task->outward, is_spent, NULL);
-	g_hash_table_foreach_remove(task->inward, is_spent, NULL);
+	g_hash_table_foreach_remove(task->outward, should_close, NULL);
+	g_hash_table_foreach_remove(task->inward, should_close, NULL);
 	exchange(task);
 }
 
@@ -406,7 +406,7 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, peer_free);
 	task->inward = g_hash_table_new_full(NULL, NULL, peer_free, NULL);
 	hello = (struct aub_hello *)aub_message_new(AUB_MESSAGE_HELLO);
-	aubi_peers_hello(control, hello);
+	aubi_peers_fill_hello(control, hello);
 	task->server = aub_link_server_new(control->settings->inner, hello,
 					   on_accepted, task, error);
 	aub_message_free(&hello->base);
@@ -415,7 +415,7 @@
 		return NULL;
 	}
 	task->gossip_timer =
-		aub_timer_every(control->timers, "gossip", AUBI_GOSSIP_US,
+		aub_timer_every(control->timers, "gossip", AUBI_GOSSIP_INTERVAL_US,
 				on_gossip_due, task);
 	return task;
 }
--- a/src/coordination/control_store.c
+++ b/src/coordination/control_store.c
@@ -8,13 +8,13 @@
 
 #include <string.h>
 
-#define PREFIX "auburnstile/"
-#define TRY_MS 1000
-#define WATCH_MS 500 /* a confirmation of freshness twice a second */
-#define CALLS_PER_S 10
-#define PROPOSE_US ((gint64)250000) /* between computations, lowest rank */
-#define PROPOSE_RANK_US ((gint64)500000) /* more, a rank */
-#define REBALANCE_US ((gint64)5000000) /* between moves for balance */
+#define STORE_PREFIX "auburnstile/"
+#define CALL_TIMEOUT_MS 1000
+#define WATCH_WAIT_MS 500 /* a confirmation of freshness twice a second */
+#define CALLS_PER_S_MAX 10
+#define PROPOSE_INTERVAL_US ((gint64)250000) /* between computations, lowest rank */
+#define PROPOSE_RANK_DELAY_US ((gint64)500000) /* more, a rank */
+#define REBALANCE_INTERVAL_US ((gint64)5000000) /* between moves for balance */
 #define BACKOFF_MIN_US ((gint64)500000)
 #define BACKOFF_MAX_US ((gint64)8000000)
 
@@ -22,30 +22,30 @@
 	struct aubi_control *control;
 	struct aub_store_client *client;
 	bool watching;
-	gint64 polled_us; /* no later than the watch's request now open */
-	guint64 newest_config; /* seen in the store, parsed or not */
+	gint64 watch_requested_us; /* no later than the watch's request now open */
+	guint64 newest_config_version; /* seen in the store, parsed or not */
 	bool dirty; /* members, configuration or assignments changed */
 	gint64 computed_us;
 	gint64 needed_us; /* another assignment is needed since then */
 	gint64 rebalanced_us;
-	gint64 not_before_us; /* backoff after a failed write */
+	gint64 retry_after_us; /* backoff after a failed write */
 	gint64 backoff_us;
 	bool writing;
 	struct aubi_assignments *proposal; /* being written */
 	char *json; /* its text */
 };
 
-static void take_object(struct aubi_store_task *task,
+static void adopt_object(struct aubi_store_task *task,
 			const struct aub_store_object *object)
 {
 	struct aubi_control *control = task->control;
 
 	if (!strcmp(object->key, AUB_CONFIG_KEY)) {
-		task->newest_config = MAX(task->newest_config, object->version);
-		aubi_control_take_config(control, object->value, object->length,
+		task->newest_config_version = MAX(task->newest_config_version, object->version);
+		aubi_control_adopt_config(control, object->value, object->length,
 					 object->version, "store");
 	} else if (!strcmp(object->key, AUBI_ASSIGNMENTS_KEY)) {
-		aubi_control_take_assignments(control, object->value,
+		aubi_control_adopt_assignments(control, object->value,
 					      object->length, object->version,
 					      "store");
 	}
@@ -58,13 +58,13 @@
 	struct aubi_control *control = task->control;
 	gint64 now_us = aub_timer_now(control->timers);
 
-	aubi_control_store_heard(control, error);
+	aubi_control_store_result(control, error);
 	if (error) {
-		task->polled_us = now_us;
+		task->watch_requested_us = now_us;
 		return;
 	}
 	if (object) {
-		take_object(task, object);
+		adopt_object(task, object);
 		return;
 	}
 	/*
@@ -73,12 +73,12 @@
 	 * So it counts from when the watch before it was answered, which
 	 * is no later than this one's request.
 	 */
-	if (version >= control->agreement.config_version && task->polled_us)
+	if (version >= control->agreement.config_version && task->watch_requested_us)
 		aubi_agreement_confirm(&control->agreement,
 				       MAX(control->agreement.config_version,
-					   task->newest_config),
-				       task->polled_us);
-	task->polled_us = now_us;
+					   task->newest_config_version),
+				       task->watch_requested_us);
+	task->watch_requested_us = now_us;
 }
 
 static void set_watching(struct aubi_store_task *task, bool wanted)
@@ -93,8 +93,8 @@
 		return;
 	}
 	aub_log_info("watching the store");
-	task->polled_us = aub_timer_now(task->control->timers);
-	aub_store_watch_start(task->client, PREFIX,
+	task->watch_requested_us = aub_timer_now(task->control->timers);
+	aub_store_watch_start(task->client, STORE_PREFIX,
 			      MIN(held->config_version, held->epoch), on_watch,
 			      task);
 }
@@ -104,18 +104,18 @@
 {
 	struct aubi_store_task *task = context;
 
-	aubi_control_store_heard(task->control, error);
+	aubi_control_store_result(task->control, error);
 	task->writing = false;
 	task->dirty = true;
 	if (object)
-		take_object(task, object);
+		adopt_object(task, object);
 }
 
 static void back_off(struct aubi_store_task *task, gint64 now_us)
 {
 	task->backoff_us =
 		CLAMP(task->backoff_us * 2, BACKOFF_MIN_US, BACKOFF_MAX_US);
-	task->not_before_us = now_us + task->backoff_us;
+	task->retry_after_us = now_us + task->backoff_us;
 }
 
 static void on_proposed(guint64 version, const GError *error, void *context)
@@ -123,7 +123,7 @@
 	struct aubi_store_task *task = context;
 	struct aubi_control *control = task->control;
 
-	aubi_control_store_heard(control, error);
+	aubi_control_store_result(control, error);
 	g_clear_pointer(&task->proposal, aubi_assignments_free);
 	if (error) {
 		aub_log_info("assignments not written: %s", error->message);
@@ -133,7 +133,7 @@
 	} else {
 		task->writing = false;
 		task->backoff_us = 0;
-		aubi_control_take_assignments(control, task->json,
+		aubi_control_adopt_assignments(control, task->json,
 					      strlen(task->json), version,
 					      "own proposal");
 	}
@@ -162,7 +162,7 @@
 					bool rebalance, gint64 now_us)
 {
 	struct aubi_control *control = task->control;
-	const struct aub_config *config = aubi_book_held(control->book);
+	const struct aub_config *config = aubi_config_history_current(control->history);
 	struct aubi_assignments *proposal;
 	GPtrArray *members;
 
@@ -182,11 +182,11 @@
 	struct aubi_assignments *proposal;
 	bool rebalance;
 
-	if (task->writing || now_us < task->not_before_us)
+	if (task->writing || now_us < task->retry_after_us)
 		return;
-	if (now_us - task->computed_us < PROPOSE_US + rank * PROPOSE_RANK_US)
+	if (now_us - task->computed_us < PROPOSE_INTERVAL_US + rank * PROPOSE_RANK_DELAY_US)
 		return;
-	rebalance = now_us - task->rebalanced_us >= REBALANCE_US;
+	rebalance = now_us - task->rebalanced_us >= REBALANCE_INTERVAL_US;
 	if (!task->dirty && !task->needed_us && !rebalance)
 		return;
 	task->computed_us = now_us;
@@ -200,8 +200,8 @@
 	}
 	if (!task->needed_us)
 		task->needed_us = now_us;
-	if (aubi_ownership_turn(rank, task->needed_us, now_us) &&
-	    aubi_agreement_may_accept(control->membership, now_us))
+	if (aubi_ownership_is_turn(rank, task->needed_us, now_us) &&
+	    aubi_agreement_can_accept_changes(control->membership, now_us))
 		write_proposal(task, proposal);
 	else
 		aubi_assignments_free(proposal);
@@ -221,7 +221,7 @@
 		       aubi_membership_superseded(control->membership);
 	bool wanted;
 
-	wanted = aubi_agreement_watches(&control->agreement,
+	wanted = aubi_agreement_should_watch_store(&control->agreement,
 					control->membership, rank, now_us);
 	set_watching(task, wanted && !retired);
 	if (control->inventory && !retired &&
@@ -239,9 +239,9 @@
 	struct aubi_store_task *task = g_new0(struct aubi_store_task, 1);
 	struct aub_store_client_options options = {
 		.url = control->settings->store,
-		.timeout_ms = TRY_MS,
-		.watch_ms = WATCH_MS,
-		.calls_per_s = CALLS_PER_S,
+		.timeout_ms = CALL_TIMEOUT_MS,
+		.watch_ms = WATCH_WAIT_MS,
+		.calls_per_s = CALLS_PER_S_MAX,
 		.seed = (guint32)control->incarnation,
 	};
 
--- a/src/coordination/dispatch_probes.c
+++ b/src/coordination/dispatch_probes.c
@@ -6,7 +6,7 @@
 
 struct aub_probes {
 	struct aub_upstream_set *upstreams;
-	aub_probe_reported *reported;
+	aub_probe_report_callback *callback;
 	void *context;
 	GHashTable *open; /* set of struct probe, owned */
 };
@@ -30,12 +30,12 @@
 }
 
 struct aub_probes *aub_probes_new(struct aub_upstream_set *upstreams,
-				  aub_probe_reported *reported, void *context)
+				  aub_probe_report_callback *callback, void *context)
 {
 	struct aub_probes *probes = g_new0(struct aub_probes, 1);
 
 	probes->upstreams = upstreams;
-	probes->reported = reported;
+	probes->callback = callback;
 	probes->context = context;
 	probes->open = g_hash_table_new_full(NULL, NULL, probe_free, NULL);
 	return probes;
@@ -68,7 +68,7 @@
 	};
 
 	g_hash_table_steal(probes->open, probe);
-	probes->reported(&report, probes->context);
+	probes->callback(&report, probes->context);
 	probe_free(probe);
 }
 
--- a/src/coordination/dispatch_status.c
+++ b/src/coordination/dispatch_status.c
@@ -3,7 +3,7 @@
  */
 #include <auburnstile/internal/dispatch_status.h>
 
-#define STATUS_LIMIT 1024 /* upstreams of a service that are shown */
+#define STATUS_UPSTREAMS_MAX 1024 /* upstreams of a service that are shown */
 
 static const char *const role_names[] = {
 	[AUB_DISPATCH_NONE] = "none",
@@ -79,15 +79,15 @@
 	struct aub_upstream_status *list;
 	guint count;
 
-	list = g_new0(struct aub_upstream_status, STATUS_LIMIT);
-	count = aub_dispatcher_status(dispatcher, list, STATUS_LIMIT);
+	list = g_new0(struct aub_upstream_status, STATUS_UPSTREAMS_MAX);
+	count = aub_dispatcher_status(dispatcher, list, STATUS_UPSTREAMS_MAX);
 	json_builder_begin_object(builder);
 	set_string(builder, "service", service);
 	set_string(builder, "role", role_names[role]);
 	set_integer(builder, "queued", aub_dispatcher_queued(dispatcher));
 	json_builder_set_member_name(builder, "upstreams");
 	json_builder_begin_array(builder);
-	for (guint i = 0; i < MIN(count, STATUS_LIMIT); i++)
+	for (guint i = 0; i < MIN(count, STATUS_UPSTREAMS_MAX); i++)
 		build_upstream(builder, &list[i]);
 	json_builder_end_array(builder);
 	json_builder_end_object(builder);
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -21,7 +21,7 @@
 	enum aub_dispatch_role role;
 	struct aub_inventory *inventory; /* owned reference */
 	bool removed; /* no longer in the inventory */
-	bool draining; /* in drain(): events nest, actions don't */
+	bool running_actions; /* in drain(): events nest, actions don't */
 	GHashTable *requests; /* id -> struct request */
 	guint timer;
 	gint64 timer_us; /* when it is due; 0: none */
@@ -35,8 +35,8 @@
 	guint64 id;
 	bool once;
 	GPtrArray *attempts; /* of struct attempt, still open */
-	struct aub_answer *answered[2]; /* whole answers awaiting a verdict */
-	guint32 answered_attempt[2];
+	struct aub_answer *answers[2]; /* whole answers awaiting a verdict */
+	guint32 answer_attempts[2];
 	aub_dispatch_callback *callback;
 	void *context;
 };
@@ -56,7 +56,7 @@
 	struct aub_probes *probes;
 };
 
-static void drain(struct service *service);
+static void run_actions(struct service *service);
 static void on_probed(const struct aub_probe_report *report, void *context);
 
 static gint64 now(const struct aub_dispatch_task *task)
@@ -68,8 +68,8 @@
 {
 	struct request *request = data;
 
-	for (gsize i = 0; i < G_N_ELEMENTS(request->answered); i++)
-		aub_message_free((struct aub_message *)request->answered[i]);
+	for (gsize i = 0; i < G_N_ELEMENTS(request->answers); i++)
+		aub_message_free((struct aub_message *)request->answers[i]);
 	for (guint i = 0; i < request->attempts->len; i++) {
 		struct attempt *attempt = request->attempts->pdata[i];
 
@@ -177,7 +177,7 @@
 		service->removed = false;
 		aub_dispatcher_configure(service->dispatcher, inventory, i,
 					 now(task));
-		drain(service);
+		run_actions(service);
 	}
 	g_hash_table_iter_init(&iterator, task->services);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
@@ -189,7 +189,7 @@
 		service->role = AUB_DISPATCH_NONE;
 		aub_dispatcher_set_role(service->dispatcher, AUB_DISPATCH_NONE,
 					0, now(task));
-		drain(service);
+		run_actions(service);
 	}
 }
 
@@ -203,20 +203,20 @@
 
 void aub_dispatch_task_set_role(struct aub_dispatch_task *task,
 				const char *name, enum aub_dispatch_role role,
-				gint64 settle_us)
+				gint64 warm_up_us)
 {
 	struct service *service = g_hash_table_lookup(task->services, name);
 
 	if (!service || service->removed || service->role == role)
 		return;
 	service->role = role;
-	aub_dispatcher_set_role(service->dispatcher, role, settle_us,
+	aub_dispatcher_set_role(service->dispatcher, role, warm_up_us,
 				now(task));
-	drain(service);
+	run_actions(service);
 }
 
 /* Forget a request that nobody waits for and that has nothing open. */
-static void collect(struct request *request)
+static void free_if_done(struct request *request)
 {
 	if (request->call || request->attempts->len)
 		return;
@@ -230,7 +230,7 @@
 
 	answer->id = request->id;
 	request->call = NULL;
-	collect(request);
+	free_if_done(request);
 	callback(answer, context);
 }
 
@@ -238,27 +238,27 @@
 {
 	struct aub_answer *answer;
 
-	for (gsize i = 0; i < G_N_ELEMENTS(request->answered); i++) {
-		if (request->answered_attempt[i] != number)
+	for (gsize i = 0; i < G_N_ELEMENTS(request->answers); i++) {
+		if (request->answer_attempts[i] != number)
 			continue;
-		answer = request->answered[i];
-		request->answered[i] = NULL;
+		answer = request->answers[i];
+		request->answers[i] = NULL;
 		return answer;
 	}
 	return NULL;
 }
 
-static void keep_answer(struct request *request, guint32 number,
+static void store_answer(struct request *request, guint32 number,
 			struct aub_answer *answer)
 {
-	gsize place = request->answered[0] ? 1 : 0;
+	gsize slot = request->answers[0] ? 1 : 0;
 
-	aub_message_free((struct aub_message *)request->answered[place]);
-	request->answered[place] = answer;
-	request->answered_attempt[place] = number;
+	aub_message_free((struct aub_message *)request->answers[slot]);
+	request->answers[slot] = answer;
+	request->answer_attempts[slot] = number;
 }
 
-static void note(const struct attempt *attempt, enum aub_event_type type,
+static void record_event(const struct attempt *attempt, enum aub_event_type type,
 		 gint64 number, const char *text)
 {
 	aub_event_note(attempt->request->service->task->options.events, type,
@@ -286,14 +286,14 @@
 	guint32 number = attempt->number;
 
 	if (result == AUB_ATTEMPT_ANSWERED)
-		note(attempt, AUB_EVENT_ANSWERED, answer->status, NULL);
+		record_event(attempt, AUB_EVENT_ANSWERED, answer->status, NULL);
 	else
-		note(attempt,
+		record_event(attempt,
 		     result == AUB_ATTEMPT_CANCELLED ? AUB_EVENT_CANCELLED :
 						       AUB_EVENT_FAILED,
 		     number, result_names[result]);
 	if (answer && request->call)
-		keep_answer(request, number, answer);
+		store_answer(request, number, answer);
 	else
 		aub_message_free((struct aub_message *)answer);
 	g_ptr_array_remove_fast(request->attempts, attempt);
@@ -301,8 +301,8 @@
 	g_free(attempt);
 	aub_dispatcher_attempt_done(service->dispatcher, request->id, number,
 				    result, signs, now(task));
-	collect(request);
-	drain(service);
+	free_if_done(request);
+	run_actions(service);
 }
 
 static struct request *find_request(const struct service *service, guint64 id)
@@ -318,7 +318,7 @@
 		aub_upstream_at(service->inventory, action->upstream)->name;
 	struct aub_upstream_client *client;
 	struct attempt *attempt;
-	bool again = action->attempt > 1;
+	bool is_retry = action->attempt > 1;
 
 	client = aub_upstream_set_find(task->upstreams, name);
 	attempt = g_new0(struct attempt, 1);
@@ -328,13 +328,13 @@
 	g_ptr_array_add(request->attempts, attempt);
 	g_hash_table_add(task->attempts, attempt);
 	if (action->hedge)
-		note(attempt, AUB_EVENT_HEDGED, action->attempt, NULL);
-	else if (again)
-		note(attempt, AUB_EVENT_RETRIED, action->attempt, NULL);
-	note(attempt, AUB_EVENT_DISPATCHED, action->attempt,
+		record_event(attempt, AUB_EVENT_HEDGED, action->attempt, NULL);
+	else if (is_retry)
+		record_event(attempt, AUB_EVENT_RETRIED, action->attempt, NULL);
+	record_event(attempt, AUB_EVENT_DISPATCHED, action->attempt,
 	     request->once ? "once" : NULL);
 	attempt->handle =
-		aub_upstream_send(client, request->call, again,
+		aub_upstream_send(client, request->call, is_retry,
 				  action->timeout_us, on_attempt_done, attempt);
 }
 
@@ -366,7 +366,7 @@
 	aub_dispatcher_probe_done(service->dispatcher, upstream,
 				  report->answered, report->signs, report->busy,
 				  now(task));
-	drain(service);
+	run_actions(service);
 }
 
 static void send_probe(struct service *service, const struct aub_action *action)
@@ -378,7 +378,7 @@
 			action->upstream, action->timeout_us);
 }
 
-static void carry_out(struct service *service, const struct aub_action *action)
+static void execute_action(struct service *service, const struct aub_action *action)
 {
 	struct request *request;
 
@@ -422,14 +422,14 @@
 	}
 }
 
-static void on_wake(void *context, gint64 now_us)
+static void on_dispatcher_timer(void *context, gint64 now_us)
 {
 	struct service *service = context;
 
 	service->timer = 0;
 	service->timer_us = 0;
 	aub_dispatcher_tick(service->dispatcher, now_us);
-	drain(service);
+	run_actions(service);
 }
 
 static void set_timer(struct service *service)
@@ -444,25 +444,25 @@
 	service->timer_us = wake_us;
 	if (wake_us > 0 && wake_us < G_MAXINT64)
 		service->timer = aub_timer_at(timers, "dispatcher", wake_us,
-					      on_wake, service);
+					      on_dispatcher_timer, service);
 }
 
-static void drain(struct service *service)
+static void run_actions(struct service *service)
 {
 	struct aub_action action;
 
-	if (service->draining)
+	if (service->running_actions)
 		return;
-	service->draining = true;
+	service->running_actions = true;
 	while (aub_dispatcher_next(service->dispatcher, &action))
-		carry_out(service, &action);
-	service->draining = false;
+		execute_action(service, &action);
+	service->running_actions = false;
 	set_timer(service);
 	aub_metrics_set(service->task->options.metrics, service->queue_gauge,
 			aub_dispatcher_queued(service->dispatcher));
 }
 
-static void refuse_at_once(const struct aub_call *call,
+static void refuse_immediately(const struct aub_call *call,
 			   aub_dispatch_callback *callback, void *context)
 {
 	struct aub_answer *answer;
@@ -490,7 +490,7 @@
 
 	service = g_hash_table_lookup(task->services, call->service);
 	if (!service || service->removed || find_request(service, call->id)) {
-		refuse_at_once(call, callback, context);
+		refuse_immediately(call, callback, context);
 		return;
 	}
 	request = g_new0(struct request, 1);
@@ -503,7 +503,7 @@
 	request->context = context;
 	g_hash_table_insert(service->requests, &request->id, request);
 	aub_dispatcher_arrive(service->dispatcher, &arrival, now_us);
-	drain(service);
+	run_actions(service);
 }
 
 bool aub_dispatch_task_abandon(struct aub_dispatch_task *task, const char *name,
@@ -519,10 +519,10 @@
 		return false;
 	request->call = NULL;
 	aub_dispatcher_abandon(service->dispatcher, id, now(task));
-	drain(service);
+	run_actions(service);
 	request = find_request(service, id);
 	if (request)
-		collect(request);
+		free_if_done(request);
 	return true;
 }
 
@@ -536,7 +536,7 @@
 		struct service *service = value;
 
 		aub_dispatcher_stop(service->dispatcher, now(task));
-		drain(service);
+		run_actions(service);
 	}
 }
 
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -5,19 +5,19 @@
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
 #include <auburnstile/internal/addresses.h>
-#include <auburnstile/internal/entry_parts.h>
+#include <auburnstile/internal/entry_internal.h>
 #include <auburnstile/internal/program.h>
 #include <auburnstile/log.h>
 
 #include <sys/resource.h>
 
-#define HEADER_MS 10000
-#define STATES_US (250 * AUB_MS) /* a stand-by's knowledge is that old */
-#define IDLE_MS 60000
-#define BODY_MS 30000
-#define WRITE_MS 30000
-#define KEY_KEEP_MOST_S G_GINT64_CONSTANT(604800) /* a week */
-#define BODY_LIMIT (1u << 20) /* where no service is known for a path */
+#define HEADER_TIMEOUT_MS 10000
+#define STATES_INTERVAL_US (250 * AUB_MS) /* a stand-by's knowledge is that old */
+#define IDLE_TIMEOUT_MS 60000
+#define BODY_TIMEOUT_MS 30000
+#define WRITE_TIMEOUT_MS 30000
+#define KEY_RETENTION_MAX_S G_GINT64_CONSTANT(604800) /* a week */
+#define BODY_DEFAULT_MAX_BYTES (1u << 20) /* where no service is known for a path */
 
 #define FIELD(name) offsetof(struct aub_entry_settings, name)
 
@@ -59,7 +59,7 @@
 	  .type = AUB_SETTING_INTEGER,
 	  .offset = FIELD(key_keep_s),
 	  .minimum = 1,
-	  .maximum = KEY_KEEP_MOST_S,
+	  .maximum = KEY_RETENTION_MAX_S,
 	  .fallback = "1200",
 	  .help = "time a key is remembered after its end, s" },
 	{ .key = "connections",
@@ -84,7 +84,7 @@
 		entry->inventory = inventory;
 		aub_dispatch_task_configure(entry->dispatch, inventory);
 	}
-	aub_front_update_roles(entry->front);
+	aub_request_router_update_roles(entry->router);
 }
 
 static void on_states(const struct aub_states *states, guint64 incarnation,
@@ -92,24 +92,24 @@
 {
 	struct aub_entry *entry = context;
 
-	aub_front_learn_states(entry->front, states, incarnation);
+	aub_request_router_receive_states(entry->router, states, incarnation);
 }
 
-static void on_tell(void *context, gint64 now_us)
+static void on_send_states(void *context, gint64 now_us)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_tell_states(entry->front);
+	aub_request_router_send_states(entry->router);
 }
 
 static void on_links_changed(void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_update_roles(entry->front);
+	aub_request_router_update_roles(entry->router);
 }
 
-static bool is_known(guint64 incarnation, void *context)
+static bool is_member_incarnation(guint64 incarnation, void *context)
 {
 	struct aub_entry *entry = context;
 
@@ -121,28 +121,28 @@
 {
 	struct aub_entry *entry = context;
 
-	aub_front_relay_arrived(inbound, call, entry->front);
+	aub_request_router_relay_arrived(inbound, call, entry->router);
 }
 
 static void on_relay_gone(struct aub_relay_inbound *inbound, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_relay_gone(inbound, entry->front);
+	aub_request_router_relay_cancelled(inbound, entry->router);
 }
 
 static void on_keys(const struct aub_keys *keys, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_keeper_adopt(entry->keeper, keys);
+	aub_idempotency_import(entry->idempotency, keys);
 }
 
 static void on_keys_ack(const struct aub_keys_ack *ack, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_keeper_acknowledged(entry->keeper, ack);
+	aub_idempotency_acknowledged(entry->idempotency, ack);
 }
 
 static void on_arrived(struct aub_caller_request *request,
@@ -150,14 +150,14 @@
 {
 	struct aub_entry *entry = context;
 
-	aub_front_caller_arrived(request, call, entry->front);
+	aub_request_router_caller_arrived(request, call, entry->router);
 }
 
 static void on_gone(struct aub_caller_request *request, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_caller_gone(request, entry->front);
+	aub_request_router_caller_gone(request, entry->router);
 }
 
 static guint32 body_limit(const char *path, void *context)
@@ -168,10 +168,10 @@
 
 	inventory = aub_entry_view_inventory(entry->view);
 	if (!inventory)
-		return BODY_LIMIT;
+		return BODY_DEFAULT_MAX_BYTES;
 	service = aub_inventory_route(inventory, path);
 	if (service == AUB_NO_HANDLE)
-		return BODY_LIMIT;
+		return BODY_DEFAULT_MAX_BYTES;
 	return aub_service_at(inventory, service)->body_limit;
 }
 
@@ -223,13 +223,13 @@
 	       usage.ru_stime.tv_sec * AUB_SECOND + usage.ru_stime.tv_usec;
 }
 
-static void on_second(void *context, gint64 now_us)
+static void update_load(void *context, gint64 now_us)
 {
 	struct aub_entry *entry = context;
-	gint64 busy_us = processor_us();
-	gint64 permille = (busy_us - entry->busy_us) * 1000 / AUB_SECOND;
+	gint64 processor_time_us = processor_us();
+	gint64 permille = (processor_time_us - entry->processor_time_us) * 1000 / AUB_SECOND;
 
-	entry->busy_us = busy_us;
+	entry->processor_time_us = processor_time_us;
 	aub_entry_view_set_load(entry->view, CLAMP(permille, 0, 1000));
 }
 
@@ -248,7 +248,7 @@
 	return hello;
 }
 
-static void make_decisions(struct aub_entry *entry, int policy, guint32 seed)
+static void create_components(struct aub_entry *entry, int policy, guint32 seed)
 {
 	const struct aub_entry_settings *settings = entry->settings;
 
@@ -260,20 +260,20 @@
 			.events = entry->events,
 			.metrics = entry->metrics,
 		});
-	entry->keeper = aub_keeper_new(&(struct aub_keeper_options){
+	entry->idempotency = aub_idempotency_new(&(struct aub_idempotency_options){
 		.name = settings->name,
 		.zone = settings->zone,
 		.incarnation = entry->hello->incarnation,
-		.limit_bytes = (gsize)settings->key_mb << 20,
-		.keep_us = settings->key_keep_s * AUB_SECOND,
+		.max_bytes = (gsize)settings->key_mb << 20,
+		.retention_us = settings->key_keep_s * AUB_SECOND,
 		.view = entry->view,
 		.timers = entry->timers,
 		.events = entry->events,
 	});
-	entry->front = aub_front_new(&(struct aub_front_options){
+	entry->router = aub_request_router_new(&(struct aub_request_router_options){
 		.hello = entry->hello,
 		.view = entry->view,
-		.keeper = entry->keeper,
+		.idempotency = entry->idempotency,
 		.dispatch = entry->dispatch,
 		.timers = entry->timers,
 		.events = entry->events,
@@ -290,7 +290,7 @@
 			.hello = entry->hello,
 			.timers = entry->timers,
 			.events = entry->events,
-			.known = is_known,
+			.is_member = is_member_incarnation,
 			.arrived = on_relay_arrived,
 			.gone = on_relay_gone,
 			.keys = on_keys,
@@ -301,11 +301,11 @@
 		},
 		error);
 	if (entry->relay)
-		aub_front_set_relay(entry->front, entry->relay);
+		aub_request_router_set_relay(entry->router, entry->relay);
 	return entry->relay;
 }
 
-static bool listen_outer(struct aub_entry *entry, GError **error)
+static bool listen_callers(struct aub_entry *entry, GError **error)
 {
 	const struct aub_entry_settings *settings = entry->settings;
 
@@ -313,10 +313,10 @@
 		&(struct aub_caller_server_options){
 			.address = settings->callers,
 			.connections = settings->connections,
-			.header_ms = HEADER_MS,
-			.idle_ms = IDLE_MS,
-			.body_ms = BODY_MS,
-			.write_ms = WRITE_MS,
+			.header_ms = HEADER_TIMEOUT_MS,
+			.idle_ms = IDLE_TIMEOUT_MS,
+			.body_ms = BODY_TIMEOUT_MS,
+			.write_ms = WRITE_TIMEOUT_MS,
 			.timers = entry->timers,
 			.arrived = on_arrived,
 			.gone = on_gone,
@@ -373,17 +373,17 @@
 		.changed = on_view_changed,
 		.context = entry,
 	});
-	make_decisions(entry, policy,
+	create_components(entry, policy,
 		       settings->seed ? (guint32)settings->seed :
 					g_random_int());
-	if (!listen_inner(entry, error) || !listen_outer(entry, error)) {
+	if (!listen_inner(entry, error) || !listen_callers(entry, error)) {
 		aub_entry_free(entry);
 		return NULL;
 	}
-	entry->second_timer = aub_timer_every(entry->timers, "second",
-					      AUB_SECOND, on_second, entry);
+	entry->load_timer = aub_timer_every(entry->timers, "second",
+					      AUB_SECOND, update_load, entry);
 	entry->states_timer = aub_timer_every(entry->timers, "states",
-					      STATES_US, on_tell, entry);
+					      STATES_INTERVAL_US, on_send_states, entry);
 	aub_event_note(entry->events, AUB_EVENT_STARTED, 0,
 		       (gint64)entry->hello->incarnation, NULL, NULL);
 	return entry;
@@ -393,15 +393,15 @@
 {
 	if (!entry)
 		return;
-	aub_timer_cancel(entry->timers, entry->second_timer);
+	aub_timer_cancel(entry->timers, entry->load_timer);
 	aub_timer_cancel(entry->timers, entry->states_timer);
 	aub_timer_cancel(entry->timers, entry->stop_timer);
 	aub_admin_free(entry->admin);
 	aub_caller_server_free(entry->callers);
 	aub_relay_free(entry->relay);
-	aub_front_free(entry->front);
+	aub_request_router_free(entry->router);
 	aub_dispatch_task_free(entry->dispatch);
-	aub_keeper_free(entry->keeper);
+	aub_idempotency_free(entry->idempotency);
 	aub_entry_view_free(entry->view);
 	aub_metrics_free(entry->metrics);
 	aub_event_ring_free(entry->events);
--- /dev/null
+++ b/src/coordination/entry_shutdown.c
@@ -0,0 +1,131 @@
+/*
+ * The planned stop of an entry, step by step: others own its services, what
+ * runs ends, its keys go to an successor, its callers are elsewhere.
+ *
+ * Each step has a share of the time; the last one ends it in any case.
+ */
+#include <auburnstile/internal/entry_internal.h>
+#include <auburnstile/log.h>
+
+#define TICK_INTERVAL_US (20 * AUB_MS)
+
+/*
+ * Time callers have to notice the stale mark and go elsewhere before new
+ * keys are refused, and for the control to tell the others of the successor.
+ */
+#define CALLER_NOTICE_US (500 * AUB_MS)
+#define SUCCESSOR_ANNOUNCE_US (700 * AUB_MS)
+
+static gint64 now(const struct aub_entry *entry)
+{
+	return aub_timer_now(entry->timers);
+}
+
+static void set_phase(struct aub_entry *entry, enum aub_entry_phase phase,
+		  const char *text)
+{
+	entry->phase = phase;
+	entry->phase_started_us = now(entry);
+	aub_log_info("stop: %s", text);
+	aub_event_note(entry->events, AUB_EVENT_STOPPING, 0, phase, NULL, text);
+}
+
+static void on_keys_transferred(guint64 successor, void *context)
+{
+	struct aub_entry *entry = context;
+
+	entry->successor = successor;
+	aub_entry_view_set_successor(entry->view, successor);
+	set_phase(entry, ENTRY_ANNOUNCING_SUCCESSOR, successor ? "announce successor" : "no successor");
+}
+
+/* A share of the time that is left for the whole stop. */
+static bool phase_time_is_over(const struct aub_entry *entry, gint64 now_us)
+{
+	return now_us - entry->phase_started_us >
+	       (entry->stop_deadline_us - entry->phase_started_us) / 2;
+}
+
+static bool services_released(const struct aub_entry *entry, gint64 now_us)
+{
+	return !aub_request_router_owned(entry->router) &&
+	       now_us - entry->phase_started_us >= CALLER_NOTICE_US;
+}
+
+static bool is_idle(const struct aub_entry *entry)
+{
+	return !aub_request_router_pending(entry->router) &&
+	       !aub_caller_server_busy(entry->callers) &&
+	       !aub_dispatch_task_pending(entry->dispatch);
+}
+
+static void finish_stop(struct aub_entry *entry, const char *text)
+{
+	set_phase(entry, ENTRY_STOPPED, text);
+	aub_timer_cancel(entry->timers, entry->stop_timer);
+	entry->stop_timer = 0;
+	entry->stopped(entry->stopped_context);
+}
+
+static void advance(struct aub_entry *entry, gint64 now_us)
+{
+	switch (entry->phase) {
+	case ENTRY_RELEASING_SERVICES:
+		if (!services_released(entry, now_us) && !phase_time_is_over(entry, now_us))
+			return;
+		aub_idempotency_close(entry->idempotency);
+		set_phase(entry, ENTRY_FINISHING_KEYED_REQUESTS, "finish keyed requests");
+		break;
+	case ENTRY_FINISHING_KEYED_REQUESTS:
+		if (aub_request_router_running_keys(entry->router) && !phase_time_is_over(entry, now_us))
+			return;
+		set_phase(entry, ENTRY_TRANSFERRING_KEYS, "hand keys over");
+		aub_idempotency_transfer(entry->idempotency, entry->relay,
+				     on_keys_transferred, entry);
+		break;
+	case ENTRY_ANNOUNCING_SUCCESSOR:
+		if (now_us - entry->phase_started_us < SUCCESSOR_ANNOUNCE_US)
+			return;
+		aub_request_router_close(entry->router);
+		set_phase(entry, ENTRY_CLOSING, "last answers");
+		break;
+	case ENTRY_CLOSING:
+		if (is_idle(entry) &&
+		    aub_entry_view_flushed(entry->view) &&
+		    now_us - entry->phase_started_us >= 2 * TICK_INTERVAL_US)
+			finish_stop(entry, "in order");
+		break;
+	case ENTRY_RUNNING:
+	case ENTRY_TRANSFERRING_KEYS:
+	case ENTRY_STOPPED:
+		break;
+	}
+}
+
+static void on_tick(void *context, gint64 now_us)
+{
+	struct aub_entry *entry = context;
+
+	if (now_us >= entry->stop_deadline_us) {
+		aub_log_warning("stop: cut off %u requests, %u connections",
+				aub_request_router_pending(entry->router),
+				aub_caller_server_busy(entry->callers));
+		finish_stop(entry, "time is up");
+	} else
+		advance(entry, now_us);
+}
+
+void aub_entry_stop(struct aub_entry *entry, aub_entry_stopped *stopped,
+		    void *context)
+{
+	if (entry->phase != ENTRY_RUNNING)
+		return;
+	entry->stopped = stopped;
+	entry->stopped_context = context;
+	entry->stop_deadline_us = now(entry) + entry->settings->stop_ms * AUB_MS;
+	set_phase(entry, ENTRY_RELEASING_SERVICES, "turn callers away");
+	aub_request_router_stop(entry->router);
+	aub_entry_view_set_stopping(entry->view);
+	entry->stop_timer =
+		aub_timer_every(entry->timers, "stop", TICK_INTERVAL_US, on_tick, entry);
+}
--- a/src/coordination/entry_view.c
+++ b/src/coordination/entry_view.c
@@ -9,32 +9,32 @@
 #include <auburnstile/link.h>
 #include <auburnstile/log.h>
 
-#define CONNECT_MS 1000
-#define HEIRS_KEPT 4096 /* a fleet's planned stops in some weeks */
-#define RECONNECT_US (200 * AUB_MS)
+#define CONNECT_TIMEOUT_MS 1000
+#define SUCCESSORS_MAX 4096 /* a fleet's planned stops in some weeks */
+#define RECONNECT_DELAY_US (200 * AUB_MS)
 
 /* Views come every 500 ms; a link without any for this long went silent. */
-#define SILENT_US (3 * AUB_SECOND)
+#define LINK_TIMEOUT_US (3 * AUB_SECOND)
 
 struct aub_entry_view {
 	struct aub_entry_view_options options;
 	char *control;
 	struct aub_link *link;
-	guint reconnect;
-	guint lapse;
-	guint watch;
-	gint64 linked_us; /* when the link was opened */
+	guint reconnect_timer;
+	guint lease_timer;
+	guint watch_timer;
+	gint64 link_opened_us; /* when the link was opened */
 	struct aub_inventory *inventory;
 	guint64 config_version;
 	guint64 epoch;
 	GHashTable *assignments; /* service -> struct aub_assignment */
 	GHashTable *members; /* incarnation -> struct aub_member */
-	GHashTable *heirs; /* incarnation -> incarnation of its heir */
-	GQueue heirs_order; /* keys of `heirs`, oldest first */
+	GHashTable *successors; /* incarnation -> incarnation of its heir */
+	GQueue successor_order; /* keys of `heirs`, oldest first */
 	gint64 serve_until_us;
 	guint32 load_permille;
 	bool stopping;
-	guint64 heir;
+	guint64 successor;
 };
 
 static void assignment_free(void *data)
@@ -63,14 +63,14 @@
 	ack->epoch = view->epoch;
 	ack->load_permille = view->load_permille;
 	ack->stopping = view->stopping;
-	ack->heir = view->heir;
+	ack->heir = view->successor;
 	ack->number = (guint64)(now(view) / AUB_MS);
 	aub_link_send(view->link, &ack->base);
 	aub_message_free(&ack->base);
 }
 
 /* Returns false where this configuration can't be put into force. */
-static bool take_config(struct aub_entry_view *view,
+static bool apply_config(struct aub_entry_view *view,
 			const struct aub_view *message)
 {
 	struct aub_inventory *inventory = NULL;
@@ -97,7 +97,7 @@
 	return true;
 }
 
-static void take_assignments(struct aub_entry_view *view,
+static void apply_assignments(struct aub_entry_view *view,
 			     const struct aub_view *message)
 {
 	view->epoch = message->epoch;
@@ -115,21 +115,21 @@
  * goes, and callers who repeat hear "unknown" although its heir has the key.
  * Heirs once named are remembered for longer than keys are.
  */
-static void learn_heir(struct aub_entry_view *view,
+static void remember_successor(struct aub_entry_view *view,
 		       const struct aub_member *member)
 {
 	guint64 *key;
 
 	if (!member->heir || !member->incarnation ||
-	    g_hash_table_contains(view->heirs, &member->incarnation))
+	    g_hash_table_contains(view->successors, &member->incarnation))
 		return;
 	key = g_memdup2(&member->incarnation, sizeof(*key));
-	g_hash_table_insert(view->heirs, key,
+	g_hash_table_insert(view->successors, key,
 			    g_memdup2(&member->heir, sizeof(member->heir)));
-	g_queue_push_tail(&view->heirs_order, key);
-	if (g_queue_get_length(&view->heirs_order) > HEIRS_KEPT)
-		g_hash_table_remove(view->heirs,
-				    g_queue_pop_head(&view->heirs_order));
+	g_queue_push_tail(&view->successor_order, key);
+	if (g_queue_get_length(&view->successor_order) > SUCCESSORS_MAX)
+		g_hash_table_remove(view->successors,
+				    g_queue_pop_head(&view->successor_order));
 }
 
 /*
@@ -138,7 +138,7 @@
  * members are only forgotten on the word of a control that is sure enough to
  * let its entry serve.
  */
-static void take_members(struct aub_entry_view *view,
+static void apply_members(struct aub_entry_view *view,
 			 const struct aub_view *message)
 {
 	if (message->serve)
@@ -147,16 +147,16 @@
 		struct aub_member *copy =
 			aub_member_copy(message->members->pdata[i]);
 
-		learn_heir(view, copy);
+		remember_successor(view, copy);
 		g_hash_table_replace(view->members, &copy->incarnation, copy);
 	}
 }
 
-static void on_lapse(void *context, gint64 now_us)
+static void on_lease_expired(void *context, gint64 now_us)
 {
 	struct aub_entry_view *view = context;
 
-	view->lapse = 0;
+	view->lease_timer = 0;
 	if (aub_entry_view_serving(view))
 		return;
 	aub_event_note(view->options.events, AUB_EVENT_VIEW, 0,
@@ -170,14 +170,14 @@
  * and sends work into a zone taken out long ago. Permission counts from the
  * entry's own clock at the acknowledgement that the view follows.
  */
-static gint64 permitted_until(const struct aub_entry_view *view,
+static gint64 lease_expiry_us(const struct aub_entry_view *view,
 			      const struct aub_view *message)
 {
-	gint64 asked_us = (gint64)message->echo * AUB_MS;
+	gint64 ack_us = (gint64)message->echo * AUB_MS;
 
-	if (!message->echo || asked_us > now(view))
+	if (!message->echo || ack_us > now(view))
 		return 0;
-	return asked_us + message->serve_ms * AUB_MS;
+	return ack_us + message->serve_ms * AUB_MS;
 }
 
 /*
@@ -185,11 +185,11 @@
  * that already holds more, and requests go by what was taken out. Permission
  * counts only with versions at least those held.
  */
-static void take_permission(struct aub_entry_view *view,
+static void apply_lease(struct aub_entry_view *view,
 			    const struct aub_view *message)
 {
-	aub_timer_cancel(view->options.timers, view->lapse);
-	view->lapse = 0;
+	aub_timer_cancel(view->options.timers, view->lease_timer);
+	view->lease_timer = 0;
 	if (!message->serve) {
 		view->serve_until_us = 0;
 		return;
@@ -197,11 +197,11 @@
 	if (message->config_version == view->config_version &&
 	    message->epoch == view->epoch)
 		view->serve_until_us = MAX(view->serve_until_us,
-					   permitted_until(view, message));
+					   lease_expiry_us(view, message));
 	if (!view->serve_until_us)
 		return;
-	view->lapse = aub_timer_at(view->options.timers, "permission",
-				   view->serve_until_us + 1, on_lapse, view);
+	view->lease_timer = aub_timer_at(view->options.timers, "permission",
+				   view->serve_until_us + 1, on_lease_expired, view);
 }
 
 void aub_entry_view_apply(struct aub_entry_view *view,
@@ -212,11 +212,11 @@
 
 	if (message->config_version > view->config_version &&
 	    message->config.length)
-		take_config(view, message);
+		apply_config(view, message);
 	if (message->epoch >= view->epoch)
-		take_assignments(view, message);
-	take_members(view, message);
-	take_permission(view, message);
+		apply_assignments(view, message);
+	apply_members(view, message);
+	apply_lease(view, message);
 	if (view->config_version != config_version)
 		aub_event_note(view->options.events, AUB_EVENT_VIEW, 0,
 			       (gint64)view->config_version, NULL, "in force");
@@ -252,7 +252,7 @@
 {
 	struct aub_entry_view *view = context;
 
-	view->reconnect = 0;
+	view->reconnect_timer = 0;
 	connect_control(view);
 }
 
@@ -261,9 +261,9 @@
 	aub_log_info("control: %s", reason);
 	aub_link_free(view->link);
 	view->link = NULL;
-	view->reconnect =
+	view->reconnect_timer =
 		aub_timer_at(view->options.timers, "reconnect",
-			     now(view) + RECONNECT_US, on_reconnect, view);
+			     now(view) + RECONNECT_DELAY_US, on_reconnect, view);
 }
 
 static void on_down(struct aub_link *link, const GError *error, void *context)
@@ -276,13 +276,13 @@
  * view comes over it any more. The entry would stop serving although its
  * control is well; a new connection gets through.
  */
-static void on_watch(void *context, gint64 now_us)
+static void check_link(void *context, gint64 now_us)
 {
 	struct aub_entry_view *view = context;
 
 	if (view->link &&
-	    now_us - MAX(view->linked_us, aub_link_last_heard_us(view->link)) >
-		    SILENT_US)
+	    now_us - MAX(view->link_opened_us, aub_link_last_heard_us(view->link)) >
+		    LINK_TIMEOUT_US)
 		drop_link(view, "silent");
 }
 
@@ -294,9 +294,9 @@
 
 static void connect_control(struct aub_entry_view *view)
 {
-	view->linked_us = now(view);
+	view->link_opened_us = now(view);
 	view->link = aub_link_connect(view->control, view->options.hello,
-				      CONNECT_MS, &link_callbacks, view);
+				      CONNECT_TIMEOUT_MS, &link_callbacks, view);
 }
 
 struct aub_entry_view *aub_entry_view_new(
@@ -310,11 +310,11 @@
 						  assignment_free);
 	view->members = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					      member_free);
-	view->heirs = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+	view->successors = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 					    g_free);
-	g_queue_init(&view->heirs_order);
-	view->watch = aub_timer_every(options->timers, "control", AUB_SECOND,
-				      on_watch, view);
+	g_queue_init(&view->successor_order);
+	view->watch_timer = aub_timer_every(options->timers, "control", AUB_SECOND,
+				      check_link, view);
 	if (view->control)
 		connect_control(view);
 	return view;
@@ -324,14 +324,14 @@
 {
 	if (!view)
 		return;
-	aub_timer_cancel(view->options.timers, view->watch);
-	aub_timer_cancel(view->options.timers, view->reconnect);
-	aub_timer_cancel(view->options.timers, view->lapse);
+	aub_timer_cancel(view->options.timers, view->watch_timer);
+	aub_timer_cancel(view->options.timers, view->reconnect_timer);
+	aub_timer_cancel(view->options.timers, view->lease_timer);
 	aub_link_free(view->link);
 	g_hash_table_unref(view->assignments);
 	g_hash_table_unref(view->members);
-	g_queue_clear(&view->heirs_order);
-	g_hash_table_unref(view->heirs);
+	g_queue_clear(&view->successor_order);
+	g_hash_table_unref(view->successors);
 	if (view->inventory)
 		aub_inventory_unref(view->inventory);
 	g_free(view->control);
@@ -361,12 +361,12 @@
 	return g_hash_table_lookup(view->members, &incarnation);
 }
 
-guint64 aub_entry_view_heir(const struct aub_entry_view *view,
+guint64 aub_entry_view_successor(const struct aub_entry_view *view,
 			    guint64 incarnation)
 {
-	const guint64 *heir = g_hash_table_lookup(view->heirs, &incarnation);
+	const guint64 *successor = g_hash_table_lookup(view->successors, &incarnation);
 
-	return heir ? *heir : 0;
+	return successor ? *successor : 0;
 }
 
 void aub_entry_view_assignments(const struct aub_entry_view *view,
@@ -407,9 +407,9 @@
 	send_ack(view);
 }
 
-void aub_entry_view_set_heir(struct aub_entry_view *view, guint64 heir)
+void aub_entry_view_set_successor(struct aub_entry_view *view, guint64 successor)
 {
-	view->heir = heir;
+	view->successor = successor;
 	send_ack(view);
 }
 
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -12,16 +12,16 @@
 
 #define AGE_UNIT_US ((gint64)50000)
 #define AGE_UNKNOWN 255
-#define FLAG_IN_FORCE 0x80
-#define FLAG_HELD 0x40
-#define LOAD_BITS 0x3f
-#define LOAD_UNIT 20 /* permille a step of the 6 bits */
-#define COMPACT_ROW 2
-#define TAGGED_ROW 6
+#define FLAG_CONFIG_ACTIVE 0x80
+#define FLAG_CONFIG_HELD 0x40
+#define LOAD_MASK 0x3f
+#define LOAD_UNIT_PERMILLE 20 /* permille a step of the 6 bits */
+#define COMPACT_ROW_BYTES 2
+#define TAGGED_ROW_BYTES 6
 #define TAG_BYTES 4
-#define RECORDS_LIMIT 256 /* records a message; the rest comes next time */
+#define MESSAGE_RECORDS_MAX 256 /* records a message; the rest comes next time */
 
-void aubi_membership_ask(const struct aubi_membership *membership,
+void aubi_membership_begin_exchange(const struct aubi_membership *membership,
 			 struct aub_gossip *gossip, gint64 now_us)
 {
 	gossip->number = (guint64)(now_us / 1000);
@@ -35,11 +35,11 @@
 	gint64 sent_us = (gint64)(gossip->echo * 1000);
 
 	if (!gossip->echo || sent_us > now_us)
-		return AUBI_MEMBER_NEVER;
+		return AUBI_AGE_UNKNOWN_US;
 	return now_us - sent_us;
 }
 
-static int newer(const struct aub_member *a, const struct aub_member *b)
+static int compare_records(const struct aub_member *a, const struct aub_member *b)
 {
 	if (a->control_incarnation != b->control_incarnation)
 		return a->control_incarnation > b->control_incarnation ? 1 : -1;
@@ -54,14 +54,14 @@
  * clock was behind when this one started: it could never be heard. So it
  * takes a number above the dead one's.
  */
-static bool hear_namesake(struct aubi_membership *membership,
+static bool receive_own_name(struct aubi_membership *membership,
 			  const struct aub_member *member, gint64 now_us)
 {
 	struct aub_member *self = membership->self->member;
 
 	if (member->control_incarnation > self->control_incarnation) {
 		membership->superseded =
-			(gint64)member->age_ms * 1000 < AUBI_MEMBER_LIVE_US;
+			(gint64)member->age_ms * 1000 < AUBI_MEMBER_TIMEOUT_US;
 		if (membership->superseded)
 			return false;
 		self->control_incarnation = member->control_incarnation + 1;
@@ -73,12 +73,12 @@
 		return true;
 	}
 	if (member->incarnation != self->incarnation)
-		return aubi_membership_keep_past(membership, member, now_us);
+		return aubi_membership_retain_stopped(membership, member, now_us);
 	return false;
 }
 
 /* One full record out of a message. True if the table changed. */
-static bool hear_record(struct aubi_membership *membership,
+static bool receive_record(struct aubi_membership *membership,
 			const struct aub_member *member, gint64 now_us)
 {
 	gint64 age_us = (gint64)member->age_ms * 1000;
@@ -89,28 +89,28 @@
 	if (strchr(member->name, '#'))
 		return false;
 	if (record == membership->self)
-		return hear_namesake(membership, member, now_us);
+		return receive_own_name(membership, member, now_us);
 	if (!record) {
 		if (member->state == AUB_MEMBER_STOPPED &&
-		    age_us >= AUBI_MEMBER_STOPPED_US)
+		    age_us >= AUBI_MEMBER_STOPPED_RETENTION_US)
 			return false;
 		record = aubi_membership_insert(membership,
 						g_strdup(member->name), member);
-		record->heard_us = MAX(1, now_us - age_us);
+		record->last_heard_us = MAX(1, now_us - age_us);
 		return true;
 	}
-	if (newer(member, record->member) < 0 &&
+	if (compare_records(member, record->member) < 0 &&
 	    member->incarnation != record->member->incarnation)
-		return aubi_membership_keep_past(membership, member, now_us);
-	if (newer(member, record->member) <= 0)
+		return aubi_membership_retain_stopped(membership, member, now_us);
+	if (compare_records(member, record->member) <= 0)
 		return false;
 	old = record->member;
 	record->member = aub_member_copy(member);
-	record->heard_us = MAX(record->heard_us, now_us - age_us);
+	record->last_heard_us = MAX(record->last_heard_us, now_us - age_us);
 	if (old->incarnation != member->incarnation)
-		aubi_membership_keep_past(membership, old, now_us);
+		aubi_membership_retain_stopped(membership, old, now_us);
 	if (old->control_incarnation != member->control_incarnation)
-		record->proved_us = record->held_version = 0;
+		record->last_proof_us = record->held_version = 0;
 	aub_member_free(old);
 	return true;
 }
@@ -135,42 +135,42 @@
 
 static bool is_compact(const struct aub_gossip *gossip)
 {
-	return gossip->ages.length == (gsize)gossip->known * COMPACT_ROW;
+	return gossip->ages.length == (gsize)gossip->known * COMPACT_ROW_BYTES;
 }
 
 static bool is_tagged(const struct aub_gossip *gossip)
 {
-	return gossip->ages.length == (gsize)gossip->known * TAGGED_ROW;
+	return gossip->ages.length == (gsize)gossip->known * TAGGED_ROW_BYTES;
 }
 
-static void hear_row(const struct aub_gossip *gossip,
+static void receive_age(const struct aub_gossip *gossip,
 		     struct aubi_member_record *record, const guint8 *age_flags,
 		     gint64 delay_us, gint64 now_us)
 {
 	gint64 at_us = now_us - delay_us - age_flags[0] * AGE_UNIT_US;
-	guint32 load = (age_flags[1] & LOAD_BITS) * LOAD_UNIT;
+	guint32 load = (age_flags[1] & LOAD_MASK) * LOAD_UNIT_PERMILLE;
 
-	if ((age_flags[1] & FLAG_IN_FORCE) &&
+	if ((age_flags[1] & FLAG_CONFIG_ACTIVE) &&
 	    record->member->config_version < gossip->config_version)
 		record->member->config_version = gossip->config_version;
-	if (age_flags[1] & FLAG_HELD)
+	if (age_flags[1] & FLAG_CONFIG_HELD)
 		record->held_version =
 			MAX(record->held_version, gossip->config_version);
-	if (age_flags[0] == AGE_UNKNOWN || at_us <= record->proved_us)
+	if (age_flags[0] == AGE_UNKNOWN || at_us <= record->last_proof_us)
 		return;
-	record->proved_us = at_us;
+	record->last_proof_us = at_us;
 	record->member->load_permille = load;
 }
 
-static void hear_ages(struct aubi_membership *membership,
+static void receive_ages(struct aubi_membership *membership,
 		      const struct aub_gossip *gossip, gint64 now_us)
 {
 	gint64 delay_us = aubi_gossip_delay_us(gossip, now_us);
 	bool compact = is_compact(gossip);
-	gsize step = compact ? COMPACT_ROW : TAGGED_ROW;
+	gsize step = compact ? COMPACT_ROW_BYTES : TAGGED_ROW_BYTES;
 	guint i;
 
-	if (delay_us == AUBI_MEMBER_NEVER)
+	if (delay_us == AUBI_AGE_UNKNOWN_US)
 		return;
 	if (compact && gossip->roster != membership->roster)
 		return;
@@ -183,13 +183,13 @@
 		record = compact ? membership->records->pdata[i] :
 				   find_tag(membership, row);
 		if (record && record != membership->self)
-			hear_row(gossip, record,
+			receive_age(gossip, record,
 				 row + (compact ? 0 : TAG_BYTES), delay_us,
 				 now_us);
 	}
 }
 
-bool aubi_membership_hear(struct aubi_membership *membership, const char *from,
+bool aubi_membership_receive(struct aubi_membership *membership, const char *from,
 			  guint64 start, const struct aub_gossip *gossip,
 			  gint64 now_us)
 {
@@ -198,16 +198,16 @@
 	guint i;
 
 	for (i = 0; i < gossip->members->len; i++)
-		changed |= hear_record(membership, gossip->members->pdata[i],
+		changed |= receive_record(membership, gossip->members->pdata[i],
 				       now_us);
 	if (changed)
 		aubi_membership_rehash(membership);
 	sender = aubi_membership_find(membership, from);
 	if (sender && sender != membership->self &&
 	    sender->member->control_incarnation == start)
-		sender->heard_us = now_us;
+		sender->last_heard_us = now_us;
 	if (gossip->ages.length)
-		hear_ages(membership, gossip, now_us);
+		receive_ages(membership, gossip, now_us);
 	return changed;
 }
 
@@ -229,19 +229,19 @@
 		const struct aubi_member_record *record =
 			membership->records->pdata[i];
 		guint32 tag = GUINT32_TO_BE(record->tag);
-		guint8 pair[COMPACT_ROW] = { AGE_UNKNOWN, 0 };
+		guint8 pair[COMPACT_ROW_BYTES] = { AGE_UNKNOWN, 0 };
 
 		if (record == membership->self)
 			pair[0] = 0;
-		else if (record->proved_us && !behind)
-			pair[0] = age_byte(now_us - record->proved_us);
+		else if (record->last_proof_us && !behind)
+			pair[0] = age_byte(now_us - record->last_proof_us);
 		pair[1] = (guint8)(MIN(record->member->load_permille, 1000) /
-				   LOAD_UNIT);
+				   LOAD_UNIT_PERMILLE);
 		if (record->member->config_version >= gossip->config_version)
-			pair[1] |= FLAG_IN_FORCE;
+			pair[1] |= FLAG_CONFIG_ACTIVE;
 		if (record == membership->self ||
 		    record->held_version >= gossip->config_version)
-			pair[1] |= FLAG_HELD;
+			pair[1] |= FLAG_CONFIG_HELD;
 		if (!compact)
 			g_byte_array_append(rows, (guint8 *)&tag, TAG_BYTES);
 		g_byte_array_append(rows, pair, sizeof(pair));
@@ -252,18 +252,18 @@
 
 /* Add the full records whose tag `heard` doesn't list. */
 static void write_missing(const struct aubi_membership *membership,
-			  const struct aub_gossip *heard,
+			  const struct aub_gossip *received,
 			  struct aub_gossip *gossip, gint64 now_us)
 {
-	GHashTable *theirs = g_hash_table_new(NULL, NULL);
+	GHashTable *known_tags = g_hash_table_new(NULL, NULL);
 	guint i;
 
-	for (i = 0; i < heard->known; i++) {
+	for (i = 0; i < received->known; i++) {
 		guint32 tag;
 
-		memcpy(&tag, heard->ages.data + (gsize)i * TAGGED_ROW,
+		memcpy(&tag, received->ages.data + (gsize)i * TAGGED_ROW_BYTES,
 		       sizeof(tag));
-		g_hash_table_add(theirs,
+		g_hash_table_add(known_tags,
 				 GUINT_TO_POINTER(GUINT32_FROM_BE(tag)));
 	}
 	for (i = 0; i < membership->records->len; i++) {
@@ -271,9 +271,9 @@
 			membership->records->pdata[i];
 		struct aub_member *copy;
 
-		if (gossip->members->len >= RECORDS_LIMIT)
+		if (gossip->members->len >= MESSAGE_RECORDS_MAX)
 			break;
-		if (g_hash_table_contains(theirs,
+		if (g_hash_table_contains(known_tags,
 					  GUINT_TO_POINTER(record->tag)))
 			continue;
 		copy = aub_member_copy(record->member);
@@ -281,26 +281,26 @@
 			aubi_membership_age_ms(membership, record, now_us);
 		g_ptr_array_add(gossip->members, copy);
 	}
-	g_hash_table_destroy(theirs);
+	g_hash_table_destroy(known_tags);
 }
 
-bool aubi_membership_answer(const struct aubi_membership *membership,
-			    const struct aub_gossip *heard, bool behind,
+bool aubi_membership_reply(const struct aubi_membership *membership,
+			    const struct aub_gossip *received, bool behind,
 			    struct aub_gossip *gossip, gint64 now_us)
 {
-	bool lists =
-		heard->ages.length && !is_compact(heard) && is_tagged(heard);
-	bool compact = heard->roster == membership->roster &&
-		       heard->known == membership->records->len;
-
-	if (lists)
-		write_missing(membership, heard, gossip, now_us);
-	if (!heard->number)
+	bool has_tags =
+		received->ages.length && !is_compact(received) && is_tagged(received);
+	bool compact = received->roster == membership->roster &&
+		       received->known == membership->records->len;
+
+	if (has_tags)
+		write_missing(membership, received, gossip, now_us);
+	if (!received->number)
 		return gossip->members->len > 0;
-	aubi_membership_ask(membership, gossip, now_us);
-	if (heard->echo)
+	aubi_membership_begin_exchange(membership, gossip, now_us);
+	if (received->echo)
 		gossip->number = 0;
-	gossip->echo = heard->number;
+	gossip->echo = received->number;
 	write_ages(membership, gossip, compact, behind, now_us);
 	return true;
 }
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -13,7 +13,7 @@
 
 #include <string.h>
 
-#define LOST_PICK 6 /* every 6th peer is a dead one or a seed */
+#define LOST_PEER_PICK_PERIOD 6 /* every 6th peer is a dead one or a seed */
 
 static void record_free(void *data)
 {
@@ -104,37 +104,37 @@
 	return record;
 }
 
-static bool is_past(const struct aubi_member_record *record)
+static bool is_stopped_incarnation(const struct aubi_member_record *record)
 {
 	return strchr(record->key, '#') != NULL;
 }
 
-static bool counts(const struct aubi_member_record *record)
+static bool is_counted(const struct aubi_member_record *record)
 {
-	return !is_past(record) && record->member->state != AUB_MEMBER_STOPPED;
+	return !is_stopped_incarnation(record) && record->member->state != AUB_MEMBER_STOPPED;
 }
 
-static gint64 last_us(const struct aubi_member_record *record)
+static gint64 last_sign_us(const struct aubi_member_record *record)
 {
-	return MAX(record->heard_us, record->proved_us);
+	return MAX(record->last_heard_us, record->last_proof_us);
 }
 
 static bool is_live(const struct aubi_membership *membership,
 		    const struct aubi_member_record *record, gint64 now_us)
 {
-	if (!counts(record))
+	if (!is_counted(record))
 		return false;
 	if (record == membership->self)
 		return true;
-	return last_us(record) &&
-	       now_us - last_us(record) < AUBI_MEMBER_LIVE_US;
+	return last_sign_us(record) &&
+	       now_us - last_sign_us(record) < AUBI_MEMBER_TIMEOUT_US;
 }
 
 guint32 aubi_membership_age_ms(const struct aubi_membership *membership,
 			       const struct aubi_member_record *record,
 			       gint64 now_us)
 {
-	gint64 age_us = now_us - last_us(record);
+	gint64 age_us = now_us - last_sign_us(record);
 
 	if (record == membership->self)
 		return 0;
@@ -152,7 +152,7 @@
 	membership->seeds = g_strdupv((char **)seeds);
 	membership->self =
 		aubi_membership_insert(membership, g_strdup(self->name), self);
-	membership->self->shown_live = true;
+	membership->self->reported_live = true;
 	aubi_membership_rehash(membership);
 	return membership;
 }
@@ -183,24 +183,24 @@
  * granted by it would be answered "unknown" though its heir has them. Its
  * record goes on under its own incarnation until the keys have expired.
  */
-bool aubi_membership_keep_past(struct aubi_membership *membership,
-			       const struct aub_member *past, gint64 now_us)
+bool aubi_membership_retain_stopped(struct aubi_membership *membership,
+			       const struct aub_member *stopped, gint64 now_us)
 {
 	struct aubi_member_record *record;
 	char *key;
 
-	if (past->state != AUB_MEMBER_STOPPED || !past->heir)
+	if (stopped->state != AUB_MEMBER_STOPPED || !stopped->heir)
 		return false;
-	if ((gint64)past->age_ms * 1000 >= AUBI_MEMBER_STOPPED_US)
+	if ((gint64)stopped->age_ms * 1000 >= AUBI_MEMBER_STOPPED_RETENTION_US)
 		return false;
-	key = g_strdup_printf("%s#%" G_GINT64_MODIFIER "x", past->name,
-			      past->incarnation);
+	key = g_strdup_printf("%s#%" G_GINT64_MODIFIER "x", stopped->name,
+			      stopped->incarnation);
 	if (aubi_membership_find(membership, key)) {
 		g_free(key);
 		return false;
 	}
-	record = aubi_membership_insert(membership, key, past);
-	record->heard_us = MAX(1, now_us - (gint64)past->age_ms * 1000);
+	record = aubi_membership_insert(membership, key, stopped);
+	record->last_heard_us = MAX(1, now_us - (gint64)stopped->age_ms * 1000);
 	return true;
 }
 
@@ -234,7 +234,7 @@
 		copy->revision++;
 	record->member = copy;
 	if (old->incarnation != copy->incarnation)
-		aubi_membership_keep_past(membership, old, now_us);
+		aubi_membership_retain_stopped(membership, old, now_us);
 	aub_member_free(old);
 	aubi_membership_rehash(membership);
 }
@@ -246,23 +246,23 @@
  */
 static bool may_forget(const struct aubi_membership *membership, gint64 now_us)
 {
-	guint majority = aubi_membership_known(membership) / 2 + 1;
+	guint majority = aubi_membership_count(membership) / 2 + 1;
 
-	return aubi_membership_heard_us(membership, majority, now_us) <
-	       AUBI_MEMBER_LIVE_US;
+	return aubi_membership_proof_age_us(membership, majority, now_us) <
+	       AUBI_MEMBER_TIMEOUT_US;
 }
 
-static bool expired(const struct aubi_membership *membership,
+static bool is_expired(const struct aubi_membership *membership,
 		    const struct aubi_member_record *record, bool forget,
 		    gint64 now_us)
 {
-	gint64 age_us = now_us - last_us(record);
+	gint64 age_us = now_us - last_sign_us(record);
 
 	if (record == membership->self)
 		return false;
 	if (record->member->state == AUB_MEMBER_STOPPED)
-		return age_us >= AUBI_MEMBER_STOPPED_US;
-	return forget && age_us >= AUBI_MEMBER_EXPIRE_US;
+		return age_us >= AUBI_MEMBER_STOPPED_RETENTION_US;
+	return forget && age_us >= AUBI_MEMBER_DEAD_RETENTION_US;
 }
 
 guint aubi_membership_forget_dead(struct aubi_membership *membership,
@@ -275,7 +275,7 @@
 		struct aubi_member_record *record =
 			membership->records->pdata[i];
 
-		if (!counts(record) || is_live(membership, record, now_us))
+		if (!is_counted(record) || is_live(membership, record, now_us))
 			continue;
 		record->member->state = AUB_MEMBER_STOPPED;
 		record->member->revision++;
@@ -298,10 +298,10 @@
 			membership->records->pdata[i - 1];
 		bool live = is_live(membership, record, now_us);
 
-		if (live != record->shown_live)
+		if (live != record->reported_live)
 			changed = true;
-		record->shown_live = live;
-		if (expired(membership, record, forget, now_us))
+		record->reported_live = live;
+		if (is_expired(membership, record, forget, now_us))
 			g_ptr_array_remove_index(membership->records, i - 1);
 	}
 	if (membership->records->len != before)
@@ -333,11 +333,11 @@
 	}
 }
 
-const char *aubi_membership_pick(struct aubi_membership *membership,
+const char *aubi_membership_pick_peer(struct aubi_membership *membership,
 				 gint64 now_us)
 {
 	GPtrArray *live = g_ptr_array_new();
-	GPtrArray *lost = g_ptr_array_new();
+	GPtrArray *unreachable = g_ptr_array_new();
 	GPtrArray *from = live;
 	const char *address = NULL;
 	guint i;
@@ -346,21 +346,21 @@
 		struct aubi_member_record *record =
 			membership->records->pdata[i];
 
-		if (record == membership->self || !counts(record))
+		if (record == membership->self || !is_counted(record))
 			continue;
 		g_ptr_array_add(is_live(membership, record, now_us) ? live :
-								      lost,
+								      unreachable,
 				record->member->control_address);
 	}
-	add_seeds(membership, lost, now_us);
+	add_seeds(membership, unreachable, now_us);
 	membership->picks++;
-	if (!live->len || (lost->len && membership->picks % LOST_PICK == 0))
-		from = lost;
+	if (!live->len || (unreachable->len && membership->picks % LOST_PEER_PICK_PERIOD == 0))
+		from = unreachable;
 	if (from->len)
 		address = from->pdata[g_rand_int_range(membership->random, 0,
 						       (gint32)from->len)];
 	g_ptr_array_unref(live);
-	g_ptr_array_unref(lost);
+	g_ptr_array_unref(unreachable);
 	return address;
 }
 
@@ -378,24 +378,24 @@
 
 		copy->age_ms =
 			aubi_membership_age_ms(membership, record, now_us);
-		if (counts(record) && !is_live(membership, record, now_us))
+		if (is_counted(record) && !is_live(membership, record, now_us))
 			copy->state = AUB_MEMBER_DEAD;
 		g_ptr_array_add(list, copy);
 	}
 	return list;
 }
 
-guint aubi_membership_known(const struct aubi_membership *membership)
+guint aubi_membership_count(const struct aubi_membership *membership)
 {
 	guint known = 0;
 	guint i;
 
 	for (i = 0; i < membership->records->len; i++)
-		known += counts(membership->records->pdata[i]);
+		known += is_counted(membership->records->pdata[i]);
 	return known;
 }
 
-guint aubi_membership_live(const struct aubi_membership *membership,
+guint aubi_membership_count_live(const struct aubi_membership *membership,
 			   gint64 now_us)
 {
 	guint live = 0;
@@ -407,7 +407,7 @@
 	return live;
 }
 
-guint aubi_membership_holders(const struct aubi_membership *membership,
+guint aubi_membership_count_holding(const struct aubi_membership *membership,
 			      guint64 version)
 {
 	guint holders = 0;
@@ -417,7 +417,7 @@
 		const struct aubi_member_record *record =
 			membership->records->pdata[i];
 
-		holders += counts(record) && (record == membership->self ||
+		holders += is_counted(record) && (record == membership->self ||
 					      record->held_version >= version);
 	}
 	return holders;
@@ -431,21 +431,21 @@
 	return left > right ? -1 : left < right;
 }
 
-gint64 aubi_membership_heard_us(const struct aubi_membership *membership,
+gint64 aubi_membership_proof_age_us(const struct aubi_membership *membership,
 				guint count, gint64 now_us)
 {
 	GArray *times = g_array_new(FALSE, FALSE, sizeof(gint64));
-	gint64 age_us = AUBI_MEMBER_NEVER;
+	gint64 age_us = AUBI_AGE_UNKNOWN_US;
 	guint i;
 
 	for (i = 0; i < membership->records->len; i++) {
 		const struct aubi_member_record *record =
 			membership->records->pdata[i];
-		gint64 at_us = record->proved_us;
+		gint64 at_us = record->last_proof_us;
 
 		if (record == membership->self)
 			at_us = now_us;
-		if (counts(record) && at_us)
+		if (is_counted(record) && at_us)
 			g_array_append_val(times, at_us);
 	}
 	g_array_sort(times, by_time_falling);
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -44,7 +44,7 @@
 
 static bool is_current(const struct aub_node *node)
 {
-	return node->store && aub_store_sync_lost_us(node->store) < CURRENT_US;
+	return node->store && aub_store_sync_unavailable_us(node->store) < CURRENT_US;
 }
 
 void aub_node_update_self(struct aub_node *node)
@@ -53,13 +53,13 @@
 		.ready = aub_node_is_ready(node),
 		.stopping = node->stopping,
 		.current = is_current(node),
-		.hears = node->store && !aub_store_sync_lost_us(node->store),
+		.hears = node->store && !aub_store_sync_unavailable_us(node->store),
 		.config_version = node->version,
 	};
 
 	for (guint i = 0; node->store && i < AUB_STORE_KINDS; i++)
 		state.revisions[i] =
-			aub_store_sync_known(node->store,
+			aub_store_sync_known_revision(node->store,
 					     (enum aub_store_kind)i);
 	aub_peers_set_self(node->peers, &state);
 }
@@ -69,7 +69,7 @@
 	struct aub_node *node = context;
 
 	aub_node_update_self(node);
-	aub_store_sync_check(node->store);
+	aub_store_sync_check_watch_duty(node->store);
 }
 
 static void take_crashes(struct aub_node *node,
@@ -346,7 +346,7 @@
 	aub_log_end();
 	aub_node_update_self(node);
 	aub_gateway_stop(node->gateway);
-	aub_store_sync_leave(node->store);
+	aub_store_sync_deregister(node->store);
 	node->stop_timer = aub_timer_every(node->timers, "stop", STOP_CHECK_US,
 					   on_stop_check, node);
 }
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -40,7 +40,7 @@
 
 static gint64 read_store_lost(const struct aub_node *node)
 {
-	return aub_store_sync_lost_us(node->store) / AUB_MS;
+	return aub_store_sync_unavailable_us(node->store) / AUB_MS;
 }
 
 static gint64 read_asked(const struct aub_node *node)
@@ -228,7 +228,7 @@
 static void export_store_kind(struct aub_node *node, enum aub_store_kind kind)
 {
 	const char *name = aub_store_kind_name(kind);
-	gint64 heard_us = aub_store_sync_heard_us(node->store, kind);
+	gint64 heard_us = aub_store_sync_answered_us(node->store, kind);
 	gint64 now = aub_timer_now(node->timers);
 
 	for (guint i = 0; i < AUB_STORE_RESULTS; i++) {
--- a/src/coordination/node_store.c
+++ b/src/coordination/node_store.c
@@ -219,7 +219,7 @@
 	if (!body)
 		return;
 	text = g_bytes_get_data(body, &length);
-	aub_store_sync_take(node->store, (enum aub_store_kind)message->kind,
+	aub_store_sync_apply_shared(node->store, (enum aub_store_kind)message->kind,
 			    (gint64)message->after, (gint64)message->until,
 			    text, length);
 	g_bytes_unref(body);
@@ -251,10 +251,10 @@
 
 	node->enrol_timer = 0;
 	node->acquainted = true;
-	aub_store_sync_check(node->store);
+	aub_store_sync_check_watch_duty(node->store);
 	contact_all(node);
 	if (g_str_hash(node->ip) % every == 0)
-		aub_store_sync_enrol(node->store, node->ip, &member);
+		aub_store_sync_register(node->store, node->ip, &member);
 	else if (!node->members_listed)
 		aub_store_sync_list_members(node->store);
 }
@@ -267,9 +267,9 @@
 		.client = node->client,
 		.timers = node->timers,
 		.address = settings->store,
-		.takes_orders = node->takes_orders,
+		.follows_rollouts = node->takes_orders,
 		.changed = on_changed,
-		.told = on_told,
+		.batch_done = on_told,
 		.share = on_share,
 		.duty = on_duty,
 		.fleet = on_fleet,
--- a/src/coordination/ownership.c
+++ b/src/coordination/ownership.c
@@ -9,14 +9,14 @@
 
 #include <string.h>
 
-#define TURN_STEP_US ((gint64)2000000)
-#define LOAD_STEP 100 /* permille: smaller differences are noise */
+#define TURN_DELAY_PER_RANK_US ((gint64)2000000)
+#define LOAD_STEP_PERMILLE 100 /* permille: smaller differences are noise */
 
 struct candidate {
 	const struct aub_member *member; /* borrowed */
 	const char *region; /* borrowed; "" if its zone isn't known */
-	guint owned;
-	guint standing_by;
+	guint owned_count;
+	guint standby_count;
 };
 
 struct placement {
@@ -34,14 +34,14 @@
 	return aub_zone_at(inventory, handle)->region;
 }
 
-static bool zone_out(const struct aub_inventory *inventory, const char *zone)
+static bool is_zone_out(const struct aub_inventory *inventory, const char *zone)
 {
 	guint16 handle = aub_inventory_zone(inventory, zone);
 
 	return handle != AUB_NO_HANDLE && aub_zone_at(inventory, handle)->out;
 }
 
-static bool listed(const GPtrArray *names, const char *name)
+static bool is_listed(const GPtrArray *names, const char *name)
 {
 	guint i;
 
@@ -52,7 +52,7 @@
 	return false;
 }
 
-static void collect(struct placement *placement, const GPtrArray *leaving,
+static void collect_candidates(struct placement *placement, const GPtrArray *leaving,
 		    const GPtrArray *members)
 {
 	guint i;
@@ -63,8 +63,8 @@
 
 		if (member->state != AUB_MEMBER_LIVE || !member->incarnation)
 			continue;
-		if (zone_out(placement->inventory, member->zone) ||
-		    listed(leaving, member->name))
+		if (is_zone_out(placement->inventory, member->zone) ||
+		    is_listed(leaving, member->name))
 			continue;
 		candidate.region =
 			zone_region(placement->inventory, member->zone);
@@ -72,7 +72,7 @@
 	}
 }
 
-static struct candidate *candidate_of(const struct placement *placement,
+static struct candidate *find_candidate(const struct placement *placement,
 				      const char *name, guint64 incarnation)
 {
 	guint i;
@@ -121,14 +121,14 @@
 
 	cost.parts[0] = region[0] && strcmp(candidate->region, region) != 0;
 	cost.parts[1] = owner && !strcmp(owner->member->zone, member->zone);
-	cost.parts[2] = owner ? candidate->owned + candidate->standing_by :
-				candidate->owned;
-	cost.parts[3] = member->load_permille / LOAD_STEP;
+	cost.parts[2] = owner ? candidate->owned_count + candidate->standby_count :
+				candidate->owned_count;
+	cost.parts[3] = member->load_permille / LOAD_STEP_PERMILLE;
 	cost.parts[4] = g_str_hash(member->name) * 31 ^ g_str_hash(service);
 	return cost;
 }
 
-static bool cheaper(const struct cost *a, const struct cost *b)
+static bool is_cheaper(const struct cost *a, const struct cost *b)
 {
 	guint i;
 
@@ -140,7 +140,7 @@
 }
 
 /* The best member for a service; for a stand-by, `owner` is set. */
-static struct candidate *choose(const struct placement *placement,
+static struct candidate *choose_candidate(const struct placement *placement,
 				const char *service, const char *region,
 				const struct candidate *owner)
 {
@@ -156,7 +156,7 @@
 
 		if (candidate == owner)
 			continue;
-		if (!best || cheaper(&cost, &best_cost)) {
+		if (!best || is_cheaper(&cost, &best_cost)) {
 			best = candidate;
 			best_cost = cost;
 		}
@@ -164,45 +164,45 @@
 	return best;
 }
 
-static void set_owner(struct aub_assignment *line, struct candidate *candidate)
+static void set_owner(struct aub_assignment *assignment, struct candidate *candidate)
 {
-	aub_string_set(&line->owner, candidate->member->name);
-	line->owner_incarnation = candidate->member->incarnation;
-	candidate->owned++;
+	aub_string_set(&assignment->owner, candidate->member->name);
+	assignment->owner_incarnation = candidate->member->incarnation;
+	candidate->owned_count++;
 }
 
-static void set_standby(struct aub_assignment *line,
+static void set_standby(struct aub_assignment *assignment,
 			struct candidate *candidate)
 {
-	aub_string_set(&line->standby,
+	aub_string_set(&assignment->standby,
 		       candidate ? candidate->member->name : "");
-	line->standby_incarnation =
+	assignment->standby_incarnation =
 		candidate ? candidate->member->incarnation : 0;
 	if (candidate)
-		candidate->standing_by++;
+		candidate->standby_count++;
 }
 
 /* Keep who may stay; count them before anyone is placed anew. */
-static void keep(const struct placement *placement, struct aub_assignment *line)
+static void keep_current(const struct placement *placement, struct aub_assignment *assignment)
 {
 	struct candidate *owner;
 	struct candidate *standby;
 
-	owner = candidate_of(placement, line->owner, line->owner_incarnation);
-	standby = candidate_of(placement, line->standby,
-			       line->standby_incarnation);
+	owner = find_candidate(placement, assignment->owner, assignment->owner_incarnation);
+	standby = find_candidate(placement, assignment->standby,
+			       assignment->standby_incarnation);
 	if (!owner && standby) {
 		owner = standby;
 		standby = NULL;
 	}
-	aub_string_set(&line->owner, "");
-	aub_string_set(&line->standby, "");
-	line->owner_incarnation = 0;
-	line->standby_incarnation = 0;
+	aub_string_set(&assignment->owner, "");
+	aub_string_set(&assignment->standby, "");
+	assignment->owner_incarnation = 0;
+	assignment->standby_incarnation = 0;
 	if (owner)
-		set_owner(line, owner);
+		set_owner(assignment, owner);
 	if (standby && standby != owner)
-		set_standby(line, standby);
+		set_standby(assignment, standby);
 }
 
 static bool other_zone_exists(const struct placement *placement,
@@ -221,73 +221,73 @@
 	return false;
 }
 
-static void fill(const struct placement *placement, struct aub_assignment *line)
+static void fill_vacancies(const struct placement *placement, struct aub_assignment *assignment)
 {
 	guint16 service =
-		aub_inventory_service(placement->inventory, line->service);
+		aub_inventory_service(placement->inventory, assignment->service);
 	const char *region = service_region(placement->inventory, service);
 	struct candidate *owner;
 	struct candidate *standby;
 
-	if (!line->owner[0]) {
-		owner = choose(placement, line->service, region, NULL);
+	if (!assignment->owner[0]) {
+		owner = choose_candidate(placement, assignment->service, region, NULL);
 		if (owner)
-			set_owner(line, owner);
+			set_owner(assignment, owner);
 	}
-	owner = candidate_of(placement, line->owner, line->owner_incarnation);
+	owner = find_candidate(placement, assignment->owner, assignment->owner_incarnation);
 	if (!owner)
 		return;
-	standby = candidate_of(placement, line->standby,
-			       line->standby_incarnation);
+	standby = find_candidate(placement, assignment->standby,
+			       assignment->standby_incarnation);
 	if (standby && !strcmp(standby->member->zone, owner->member->zone) &&
 	    other_zone_exists(placement, owner)) {
-		standby->standing_by--;
+		standby->standby_count--;
 		standby = NULL;
 	}
 	if (!standby)
-		set_standby(line,
-			    choose(placement, line->service, region, owner));
+		set_standby(assignment,
+			    choose_candidate(placement, assignment->service, region, owner));
 }
 
 /* Move one service from the fullest to the emptiest of its region. */
-static void move_one(const struct placement *placement,
+static void rebalance_one(const struct placement *placement,
 		     struct aubi_assignments *proposal)
 {
-	struct aub_assignment *best_line = NULL;
+	struct aub_assignment *best_assignment = NULL;
 	struct candidate *best = NULL;
 	guint best_gap = 1;
 	guint i;
 
-	for (i = 0; i < proposal->lines->len; i++) {
-		struct aub_assignment *line = proposal->lines->pdata[i];
+	for (i = 0; i < proposal->list->len; i++) {
+		struct aub_assignment *assignment = proposal->list->pdata[i];
 		struct candidate *owner;
 		struct candidate *other;
 		guint16 service;
 
-		owner = candidate_of(placement, line->owner,
-				     line->owner_incarnation);
+		owner = find_candidate(placement, assignment->owner,
+				     assignment->owner_incarnation);
 		service = aub_inventory_service(placement->inventory,
-						line->service);
-		other = choose(placement, line->service,
+						assignment->service);
+		other = choose_candidate(placement, assignment->service,
 			       service_region(placement->inventory, service),
 			       NULL);
-		if (!owner || !other || other->owned + best_gap >= owner->owned)
+		if (!owner || !other || other->owned_count + best_gap >= owner->owned_count)
 			continue;
-		best_gap = owner->owned - other->owned;
-		best_line = line;
+		best_gap = owner->owned_count - other->owned_count;
+		best_assignment = assignment;
 		best = other;
 	}
 	if (!best)
 		return;
-	candidate_of(placement, best_line->owner, best_line->owner_incarnation)
-		->owned--;
-	set_owner(best_line, best);
-	if (!strcmp(best_line->standby, best_line->owner))
-		set_standby(best_line, NULL);
-	fill(placement, best_line);
+	find_candidate(placement, best_assignment->owner, best_assignment->owner_incarnation)
+		->owned_count--;
+	set_owner(best_assignment, best);
+	if (!strcmp(best_assignment->standby, best_assignment->owner))
+		set_standby(best_assignment, NULL);
+	fill_vacancies(placement, best_assignment);
 }
 
-static bool same_line(const struct aub_assignment *a,
+static bool same_assignment(const struct aub_assignment *a,
 		      const struct aub_assignment *b)
 {
 	return a && !strcmp(a->owner, b->owner) &&
@@ -301,13 +301,13 @@
 {
 	guint i;
 
-	if (current->lines->len != proposal->lines->len)
+	if (current->list->len != proposal->list->len)
 		return true;
-	for (i = 0; i < proposal->lines->len; i++) {
-		const struct aub_assignment *line = proposal->lines->pdata[i];
+	for (i = 0; i < proposal->list->len; i++) {
+		const struct aub_assignment *assignment = proposal->list->pdata[i];
 
-		if (!same_line(aubi_assignments_find(current, line->service),
-			       line))
+		if (!same_assignment(aubi_assignments_find(current, assignment->service),
+			       assignment))
 			return true;
 	}
 	return false;
@@ -319,12 +319,12 @@
 {
 	guint i;
 
-	for (i = 0; i < proposal->lines->len; i++) {
-		struct aub_assignment *line = proposal->lines->pdata[i];
+	for (i = 0; i < proposal->list->len; i++) {
+		struct aub_assignment *assignment = proposal->list->pdata[i];
 
-		if (!same_line(aubi_assignments_find(current, line->service),
-			       line))
-			line->epoch = current->epoch + 1;
+		if (!same_assignment(aubi_assignments_find(current, assignment->service),
+			       assignment))
+			assignment->epoch = current->epoch + 1;
 	}
 }
 
@@ -347,18 +347,18 @@
 
 	placement.candidates =
 		g_array_new(FALSE, FALSE, sizeof(struct candidate));
-	collect(&placement, leaving, members);
+	collect_candidates(&placement, leaving, members);
 	for (i = 0; i < inventory->services->len; i++) {
 		const char *name = aub_service_at(inventory, i)->name;
 		const struct aub_assignment *old;
-		struct aub_assignment *line;
+		struct aub_assignment *assignment;
 
 		old = aubi_assignments_find(current, name);
-		line = old ? aub_assignment_copy(old) : aub_assignment_new();
-		aub_string_set(&line->service, name);
-		g_ptr_array_add(proposal->lines, line);
+		assignment = old ? aub_assignment_copy(old) : aub_assignment_new();
+		aub_string_set(&assignment->service, name);
+		g_ptr_array_add(proposal->list, assignment);
 	}
-	g_ptr_array_sort(proposal->lines, by_service);
+	g_ptr_array_sort(proposal->list, by_service);
 	/*
 	 * With nobody to place on, nothing is gained by a write; the old
 	 * lines still say whom a stand-by stands by for.
@@ -368,12 +368,12 @@
 		g_array_unref(placement.candidates);
 		return NULL;
 	}
-	for (i = 0; i < proposal->lines->len; i++)
-		keep(&placement, proposal->lines->pdata[i]);
-	for (i = 0; i < proposal->lines->len; i++)
-		fill(&placement, proposal->lines->pdata[i]);
+	for (i = 0; i < proposal->list->len; i++)
+		keep_current(&placement, proposal->list->pdata[i]);
+	for (i = 0; i < proposal->list->len; i++)
+		fill_vacancies(&placement, proposal->list->pdata[i]);
 	if (rebalance && !differs(current, proposal))
-		move_one(&placement, proposal);
+		rebalance_one(&placement, proposal);
 	g_array_unref(placement.candidates);
 	if (!differs(current, proposal)) {
 		aubi_assignments_free(proposal);
@@ -383,7 +383,7 @@
 	return proposal;
 }
 
-bool aubi_ownership_turn(guint rank, gint64 needed_us, gint64 now_us)
+bool aubi_ownership_is_turn(guint rank, gint64 needed_us, gint64 now_us)
 {
-	return needed_us && now_us - needed_us >= rank * TURN_STEP_US;
+	return needed_us && now_us - needed_us >= rank * TURN_DELAY_PER_RANK_US;
 }
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -6,25 +6,25 @@
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/relay.h>
-#include <auburnstile/internal/relay_guests.h>
+#include <auburnstile/internal/relay_listener.h>
 #include <auburnstile/link.h>
 #include <auburnstile/log.h>
 
-#define CONNECT_MS 400
+#define CONNECT_TIMEOUT_MS 400
 
 /* A peer that failed is not tried again for this long; calls go elsewhere. */
-#define DOWN_US (100 * AUB_MS)
+#define PEER_RETRY_DELAY_US (100 * AUB_MS)
 
-#define PING_US (200 * AUB_MS)
+#define PING_INTERVAL_US (200 * AUB_MS)
 
 /* Incarnations come and go, 210 a day; one that is gone is then forgotten. */
-#define FORGET_US (60 * AUB_SECOND)
+#define PEER_RETENTION_US (60 * AUB_SECOND)
 
 /*
  * A link silent for this long is given up. Longer than a noisy neighbour's
  * usual pause; short enough that a frozen owner's callers wait under 1 s.
  */
-#define SILENT_US (800 * AUB_MS)
+#define LINK_TIMEOUT_US (800 * AUB_MS)
 
 struct peer {
 	struct aub_relay *relay;
@@ -36,7 +36,7 @@
 	bool watched;
 	gint64 down_us; /* when it last failed */
 	gint64 up_us;
-	guint64 ping;
+	guint64 last_ping;
 	GHashTable *calls; /* id -> struct aub_relay_call */
 	GQueue waiting; /* of struct aub_relay_call, not yet written */
 };
@@ -46,7 +46,7 @@
 	struct aub_call *call; /* borrowed */
 	guint64 id;
 	bool written;
-	guint source; /* failing soon, without a peer */
+	guint fail_source; /* failing soon, without a peer */
 	aub_relay_callback *callback;
 	void *context;
 };
@@ -54,8 +54,8 @@
 struct aub_relay {
 	struct aub_relay_options options;
 	GHashTable *peers; /* incarnation -> struct peer */
-	struct aub_relay_guests *guests;
-	guint pings;
+	struct aub_relay_listener *listener;
+	guint ping_timer;
 };
 
 static gint64 now(const struct aub_relay *relay)
@@ -84,8 +84,8 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		struct aub_relay_call *call = value;
 
-		if (call->source)
-			g_source_remove(call->source);
+		if (call->fail_source)
+			g_source_remove(call->fail_source);
 		g_free(call);
 	}
 	g_hash_table_unref(peer->calls);
@@ -107,7 +107,7 @@
 }
 
 /* Take one call out of a peer whose link is gone; NULL when none is left. */
-static struct aub_relay_call *any_call(struct peer *peer)
+static struct aub_relay_call *next_open_call(struct peer *peer)
 {
 	GHashTableIter iterator;
 	void *value;
@@ -116,7 +116,7 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		struct aub_relay_call *call = value;
 
-		if (!call->source)
+		if (!call->fail_source)
 			return call;
 	}
 	return NULL;
@@ -137,7 +137,7 @@
 	g_strlcpy(event.peer, peer->name, sizeof(event.peer));
 	g_strlcpy(event.text, reason, sizeof(event.text));
 	aub_event_record(relay->options.events, &event);
-	for (call = any_call(peer); call; call = any_call(peer))
+	for (call = next_open_call(peer); call; call = next_open_call(peer))
 		end_call(call,
 			 call->written ? AUB_RELAY_LOST : AUB_RELAY_NOT_SENT,
 			 NULL);
@@ -232,26 +232,26 @@
 }
 
 /* Open a link unless there is one; false while the peer counts as down. */
-static bool reach(struct peer *peer)
+static bool ensure_link(struct peer *peer)
 {
 	struct aub_relay *relay = peer->relay;
 
 	if (peer->link)
 		return true;
 	if (peer->state == AUB_PEER_DOWN &&
-	    now(relay) - peer->down_us < DOWN_US)
+	    now(relay) - peer->down_us < PEER_RETRY_DELAY_US)
 		return false;
 	peer->up_us = now(relay);
 	peer->link = aub_link_connect(peer->address, relay->options.hello,
-				      CONNECT_MS, &peer_callbacks, peer);
+				      CONNECT_TIMEOUT_MS, &peer_callbacks, peer);
 	return true;
 }
 
-static gboolean fail_soon(void *data)
+static gboolean on_fail_call(void *data)
 {
 	struct aub_relay_call *call = data;
 
-	call->source = 0;
+	call->fail_source = 0;
 	end_call(call, AUB_RELAY_NOT_SENT, NULL);
 	return G_SOURCE_REMOVE;
 }
@@ -282,8 +282,8 @@
 	 * for a new link that never comes up: 400 ms for every caller. After
 	 * the first, calls fail at once while the link is tried beside them.
 	 */
-	if (!reach(peer) || peer->state == AUB_PEER_DOWN)
-		call->source = g_idle_add(fail_soon, call);
+	if (!ensure_link(peer) || peer->state == AUB_PEER_DOWN)
+		call->fail_source = g_idle_add(on_fail_call, call);
 	else if (aub_link_is_up(peer->link))
 		write_call(call);
 	else
@@ -303,8 +303,8 @@
 		aub_link_send(peer->link, &cancel->base);
 		aub_message_free(&cancel->base);
 	}
-	if (call->source)
-		g_source_remove(call->source);
+	if (call->fail_source)
+		g_source_remove(call->fail_source);
 	g_queue_remove(&peer->waiting, call);
 	g_hash_table_remove(peer->calls, &call->id);
 	g_free(call);
@@ -325,10 +325,10 @@
 	struct peer *peer = get_peer(relay, member);
 
 	peer->watched = true;
-	reach(peer);
+	ensure_link(peer);
 }
 
-void aub_relay_watch_none(struct aub_relay *relay)
+void aub_relay_unwatch_all(struct aub_relay *relay)
 {
 	GHashTableIter iterator;
 	void *value;
@@ -357,22 +357,22 @@
 	if (!peer->watched && !g_hash_table_size(peer->calls))
 		return false;
 	heard_us = MAX(aub_link_last_heard_us(peer->link), peer->up_us);
-	if (peer->state == AUB_PEER_UP && peer->ping &&
-	    now_us - heard_us > SILENT_US)
+	if (peer->state == AUB_PEER_UP && peer->last_ping &&
+	    now_us - heard_us > LINK_TIMEOUT_US)
 		return true;
 	if (peer->state == AUB_PEER_UP)
-		send_ping(peer->link, ++peer->ping);
+		send_ping(peer->link, ++peer->last_ping);
 	return false;
 }
 
-static bool is_forgotten(const struct peer *peer, gint64 now_us)
+static bool is_expired(const struct peer *peer, gint64 now_us)
 {
 	return !peer->link && !peer->watched &&
 	       !g_hash_table_size(peer->calls) &&
-	       now_us - peer->down_us > FORGET_US;
+	       now_us - peer->down_us > PEER_RETENTION_US;
 }
 
-static void on_pings(void *context, gint64 now_us)
+static void on_ping_timer(void *context, gint64 now_us)
 {
 	struct aub_relay *relay = context;
 	GPtrArray *dead = g_ptr_array_new();
@@ -383,12 +383,12 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		struct peer *peer = value;
 
-		if (is_forgotten(peer, now_us)) {
+		if (is_expired(peer, now_us)) {
 			g_hash_table_iter_remove(&iterator);
 			continue;
 		}
 		if (peer->watched && !peer->link)
-			reach(peer);
+			ensure_link(peer);
 		if (check_peer(peer, now_us))
 			g_ptr_array_add(dead, peer);
 	}
@@ -405,13 +405,13 @@
 	relay->options = *options;
 	relay->peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					     peer_free);
-	relay->guests = aub_relay_guests_new(&relay->options, error);
-	if (!relay->guests) {
+	relay->listener = aub_relay_listener_new(&relay->options, error);
+	if (!relay->listener) {
 		aub_relay_free(relay);
 		return NULL;
 	}
-	relay->pings = aub_timer_every(options->timers, "pings", PING_US,
-				       on_pings, relay);
+	relay->ping_timer = aub_timer_every(options->timers, "pings", PING_INTERVAL_US,
+				       on_ping_timer, relay);
 	return relay;
 }
 
@@ -419,8 +419,8 @@
 {
 	if (!relay)
 		return;
-	aub_timer_cancel(relay->options.timers, relay->pings);
-	aub_relay_guests_free(relay->guests);
+	aub_timer_cancel(relay->options.timers, relay->ping_timer);
+	aub_relay_listener_free(relay->listener);
 	g_hash_table_unref(relay->peers);
 	g_free(relay);
 }
--- a/src/coordination/store_changes.c
+++ b/src/coordination/store_changes.c
@@ -2,7 +2,7 @@
  * What the store's answers change in the copy of it: entries that are there,
  * that are gone, or that only seem to be.
  */
-#include <auburnstile/internal/store_sync_parts.h>
+#include <auburnstile/internal/store_sync_internal.h>
 
 /*
  * Failure: the store was away, entries of upstreams that live have lapsed,
@@ -11,10 +11,10 @@
  * A few that are gone have left: a process that was cut off from the store
  * must not send to them.
  */
-#define LAPSE_US (2200 * AUB_MS)
-#define LAPSE_PART 3 /* more than a third of all at once */
+#define MASS_EXPIRY_HOLD_US (2200 * AUB_MS)
+#define MASS_EXPIRY_DIVISOR 3 /* more than a third of all at once */
 
-static void tell_removed(struct aub_store_task *task, const char *name)
+static void report_removed(struct aub_store_task *task, const char *name)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 	struct aub_record *record = aub_record_new(name);
@@ -25,17 +25,17 @@
 	aub_record_free(record);
 }
 
-static void on_gone(void *context, gint64 now_us)
+static void report_withheld_removals(void *context, gint64 now_us)
 {
 	struct aub_store_task *task = context;
-	GList *names = g_hash_table_get_keys(task->gone);
+	GList *names = g_hash_table_get_keys(task->withheld_removals);
 
-	task->gone_timer = 0;
+	task->removal_timer = 0;
 	for (GList *link = names; link; link = link->next) {
 		char *name = g_strdup(link->data);
 
-		g_hash_table_remove(task->gone, name);
-		tell_removed(task, name);
+		g_hash_table_remove(task->withheld_removals, name);
+		report_removed(task, name);
 		g_free(name);
 	}
 	g_list_free(names);
@@ -43,45 +43,45 @@
 
 /* Do `removed` entries at once look like a lapse, not like upstreams leaving?
  */
-static bool is_lapse(const struct aub_store_task *task, guint removed)
+static bool is_mass_expiry(const struct aub_store_task *task, guint removed)
 {
 	return task->kind == AUB_STORE_UPSTREAMS &&
-	       removed * LAPSE_PART > g_hash_table_size(task->present);
+	       removed * MASS_EXPIRY_DIVISOR > g_hash_table_size(task->present);
 }
 
-static void take_removal(struct aub_store_task *task, const char *name,
-			 bool lapse, gint64 now_us)
+static void apply_removal(struct aub_store_task *task, const char *name,
+			 bool mass_expiry, gint64 now_us)
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
-	gint64 until = task->back_us + LAPSE_US;
+	gint64 until = task->recovered_us + MASS_EXPIRY_HOLD_US;
 
 	if (!g_hash_table_contains(task->present, name))
 		return;
-	if (!lapse || !task->back_us || now_us >= until) {
-		tell_removed(task, name);
+	if (!mass_expiry || !task->recovered_us || now_us >= until) {
+		report_removed(task, name);
 		return;
 	}
-	g_hash_table_add(task->gone, g_strdup(name));
-	if (!task->gone_timer)
-		task->gone_timer =
-			aub_timer_at(timers, "lapsed", until, on_gone, task);
+	g_hash_table_add(task->withheld_removals, g_strdup(name));
+	if (!task->removal_timer)
+		task->removal_timer =
+			aub_timer_at(timers, "lapsed", until, report_withheld_removals, task);
 }
 
-static void take_record(struct aub_store_task *task, struct aub_record *record,
-			bool lapse, gint64 now_us)
+static void apply_record(struct aub_store_task *task, struct aub_record *record,
+			bool mass_expiry, gint64 now_us)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 
 	if (record->removed) {
-		take_removal(task, record->name, lapse, now_us);
+		apply_removal(task, record->name, mass_expiry, now_us);
 		return;
 	}
-	g_hash_table_remove(task->gone, record->name);
+	g_hash_table_remove(task->withheld_removals, record->name);
 	g_hash_table_add(task->present, g_strdup(record->name));
 	options->changed(task->kind, record, options->context);
 }
 
-static void tell_listed(struct aub_store_task *task)
+static void report_listed(struct aub_store_task *task)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 
@@ -96,24 +96,24 @@
  * who watches gets what came after it, and the others hear by heartbeats that
  * they are behind.
  */
-static void list_ended(struct aub_store_task *task, gint64 now_us)
+static void finish_listing(struct aub_store_task *task, gint64 now_us)
 {
 	GList *names = g_hash_table_get_keys(task->present);
-	GPtrArray *lost = g_ptr_array_new_with_free_func(g_free);
+	GPtrArray *missing = g_ptr_array_new_with_free_func(g_free);
 
 	for (GList *link = names; link; link = link->next)
-		if (!g_hash_table_contains(task->seen, link->data))
-			g_ptr_array_add(lost, g_strdup(link->data));
+		if (!g_hash_table_contains(task->listed_names, link->data))
+			g_ptr_array_add(missing, g_strdup(link->data));
 	g_list_free(names);
-	for (guint i = 0; i < lost->len; i++)
-		take_removal(task, g_ptr_array_index(lost, i),
-			     is_lapse(task, lost->len), now_us);
-	g_ptr_array_unref(lost);
-	g_hash_table_remove_all(task->seen);
+	for (guint i = 0; i < missing->len; i++)
+		apply_removal(task, g_ptr_array_index(missing, i),
+			     is_mass_expiry(task, missing->len), now_us);
+	g_ptr_array_unref(missing);
+	g_hash_table_remove_all(task->listed_names);
 	task->step = AUB_STORE_WATCH;
-	task->unproved = !task->strict;
-	task->strict = false;
-	tell_listed(task);
+	task->listing_unconfirmed = !task->consistent_listing;
+	task->consistent_listing = false;
+	report_listed(task);
 }
 
 /*
@@ -122,8 +122,8 @@
  * none of its own; the answer's stands for it. Nothing past `most` counts:
  * later pages of a listing may hold changes that its first page is too old for.
  */
-static void note_changes(struct aub_store_task *task,
-			 const struct aub_store_page *page, gint64 most)
+static void update_revisions(struct aub_store_task *task,
+			 const struct aub_store_page *page, gint64 max_revision)
 {
 	for (guint i = 0; i < page->records->len; i++) {
 		const struct aub_record *record =
@@ -132,28 +132,28 @@
 		gint64 revision =
 			record->removed ? page->revision : record->revision;
 
-		task->changed = MAX(task->changed, MIN(revision, most));
+		task->changed_revision = MAX(task->changed_revision, MIN(revision, max_revision));
 	}
-	task->known = MAX(task->known, task->changed);
+	task->known_revision = MAX(task->known_revision, task->changed_revision);
 }
 
 /* A listing's revision is that of its first page: later changes are watched. */
-void aub_store_take_listing(struct aub_store_task *task,
+void aub_store_apply_listing(struct aub_store_task *task,
 			    const struct aub_store_page *page, gint64 now_us)
 {
-	if (!task->after)
+	if (!task->next_page)
 		task->revision = page->revision;
-	note_changes(task, page, task->revision);
+	update_revisions(task, page, task->revision);
 	for (guint i = 0; i < page->records->len; i++) {
 		struct aub_record *record = g_ptr_array_index(page->records, i);
 
-		g_hash_table_add(task->seen, g_strdup(record->name));
-		take_record(task, record, false, now_us);
+		g_hash_table_add(task->listed_names, g_strdup(record->name));
+		apply_record(task, record, false, now_us);
 	}
-	g_free(task->after);
-	task->after = page->more ? g_strdup(page->last) : NULL;
-	if (!task->after)
-		list_ended(task, now_us);
+	g_free(task->next_page);
+	task->next_page = page->more ? g_strdup(page->last) : NULL;
+	if (!task->next_page)
+		finish_listing(task, now_us);
 }
 
 static guint count_removed(const struct aub_store_page *page)
@@ -167,26 +167,26 @@
 	return count;
 }
 
-void aub_store_take_changes(struct aub_store_task *task,
+void aub_store_apply_changes(struct aub_store_task *task,
 			    const struct aub_store_page *page, gint64 now_us)
 {
-	bool lapse = is_lapse(task, count_removed(page));
+	bool mass_expiry = is_mass_expiry(task, count_removed(page));
 
 	for (guint i = 0; i < page->records->len; i++)
-		take_record(task, g_ptr_array_index(page->records, i), lapse,
+		apply_record(task, g_ptr_array_index(page->records, i), mass_expiry,
 			    now_us);
 	task->revision = MAX(task->revision, page->revision);
-	note_changes(task, page, page->revision);
-	if (task->announced > task->known && page->revision >= task->announced)
-		task->known =
-			task->announced; /* it was no change of this kind */
+	update_revisions(task, page, page->revision);
+	if (task->announced_revision > task->known_revision && page->revision >= task->announced_revision)
+		task->known_revision =
+			task->announced_revision; /* it was no change of this kind */
 }
 
 void aub_store_relist(struct aub_store_task *task)
 {
 	task->step = AUB_STORE_LIST;
-	task->strict = task->unproved;
-	task->unproved = false;
-	g_clear_pointer(&task->after, g_free);
-	g_hash_table_remove_all(task->seen);
+	task->consistent_listing = task->listing_unconfirmed;
+	task->listing_unconfirmed = false;
+	g_clear_pointer(&task->next_page, g_free);
+	g_hash_table_remove_all(task->listed_names);
 }
--- a/src/coordination/store_enrol.c
+++ b/src/coordination/store_registration.c
@@ -1,30 +1,30 @@
 /*
  * This gateway's own record in the store, for others whose seeds are all gone.
  */
-#include <auburnstile/internal/store_sync_parts.h>
+#include <auburnstile/internal/store_sync_internal.h>
 
-static void enrol_send(struct aub_store_sync *sync);
+static void send_registration(struct aub_store_sync *sync);
 
-static void on_enrol_timer(void *context, gint64 now_us)
+static void on_registration_timer(void *context, gint64 now_us)
 {
 	struct aub_store_sync *sync = context;
 
-	sync->enrol_timer = 0;
-	enrol_send(sync);
+	sync->registration_timer = 0;
+	send_registration(sync);
 }
 
 /*
  * Each enrols before it lists: of two that start together, at least one
  * finds the other, and its heartbeat tells the other in turn.
  */
-static void on_enrolled(enum aub_exchange_end end,
+static void on_registered(enum aub_exchange_end end,
 			const struct aub_http_head *head, const char *body,
 			gsize length, void *context)
 {
 	struct aub_store_sync *sync = context;
 	struct aub_timer_service *timers = sync->options.timers;
 
-	sync->enrol_call = NULL;
+	sync->registration_call = NULL;
 	aub_store_count(sync, AUB_STORE_MEMBERS,
 			aub_store_result_of(end, head));
 	if (end == AUB_EXCHANGE_WHOLE &&
@@ -32,14 +32,14 @@
 		aub_store_sync_list_members(sync);
 		return;
 	}
-	sync->enrol_timer = aub_timer_at(
+	sync->registration_timer = aub_timer_at(
 		timers, "enrol",
-		aub_timer_now(timers) + AUB_STORE_RETRY_MOST_US +
-			g_random_int_range(0, AUB_STORE_RETRY_MOST_US),
-		on_enrol_timer, sync);
+		aub_timer_now(timers) + AUB_STORE_RETRY_MAX_US +
+			g_random_int_range(0, AUB_STORE_RETRY_MAX_US),
+		on_registration_timer, sync);
 }
 
-static void enrol_send(struct aub_store_sync *sync)
+static void send_registration(struct aub_store_sync *sync)
 {
 	char *path = sync->options.platform->create_path(AUB_STORE_MEMBERS);
 	const struct aub_http_call_options options = {
@@ -49,51 +49,51 @@
 		.path = path,
 		.body = sync->record,
 		.type = sync->options.platform->body_type,
-		.timeout_ms = AUB_STORE_CALL_MS,
+		.timeout_ms = AUB_STORE_CALL_TIMEOUT_MS,
 	};
 
-	sync->enrol_call = aub_http_call_new(sync->options.client, &options,
-					     on_enrolled, sync);
+	sync->registration_call = aub_http_call_new(sync->options.client, &options,
+					     on_registered, sync);
 	g_free(path);
 }
 
-void aub_store_sync_enrol(struct aub_store_sync *sync, const char *name,
+void aub_store_sync_register(struct aub_store_sync *sync, const char *name,
 			  const struct aub_member_record *member)
 {
 	sync->name = g_strdup(name);
 	sync->record = sync->options.platform->member_body(name, member);
-	enrol_send(sync);
+	send_registration(sync);
 }
 
-static void on_left(enum aub_exchange_end end, const struct aub_http_head *head,
+static void on_deregistered(enum aub_exchange_end end, const struct aub_http_head *head,
 		    const char *body, gsize length, void *context)
 {
 	struct aub_store_sync *sync = context;
 
-	sync->enrol_call = NULL;
+	sync->registration_call = NULL;
 	aub_store_count(sync, AUB_STORE_MEMBERS,
 			aub_store_result_of(end, head));
 }
 
-void aub_store_sync_leave(struct aub_store_sync *sync)
+void aub_store_sync_deregister(struct aub_store_sync *sync)
 {
 	struct aub_http_call_options options = {
 		.method = "DELETE",
 		.address = sync->address,
 		.peer = "enrol",
-		.timeout_ms = AUB_STORE_CALL_MS,
+		.timeout_ms = AUB_STORE_CALL_TIMEOUT_MS,
 	};
 
 	char *path;
 
-	aub_http_call_cancel(sync->enrol_call);
-	sync->enrol_call = NULL;
+	aub_http_call_cancel(sync->registration_call);
+	sync->registration_call = NULL;
 	if (!sync->name)
 		return;
 	path = sync->options.platform->object_path(AUB_STORE_MEMBERS,
 						   sync->name);
 	options.path = path;
-	sync->enrol_call = aub_http_call_new(sync->options.client, &options,
-					     on_left, sync);
+	sync->registration_call = aub_http_call_new(sync->options.client, &options,
+					     on_deregistered, sync);
 	g_free(path);
 }
