--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -5,7 +5,7 @@
  * it: events that come together are collected by a short pause.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/store_sync_parts.h>
+#include <auburnstile/internal/store_sync_internal.h>
 
 #include <string.h>
 
@@ -13,10 +13,10 @@
  * A watch whose connection went silent is found out by its time limit at the
  * latest; other gateways' heartbeats tell sooner what it missed.
  */
-#define WATCH_MS 4000
-#define WATCH_SLACK_MS 500
-#define FETCH_MS 1 /* what there is, at once */
-#define PAUSE_US (250 * AUB_MS) /* collects events that come together */
+#define WATCH_WAIT_MS 4000
+#define WATCH_TIMEOUT_MARGIN_MS 500
+#define FETCH_WAIT_MS 1 /* what there is, at once */
+#define BATCH_PAUSE_US (250 * AUB_MS) /* collects events that come together */
 
 /*
  * Failure: both of a zone's watchers ask for each change. Symptom: while
@@ -24,21 +24,21 @@
  * just passed on. Enough: the second one asks a quarter as often, and as soon
  * as the first no longer hears the store it is the first.
  */
-#define STANDBY_WATCH_MS 8000
-#define STANDBY_PAUSE_US (1000 * AUB_MS)
+#define STANDBY_WATCH_WAIT_MS 8000
+#define STANDBY_BATCH_PAUSE_US (1000 * AUB_MS)
 /*
  * Whoever hears of a later revision waits this long for the changes
  * themselves: its zone's watchers may be in a pause while another zone's are
  * not.
  */
-#define SHARE_US (700 * AUB_MS)
-#define IDLE_US (20 * AUB_SECOND)
+#define SHARED_CHANGES_WAIT_US (700 * AUB_MS)
+#define CONNECTION_IDLE_US (20 * AUB_SECOND)
 
 /* Orders are rare, and one that is heard of late loses some of its time. */
-#define ORDERS_WATCH_MS 16000
+#define ROLLOUTS_WATCH_WAIT_MS 16000
 
-#define RETRY_EACH_US (10 * AUB_MS) /* for each gateway of the fleet */
-#define RETRY_LARGE_US (3000 * AUB_MS)
+#define RETRY_PER_GATEWAY_US (10 * AUB_MS) /* for each gateway of the fleet */
+#define RETRY_LARGE_FLEET_MAX_US (3000 * AUB_MS)
 
 const char *aub_store_kind_name(enum aub_store_kind kind)
 {
@@ -83,17 +83,17 @@
 	sync->results[kind][result]++;
 }
 
-static void task_run(struct aub_store_task *task);
+static void run_task(struct aub_store_task *task);
 
 static void on_task_timer(void *context, gint64 now_us)
 {
 	struct aub_store_task *task = context;
 
 	task->timer = 0;
-	task_run(task);
+	run_task(task);
 }
 
-static void task_later(struct aub_store_task *task, gint64 in_us)
+static void schedule_task(struct aub_store_task *task, gint64 in_us)
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
 
@@ -103,7 +103,7 @@
 			     on_task_timer, task);
 }
 
-static void log_store(const struct aub_store_task *task,
+static void log_store_event(const struct aub_store_task *task,
 		      enum aub_log_event event, const char *why, gint64 age_us)
 {
 	aub_log_begin(event);
@@ -115,7 +115,7 @@
 }
 
 /* While the store fails, one kind asks whether it is back: calls cost. */
-static bool is_scout(const struct aub_store_task *task)
+static bool is_recovery_probe(const struct aub_store_task *task)
 {
 	for (guint i = 0; i < (guint)task->kind; i++)
 		if (task->sync->tasks[i].failing)
@@ -124,27 +124,27 @@
 }
 
 /* The store is back: the kinds that waited for it ask again. */
-static void wake_failed(struct aub_store_sync *sync)
+static void retry_failing_tasks(struct aub_store_sync *sync)
 {
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
 		struct aub_store_task *task = &sync->tasks[i];
 
 		if (task->failing && !task->call && !task->timer)
-			task_later(task, 0);
+			schedule_task(task, 0);
 	}
 }
 
-static void heard(struct aub_store_task *task, gint64 now_us)
+static void store_answered(struct aub_store_task *task, gint64 now_us)
 {
 	if (task->failing) {
-		task->back_us = now_us;
-		log_store(task, AUB_LOG_STORE_REGAINED, "",
-			  now_us - task->heard_us);
+		task->recovered_us = now_us;
+		log_store_event(task, AUB_LOG_STORE_REGAINED, "",
+			  now_us - task->answered_us);
 		task->failing = false;
-		wake_failed(task->sync);
+		retry_failing_tasks(task->sync);
 	}
-	task->heard_us = now_us;
-	task->retry_us = AUB_STORE_RETRY_US;
+	task->answered_us = now_us;
+	task->retry_us = AUB_STORE_RETRY_MIN_US;
 }
 
 /*
@@ -154,31 +154,31 @@
  * that a gateway that was turned away is back before it counts as reachable.
  * A revision that others announce is asked for at once all the same.
  */
-static gint64 retry_most_us(const struct aub_store_task *task)
+static gint64 retry_max_us(const struct aub_store_task *task)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
-	gint64 us = options->fleet(options->context) * RETRY_EACH_US;
+	gint64 us = options->fleet(options->context) * RETRY_PER_GATEWAY_US;
 
-	return CLAMP(us, AUB_STORE_RETRY_MOST_US, RETRY_LARGE_US);
+	return CLAMP(us, AUB_STORE_RETRY_MAX_US, RETRY_LARGE_FLEET_MAX_US);
 }
 
-static void failed(struct aub_store_task *task, const char *why)
+static void store_failed(struct aub_store_task *task, const char *why)
 {
 	gint64 now = aub_timer_now(task->sync->options.timers);
 
 	if (!task->failing) {
-		log_store(task, AUB_LOG_STORE_LOST, why, now - task->heard_us);
-		task->failing_us = now;
+		log_store_event(task, AUB_LOG_STORE_LOST, why, now - task->answered_us);
+		task->failing_since_us = now;
 	}
 	task->failing = true;
-	if (!is_scout(task))
+	if (!is_recovery_probe(task))
 		return;
-	task_later(task,
-		   task->retry_us + g_random_int_range(0, AUB_STORE_RETRY_US));
-	task->retry_us = MIN(task->retry_us * 2, retry_most_us(task));
+	schedule_task(task,
+		   task->retry_us + g_random_int_range(0, AUB_STORE_RETRY_MIN_US));
+	task->retry_us = MIN(task->retry_us * 2, retry_max_us(task));
 }
 
-static void wait_for_changes(struct aub_store_task *task);
+static void await_announced(struct aub_store_task *task);
 
 static enum aub_watch_duty duty(const struct aub_store_task *task)
 {
@@ -188,17 +188,17 @@
 }
 
 /* Changes that come together are collected before the next call. */
-static void run_after_changes(struct aub_store_task *task, guint changes)
+static void schedule_next_watch(struct aub_store_task *task, guint changes)
 {
-	bool behind = task->overdue > task->known;
+	bool behind = task->overdue_revision > task->known_revision;
 	bool standby = duty(task) == AUB_WATCH_STANDBY;
-	gint64 pause_us = standby && !behind ? STANDBY_PAUSE_US : PAUSE_US;
+	gint64 pause_us = standby && !behind ? STANDBY_BATCH_PAUSE_US : BATCH_PAUSE_US;
 
-	wait_for_changes(task);
-	task_later(task, changes || behind ? pause_us : 0);
+	await_announced(task);
+	schedule_task(task, changes || behind ? pause_us : 0);
 }
 
-static void take_page(struct aub_store_task *task, const char *body,
+static void apply_page(struct aub_store_task *task, const char *body,
 		      gsize length)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
@@ -210,26 +210,26 @@
 
 	if (!page) {
 		aub_store_count(task->sync, task->kind, AUB_STORE_UNREADABLE);
-		failed(task, error->message);
+		store_failed(task, error->message);
 		g_error_free(error);
 		return;
 	}
 	aub_store_count(task->sync, task->kind, AUB_STORE_ANSWERED);
-	heard(task, now);
+	store_answered(task, now);
 	if (task->step == AUB_STORE_LIST) {
-		aub_store_take_listing(task, page, now);
-		task_run(task);
+		aub_store_apply_listing(task, page, now);
+		run_task(task);
 	} else {
-		gint64 before = task->changed;
+		gint64 before = task->changed_revision;
 
-		aub_store_take_changes(task, page, now);
+		aub_store_apply_changes(task, page, now);
 		if (page->records->len)
-			options->share(task->kind, before, task->changed, body,
+			options->share(task->kind, before, task->changed_revision, body,
 				       length, options->context);
-		task->unproved = false;
-		run_after_changes(task, page->records->len);
+		task->listing_unconfirmed = false;
+		schedule_next_watch(task, page->records->len);
 	}
-	options->told(options->context);
+	options->batch_done(options->context);
 	aub_store_page_free(page);
 }
 
@@ -243,21 +243,21 @@
 	task->call = NULL;
 	task->fetching = false;
 	if (result == AUB_STORE_ANSWERED) {
-		take_page(task, body, length); /* counts it, too */
+		apply_page(task, body, length); /* counts it, too */
 		return;
 	}
 	aub_store_count(task->sync, task->kind, result);
 	if (result == AUB_STORE_NO_ANSWER) {
-		failed(task,
+		store_failed(task,
 		       end == AUB_EXCHANGE_TIMEOUT ? "timeout" : "connection");
 	} else if (result == AUB_STORE_NO_HISTORY) {
-		log_store(task, AUB_LOG_STORE_HISTORY_GONE, "", 0);
+		log_store_event(task, AUB_LOG_STORE_HISTORY_GONE, "", 0);
 		aub_store_relist(task);
-		task_run(task);
+		run_task(task);
 	} else {
 		char *why = g_strdup_printf("status %u", head->status);
 
-		failed(task, why);
+		store_failed(task, why);
 		g_free(why);
 	}
 }
@@ -267,7 +267,7 @@
 {
 	return task->kind != AUB_STORE_MEMBERS &&
 	       (task->kind != AUB_STORE_ROLLOUTS ||
-		task->sync->options.takes_orders);
+		task->sync->options.follows_rollouts);
 }
 
 /* For orders one watcher a zone will do: the others' heartbeats tell, too. */
@@ -283,11 +283,11 @@
 static guint watch_ms(const struct aub_store_task *task)
 {
 	if (task->kind == AUB_STORE_ROLLOUTS)
-		return ORDERS_WATCH_MS;
-	return duty(task) == AUB_WATCH_STANDBY ? STANDBY_WATCH_MS : WATCH_MS;
+		return ROLLOUTS_WATCH_WAIT_MS;
+	return duty(task) == AUB_WATCH_STANDBY ? STANDBY_WATCH_WAIT_MS : WATCH_WAIT_MS;
 }
 
-static void task_run(struct aub_store_task *task)
+static void run_task(struct aub_store_task *task)
 {
 	struct aub_store_sync *sync = task->sync;
 	const struct aub_platform *platform = sync->options.platform;
@@ -297,28 +297,28 @@
 	 * Symptom: it hangs for seconds after the store is back. Enough: while
 	 * the store fails, calls ask for what there is and wait for nothing.
 	 */
-	bool fetch = watch && (task->failing || task->overdue > task->known);
-	guint wait_ms = fetch ? FETCH_MS : watch_ms(task);
+	bool fetch = watch && (task->failing || task->overdue_revision > task->known_revision);
+	guint wait_ms = fetch ? FETCH_WAIT_MS : watch_ms(task);
 	char *path;
 	struct aub_http_call_options options = {
 		.method = "GET",
 		.address = sync->address,
 		.peer = aub_store_kind_name(task->kind),
-		.timeout_ms = watch && !fetch ? wait_ms + WATCH_SLACK_MS :
-						AUB_STORE_CALL_MS,
+		.timeout_ms = watch && !fetch ? wait_ms + WATCH_TIMEOUT_MARGIN_MS :
+						AUB_STORE_CALL_TIMEOUT_MS,
 		/* After a failure a kept connection may be a silent one. */
-		.idle_us = task->failing ? 0 : IDLE_US,
+		.idle_us = task->failing ? 0 : CONNECTION_IDLE_US,
 	};
 
 	if (task->call || (watch && !fetch && !may_watch(task)))
 		return;
 	path = watch ? platform->watch_path(task->kind, task->revision,
 					    wait_ms) :
-		       platform->list_path(task->kind, task->after,
-					   !task->strict);
+		       platform->list_path(task->kind, task->next_page,
+					   !task->consistent_listing);
 	options.path = path;
 	task->fetching = !watch || fetch;
-	task->called_us = aub_timer_now(sync->options.timers);
+	task->call_started_us = aub_timer_now(sync->options.timers);
 	task->call = aub_http_call_new(sync->options.client, &options,
 				       on_answer, task);
 	g_free(path);
@@ -336,15 +336,15 @@
 
 		task->sync = sync;
 		task->kind = (enum aub_store_kind)i;
-		task->retry_us = AUB_STORE_RETRY_US;
+		task->retry_us = AUB_STORE_RETRY_MIN_US;
 		task->present = g_hash_table_new_full(g_str_hash, g_str_equal,
 						      g_free, NULL);
-		task->seen = g_hash_table_new_full(g_str_hash, g_str_equal,
+		task->listed_names = g_hash_table_new_full(g_str_hash, g_str_equal,
 						   g_free, NULL);
-		task->gone = g_hash_table_new_full(g_str_hash, g_str_equal,
+		task->withheld_removals = g_hash_table_new_full(g_str_hash, g_str_equal,
 						   g_free, NULL);
 		if (is_followed(task))
-			task_run(task);
+			run_task(task);
 	}
 	return sync;
 }
@@ -358,15 +358,15 @@
 
 		aub_http_call_cancel(task->call);
 		aub_timer_cancel(sync->options.timers, task->timer);
-		aub_timer_cancel(sync->options.timers, task->gone_timer);
+		aub_timer_cancel(sync->options.timers, task->removal_timer);
 		aub_timer_cancel(sync->options.timers, task->announced_timer);
 		g_hash_table_unref(task->present);
-		g_hash_table_unref(task->seen);
-		g_hash_table_unref(task->gone);
-		g_free(task->after);
+		g_hash_table_unref(task->listed_names);
+		g_hash_table_unref(task->withheld_removals);
+		g_free(task->next_page);
 	}
-	aub_http_call_cancel(sync->enrol_call);
-	aub_timer_cancel(sync->options.timers, sync->enrol_timer);
+	aub_http_call_cancel(sync->registration_call);
+	aub_timer_cancel(sync->options.timers, sync->registration_timer);
 	g_free(sync->name);
 	g_clear_pointer(&sync->record, g_bytes_unref);
 	g_free(sync->address);
@@ -381,8 +381,8 @@
 		return;
 	aub_store_relist(task);
 	/* Old ones will do, again and again: heartbeats tell who is there. */
-	task->strict = false;
-	task_run(task);
+	task->consistent_listing = false;
+	run_task(task);
 }
 
 /*
@@ -393,39 +393,39 @@
  * has its own time to come, or changes that are about to be passed on would be
  * asked for by the whole fleet.
  */
-static void on_announced(void *context, gint64 now_us)
+static void on_announced_overdue(void *context, gint64 now_us)
 {
 	struct aub_store_task *task = context;
 
 	task->announced_timer = 0;
-	if (task->awaited <= task->known) {
-		wait_for_changes(task);
+	if (task->awaited_revision <= task->known_revision) {
+		await_announced(task);
 		return;
 	}
-	task->overdue = task->awaited;
+	task->overdue_revision = task->awaited_revision;
 	if (!task->listed || task->step != AUB_STORE_WATCH || task->fetching)
 		return;
 	/* A retry that is due soon will do; one that is far off will not. */
 	if (task->timer && (!task->failing ||
-			    now_us - task->called_us < AUB_STORE_RETRY_MOST_US))
+			    now_us - task->call_started_us < AUB_STORE_RETRY_MAX_US))
 		return;
 	aub_timer_cancel(task->sync->options.timers, task->timer);
 	task->timer = 0;
 	aub_http_call_cancel(task->call);
 	task->call = NULL;
-	task_run(task);
+	run_task(task);
 }
 
-static void wait_for_changes(struct aub_store_task *task)
+static void await_announced(struct aub_store_task *task)
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
 
-	if (task->announced <= task->known || task->announced_timer)
+	if (task->announced_revision <= task->known_revision || task->announced_timer)
 		return;
-	task->awaited = task->announced;
+	task->awaited_revision = task->announced_revision;
 	task->announced_timer = aub_timer_at(timers, "store changes",
-					     aub_timer_now(timers) + SHARE_US,
-					     on_announced, task);
+					     aub_timer_now(timers) + SHARED_CHANGES_WAIT_US,
+					     on_announced_overdue, task);
 }
 
 void aub_store_sync_announce(struct aub_store_sync *sync,
@@ -433,13 +433,13 @@
 {
 	struct aub_store_task *task = &sync->tasks[kind];
 
-	if (revision <= task->announced)
+	if (revision <= task->announced_revision)
 		return;
-	task->announced = revision;
-	wait_for_changes(task);
+	task->announced_revision = revision;
+	await_announced(task);
 }
 
-void aub_store_sync_take(struct aub_store_sync *sync, enum aub_store_kind kind,
+void aub_store_sync_apply_shared(struct aub_store_sync *sync, enum aub_store_kind kind,
 			 gint64 after, gint64 until, const char *body,
 			 gsize length)
 {
@@ -447,37 +447,37 @@
 	struct aub_store_page *page;
 
 	if (!task->listed || task->step != AUB_STORE_WATCH ||
-	    task->known < after || task->known >= until)
+	    task->known_revision < after || task->known_revision >= until)
 		return;
 	page = sync->options.platform->decode_page(kind, body, length, NULL);
 	if (!page)
 		return;
-	task->announced = MAX(task->announced, until);
-	aub_store_take_changes(task, page, aub_timer_now(sync->options.timers));
-	task->changed = MAX(task->changed, until);
-	task->known = MAX(task->known, until);
+	task->announced_revision = MAX(task->announced_revision, until);
+	aub_store_apply_changes(task, page, aub_timer_now(sync->options.timers));
+	task->changed_revision = MAX(task->changed_revision, until);
+	task->known_revision = MAX(task->known_revision, until);
 	aub_store_page_free(page);
-	sync->options.told(sync->options.context);
+	sync->options.batch_done(sync->options.context);
 }
 
-void aub_store_sync_check(struct aub_store_sync *sync)
+void aub_store_sync_check_watch_duty(struct aub_store_sync *sync)
 {
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
 		struct aub_store_task *task = &sync->tasks[i];
 
 		if (is_followed(task) && !task->call && !task->timer &&
-		    (!task->failing || is_scout(task)))
-			task_run(task);
+		    (!task->failing || is_recovery_probe(task)))
+			run_task(task);
 	}
 }
 
-gint64 aub_store_sync_known(const struct aub_store_sync *sync,
+gint64 aub_store_sync_known_revision(const struct aub_store_sync *sync,
 			    enum aub_store_kind kind)
 {
-	return sync->tasks[kind].known;
+	return sync->tasks[kind].known_revision;
 }
 
-gint64 aub_store_sync_lost_us(const struct aub_store_sync *sync)
+gint64 aub_store_sync_unavailable_us(const struct aub_store_sync *sync)
 {
 	gint64 now = aub_timer_now(sync->options.timers);
 	gint64 longest = 0;
@@ -486,15 +486,15 @@
 		const struct aub_store_task *task = &sync->tasks[i];
 
 		if (i != AUB_STORE_MEMBERS && task->failing)
-			longest = MAX(longest, now - task->failing_us);
+			longest = MAX(longest, now - task->failing_since_us);
 	}
 	return longest;
 }
 
-gint64 aub_store_sync_heard_us(const struct aub_store_sync *sync,
+gint64 aub_store_sync_answered_us(const struct aub_store_sync *sync,
 			       enum aub_store_kind kind)
 {
-	return sync->tasks[kind].heard_us;
+	return sync->tasks[kind].answered_us;
 }
 
 guint64 aub_store_sync_calls(const struct aub_store_sync *sync,
--- a/src/coordination/store_write.c
+++ b/src/coordination/store_write.c
@@ -3,7 +3,7 @@
  * One that is not answered may have been done: it is never repeated here, and
  * whoever asked for it finds out by the object itself.
  */
-#include <auburnstile/internal/store_sync_parts.h>
+#include <auburnstile/internal/store_sync_internal.h>
 
 #include <libsoup/soup.h>
 
@@ -11,7 +11,7 @@
 	struct aub_store_sync *sync;
 	enum aub_store_kind kind;
 	struct aub_http_call *call;
-	aub_store_written *written;
+	aub_store_write_callback *written;
 	void *context;
 };
 
@@ -31,7 +31,7 @@
 
 struct aub_store_write *aub_store_sync_write_state(
 	struct aub_store_sync *sync, enum aub_store_kind kind, const char *name,
-	GBytes *body, aub_store_written *written, void *context)
+	GBytes *body, aub_store_write_callback *written, void *context)
 {
 	struct aub_store_write *write = g_new0(struct aub_store_write, 1);
 	char *path = sync->options.platform->state_path(kind, name);
@@ -42,7 +42,7 @@
 		.path = path,
 		.body = body,
 		.type = sync->options.platform->body_type,
-		.timeout_ms = AUB_STORE_CALL_MS,
+		.timeout_ms = AUB_STORE_CALL_TIMEOUT_MS,
 	};
 
 	write->sync = sync;
--- a/src/coordination/states.c
+++ b/src/coordination/upstream_states.c
@@ -2,19 +2,19 @@
  * Knowledge of upstreams, and of requests that crash them, between a
  * dispatcher and a message.
  */
-#include <auburnstile/internal/states.h>
+#include <auburnstile/internal/upstream_states.h>
 
-#define UPSTREAMS 1024 /* of one service; more are left out */
-#define CRASHES 256 /* likewise */
+#define UPSTREAMS_MAX 1024 /* of one service; more are left out */
+#define CRASHES_MAX 256 /* likewise */
 
 static void add_upstreams(struct aub_states *states,
 			  const struct aub_dispatcher *dispatcher,
 			  gint64 now_us)
 {
 	struct aub_upstream_knowledge *list =
-		g_new(struct aub_upstream_knowledge, UPSTREAMS);
+		g_new(struct aub_upstream_knowledge, UPSTREAMS_MAX);
 	guint count =
-		aub_dispatcher_knowledge(dispatcher, list, UPSTREAMS, now_us);
+		aub_dispatcher_knowledge(dispatcher, list, UPSTREAMS_MAX, now_us);
 
 	for (guint i = 0; i < count; i++) {
 		struct aub_upstream_state *state = aub_upstream_state_new();
@@ -38,8 +38,8 @@
 static void add_crashes(struct aub_states *states,
 			const struct aub_dispatcher *dispatcher, gint64 now_us)
 {
-	struct aub_crash_mark list[CRASHES];
-	guint count = aub_dispatcher_crashes(dispatcher, list, CRASHES, now_us);
+	struct aub_crash_mark list[CRASHES_MAX];
+	guint count = aub_dispatcher_crashes(dispatcher, list, CRASHES_MAX, now_us);
 
 	for (guint i = 0; i < count; i++) {
 		struct aub_crash_record *record = aub_crash_record_new();
@@ -51,7 +51,7 @@
 	}
 }
 
-static void learn_crashes(struct aub_dispatcher *dispatcher,
+static void apply_crashes(struct aub_dispatcher *dispatcher,
 			  const struct aub_states *states, gint64 now_us)
 {
 	for (guint i = 0; i < states->crashes->len; i++) {
@@ -67,7 +67,7 @@
 	}
 }
 
-struct aub_states *aub_states_make(const struct aub_dispatcher *dispatcher,
+struct aub_states *aub_states_from_dispatcher(const struct aub_dispatcher *dispatcher,
 				   const char *service, gint64 now_us)
 {
 	struct aub_states *states =
@@ -79,7 +79,7 @@
 	return states;
 }
 
-void aub_states_learn(struct aub_dispatcher *dispatcher,
+void aub_states_apply(struct aub_dispatcher *dispatcher,
 		      const struct aub_states *states, gint64 now_us)
 {
 	for (guint i = 0; i < states->upstreams->len; i++) {
@@ -96,5 +96,5 @@
 
 		aub_dispatcher_learn(dispatcher, &known, now_us);
 	}
-	learn_crashes(dispatcher, states, now_us);
+	apply_crashes(dispatcher, states, now_us);
 }
--- a/tests/fleet_of_memberships.h
+++ b/tests/simulated_fleet.h
@@ -2,8 +2,8 @@
  * Several memberships and agreements in one test, with a clock of its own
  * and a matrix of who reaches whom. No sockets: messages are handed over.
  */
-#ifndef TESTS_FLEET_OF_MEMBERSHIPS_H
-#define TESTS_FLEET_OF_MEMBERSHIPS_H
+#ifndef TESTS_SIMULATED_FLEET_H
+#define TESTS_SIMULATED_FLEET_H
 
 #include <auburnstile/internal/agreement.h>
 
@@ -17,7 +17,7 @@
 	struct aubi_agreement agreement;
 };
 
-class Fleet
+class SimulatedFleet
 {
       public:
 	gint64 now_us = 1000 * 1000000LL;
@@ -28,7 +28,7 @@
 	std::vector<std::pair<int, guint64>> pulls;
 	gsize bytes = 0; /* of encoded gossip, by all */
 
-	~Fleet()
+	~SimulatedFleet()
 	{
 		for (auto &node : nodes)
 			aubi_membership_free(node.membership);
@@ -64,22 +64,22 @@
 		return -1;
 	}
 
-	struct aub_gossip *blank(int i)
+	struct aub_gossip *new_gossip(int i)
 	{
 		auto *gossip = (struct aub_gossip *)aub_message_new(
 			AUB_MESSAGE_GOSSIP);
 		gint64 fresh =
-			aubi_agreement_fresh_us(&nodes[i].agreement, now_us);
+			aubi_agreement_config_age_us(&nodes[i].agreement, now_us);
 
 		gossip->config_version = nodes[i].agreement.config_version;
-		gossip->fresh_ms = fresh == AUBI_MEMBER_NEVER ?
+		gossip->fresh_ms = fresh == AUBI_AGE_UNKNOWN_US ?
 					   G_MAXUINT32 :
 					   (guint32)(fresh / 1000 + 1);
 		return gossip;
 	}
 
 	/* One message from `from` to `to`; true if it came through. */
-	bool hand(int from, int to, const struct aub_gossip *gossip)
+	bool deliver(int from, int to, const struct aub_gossip *gossip)
 	{
 		GBytes *payload = aub_message_encode(&gossip->base, nullptr);
 
@@ -87,13 +87,13 @@
 		g_bytes_unref(payload);
 		if (!reaches(from, to))
 			return false;
-		aubi_membership_hear(nodes[to].membership,
+		aubi_membership_receive(nodes[to].membership,
 				     nodes[from].name.c_str(),
 				     aubi_membership_self(
 					     nodes[from].membership)
 					     ->control_incarnation,
 				     gossip, now_us);
-		aubi_agreement_relayed(&nodes[to].agreement, gossip, now_us);
+		aubi_agreement_receive_gossip(&nodes[to].agreement, gossip, now_us);
 		/* A pull brings what the other holds, by the next round. */
 		if (reaches(to, from))
 			pulls.push_back({ to, gossip->config_version });
@@ -102,14 +102,14 @@
 
 	void exchange(int a, int b)
 	{
-		struct aub_gossip *message = blank(a);
+		struct aub_gossip *message = new_gossip(a);
 		int from = a;
 		int to = b;
 
-		aubi_membership_ask(nodes[a].membership, message, now_us);
-		while (hand(from, to, message)) {
-			struct aub_gossip *answer = blank(to);
-			bool wanted = aubi_membership_answer(
+		aubi_membership_begin_exchange(nodes[a].membership, message, now_us);
+		while (deliver(from, to, message)) {
+			struct aub_gossip *answer = new_gossip(to);
+			bool wanted = aubi_membership_reply(
 				nodes[to].membership, message,
 				aubi_agreement_is_behind(&nodes[to].agreement),
 				answer, now_us);
@@ -126,15 +126,15 @@
 	/* A third of a second: an exchange each; some read the store. */
 	void round()
 	{
-		now_us += AUBI_GOSSIP_US;
+		now_us += AUBI_GOSSIP_INTERVAL_US;
 		for (auto &pull : pulls)
-			aubi_agreement_hold_config(&nodes[pull.first].agreement,
+			aubi_agreement_adopt_config(&nodes[pull.first].agreement,
 						   pull.second);
 		pulls.clear();
 		for (size_t i = 0; i < nodes.size(); i++) {
 			Node &node = nodes[i];
 			int to = find(
-				aubi_membership_pick(node.membership, now_us));
+				aubi_membership_pick_peer(node.membership, now_us));
 			guint rank =
 				aubi_membership_rank(node.membership, nullptr,
 						     nullptr, now_us);
@@ -145,10 +145,10 @@
 			if (to >= 0 && to != (int)i)
 				exchange((int)i, to);
 			if (store((int)i) &&
-			    aubi_agreement_watches(&node.agreement,
+			    aubi_agreement_should_watch_store(&node.agreement,
 						   node.membership, rank,
 						   now_us)) {
-				aubi_agreement_hold_config(&node.agreement,
+				aubi_agreement_adopt_config(&node.agreement,
 							   store_version);
 				aubi_agreement_confirm(&node.agreement,
 						       store_version, now_us);
@@ -166,18 +166,18 @@
 
 	bool serves(int i)
 	{
-		return aubi_agreement_serve_us(&nodes[i].agreement,
+		return aubi_agreement_serve_lease_us(&nodes[i].agreement,
 					       nodes[i].membership, now_us) > 0;
 	}
 
 	bool accepts(int i)
 	{
-		return aubi_agreement_may_accept(nodes[i].membership, now_us);
+		return aubi_agreement_can_accept_changes(nodes[i].membership, now_us);
 	}
 
 	guint live(int i)
 	{
-		return aubi_membership_live(nodes[i].membership, now_us);
+		return aubi_membership_count_live(nodes[i].membership, now_us);
 	}
 };
 
--- a/tests/test_agreement.cc
+++ b/tests/test_agreement.cc
@@ -5,38 +5,38 @@
 
 #include <string.h>
 
-#include "fleet_of_memberships.h"
+#include "simulated_fleet.h"
 
 TEST(Agreement, VersionsOnlyRise)
 {
-	struct aubi_agreement held = aubi_agreement_start(1);
-
-	EXPECT_TRUE(aubi_agreement_hold_config(&held, 7));
-	EXPECT_FALSE(aubi_agreement_hold_config(&held, 7));
-	EXPECT_FALSE(aubi_agreement_hold_config(&held, 3));
-	EXPECT_EQ(held.config_version, 7u);
-	EXPECT_TRUE(aubi_agreement_hold_epoch(&held, 9));
-	EXPECT_FALSE(aubi_agreement_hold_epoch(&held, 8));
+	struct aubi_agreement agreement = aubi_agreement_start(1);
+
+	EXPECT_TRUE(aubi_agreement_adopt_config(&agreement, 7));
+	EXPECT_FALSE(aubi_agreement_adopt_config(&agreement, 7));
+	EXPECT_FALSE(aubi_agreement_adopt_config(&agreement, 3));
+	EXPECT_EQ(agreement.config_version, 7u);
+	EXPECT_TRUE(aubi_agreement_adopt_epoch(&agreement, 9));
+	EXPECT_FALSE(aubi_agreement_adopt_epoch(&agreement, 8));
 }
 
 /* A stale reader of the store confirms an old version: that says nothing. */
-TEST(Agreement, StaleConfirmationIsNone)
+TEST(Agreement, IgnoresConfirmationOfAnOlderVersion)
 {
-	struct aubi_agreement held = aubi_agreement_start(1);
+	struct aubi_agreement agreement = aubi_agreement_start(1);
 
-	aubi_agreement_hold_config(&held, 7);
-	aubi_agreement_confirm(&held, 6, 1000);
-	EXPECT_EQ(aubi_agreement_fresh_us(&held, 1500), AUBI_MEMBER_NEVER);
-	aubi_agreement_confirm(&held, 7, 1000);
-	EXPECT_EQ(aubi_agreement_fresh_us(&held, 1500), 500);
+	aubi_agreement_adopt_config(&agreement, 7);
+	aubi_agreement_confirm(&agreement, 6, 1000);
+	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500), AUBI_AGE_UNKNOWN_US);
+	aubi_agreement_confirm(&agreement, 7, 1000);
+	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500), 500);
 	/* Told of a newer one that isn't held yet: no longer fresh. */
-	aubi_agreement_confirm(&held, 8, 1200);
-	EXPECT_EQ(aubi_agreement_fresh_us(&held, 1500), AUBI_MEMBER_NEVER);
-	aubi_agreement_hold_config(&held, 8);
-	EXPECT_EQ(aubi_agreement_fresh_us(&held, 1500), 300);
+	aubi_agreement_confirm(&agreement, 8, 1200);
+	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500), AUBI_AGE_UNKNOWN_US);
+	aubi_agreement_adopt_config(&agreement, 8);
+	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500), 300);
 }
 
-struct Cut {
+struct Partition {
 	const char *name;
 	int nodes;
 	int minority; /* nodes 0..minority-1 are one side */
@@ -49,7 +49,7 @@
 	bool majority_accepts;
 };
 
-static const Cut cuts[] = {
+static const Partition partitions[] = {
 	{ "none", 7, 0, true, true, false, true, false, true },
 	{ "store down", 7, 0, false, false, false, true, false, true },
 	{ "minority without store", 7, 3, false, true, false, true, false,
@@ -66,7 +66,7 @@
 	{ "nineteen", 19, 9, false, true, false, true, false, true },
 };
 
-static void start(Fleet &fleet, int nodes)
+static void start_fleet(SimulatedFleet &fleet, int nodes)
 {
 	fleet.store_version = 5;
 	for (int i = 0; i < nodes; i++)
@@ -79,30 +79,30 @@
  * refuses new work; all others go on. What an operator sees: the side that
  * is no majority refuses changes.
  */
-TEST(Agreement, EachCutServesAndAcceptsWhereItMay)
+TEST(Agreement, ServesAndAcceptsChangesOnlyWhereAllowedInEachPartition)
 {
-	for (const Cut &cut : cuts) {
-		Fleet fleet;
+	for (const Partition &partition : partitions) {
+		SimulatedFleet fleet;
 
-		start(fleet, cut.nodes);
+		start_fleet(fleet, partition.nodes);
 		fleet.reaches = [&](int a, int b) {
-			return (a < cut.minority) == (b < cut.minority);
+			return (a < partition.minority) == (b < partition.minority);
 		};
 		fleet.store = [&](int i) {
-			return i < cut.minority ? cut.store_minority :
-						  cut.store_majority;
+			return i < partition.minority ? partition.store_minority :
+						  partition.store_majority;
 		};
 		fleet.run(5);
-		for (int i = 0; i < cut.nodes; i++) {
-			bool small = i < cut.minority;
+		for (int i = 0; i < partition.nodes; i++) {
+			bool in_minority = i < partition.minority;
 
-			EXPECT_EQ(fleet.serves(i), small ? cut.minority_serves :
-							   cut.majority_serves)
-				<< cut.name << ", node " << i;
+			EXPECT_EQ(fleet.serves(i), in_minority ? partition.minority_serves :
+							   partition.majority_serves)
+				<< partition.name << ", node " << i;
 			EXPECT_EQ(fleet.accepts(i),
-				  small ? cut.minority_accepts :
-					  cut.majority_accepts)
-				<< cut.name << ", node " << i;
+				  in_minority ? partition.minority_accepts :
+					  partition.majority_accepts)
+				<< partition.name << ", node " << i;
 		}
 	}
 }
@@ -114,42 +114,42 @@
  * 0 to 6 s after the cut. Without the count of holders this fails: one node
  * with the store on its side, the cut less than 3 s before the write.
  */
-TEST(Agreement, NobodyServesByAnOldVersionThreeSecondsAfterAccepting)
+TEST(Agreement, NoServingNodeHoldsAnOldVersionThreeSecondsAfterAcceptance)
 {
 	int accepted = 0;
 
 	for (int side = 1; side <= 5; side++) {
-		for (int later = 0; later <= 6; later++) {
+		for (int delay_s = 0; delay_s <= 6; delay_s++) {
 			for (int with_store = 0; with_store < 2; with_store++) {
-				Fleet fleet;
-				int accepting = -1;
+				SimulatedFleet fleet;
+				int writer = -1;
 
-				start(fleet, 9);
+				start_fleet(fleet, 9);
 				fleet.reaches = [&](int a, int b) {
 					return (a < side) == (b < side);
 				};
 				fleet.store = [&](int i) {
 					return (i < side) == (with_store == 1);
 				};
-				fleet.run(later);
+				fleet.run(delay_s);
 				for (int i = 0; i < 9; i++)
 					if (fleet.store(i) && fleet.accepts(i))
-						accepting = i;
-				if (accepting < 0)
+						writer = i;
+				if (writer < 0)
 					continue;
-				auto taken = [&] {
-					Node &node = fleet.nodes[accepting];
+				auto is_accepted = [&] {
+					Node &node = fleet.nodes[writer];
 
 					return aubi_agreement_is_accepted(
 						&node.agreement,
 						node.membership, 6);
 				};
 				fleet.store_version = 6;
-				aubi_agreement_hold_config(
-					&fleet.nodes[accepting].agreement, 6);
-				for (int i = 0; i < 27 && !taken(); i++)
+				aubi_agreement_adopt_config(
+					&fleet.nodes[writer].agreement, 6);
+				for (int i = 0; i < 27 && !is_accepted(); i++)
 					fleet.round();
-				if (!taken())
+				if (!is_accepted())
 					continue;
 				accepted++;
 				fleet.run(3.1);
@@ -166,7 +166,7 @@
 									.config_version <
 								6)
 							<< "side " << side
-							<< " later " << later
+							<< " later " << delay_s
 							<< " store "
 							<< with_store
 							<< " node " << i;
@@ -182,11 +182,11 @@
  * rest takes changes meanwhile. If the cut-off side forgot the others, it
  * would count itself complete, and serve again by the old version.
  */
-TEST(Agreement, CutOffSideStaysStoppedHoweverLongItLasts)
+TEST(Agreement, IsolatedMinorityNeverResumesServing)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 
-	start(fleet, 7);
+	start_fleet(fleet, 7);
 	fleet.reaches = [](int a, int b) { return (a < 3) == (b < 3); };
 	fleet.store = [](int i) { return i >= 3; };
 	fleet.run(1200);
@@ -194,7 +194,7 @@
 		EXPECT_EQ(fleet.serves(i), i >= 3) << i;
 		EXPECT_EQ(fleet.accepts(i), i >= 3) << i;
 	}
-	EXPECT_EQ(aubi_membership_known(fleet.nodes[6].membership), 4u);
+	EXPECT_EQ(aubi_membership_count(fleet.nodes[6].membership), 4u);
 	/* One that starts there learns from the two whom it doesn't hear. */
 	aubi_membership_free(fleet.nodes[0].membership);
 	fleet.nodes[0] = fleet.nodes[fleet.add("n0", "a", 900)];
@@ -215,31 +215,31 @@
  * that holds a change and is replaced while the store is down loses it
  * (agreement_notes.txt).
  */
-class Storm
+class RandomFaults
 {
       public:
 	static constexpr int n = 7;
-	Fleet fleet;
+	SimulatedFleet fleet;
 	std::mt19937 random;
 	int side[n] = {};
 	bool paused[n] = {};
-	bool sees_store[n] = {};
-	bool cut[n][n] = {};
+	bool store_reachable[n] = {};
+	bool blocked[n][n] = {};
 	std::vector<std::pair<guint64, gint64>> accepted; /* version, when */
 	std::vector<std::pair<guint64, int>> written; /* version, by whom */
 
-	explicit Storm(unsigned seed) : random(seed)
+	explicit RandomFaults(unsigned seed) : random(seed)
 	{
-		start(fleet, n);
+		start_fleet(fleet, n);
 		fleet.reaches = [this](int a, int b) {
-			return side[a] == side[b] && !cut[a][b] && !paused[a] &&
+			return side[a] == side[b] && !blocked[a][b] && !paused[a] &&
 			       !paused[b];
 		};
 		fleet.store = [this](int i) {
-			return sees_store[i] && !paused[i];
+			return store_reachable[i] && !paused[i];
 		};
-		for (bool &sees : sees_store)
-			sees = true;
+		for (bool &reachable : store_reachable)
+			reachable = true;
 	}
 
 	int below(int limit)
@@ -247,7 +247,7 @@
 		return (int)(random() % (unsigned)limit);
 	}
 
-	void upset()
+	void inject_fault()
 	{
 		int i = below(n);
 
@@ -256,13 +256,13 @@
 			side[i] = below(2);
 			break;
 		case 1:
-			cut[i][below(n)] = below(2);
+			blocked[i][below(n)] = below(2);
 			break;
 		case 2:
 			paused[i] = below(3) == 0;
 			break;
 		case 3:
-			sees_store[i] = below(2);
+			store_reachable[i] = below(2);
 			break;
 		case 4:
 			for (int j = 0; j < n; j++)
@@ -271,7 +271,7 @@
 		default:
 			for (int j = 0; j < n; j++)
 				side[j] = paused[j] = false;
-			memset(cut, 0, sizeof(cut));
+			memset(blocked, 0, sizeof(blocked));
 		}
 	}
 
@@ -284,12 +284,12 @@
 			    fleet.store_version)
 			return;
 		fleet.store_version++;
-		aubi_agreement_hold_config(&fleet.nodes[i].agreement,
+		aubi_agreement_adopt_config(&fleet.nodes[i].agreement,
 					   fleet.store_version);
 		written.push_back({ fleet.store_version, i });
 	}
 
-	void note_accepted()
+	void record_accepted()
 	{
 		for (size_t w = written.size(); w > 0; w--) {
 			Node &node = fleet.nodes[written[w - 1].second];
@@ -306,7 +306,7 @@
 	}
 
 	/* A node that serves by a version that gave way over 3 s ago, or -1. */
-	int stale()
+	int find_stale_node()
 	{
 		for (auto &it : accepted) {
 			if (fleet.now_us - it.second < 3100000)
@@ -321,24 +321,24 @@
 	}
 };
 
-TEST(Agreement, NobodyServesByAnOldVersionInAnyStorm)
+TEST(Agreement, NoServingNodeHoldsAnOldVersionUnderRandomFaults)
 {
 	size_t accepted = 0;
 
 	for (unsigned seed = 1; seed <= 120; seed++) {
-		Storm storm(seed);
+		RandomFaults faults(seed);
 
 		for (int round = 0; round < 240; round++) {
-			if (storm.below(8) == 0)
-				storm.upset();
-			if (storm.below(6) == 0)
-				storm.write();
-			storm.fleet.round();
-			storm.note_accepted();
-			ASSERT_EQ(storm.stale(), -1)
+			if (faults.below(8) == 0)
+				faults.inject_fault();
+			if (faults.below(6) == 0)
+				faults.write();
+			faults.fleet.round();
+			faults.record_accepted();
+			ASSERT_EQ(faults.find_stale_node(), -1)
 				<< "seed " << seed << " round " << round;
 		}
-		accepted += storm.accepted.size();
+		accepted += faults.accepted.size();
 	}
 	printf("%zu changes accepted\n", accepted);
 	EXPECT_GT(accepted, 1000u);
@@ -349,11 +349,11 @@
  * and can accept changes and move owners again. One that was alive all along
  * is a member again as soon as it is heard.
  */
-TEST(Agreement, OperatorForgetsTheDeadAndTheLivingComeBack)
+TEST(Agreement, ForgettingTheDeadRestoresAMajorityAndLiveMembersRejoin)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 
-	start(fleet, 7);
+	start_fleet(fleet, 7);
 	fleet.reaches = [](int a, int b) { return (a < 3) == (b < 3); };
 	fleet.run(10);
 	EXPECT_FALSE(fleet.accepts(0));
@@ -370,18 +370,18 @@
 }
 
 /* A whole zone restarts: only few may turn to the store at once. */
-TEST(Agreement, RestartedFleetSendsFewToTheStore)
+TEST(Agreement, OnlyFewNodesReadTheStoreAfterAZoneRestart)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 	int watching = 0;
 
-	start(fleet, 19);
+	start_fleet(fleet, 19);
 	for (auto &node : fleet.nodes) {
 		guint rank = aubi_membership_rank(node.membership, nullptr,
 						  nullptr, fleet.now_us);
 
 		watching +=
-			aubi_agreement_watches(&node.agreement, node.membership,
+			aubi_agreement_should_watch_store(&node.agreement, node.membership,
 					       rank, fleet.now_us);
 	}
 	EXPECT_LE(watching, 4);
--- a/tests/test_control.cc
+++ b/tests/test_control.cc
@@ -21,15 +21,15 @@
 	guint64 incarnation;
 	guint64 config_version = 0;
 	guint64 epoch = 0;
-	guint configs = 0; /* views that brought configuration bytes */
+	guint config_transfers = 0; /* views that brought configuration bytes */
 	bool serve = false;
 	bool paused = false;
 	bool stopping = false;
-	guint64 heir = 0;
-	std::vector<std::pair<guint64, guint64>> heirs; /* incarnation, heir */
+	guint64 successor = 0;
+	std::vector<std::pair<guint64, guint64>> successors; /* incarnation, heir */
 	std::vector<std::string> owners;
 	bool down = false;
-	guint64 floor = 0; /* no leave to serve by an older version */
+	guint64 min_serving_version = 0; /* no leave to serve by an older version */
 
 	FakeEntry(const struct fleet_member *member, guint64 number)
 	    : incarnation(number)
@@ -64,7 +64,7 @@
 		auto *self = (FakeEntry *)context;
 
 		if (message->type == AUB_MESSAGE_VIEW && !self->paused)
-			self->take((struct aub_view *)message);
+			self->apply_view((struct aub_view *)message);
 		aub_message_free(message);
 	}
 
@@ -74,11 +74,11 @@
 		((FakeEntry *)context)->down = true;
 	}
 
-	void take(const struct aub_view *view)
+	void apply_view(const struct aub_view *view)
 	{
 		EXPECT_GE(view->config_version, config_version) << "went back";
-		EXPECT_FALSE(view->serve && view->config_version < floor);
-		configs += view->config.length > 0;
+		EXPECT_FALSE(view->serve && view->config_version < min_serving_version);
+		config_transfers += view->config.length > 0;
 		if (view->config.length)
 			config_version = view->config_version;
 		epoch = view->epoch;
@@ -88,11 +88,11 @@
 			owners.push_back(((struct aub_assignment *)
 						  view->assignments->pdata[i])
 						 ->owner);
-		heirs.clear();
+		successors.clear();
 		for (guint i = 0; i < view->members->len; i++) {
 			auto *it = (struct aub_member *)view->members->pdata[i];
 
-			heirs.push_back({ it->incarnation, it->heir });
+			successors.push_back({ it->incarnation, it->heir });
 		}
 		acknowledge();
 	}
@@ -105,7 +105,7 @@
 		ack->config_version = config_version;
 		ack->epoch = epoch;
 		ack->stopping = stopping;
-		ack->heir = heir;
+		ack->heir = successor;
 		ack->number = (guint64)(g_get_monotonic_time() / 1000);
 		aub_link_send(link, &ack->base);
 		aub_message_free(&ack->base);
@@ -150,12 +150,12 @@
 		fleet = fleet_new(&options, &error);
 		ASSERT_TRUE(fleet) << error->message;
 		for (guint i = 0; i < members; i++)
-			ASSERT_TRUE(fleet_start_control(fleet, at(i), &error))
+			ASSERT_TRUE(fleet_start_control(fleet, member_at(i), &error))
 				<< error->message;
-		ASSERT_TRUE(soon([&] { return live(0) == members; }, 10));
+		ASSERT_TRUE(wait_until([&] { return count_live(0) == members; }, 10));
 		for (guint i = 0; with_entries && i < members; i++)
 			entries.push_back(
-				std::make_unique<FakeEntry>(at(i), 1000 + i));
+				std::make_unique<FakeEntry>(member_at(i), 1000 + i));
 	}
 
 	void TearDown() override
@@ -164,13 +164,13 @@
 		fleet_free(fleet, HasFailure());
 	}
 
-	struct fleet_member *at(guint i)
+	struct fleet_member *member_at(guint i)
 	{
 		return fleet_member(fleet, i);
 	}
 
 	/* Run the loop until `what` holds; false after `seconds`. */
-	bool soon(const std::function<bool()> &what, double seconds)
+	bool wait_until(const std::function<bool()> &what, double seconds)
 	{
 		gint64 end = g_get_monotonic_time() + (gint64)(seconds * 1e6);
 
@@ -185,7 +185,7 @@
 	JsonObject *get(guint i, const char *path)
 	{
 		guint status = 0;
-		JsonNode *node = fleet_admin(fleet, at(i), "GET", path, nullptr,
+		JsonNode *node = fleet_admin(fleet, member_at(i), "GET", path, nullptr,
 					     &status, nullptr);
 		JsonObject *object = nullptr;
 
@@ -196,7 +196,7 @@
 		return object;
 	}
 
-	gint64 number(guint i, const char *name)
+	gint64 status_number(guint i, const char *name)
 	{
 		JsonObject *status = get(i, "/v1/status");
 		gint64 value = -1;
@@ -208,7 +208,7 @@
 		return value;
 	}
 
-	guint live(guint i)
+	guint count_live(guint i)
 	{
 		JsonObject *status = get(i, "/v1/status");
 		guint count = 0;
@@ -241,7 +241,7 @@
 		auto call = std::make_shared<Call>();
 		SoupSession *session = soup_session_new();
 		std::string url =
-			std::string("http://") + at(i)->control_admin + path;
+			std::string("http://") + member_at(i)->control_admin + path;
 		SoupMessage *message = soup_message_new("POST", url.c_str());
 		GBytes *bytes = g_bytes_new(body.data(), body.size());
 		struct Box {
@@ -309,14 +309,14 @@
 	{
 		auto call = post(i, "/v1/config/apply", apply_body(base));
 
-		EXPECT_TRUE(soon([&] { return call->done; }, 14));
+		EXPECT_TRUE(wait_until([&] { return call->done; }, 14));
 		return call;
 	}
 
-	bool all_hold(gint64 version, guint from = 0)
+	bool all_have_version(gint64 version, guint from = 0)
 	{
 		for (guint i = from; i < fleet->members->len; i++)
-			if (number(i, "config_version") < version)
+			if (status_number(i, "config_version") < version)
 				return false;
 		return true;
 	}
@@ -340,7 +340,7 @@
 	}
 };
 
-TEST_F(Control, ChangeIsInForceEverywhereAndOwnersAreNamed)
+TEST_F(Control, ActivatesChangeOnAllEntriesAndAssignsOwners)
 {
 	start(6, true);
 	auto call = apply(4, 0);
@@ -350,10 +350,10 @@
 		<< call->body;
 	for (auto &entry : entries) {
 		EXPECT_EQ(entry->config_version, 1u);
-		EXPECT_EQ(entry->configs, 1u) << "bytes went twice";
+		EXPECT_EQ(entry->config_transfers, 1u) << "bytes went twice";
 		EXPECT_TRUE(entry->serve);
 	}
-	EXPECT_TRUE(soon(
+	EXPECT_TRUE(wait_until(
 		[&] {
 			for (auto &entry : entries)
 				if (entry->owners.size() != 3)
@@ -364,7 +364,7 @@
 }
 
 /* The store counts each call; the fleet must not make many when idle. */
-TEST_F(Control, FewWatchTheStore)
+TEST_F(Control, OnlyFewControlsWatchTheStore)
 {
 	start(6, false);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
@@ -382,7 +382,7 @@
  * operator is told at once that nothing was changed; when the store is back,
  * the same change goes through.
  */
-TEST_F(Control, StoreOutageStopsChangesButNotService)
+TEST_F(Control, StoreOutageBlocksChangesButNotServing)
 {
 	start(4, true);
 	ASSERT_EQ(apply(1, 0)->status, 200u);
@@ -393,8 +393,8 @@
 	auto refused = apply(1, 1);
 	EXPECT_GE(refused->status, 500u) << refused->body;
 	ASSERT_TRUE(fleet_store_fault(fleet, "{\"clear\":1}"));
-	EXPECT_TRUE(soon([&] { return apply(1, 1)->status == 200; }, 20));
-	EXPECT_TRUE(soon([&] { return all_hold(2); }, 9));
+	EXPECT_TRUE(wait_until([&] { return apply(1, 1)->status == 200; }, 20));
+	EXPECT_TRUE(wait_until([&] { return all_have_version(2); }, 9));
 }
 
 /*
@@ -402,12 +402,12 @@
  * back. It is one of the two that watch. Its entry goes on, because peers are
  * heard; a change made elsewhere reaches it; one asked of it is refused.
  */
-TEST_F(Control, SilentLinkToTheStoreCostsOneControlNothingButWrites)
+TEST_F(Control, UnresponsiveStoreLinkBlocksOnlyWritesOfThatControl)
 {
 	start(4, true, true);
 	ASSERT_EQ(apply(1, 0)->status, 200u);
 	fleet_run_ms(2000);
-	std::string port = strrchr(at(0)->store_url, ':') + 1;
+	std::string port = strrchr(member_at(0)->store_url, ':') + 1;
 	std::string silence = "{\"port\":" + port + ",\"silence\":\"both\"}";
 	std::string clear = "{\"port\":" + port + ",\"clear\":1,\"cut\":1}";
 
@@ -415,69 +415,69 @@
 	fleet_run_ms(4000);
 	EXPECT_TRUE(entries[0]->serve);
 	auto out = post(1, "/v1/zones/z1/out", "{}");
-	ASSERT_TRUE(soon([&] { return out->done; }, 12));
+	ASSERT_TRUE(wait_until([&] { return out->done; }, 12));
 	EXPECT_EQ(out->status, 200u) << out->body;
 	EXPECT_NE(out->body.find("\"everywhere\":true"), std::string::npos)
 		<< out->body;
 	auto refused = post(0, "/v1/zones/z1/in", "{}");
-	ASSERT_TRUE(soon([&] { return refused->done; }, 14));
+	ASSERT_TRUE(wait_until([&] { return refused->done; }, 14));
 	EXPECT_GE(refused->status, 500u) << refused->body;
 	ASSERT_TRUE(fleet_proxy_fault(fleet, clear.c_str()));
-	EXPECT_TRUE(soon(
+	EXPECT_TRUE(wait_until(
 		[&] {
 			auto in = post(0, "/v1/zones/z1/in", "{}");
 
-			return soon([&] { return in->done; }, 12) &&
+			return wait_until([&] { return in->done; }, 12) &&
 			       in->status == 200;
 		},
 		25));
 }
 
 /* Both that watch the store are killed, then a change comes. */
-TEST_F(Control, WatchersKilledOthersTakeOver)
+TEST_F(Control, OtherControlsTakeOverWhenStoreWatchersDie)
 {
 	start(6, false);
 	ASSERT_EQ(apply(5, 0)->status, 200u);
-	fleet_signal(at(0), FLEET_CONTROL, SIGKILL);
-	fleet_signal(at(1), FLEET_CONTROL, SIGKILL);
-	ASSERT_TRUE(soon([&] { return live(5) == 4; }, 8));
+	fleet_signal(member_at(0), FLEET_CONTROL, SIGKILL);
+	fleet_signal(member_at(1), FLEET_CONTROL, SIGKILL);
+	ASSERT_TRUE(wait_until([&] { return count_live(5) == 4; }, 8));
 	EXPECT_EQ(apply(4, 1)->status, 200u);
-	EXPECT_TRUE(soon([&] { return all_hold(2, 2); }, 9));
+	EXPECT_TRUE(wait_until([&] { return all_have_version(2, 2); }, 9));
 }
 
 /*
  * A zone is taken out; then every control is replaced while the store serves
  * stale reads. If one took the old object, the zone would get requests again.
  */
-TEST_F(Control, StaleReadAfterRestartTakesNothingBack)
+TEST_F(Control, StaleReadAfterRestartNeverRevertsConfig)
 {
 	start(4, false);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
 	auto out = post(0, "/v1/zones/z1/out", "{}");
-	ASSERT_TRUE(soon([&] { return out->done; }, 12));
+	ASSERT_TRUE(wait_until([&] { return out->done; }, 12));
 	ASSERT_EQ(out->status, 200u) << out->body;
-	ASSERT_TRUE(soon([&] { return all_hold(2); }, 9));
+	ASSERT_TRUE(wait_until([&] { return all_have_version(2); }, 9));
 	ASSERT_TRUE(fleet_store_fault(fleet, "{\"stale\":1}"));
 	for (guint i = 0; i < 4; i++) {
-		fleet_signal(at(i), FLEET_CONTROL, SIGKILL);
-		ASSERT_TRUE(fleet_start_control(fleet, at(i), nullptr));
+		fleet_signal(member_at(i), FLEET_CONTROL, SIGKILL);
+		ASSERT_TRUE(fleet_start_control(fleet, member_at(i), nullptr));
 		ASSERT_TRUE(
-			soon([&] { return number(i, "config_version") > 0; },
+			wait_until([&] { return status_number(i, "config_version") > 0; },
 			     9));
-		EXPECT_EQ(number(i, "config_version"), 2) << i;
+		EXPECT_EQ(status_number(i, "config_version"), 2) << i;
 		fleet_run_ms(500);
 	}
-	EXPECT_TRUE(all_hold(2));
+	EXPECT_TRUE(all_have_version(2));
 }
 
 /* Two operators apply onto the same version at once: one is told no. */
-TEST_F(Control, OfTwoOperatorsRacingOneGetsAConflict)
+TEST_F(Control, ConcurrentEditsOfOneVersionConflict)
 {
 	start(4, false);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
 	auto one = post(1, "/v1/config/apply", apply_body(1));
 	auto two = post(2, "/v1/config/apply", apply_body(1));
-	ASSERT_TRUE(soon([&] { return one->done && two->done; }, 14));
+	ASSERT_TRUE(wait_until([&] { return one->done && two->done; }, 14));
 	EXPECT_EQ(MIN(one->status, two->status), 200u);
 	EXPECT_EQ(MAX(one->status, two->status), 409u);
 	const std::string &lost = one->status == 409 ? one->body : two->body;
@@ -486,21 +486,21 @@
 	/* Taking out is rebased by itself, and so never conflicts. */
 	auto three = post(1, "/v1/zones/z1/out", "{}");
 	auto four = post(2, "/v1/zones/z2/out", "{}");
-	ASSERT_TRUE(soon([&] { return three->done && four->done; }, 14));
+	ASSERT_TRUE(wait_until([&] { return three->done && four->done; }, 14));
 	EXPECT_EQ(three->status, 200u) << three->body;
 	EXPECT_EQ(four->status, 200u) << four->body;
 }
 
 /* The store takes the write, its answer is lost: the operator still hears. */
-TEST_F(Control, AcceptedThoughTheStoresAnswerWasLost)
+TEST_F(Control, ReportsAcceptanceWhenStoreAnswerIsLost)
 {
 	start(3, false);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
 	ASSERT_TRUE(fleet_store_fault(fleet, "{\"lose_answers\":1}"));
 	auto call = apply(0, 1);
 	EXPECT_EQ(call->status, 200u) << call->body;
-	EXPECT_TRUE(soon([&] { return all_hold(2); }, 9));
-	EXPECT_EQ(number(0, "config_version"), 2);
+	EXPECT_TRUE(wait_until([&] { return all_have_version(2); }, 9));
+	EXPECT_EQ(status_number(0, "config_version"), 2);
 }
 
 /*
@@ -509,30 +509,30 @@
  * that gives leave to serve by the old version would send requests to the
  * zone long after the operator was told that it is out.
  */
-TEST_F(Control, FrozenControlGivesNoLeaveByAnOldVersion)
+TEST_F(Control, ResumedControlGrantsNoLeaseForAnOldVersion)
 {
 	start(5, true);
 	ASSERT_EQ(apply(1, 0)->status, 200u);
-	for (guint frozen : { 0u, 4u }) {
-		guint64 version = (guint64)number(2, "config_version");
+	for (guint paused_index : { 0u, 4u }) {
+		guint64 version = (guint64)status_number(2, "config_version");
 
-		fleet_signal(at(frozen), FLEET_CONTROL, SIGSTOP);
+		fleet_signal(member_at(paused_index), FLEET_CONTROL, SIGSTOP);
 		fleet_run_ms(1000);
 		auto out = post(2,
 				version == 1 ? "/v1/zones/z1/out" :
 					       "/v1/zones/z1/in",
 				"{}");
-		ASSERT_TRUE(soon([&] { return out->done; }, 14));
+		ASSERT_TRUE(wait_until([&] { return out->done; }, 14));
 		EXPECT_EQ(out->status, 200u) << out->body;
 		fleet_run_ms(3000);
-		guint64 newer = (guint64)number(2, "config_version");
+		guint64 newer = (guint64)status_number(2, "config_version");
 		EXPECT_GT(newer, version);
-		entries[frozen]->floor = newer;
-		fleet_signal(at(frozen), FLEET_CONTROL, SIGCONT);
-		EXPECT_TRUE(soon(
+		entries[paused_index]->min_serving_version = newer;
+		fleet_signal(member_at(paused_index), FLEET_CONTROL, SIGCONT);
+		EXPECT_TRUE(wait_until(
 			[&] {
-				return entries[frozen]->serve &&
-				       entries[frozen]->config_version == newer;
+				return entries[paused_index]->serve &&
+				       entries[paused_index]->config_version == newer;
 			},
 			8));
 	}
@@ -542,21 +542,21 @@
  * An entry stops answering while its control lives. Its services would stand
  * still; ownership moves though nobody is dead for three seconds yet.
  */
-TEST_F(Control, PausedEntryLosesItsServices)
+TEST_F(Control, ReassignsServicesOfAnUnresponsiveEntry)
 {
 	start(4, true);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
-	ASSERT_TRUE(soon([&] { return entries[0]->owners.size() == 3; }, 8));
+	ASSERT_TRUE(wait_until([&] { return entries[0]->owners.size() == 3; }, 8));
 	guint owner = 0;
-	while (owner < 4 && !entries[0]->owns(at(owner)->name))
+	while (owner < 4 && !entries[0]->owns(member_at(owner)->name))
 		owner++;
 	ASSERT_LT(owner, 4u);
 	guint other = (owner + 1) % 4;
-	std::string name = at(owner)->name;
+	std::string name = member_at(owner)->name;
 	gint64 began = g_get_monotonic_time();
 
 	entries[owner]->paused = true;
-	EXPECT_TRUE(soon([&] { return !entries[other]->owns(name); }, 8));
+	EXPECT_TRUE(wait_until([&] { return !entries[other]->owns(name); }, 8));
 	printf("moved after %.1f s\n",
 	       (double)(g_get_monotonic_time() - began) / 1e6);
 }
@@ -565,24 +565,24 @@
  * A VM is stopped in order: its entry hands its keys to an heir and goes, its
  * control follows. Later repeats find the heir through every other control.
  */
-TEST_F(Control, PlannedStopNamesTheHeirEverywhere)
+TEST_F(Control, PlannedStopPublishesSuccessorEverywhere)
 {
 	start(4, true);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
-	ASSERT_TRUE(soon([&] { return entries[0]->owners.size() == 3; }, 8));
-	fleet_signal(at(3), FLEET_CONTROL, SIGTERM);
+	ASSERT_TRUE(wait_until([&] { return entries[0]->owners.size() == 3; }, 8));
+	fleet_signal(member_at(3), FLEET_CONTROL, SIGTERM);
 	entries[3]->stopping = true;
 	entries[3]->acknowledge();
-	EXPECT_TRUE(soon([&] { return !entries[0]->owns(at(3)->name); }, 8));
-	entries[3]->heir = 1001;
+	EXPECT_TRUE(wait_until([&] { return !entries[0]->owns(member_at(3)->name); }, 8));
+	entries[3]->successor = 1001;
 	entries[3]->acknowledge();
 	fleet_run_ms(200);
 	entries[3].reset();
-	EXPECT_TRUE(fleet_stop(at(3), FLEET_CONTROL, 8000));
+	EXPECT_TRUE(fleet_stop(member_at(3), FLEET_CONTROL, 8000));
 	for (int i = 0; i < 3; i++)
-		EXPECT_TRUE(soon(
+		EXPECT_TRUE(wait_until(
 			[&] {
-				for (auto &it : entries[i]->heirs)
+				for (auto &it : entries[i]->successors)
 					if (it.first == 1003 &&
 					    it.second == 1001)
 						return true;
--- a/tests/test_keeper.cc
+++ b/tests/test_idempotency.cc
@@ -1,7 +1,7 @@
 /* The keeper of keys: who keeps one, and its hand-over to one heir. */
 #include <gtest/gtest.h>
 
-#include <auburnstile/internal/keeper.h>
+#include <auburnstile/internal/idempotency.h>
 #include <auburnstile/link.h>
 #include <gio/gio.h>
 
@@ -13,10 +13,10 @@
 const guint64 SELF = 100;
 
 /* An entry that takes keys and never acknowledges them. */
-class SilentHeir
+class SilentSuccessor
 {
       public:
-	SilentHeir(const char *name, guint64 incarnation)
+	SilentSuccessor(const char *name, guint64 incarnation)
 	{
 		GSocketListener *listener = g_socket_listener_new();
 		guint16 port = g_socket_listener_add_any_inet_port(listener,
@@ -38,7 +38,7 @@
 		EXPECT_NE(server, nullptr);
 	}
 
-	~SilentHeir()
+	~SilentSuccessor()
 	{
 		aub_link_free(link);
 		aub_link_server_free(server);
@@ -47,7 +47,7 @@
 	}
 
 	struct aub_member *member;
-	int parts = 0;
+	int received_parts = 0;
 
       private:
 	static const struct aub_link_callbacks *accept(
@@ -60,7 +60,7 @@
 			.down = on_down,
 		};
 
-		((SilentHeir *)server_context)->link = link;
+		((SilentSuccessor *)server_context)->link = link;
 		*context = server_context;
 		return &callbacks;
 	}
@@ -69,14 +69,14 @@
 			       struct aub_message *message, void *context)
 	{
 		if (message->type == AUB_MESSAGE_KEYS)
-			((SilentHeir *)context)->parts++;
+			((SilentSuccessor *)context)->received_parts++;
 		aub_message_free(message);
 	}
 
 	static void on_down(struct aub_link *link, const GError *error,
 			    void *context)
 	{
-		((SilentHeir *)context)->link = NULL;
+		((SilentSuccessor *)context)->link = NULL;
 		aub_link_free(link);
 	}
 
@@ -86,7 +86,7 @@
 };
 
 /* What a keeper needs around it: a view with two members, and a relay. */
-class Keeper : public testing::Test
+class IdempotencyTransfer : public testing::Test
 {
       protected:
 	void SetUp() override
@@ -109,33 +109,33 @@
 		relay_options.changed = ignore_change;
 		relay = aub_relay_new(&relay_options, NULL);
 		ASSERT_NE(relay, nullptr);
-		struct aub_keeper_options options = {};
+		struct aub_idempotency_options options = {};
 		options.name = "self";
 		options.zone = "a";
 		options.incarnation = SELF;
-		options.limit_bytes = 1 << 20;
-		options.keep_us = 60 * AUB_SECOND;
+		options.max_bytes = 1 << 20;
+		options.retention_us = 60 * AUB_SECOND;
 		options.view = view;
 		options.timers = timers;
-		keeper = aub_keeper_new(&options);
-		show();
+		idempotency = aub_idempotency_new(&options);
+		apply_view();
 	}
 
 	void TearDown() override
 	{
-		aub_keeper_free(keeper);
+		aub_idempotency_free(idempotency);
 		aub_relay_free(relay);
 		aub_entry_view_free(view);
 		aub_timer_service_free(timers);
 		aub_message_free(&hello->base);
 	}
 
-	void show()
+	void apply_view()
 	{
 		struct aub_view *message =
 			(struct aub_view *)aub_message_new(AUB_MESSAGE_VIEW);
 
-		for (const SilentHeir *one : { &first, &second })
+		for (const SilentSuccessor *one : { &first, &second })
 			g_ptr_array_add(message->members,
 					aub_member_copy(one->member));
 		message->serve = true;
@@ -148,22 +148,22 @@
 	{
 	}
 
-	static void on_done(guint64 heir, void *context)
+	static void on_done(guint64 successor, void *context)
 	{
-		Keeper *test = (Keeper *)context;
+		IdempotencyTransfer *test = (IdempotencyTransfer *)context;
 
-		test->heir = heir;
+		test->successor = successor;
 		test->done = true;
 	}
 
-	SilentHeir first{ "first", 201 };
-	SilentHeir second{ "second", 202 };
+	SilentSuccessor first{ "first", 201 };
+	SilentSuccessor second{ "second", 202 };
 	struct aub_hello *hello;
 	struct aub_timer_service *timers;
 	struct aub_entry_view *view;
 	struct aub_relay *relay;
-	struct aub_keeper *keeper;
-	guint64 heir = 0;
+	struct aub_idempotency *idempotency;
+	guint64 successor = 0;
 	bool done = false;
 };
 
@@ -175,11 +175,11 @@
  * request could begin at one and its repeat at the other, and run twice.
  * So only one entry may ever be sent the last part.
  */
-TEST_F(Keeper, WhoeverWasSentTheLastPartStaysTheHeir)
+TEST_F(IdempotencyTransfer, SendsTheLastPartToOnlyOneSuccessor)
 {
-	aub_keeper_hand_over(keeper, relay, on_done, this);
+	aub_idempotency_transfer(idempotency, relay, on_done, this);
 	while (!done)
 		g_main_context_iteration(NULL, TRUE);
-	EXPECT_EQ(first.parts + second.parts, 1);
-	EXPECT_EQ(heir, first.parts ? 201u : 202u);
+	EXPECT_EQ(first.received_parts + second.received_parts, 1);
+	EXPECT_EQ(successor, first.received_parts ? 201u : 202u);
 }
--- a/tests/test_membership.cc
+++ b/tests/test_membership.cc
@@ -1,9 +1,9 @@
 /* Members learnt by gossip: who is known, live, replaced, left. */
 #include <gtest/gtest.h>
 
-#include "fleet_of_memberships.h"
+#include "simulated_fleet.h"
 
-static std::string state_of(Fleet &fleet, int at, const std::string &name)
+static std::string state_of(SimulatedFleet &fleet, int at, const std::string &name)
 {
 	GPtrArray *list =
 		aubi_membership_list(fleet.nodes[at].membership, fleet.now_us);
@@ -19,30 +19,30 @@
 	return found;
 }
 
-static void grow(Fleet &fleet, int nodes)
+static void add_nodes(SimulatedFleet &fleet, int nodes)
 {
 	for (int i = 0; i < nodes; i++)
 		fleet.add("n" + std::to_string(i),
 			  std::string(1, (char)('a' + i % 3)), 100 + i);
 }
 
-TEST(Membership, FleetFindsItselfFromTwoSeeds)
+TEST(Membership, DiscoversAllMembersFromTwoSeeds)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 
-	grow(fleet, 19);
+	add_nodes(fleet, 19);
 	fleet.run(3);
 	for (int i = 0; i < 19; i++)
 		EXPECT_EQ(fleet.live(i), 19u) << i;
 }
 
 /* Nobody may look dead in a fleet where all live: owners would move. */
-TEST(Membership, NobodyLooksDeadWhileAllLive)
+TEST(Membership, NeverMarksLiveMembersDead)
 {
 	for (int nodes : { 3, 19, 100 }) {
-		Fleet fleet;
+		SimulatedFleet fleet;
 
-		grow(fleet, nodes);
+		add_nodes(fleet, nodes);
 		fleet.run(10);
 		for (int i = 0; i < 60; i++) {
 			fleet.round();
@@ -53,36 +53,36 @@
 	}
 }
 
-TEST(Membership, SilentMemberIsDeadInFourSecondsAndBackWhenHeard)
+TEST(Membership, UnreachableMemberIsDeadWithinFourSecondsAndRecovers)
 {
-	Fleet fleet;
-	bool cut = true;
+	SimulatedFleet fleet;
+	bool partitioned = true;
 
-	grow(fleet, 7);
+	add_nodes(fleet, 7);
 	fleet.run(4);
 	fleet.reaches = [&](int a, int b) {
-		return !cut || (a != 3 && b != 3);
+		return !partitioned || (a != 3 && b != 3);
 	};
 	fleet.run(4);
 	for (int i = 0; i < 7; i++)
 		EXPECT_EQ(state_of(fleet, i, "n3"), i == 3 ? "live" : "dead");
-	cut = false;
+	partitioned = false;
 	fleet.run(8);
 	for (int i = 0; i < 7; i++)
 		EXPECT_EQ(state_of(fleet, i, "n3"), "live") << i;
 }
 
-TEST(Membership, DeadMemberStopsCountingAfterFifteenMinutes)
+TEST(Membership, DeadMemberIsForgottenAfterFifteenMinutes)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 
-	grow(fleet, 5);
+	add_nodes(fleet, 5);
 	fleet.run(4);
 	fleet.reaches = [](int a, int b) { return a != 4 && b != 4; };
 	fleet.run(60);
-	EXPECT_EQ(aubi_membership_known(fleet.nodes[0].membership), 5u);
+	EXPECT_EQ(aubi_membership_count(fleet.nodes[0].membership), 5u);
 	fleet.run(900);
-	EXPECT_EQ(aubi_membership_known(fleet.nodes[0].membership), 4u);
+	EXPECT_EQ(aubi_membership_count(fleet.nodes[0].membership), 4u);
 }
 
 /*
@@ -90,12 +90,12 @@
  * comes back at once under the same name. A repeat must still find the heir,
  * so the old incarnation has to be known beside the new one, everywhere.
  */
-TEST(Membership, HeirIsFoundAfterReplacementUnderTheSameName)
+TEST(Membership, SuccessorIsKnownAfterReplacementUnderTheSameName)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 	struct aub_member *self;
 
-	grow(fleet, 5);
+	add_nodes(fleet, 5);
 	fleet.run(4);
 	self = aub_member_copy(aubi_membership_self(fleet.nodes[2].membership));
 	self->state = AUB_MEMBER_STOPPED;
@@ -105,7 +105,7 @@
 	aub_member_free(self);
 	fleet.run(2);
 	EXPECT_EQ(state_of(fleet, 0, "n2"), "stopped");
-	EXPECT_EQ(aubi_membership_known(fleet.nodes[0].membership), 4u);
+	EXPECT_EQ(aubi_membership_count(fleet.nodes[0].membership), 4u);
 
 	aubi_membership_free(fleet.nodes[2].membership);
 	fleet.nodes[2] = fleet.nodes[fleet.add("n2", "c", 500)];
@@ -131,12 +131,12 @@
 	}
 }
 
-TEST(Membership, OlderStartNeverReplacesANewerOne)
+TEST(Membership, OlderProcessNeverReplacesANewerOne)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 	int old;
 
-	grow(fleet, 3);
+	add_nodes(fleet, 3);
 	old = fleet.add("n2", "c", 50);
 	fleet.exchange(0, 2);
 	fleet.exchange(0, old);
@@ -151,11 +151,11 @@
  * than the dead one's; taken for the older process it would serve nobody
  * until the dead one is forgotten, a quarter of an hour later.
  */
-TEST(Membership, ReplacementWithItsClockBehindTakesItsPlace)
+TEST(Membership, ReplacementWithSlowClockTakesOver)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 
-	grow(fleet, 4);
+	add_nodes(fleet, 4);
 	fleet.run(4);
 	aubi_membership_free(fleet.nodes[3].membership);
 	fleet.nodes[3] = fleet.nodes[fleet.add("n3", "a", 60)];
@@ -174,23 +174,23 @@
  * old gossip saying that all is well. It must not believe that it hears a
  * majority: it would give its entry leave to serve by an old configuration.
  */
-TEST(Membership, AnswerReadLateProvesNothing)
+TEST(Membership, DelayedAnswerIsNoProofOfLife)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 	struct aub_gossip *ask;
 	struct aub_gossip *answer;
 
-	grow(fleet, 3);
+	add_nodes(fleet, 3);
 	fleet.run(4);
-	ask = fleet.blank(0);
-	aubi_membership_ask(fleet.nodes[0].membership, ask, fleet.now_us);
-	answer = fleet.blank(1);
-	ASSERT_TRUE(aubi_membership_answer(fleet.nodes[1].membership, ask,
+	ask = fleet.new_gossip(0);
+	aubi_membership_begin_exchange(fleet.nodes[0].membership, ask, fleet.now_us);
+	answer = fleet.new_gossip(1);
+	ASSERT_TRUE(aubi_membership_reply(fleet.nodes[1].membership, ask,
 					   false, answer, fleet.now_us));
 	fleet.now_us += 10 * 1000000LL;
-	aubi_membership_hear(fleet.nodes[0].membership, "n1", 101, answer,
+	aubi_membership_receive(fleet.nodes[0].membership, "n1", 101, answer,
 			     fleet.now_us);
-	EXPECT_GE(aubi_membership_heard_us(fleet.nodes[0].membership, 2,
+	EXPECT_GE(aubi_membership_proof_age_us(fleet.nodes[0].membership, 2,
 					   fleet.now_us),
 		  10 * 1000000LL);
 	aub_message_free(&ask->base);
@@ -198,19 +198,19 @@
 }
 
 /* The letter's budget: 4 KB a second a node. Frames only, both ways. */
-TEST(Membership, GossipStaysInItsBudget)
+TEST(Membership, GossipStaysWithinBandwidthBudget)
 {
 	for (int nodes : { 19, 38, 76 }) {
-		Fleet fleet;
-		double a_second;
+		SimulatedFleet fleet;
+		double bytes_per_second;
 
-		grow(fleet, nodes);
+		add_nodes(fleet, nodes);
 		fleet.run(10);
 		fleet.bytes = 0;
 		fleet.run(10);
-		a_second = 2.0 * (double)fleet.bytes / nodes / 10;
+		bytes_per_second = 2.0 * (double)fleet.bytes / nodes / 10;
 		printf("%d nodes: %.0f bytes a second a node\n", nodes,
-		       a_second);
-		EXPECT_LT(a_second, 4096);
+		       bytes_per_second);
+		EXPECT_LT(bytes_per_second, 4096);
 	}
 }
--- a/tests/test_ownership.cc
+++ b/tests/test_ownership.cc
@@ -16,9 +16,9 @@
 	struct aubi_assignments *current = aubi_assignments_new();
 	GPtrArray *members =
 		g_ptr_array_new_with_free_func((GDestroyNotify)aub_member_free);
-	std::set<std::string> out;
+	std::set<std::string> zones_out;
 
-	void build(int services)
+	void build_inventory(int services)
 	{
 		std::string text;
 		GError *error = nullptr;
@@ -45,7 +45,7 @@
 		ASSERT_TRUE(inventory) << error->message;
 		for (guint i = 0; i < inventory->zones->len; i++)
 			aub_zone_at(inventory, i)->out =
-				out.count(aub_zone_at(inventory, i)->name) > 0;
+				zones_out.count(aub_zone_at(inventory, i)->name) > 0;
 	}
 
 	void TearDown() override
@@ -56,7 +56,7 @@
 		g_ptr_array_unref(members);
 	}
 
-	struct aub_member *member(const char *name, const char *zone,
+	struct aub_member *add_member(const char *name, const char *zone,
 				  guint64 incarnation)
 	{
 		struct aub_member *it = aub_member_new();
@@ -70,7 +70,7 @@
 	}
 
 	/* Propose until nothing moves; how many lines had their owner moved. */
-	int settle(bool rebalance = false)
+	int converge(bool rebalance = false)
 	{
 		int moved = 0;
 
@@ -83,14 +83,14 @@
 			if (!next)
 				return moved;
 			next->epoch = current->epoch + 1;
-			for (guint i = 0; i < next->lines->len; i++) {
-				auto *line = (struct aub_assignment *)
-						     next->lines->pdata[i];
+			for (guint i = 0; i < next->list->len; i++) {
+				auto *assignment = (struct aub_assignment *)
+						     next->list->pdata[i];
 				auto *old =
 					aubi_assignments_find(current,
-							      line->service);
+							      assignment->service);
 
-				moved += old && strcmp(old->owner, line->owner);
+				moved += old && strcmp(old->owner, assignment->owner);
 			}
 			aubi_assignments_free(current);
 			current = next;
@@ -99,13 +99,13 @@
 		}
 	}
 
-	std::map<std::string, int> owned()
+	std::map<std::string, int> count_owned()
 	{
 		std::map<std::string, int> count;
 
-		for (guint i = 0; i < current->lines->len; i++)
+		for (guint i = 0; i < current->list->len; i++)
 			count[((struct aub_assignment *)
-				       current->lines->pdata[i])
+				       current->list->pdata[i])
 				      ->owner]++;
 		return count;
 	}
@@ -121,75 +121,75 @@
 		return "";
 	}
 
-	void check()
+	void check_invariants()
 	{
-		for (guint i = 0; i < current->lines->len; i++) {
-			auto *line = (struct aub_assignment *)
-					     current->lines->pdata[i];
-
-			EXPECT_STRNE(line->owner, "") << line->service;
-			EXPECT_STRNE(line->owner, line->standby);
-			EXPECT_EQ(out.count(zone_of(line->owner)), 0u);
-			if (*line->standby) {
-				EXPECT_NE(zone_of(line->owner),
-					  zone_of(line->standby))
-					<< line->service;
+		for (guint i = 0; i < current->list->len; i++) {
+			auto *assignment = (struct aub_assignment *)
+					     current->list->pdata[i];
+
+			EXPECT_STRNE(assignment->owner, "") << assignment->service;
+			EXPECT_STRNE(assignment->owner, assignment->standby);
+			EXPECT_EQ(zones_out.count(zone_of(assignment->owner)), 0u);
+			if (*assignment->standby) {
+				EXPECT_NE(zone_of(assignment->owner),
+					  zone_of(assignment->standby))
+					<< assignment->service;
 			}
 		}
 	}
 
-	void six()
+	void add_six_members()
 	{
 		const char *names[] = { "a1", "a2", "b1", "b2", "c1", "c2" };
 
 		for (guint64 i = 0; i < 6; i++)
-			member(names[i], std::string(1, names[i][0]).c_str(),
+			add_member(names[i], std::string(1, names[i][0]).c_str(),
 			       10 + i);
 	}
 };
 
 TEST_F(Placement, SpreadsEvenlyWithStandbyInAnotherZone)
 {
-	build(24);
-	six();
-	settle();
-	check();
-	for (auto &it : owned())
+	build_inventory(24);
+	add_six_members();
+	converge();
+	check_invariants();
+	for (auto &it : count_owned())
 		EXPECT_EQ(it.second, 4) << it.first;
-	EXPECT_EQ(settle(), 0);
+	EXPECT_EQ(converge(), 0);
 }
 
-TEST_F(Placement, DeadOwnerGivesWayToItsStandbyAndNothingElseMoves)
+TEST_F(Placement, StandbyReplacesDeadOwnerAndNothingElseMoves)
 {
-	build(24);
-	six();
-	settle();
+	build_inventory(24);
+	add_six_members();
+	converge();
 	std::map<std::string, std::string> standby;
-	int owned_before = owned()["b1"];
-	for (guint i = 0; i < current->lines->len; i++) {
-		auto *line = (struct aub_assignment *)current->lines->pdata[i];
+	int owned_before = count_owned()["b1"];
+	for (guint i = 0; i < current->list->len; i++) {
+		auto *assignment = (struct aub_assignment *)current->list->pdata[i];
 
-		if (!strcmp(line->owner, "b1"))
-			standby[line->service] = line->standby;
+		if (!strcmp(assignment->owner, "b1"))
+			standby[assignment->service] = assignment->standby;
 	}
 	((struct aub_member *)members->pdata[2])->state = AUB_MEMBER_DEAD;
-	EXPECT_EQ(settle(), owned_before);
+	EXPECT_EQ(converge(), owned_before);
 	for (auto &it : standby)
 		EXPECT_EQ(
 			aubi_assignments_find(current, it.first.c_str())->owner,
 			it.second);
-	check();
+	check_invariants();
 }
 
 /* A restarted entry knows nothing of its queue: it isn't the owner it was. */
-TEST_F(Placement, RestartedOwnerIsNotTheOwner)
+TEST_F(Placement, RestartedOwnerLosesOwnership)
 {
-	build(8);
-	six();
-	settle();
-	auto *line = (struct aub_assignment *)current->lines->pdata[0];
-	std::string owner = line->owner;
-	std::string standby = line->standby;
+	build_inventory(8);
+	add_six_members();
+	converge();
+	auto *assignment = (struct aub_assignment *)current->list->pdata[0];
+	std::string owner = assignment->owner;
+	std::string standby = assignment->standby;
 
 	for (guint i = 0; i < members->len; i++) {
 		auto *it = (struct aub_member *)members->pdata[i];
@@ -197,54 +197,54 @@
 		if (owner == it->name)
 			it->incarnation += 100;
 	}
-	settle();
-	EXPECT_EQ(((struct aub_assignment *)current->lines->pdata[0])->owner,
+	converge();
+	EXPECT_EQ(((struct aub_assignment *)current->list->pdata[0])->owner,
 		  standby);
-	check();
+	check_invariants();
 }
 
-TEST_F(Placement, ZoneOutMovesItsOwnersOnly)
+TEST_F(Placement, ZoneOutMovesOnlyItsOwners)
 {
-	build(24);
-	six();
-	settle();
-	int in_a = owned()["a1"] + owned()["a2"];
+	build_inventory(24);
+	add_six_members();
+	converge();
+	int in_a = count_owned()["a1"] + count_owned()["a2"];
 
-	out.insert("a");
+	zones_out.insert("a");
 	aub_zone_at(inventory, aub_inventory_zone(inventory, "a"))->out = true;
-	EXPECT_EQ(settle(), in_a);
-	check();
+	EXPECT_EQ(converge(), in_a);
+	check_invariants();
 }
 
 TEST_F(Placement, OwnerIsInTheRegionOfItsUpstreams)
 {
-	build(8);
-	six();
-	member("x1", "x", 50);
-	settle();
+	build_inventory(8);
+	add_six_members();
+	add_member("x1", "x", 50);
+	converge();
 	EXPECT_STREQ(aubi_assignments_find(current, "s3")->owner, "x1");
 	EXPECT_STREQ(aubi_assignments_find(current, "s7")->owner, "x1");
-	EXPECT_EQ(owned()["x1"], 2);
+	EXPECT_EQ(count_owned()["x1"], 2);
 }
 
-TEST_F(Placement, NewMembersGetTheirShareOneAtATime)
+TEST_F(Placement, RebalancesToANewMemberOneServiceAtATime)
 {
-	build(24);
-	six();
-	settle();
-	member("c3", "c", 90);
-	EXPECT_EQ(settle(), 0) << "nothing needs to move";
-	int moved = settle(true);
+	build_inventory(24);
+	add_six_members();
+	converge();
+	add_member("c3", "c", 90);
+	EXPECT_EQ(converge(), 0) << "nothing needs to move";
+	int moved = converge(true);
 	EXPECT_LE(moved, 4);
-	EXPECT_GE(owned()["c3"], 3);
-	check();
+	EXPECT_GE(count_owned()["c3"], 3);
+	check_invariants();
 }
 
-TEST_F(Placement, NobodyLeftLeavesTheLinesAsTheyAre)
+TEST_F(Placement, KeepsAssignmentsWhenNoMemberIsAvailable)
 {
-	build(4);
-	six();
-	settle();
+	build_inventory(4);
+	add_six_members();
+	converge();
 	for (guint i = 0; i < members->len; i++)
 		((struct aub_member *)members->pdata[i])->state =
 			AUB_MEMBER_DEAD;
@@ -253,13 +253,13 @@
 		  nullptr);
 }
 
-TEST_F(Placement, ObjectSurvivesTheStore)
+TEST_F(Placement, SerializesAndParsesAssignments)
 {
 	GError *error = nullptr;
 
-	build(4);
-	six();
-	settle();
+	build_inventory(4);
+	add_six_members();
+	converge();
 	char *json = aubi_assignments_serialize(current, "id1");
 	struct aubi_assignments *back =
 		aubi_assignments_parse(json, strlen(json), 12, &error);
@@ -267,7 +267,7 @@
 	ASSERT_TRUE(back);
 	EXPECT_NE(strstr(json, "id1"), nullptr);
 	EXPECT_EQ(back->epoch, 12u);
-	ASSERT_EQ(back->lines->len, 4u);
+	ASSERT_EQ(back->list->len, 4u);
 	EXPECT_STREQ(aubi_assignments_find(back, "s1")->owner,
 		     aubi_assignments_find(current, "s1")->owner);
 	EXPECT_EQ(aubi_assignments_parse("[]", 2, 1, &error), nullptr);
@@ -278,11 +278,11 @@
 }
 
 /* Controls propose in order of rank: no election, no herd on the store. */
-TEST_F(Placement, TurnsComeByRank)
+TEST_F(Placement, ProposalTurnsFollowRank)
 {
-	EXPECT_FALSE(aubi_ownership_turn(0, 0, 100));
-	EXPECT_TRUE(aubi_ownership_turn(0, 100, 100));
-	EXPECT_FALSE(aubi_ownership_turn(1, 100, 100));
-	EXPECT_TRUE(aubi_ownership_turn(1, 100, 100 + 2000000));
-	EXPECT_FALSE(aubi_ownership_turn(2, 100, 100 + 2000000));
+	EXPECT_FALSE(aubi_ownership_is_turn(0, 0, 100));
+	EXPECT_TRUE(aubi_ownership_is_turn(0, 100, 100));
+	EXPECT_FALSE(aubi_ownership_is_turn(1, 100, 100));
+	EXPECT_TRUE(aubi_ownership_is_turn(1, 100, 100 + 2000000));
+	EXPECT_FALSE(aubi_ownership_is_turn(2, 100, 100 + 2000000));
 }
--- a/tests/test_processes.cc
+++ b/tests/test_processes.cc
@@ -17,27 +17,27 @@
 #include <string>
 #include <vector>
 
-#define READY_MS 30000
-#define STOP_MS 15000 /* the processes' own limit is 10 s */
+#define READY_TIMEOUT_MS 30000
+#define STOP_TIMEOUT_MS 15000 /* the processes' own limit is 10 s */
 
-static bool has(const std::string &text, const std::string &part)
+static bool contains(const std::string &text, const std::string &part)
 {
 	return text.find(part) != std::string::npos;
 }
 
-struct outcome {
+struct program_result {
 	int code; /* -1: ended by a signal, or still ran after 10 s */
 	std::string err;
 };
 
 /* Run a program with a settings file that it should refuse. */
-static outcome refused(const char *program, const std::string &settings)
+static program_result run_with_settings(const char *program, const std::string &settings)
 {
 	char *folder = g_dir_make_tmp("settings-XXXXXX", nullptr);
 	std::string file = std::string(folder) + "/a.toml";
 	std::string log = std::string(folder) + "/log";
 	const char *arguments[] = { "--settings", file.c_str(), nullptr };
-	outcome result = { -1, "" };
+	program_result result = { -1, "" };
 	char *err = nullptr;
 
 	g_file_set_contents(file.c_str(), settings.c_str(), -1, nullptr);
@@ -57,11 +57,11 @@
 	return result;
 }
 
-TEST(Start, EveryProblemOfTheSettingsIsNamed)
+TEST(Start, ReportsEverySettingsProblem)
 {
 	for (const char *program :
 	     { "auburnstile-entry", "auburnstile-control" }) {
-		outcome result = refused(program, "name = \"a\"\n"
+		program_result result = run_with_settings(program, "name = \"a\"\n"
 						  "zoen = \"z\"\n"
 						  "inner = \"localhost:1\"\n"
 						  "stop_ms = 5\n"
@@ -72,13 +72,13 @@
 		     { ":2: zoen: unknown key", ":3: inner: must be an address",
 		       ":4: stop_ms: 5 is out of range", ":5: log_json: must",
 		       "zone: missing", "admin: missing" })
-			EXPECT_TRUE(has(result.err, part))
+			EXPECT_TRUE(contains(result.err, part))
 				<< program << ": " << part << "\n"
 				<< result.err;
 	}
 }
 
-TEST(Start, AWrongWordOrAMissingTokenFileIsNamed)
+TEST(Start, ReportsInvalidValuesAndMissingTokenFile)
 {
 	const std::string common = "name = \"a\"\nzone = \"z\"\n"
 				   "inner = \"127.0.0.1:0\"\n"
@@ -87,20 +87,20 @@
 					   "control = \"127.0.0.1:1\"\n";
 	const std::string control = common + "store = \"http://127.0.0.1:1\"\n";
 
-	outcome result =
-		refused("auburnstile-entry", entry + "log_level = \"loud\"\n");
+	program_result result =
+		run_with_settings("auburnstile-entry", entry + "log_level = \"loud\"\n");
 	EXPECT_NE(result.code, 0);
-	EXPECT_TRUE(has(result.err, "log_level")) << result.err;
-	result = refused("auburnstile-entry", entry + "policy = \"magic\"\n");
+	EXPECT_TRUE(contains(result.err, "log_level")) << result.err;
+	result = run_with_settings("auburnstile-entry", entry + "policy = \"magic\"\n");
 	EXPECT_NE(result.code, 0);
-	EXPECT_TRUE(has(result.err, "magic")) << result.err;
+	EXPECT_TRUE(contains(result.err, "magic")) << result.err;
 	for (const auto &[program, text] :
 	     { std::pair("auburnstile-entry", entry),
 	       std::pair("auburnstile-control", control) }) {
-		result = refused(program,
+		result = run_with_settings(program,
 				 text + "token_file = \"/nonexistent/t\"\n");
 		EXPECT_NE(result.code, 0) << program;
-		EXPECT_TRUE(has(result.err, "/nonexistent/t")) << result.err;
+		EXPECT_TRUE(contains(result.err, "/nonexistent/t")) << result.err;
 	}
 }
 
@@ -135,7 +135,7 @@
 				fleet_run_ms(200);
 		}
 		ASSERT_TRUE(applied) << error->message;
-		ASSERT_TRUE(fleet_wait_ready(fleet, READY_MS, &error))
+		ASSERT_TRUE(fleet_wait_ready(fleet, READY_TIMEOUT_MS, &error))
 			<< error->message;
 		ASSERT_TRUE(serves(fleet_member(fleet, 0)));
 	}
@@ -229,7 +229,7 @@
 	char *inventory = nullptr;
 };
 
-TEST_F(Processes, AdminListenersAreOpenForHealthAndClosedWithoutTheToken)
+TEST_F(Processes, AdminApiRequiresTokenExceptForHealthAndMetrics)
 {
 	const struct fleet_member *member = fleet_member(fleet, 0);
 	std::string body;
@@ -238,7 +238,7 @@
 		EXPECT_EQ(get(address, "/healthz", nullptr), 200u);
 		EXPECT_EQ(get(address, "/readyz", nullptr), 200u);
 		EXPECT_EQ(get(address, "/metrics", nullptr, &body), 200u);
-		EXPECT_TRUE(has(body, "auburnstile_")) << body;
+		EXPECT_TRUE(contains(body, "auburnstile_")) << body;
 		EXPECT_EQ(get(address, "/v1/events", nullptr), 401u);
 		EXPECT_EQ(get(address, "/v1/events", "wrong-token"), 401u);
 		EXPECT_EQ(get(address, "/v1/events", fleet->token), 200u);
@@ -259,7 +259,7 @@
 			<< path;
 }
 
-TEST_F(Processes, AnAnswerHasOneDate)
+TEST_F(Processes, ResponseHasOneDateHeader)
 {
 	std::string answer =
 		receive(send(fleet_member(fleet, 0)->callers,
@@ -272,17 +272,17 @@
 		<< answer;
 }
 
-TEST_F(Processes, HangupSaysThatARestartIsNeeded)
+TEST_F(Processes, SighupLogsThatARestartIsNeeded)
 {
 	struct fleet_member *member = fleet_member(fleet, 1);
 
 	fleet_signal(member, FLEET_BOTH, SIGHUP);
-	for (int i = 0; i < 100 && (!has(log(member, "-entry"), "restart") ||
-				    !has(log(member, "-control"), "restart"));
+	for (int i = 0; i < 100 && (!contains(log(member, "-entry"), "restart") ||
+				    !contains(log(member, "-control"), "restart"));
 	     i++)
 		g_usleep(50000);
-	EXPECT_TRUE(has(log(member, "-entry"), "restart"));
-	EXPECT_TRUE(has(log(member, "-control"), "restart"));
+	EXPECT_TRUE(contains(log(member, "-entry"), "restart"));
+	EXPECT_TRUE(contains(log(member, "-control"), "restart"));
 	EXPECT_EQ(get(member->admin, "/healthz", nullptr), 200u);
 	EXPECT_EQ(get(member->control_admin, "/healthz", nullptr), 200u);
 }
@@ -292,7 +292,7 @@
  * that cut them off would lose answers to requests that ran. What is in
  * flight is answered whole, and the processes end with status 0 in time.
  */
-TEST_F(Processes, APlannedStopAnswersWhatIsInFlight)
+TEST_F(Processes, PlannedStopAnswersRequestsInFlight)
 {
 	std::vector<GSocketConnection *> waiting;
 	struct fleet_member *member = fleet_member(fleet, 0);
@@ -312,29 +312,29 @@
 	for (GSocketConnection *connection : waiting) {
 		std::string answer = receive(connection);
 
-		EXPECT_TRUE(has(answer, " 200 OK")) << answer;
-		EXPECT_TRUE(has(answer, "Auburnstile-Outcome: run")) << answer;
+		EXPECT_TRUE(contains(answer, " 200 OK")) << answer;
+		EXPECT_TRUE(contains(answer, "Auburnstile-Outcome: run")) << answer;
 	}
-	EXPECT_TRUE(fleet_stop(member, FLEET_BOTH, STOP_MS));
-	EXPECT_TRUE(has(log(member, "-entry"), "stopped"));
-	EXPECT_TRUE(has(log(member, "-control"), "stopped"));
+	EXPECT_TRUE(fleet_stop(member, FLEET_BOTH, STOP_TIMEOUT_MS));
+	EXPECT_TRUE(contains(log(member, "-entry"), "stopped"));
+	EXPECT_TRUE(contains(log(member, "-control"), "stopped"));
 	EXPECT_EQ(get(member->admin, "/healthz", nullptr), 0u);
 	EXPECT_TRUE(serves(fleet_member(fleet, 1)));
 }
 
-TEST_F(Processes, TheTokenIsInNoLog)
+TEST_F(Processes, TokenIsNeverLogged)
 {
 	for (guint i = 0; i < 3; i++) {
 		const struct fleet_member *member = fleet_member(fleet, i);
 
 		get(member->admin, "/v1/events", fleet->token);
 		get(member->control_admin, "/v1/status", fleet->token);
-		EXPECT_FALSE(has(log(member, "-entry"), fleet->token));
-		EXPECT_FALSE(has(log(member, "-control"), fleet->token));
+		EXPECT_FALSE(contains(log(member, "-entry"), fleet->token));
+		EXPECT_FALSE(contains(log(member, "-control"), fleet->token));
 	}
 }
 
-TEST_F(Processes, AnAddressInUseStopsTheStart)
+TEST_F(Processes, StartFailsWhenAddressIsInUse)
 {
 	const struct fleet_member *member = fleet_member(fleet, 0);
 	std::string common = std::string("name = \"x\"\nzone = \"z1\"\n") +
@@ -347,9 +347,9 @@
 				  "control = \"127.0.0.1:1\"\n"),
 	       std::pair("auburnstile-control",
 			 common + "store = \"http://127.0.0.1:1\"\n") }) {
-		outcome result = refused(program, text);
+		program_result result = run_with_settings(program, text);
 
 		EXPECT_EQ(result.code, 1) << result.err;
-		EXPECT_TRUE(has(result.err, member->admin)) << result.err;
+		EXPECT_TRUE(contains(result.err, member->admin)) << result.err;
 	}
 }
--- a/tests/test_front.cc
+++ b/tests/test_request_router.cc
@@ -6,7 +6,7 @@
 #include <gtest/gtest.h>
 
 #include <auburnstile/config.h>
-#include <auburnstile/internal/entry_parts.h>
+#include <auburnstile/internal/entry_internal.h>
 
 #include <memory>
 
@@ -14,23 +14,23 @@
 #include "common/child.h"
 #include "peer.h"
 
-static std::string at(guint port)
+static std::string loopback_address(guint port)
 {
 	return "127.0.0.1:" + std::to_string(port);
 }
 
-struct Node {
+struct EntryNode {
 	std::string name, callers, inner, admin, control;
 	guint port = child_free_port();
 	struct aub_entry_settings settings = {};
 	struct aub_entry *entry;
 
-	explicit Node(const std::string &name_) : name(name_)
+	explicit EntryNode(const std::string &name_) : name(name_)
 	{
-		callers = at(port);
-		inner = at(child_free_port());
-		admin = at(child_free_port());
-		control = at(child_free_port());
+		callers = loopback_address(port);
+		inner = loopback_address(child_free_port());
+		admin = loopback_address(child_free_port());
+		control = loopback_address(child_free_port());
 		settings.name = (char *)name.c_str();
 		settings.zone = (char *)"z";
 		settings.callers = (char *)callers.c_str();
@@ -48,7 +48,7 @@
 		g_assert(entry);
 	}
 
-	~Node()
+	~EntryNode()
 	{
 		aub_entry_free(entry);
 	}
@@ -59,29 +59,29 @@
 	}
 };
 
-class Front : public testing::Test
+class RequestRouter : public testing::Test
 {
       protected:
 	Peer upstream;
-	std::vector<std::unique_ptr<Node>> nodes;
+	std::vector<std::unique_ptr<EntryNode>> nodes;
 	guint64 config_version = 1;
 	guint64 epoch = 1;
 	bool serve = true;
 	int owner = 0;
 	int standby = 1;
-	std::vector<guint64> heirs = { 0, 0, 0 };
-	std::string c_inner; /* in place of c's real address, if set */
+	std::vector<guint64> successors = { 0, 0, 0 };
+	std::string node_c_address; /* in place of c's real address, if set */
 
 	void SetUp() override
 	{
 		for (const char *name : { "a", "b", "c" })
-			nodes.push_back(std::make_unique<Node>(name));
+			nodes.push_back(std::make_unique<EntryNode>(name));
 		reply("HTTP/1.1 200 OK\r\nX-Boot-Id: 1\r\n"
 		      "Content-Length: 4\r\n\r\npaid");
-		views();
+		apply_views();
 		/* A new owner settles for a second. */
-		until([&] {
-			return ask(owner, "GET /pay/x", "").find(" 200") !=
+		wait_until([&] {
+			return send_request(owner, "GET /pay/x", "").find(" 200") !=
 			       std::string::npos;
 		});
 		upstream.requests.clear();
@@ -94,7 +94,7 @@
 			;
 	}
 
-	template <typename Done> static void until(Done done)
+	template <typename Done> static void wait_until(Done done)
 	{
 		gint64 end = g_get_monotonic_time() + 10000000;
 
@@ -127,7 +127,7 @@
 		};
 	}
 
-	std::string toml() const
+	std::string inventory_toml() const
 	{
 		return "[[zone]]\nname = \"z\"\nregion = \"r\"\nvms = [\"v\"]\n"
 		       "[[service]]\nname = \"pay\"\npath = \"/pay\"\n"
@@ -138,17 +138,17 @@
 		       "{ method = \"POST\", path = \"/pay\" }]\n"
 		       "upstreams = [{ name = \"u\", vm = \"v\", address = "
 		       "\"" +
-		       at(upstream.port) + "\" }]\n";
+		       loopback_address(upstream.port) + "\" }]\n";
 	}
 
-	void view(Node &node)
+	void view(EntryNode &node)
 	{
 		struct aub_view *view =
 			(struct aub_view *)aub_message_new(AUB_MESSAGE_VIEW);
 		struct aub_config *config = aub_config_new();
 		struct aub_assignment *assignment = aub_assignment_new();
 
-		aub_string_set(&config->text, toml().c_str());
+		aub_string_set(&config->text, inventory_toml().c_str());
 		aub_string_set(&config->change, "c");
 		aub_string_set(&config->author, "t");
 		char *json = aub_config_serialize(config);
@@ -174,22 +174,22 @@
 			aub_string_set(&member->name, hello->name);
 			aub_string_set(&member->zone, hello->zone);
 			aub_string_set(&member->inner_address,
-				       i == 2 && !c_inner.empty() ?
-					       c_inner.c_str() :
+				       i == 2 && !node_c_address.empty() ?
+					       node_c_address.c_str() :
 					       hello->address);
 			aub_string_set(&member->callers_address,
 				       hello->callers_address);
 			member->incarnation = hello->incarnation;
-			member->heir = heirs[i];
+			member->heir = successors[i];
 			member->state =
-				heirs[i] ? AUB_MEMBER_STOPPED : AUB_MEMBER_LIVE;
+				successors[i] ? AUB_MEMBER_STOPPED : AUB_MEMBER_LIVE;
 			g_ptr_array_add(view->members, member);
 		}
 		aub_entry_view_apply(node.entry->view, view);
 		aub_message_free(&view->base);
 	}
 
-	void views()
+	void apply_views()
 	{
 		for (auto &node : nodes)
 			view(*node);
@@ -206,7 +206,7 @@
 		       "\r\n\r\n" + body;
 	}
 
-	std::string ask(int node, const std::string &line,
+	std::string send_request(int node, const std::string &line,
 			const std::string &key, const std::string &body = "",
 			const std::string &more = "")
 	{
@@ -228,7 +228,7 @@
 		return made;
 	}
 
-	size_t ran() const
+	size_t run_count() const
 	{
 		size_t count = 0;
 		for (const std::string &request : upstream.requests)
@@ -236,7 +236,7 @@
 		return count;
 	}
 
-	static bool says(const std::string &answer, const std::string &status,
+	static bool matches(const std::string &answer, const std::string &status,
 			 const std::string &outcome,
 			 const std::string &reason = "")
 	{
@@ -254,66 +254,66 @@
  * with another amount, as somebody else. It ran once; the first two repeats
  * get the kept answer, the last two nothing.
  */
-TEST_F(Front, ARepeatGetsTheKeptAnswerWhereverItArrives)
+TEST_F(RequestRouter, RepeatGetsTheCachedAnswerAtEveryEntry)
 {
 	for (int node : { 0, 0, 1, 2 }) {
-		std::string answer = ask(node, "POST /pay", key(0), "10");
-		EXPECT_TRUE(says(answer, "200", "run")) << answer;
+		std::string answer = send_request(node, "POST /pay", key(0), "10");
+		EXPECT_TRUE(matches(answer, "200", "run")) << answer;
 		EXPECT_NE(answer.find("\r\n\r\npaid"), std::string::npos);
 	}
 	for (int node : { 0, 2 }) {
-		EXPECT_TRUE(says(ask(node, "POST /pay", key(0), "99"), "422",
+		EXPECT_TRUE(matches(send_request(node, "POST /pay", key(0), "99"), "422",
 				 "not-run", "key-of-another-request"));
-		EXPECT_TRUE(says(ask(node, "POST /pay", key(0), "10",
+		EXPECT_TRUE(matches(send_request(node, "POST /pay", key(0), "10",
 				     "Authorization: other\r\n"),
 				 "422", "not-run"));
 	}
-	EXPECT_EQ(ran(), 1u);
+	EXPECT_EQ(run_count(), 1u);
 }
 
 /*
  * The caller repeats while the first still runs, then both connections and a
  * third wait for one end. It runs once, and all get its answer.
  */
-TEST_F(Front, RepeatsOfARunningRequestWaitForItsEnd)
+TEST_F(RequestRouter, RepeatsWaitForTheRunningRequest)
 {
 	Caller first(nodes[0]->port);
 	Caller second(nodes[1]->port);
 
 	reply("");
 	first.send(request("POST /pay", key(0), "10"));
-	until([&] { return ran() == 1; });
+	wait_until([&] { return run_count() == 1; });
 	second.send(request("POST /pay", key(0), "10"));
 	run_for(100);
-	EXPECT_EQ(ran(), 1u);
-	EXPECT_TRUE(says(first.answer(), "504", "unknown"));
-	EXPECT_TRUE(says(second.answer(), "504", "unknown"));
-	EXPECT_EQ(ran(), 1u);
+	EXPECT_EQ(run_count(), 1u);
+	EXPECT_TRUE(matches(first.answer(), "504", "unknown"));
+	EXPECT_TRUE(matches(second.answer(), "504", "unknown"));
+	EXPECT_EQ(run_count(), 1u);
 }
 
 /* The upstream runs a payment and dies before it answers: never again. */
-TEST_F(Front, WhatMayHaveRunIsUnknownAndNotRunAgain)
+TEST_F(RequestRouter, RequestThatMayHaveRunIsUnknownAndNotRetried)
 {
 	reply("", true);
-	EXPECT_TRUE(says(ask(0, "POST /pay", key(0), "1"), "504", "unknown"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(0), "1"), "504", "unknown"));
 	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 	for (int node : { 0, 1, 2 })
-		EXPECT_TRUE(says(ask(node, "POST /pay", key(0), "1"), "504",
+		EXPECT_TRUE(matches(send_request(node, "POST /pay", key(0), "1"), "504",
 				 "unknown", node ? "" : "kept-unknown"));
-	EXPECT_EQ(ran(), 1u);
-	EXPECT_TRUE(says(ask(2, "POST /pay", ""), "200", "run"));
+	EXPECT_EQ(run_count(), 1u);
+	EXPECT_TRUE(matches(send_request(2, "POST /pay", ""), "200", "run"));
 }
 
 /* The upstream's own refusals are not runs: the same key may run later. */
-TEST_F(Front, ARefusedRequestMayRunLaterUnderItsKey)
+TEST_F(RequestRouter, RefusedRequestMayRunLaterUnderItsKey)
 {
 	reply("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-	std::string answer = ask(2, "POST /pay", key(0), "1",
+	std::string answer = send_request(2, "POST /pay", key(0), "1",
 				 "Auburnstile-Deadline-Ms: 300\r\n");
 	EXPECT_NE(answer.find("Outcome: not-run"), std::string::npos) << answer;
 	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-	until([&] {
-		return says(ask(2, "POST /pay", key(0), "1"), "200", "run");
+	wait_until([&] {
+		return matches(send_request(2, "POST /pay", key(0), "1"), "200", "run");
 	});
 }
 
@@ -321,25 +321,25 @@
  * The caller leaves in the middle of a keyed request. It runs on, and the
  * repeat gets its answer instead of "unknown".
  */
-TEST_F(Front, AKeyedRequestRunsOnWithoutItsCaller)
+TEST_F(RequestRouter, KeyedRequestContinuesAfterCallerDisconnects)
 {
 	reply("");
 	{
 		Caller caller(nodes[0]->port);
 		caller.send(request("POST /pay", key(0), "1"));
-		until([&] { return ran() == 1; });
+		wait_until([&] { return run_count() == 1; });
 	}
 	run_for(200);
 	EXPECT_EQ(upstream.closed, 0);
 	upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-	until([&] {
-		return says(ask(2, "POST /pay", key(0), "1"), "200", "run");
+	wait_until([&] {
+		return matches(send_request(2, "POST /pay", key(0), "1"), "200", "run");
 	});
-	EXPECT_EQ(ran(), 1u);
+	EXPECT_EQ(run_count(), 1u);
 }
 
 /* Any other request is given up with its caller: its slot is free again. */
-TEST_F(Front, OtherRequestsAreCancelledWithTheirCaller)
+TEST_F(RequestRouter, UnkeyedRequestIsCancelledWhenCallerDisconnects)
 {
 	reply("");
 	for (int node : { 0, 2 }) {
@@ -347,9 +347,9 @@
 		{
 			Caller caller(nodes[node]->port);
 			caller.send(request("POST /pay", "", "1"));
-			until([&] { return !upstream.requests.empty(); });
+			wait_until([&] { return !upstream.requests.empty(); });
 		}
-		until([&] { return upstream.closed > closed; });
+		wait_until([&] { return upstream.closed > closed; });
 		upstream.requests.clear();
 	}
 }
@@ -358,39 +358,39 @@
  * Keys whose keeper is gone, never was, or is no entry at all. Nothing runs,
  * and only what no entry can have run is called not run.
  */
-TEST_F(Front, KeysWithoutTheirKeeperNeverRun)
+TEST_F(RequestRouter, RequestWithUnavailableKeyOwnerNeverRuns)
 {
 	std::string gone = key(2);
 
 	nodes.pop_back();
-	views();
-	EXPECT_TRUE(says(ask(0, "POST /pay", gone, "1"), "504", "unknown"));
-	EXPECT_TRUE(says(ask(0, "POST /pay", "a.1234.0.5/k"), "504", "unknown",
+	apply_views();
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", gone, "1"), "504", "unknown"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", "a.1234.0.5/k"), "504", "unknown",
 			 "keeper-gone"));
 	/* The caller's grant is old: it must ask anew, or lose every request.
 	 */
-	EXPECT_NE(ask(0, "POST /pay", "a.1234.0.5/k")
+	EXPECT_NE(send_request(0, "POST /pay", "a.1234.0.5/k")
 			  .find("Auburnstile-Addresses-Stale: 1"),
 		  std::string::npos);
-	EXPECT_TRUE(says(ask(0, "POST /pay", "mine"), "400", "not-run",
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", "mine"), "400", "not-run",
 			 "key-without-grant"));
-	EXPECT_TRUE(says(ask(0, "POST /pay/key", ""), "428", "not-run",
+	EXPECT_TRUE(matches(send_request(0, "POST /pay/key", ""), "428", "not-run",
 			 "key-required"));
-	EXPECT_TRUE(says(ask(0, "GET /none", ""), "404", "not-run"));
-	EXPECT_EQ(ran(), 0u);
+	EXPECT_TRUE(matches(send_request(0, "GET /none", ""), "404", "not-run"));
+	EXPECT_EQ(run_count(), 0u);
 }
 
 /* The owner dies: its stand-by takes requests, also from other entries. */
-TEST_F(Front, TheStandbyActsWhenTheOwnerIsGone)
+TEST_F(RequestRouter, StandbyTakesOverWhenOwnerIsUnavailable)
 {
 	owner = 2;
 	standby = 1;
 	epoch++;
-	views();
-	until([&] { return says(ask(0, "GET /pay/x", ""), "200", "run"); });
+	apply_views();
+	wait_until([&] { return matches(send_request(0, "GET /pay/x", ""), "200", "run"); });
 	nodes.pop_back();
-	until([&] { return says(ask(0, "GET /pay/x", ""), "200", "run"); });
-	until([&] { return says(ask(1, "GET /pay/x", ""), "200", "run"); });
+	wait_until([&] { return matches(send_request(0, "GET /pay/x", ""), "200", "run"); });
+	wait_until([&] { return matches(send_request(1, "GET /pay/x", ""), "200", "run"); });
 }
 
 /*
@@ -398,28 +398,28 @@
  * back. What was never taken goes to the stand-by; what only the silent one
  * may run is unknown, within seconds, and runs nowhere else.
  */
-TEST_F(Front, ASilentEntryIsPassedBy)
+TEST_F(RequestRouter, UnresponsiveEntryIsBypassed)
 {
 	Peer silent;
 
 	silent.script = [](const std::string &) { return PeerReply{}; };
-	c_inner = at(silent.port);
+	node_c_address = loopback_address(silent.port);
 	owner = 2;
 	standby = 1;
 	epoch++;
-	views();
-	until([&] { return says(ask(0, "GET /pay/x", ""), "200", "run"); });
-	EXPECT_TRUE(says(ask(0, "POST /pay", "", "1"), "200", "run"));
-	EXPECT_TRUE(says(ask(0, "POST /pay", key(0), "1"), "200", "run"));
-	EXPECT_EQ(ran(), 2u);
-	EXPECT_TRUE(says(ask(0, "POST /pay", key(2), "1"), "504", "unknown",
+	apply_views();
+	wait_until([&] { return matches(send_request(0, "GET /pay/x", ""), "200", "run"); });
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", "", "1"), "200", "run"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(0), "1"), "200", "run"));
+	EXPECT_EQ(run_count(), 2u);
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(2), "1"), "504", "unknown",
 			 "keeper-unreachable"));
-	EXPECT_EQ(ran(), 2u);
+	EXPECT_EQ(run_count(), 2u);
 	EXPECT_GT(silent.connections, 0);
 }
 
 /* Views may be late or stale: versions never go back, leave isn't renewed. */
-TEST_F(Front, OnlyCurrentViewsGiveLeaveToServe)
+TEST_F(RequestRouter, OnlyCurrentViewsRenewTheServingLease)
 {
 	struct aub_entry_view *held = nodes[0]->entry->view;
 
@@ -433,14 +433,14 @@
 	EXPECT_EQ(aub_entry_view_epoch(held), 5u);
 	serve = false;
 	view(*nodes[0]);
-	EXPECT_TRUE(says(ask(0, "GET /pay/x", ""), "503", "not-run",
+	EXPECT_TRUE(matches(send_request(0, "GET /pay/x", ""), "503", "not-run",
 			 "not-serving"));
 	/* It owns the service by its picture, yet sends callers elsewhere. */
 	std::string where =
-		ask(0, "GET /.auburnstile/addresses?service=pay", "");
-	EXPECT_EQ(where.find(at(nodes[0]->port)), std::string::npos);
-	EXPECT_NE(where.find(at(nodes[1]->port)), std::string::npos);
-	EXPECT_NE(ask(0, "GET /pay/x", "").find("Addresses-Stale: 1"),
+		send_request(0, "GET /.auburnstile/addresses?service=pay", "");
+	EXPECT_EQ(where.find(loopback_address(nodes[0]->port)), std::string::npos);
+	EXPECT_NE(where.find(loopback_address(nodes[1]->port)), std::string::npos);
+	EXPECT_NE(send_request(0, "GET /pay/x", "").find("Addresses-Stale: 1"),
 		  std::string::npos);
 	serve = true;
 	view(*nodes[0]);
@@ -450,7 +450,7 @@
 	EXPECT_TRUE(aub_entry_view_serving(held));
 }
 
-static void note_stop(void *context)
+static void on_stopped(void *context)
 {
 	*static_cast<bool *>(context) = true;
 }
@@ -459,45 +459,45 @@
  * The keeper stops in order. Its keys go to an heir: a repeat still gets the
  * kept answer, through any entry, also under a key it never saw.
  */
-TEST_F(Front, APlannedStopHandsTheKeysOver)
+TEST_F(RequestRouter, PlannedStopTransfersKeysToSuccessor)
 {
 	bool stopped = false;
 
-	EXPECT_TRUE(says(ask(2, "POST /pay", key(2), "1"), "200", "run"));
-	aub_entry_stop(nodes[2]->entry, note_stop, &stopped);
-	EXPECT_NE(ask(2, "GET /pay/x", "").find("Addresses-Stale: 1"),
+	EXPECT_TRUE(matches(send_request(2, "POST /pay", key(2), "1"), "200", "run"));
+	aub_entry_stop(nodes[2]->entry, on_stopped, &stopped);
+	EXPECT_NE(send_request(2, "GET /pay/x", "").find("Addresses-Stale: 1"),
 		  std::string::npos);
-	until([&] { return stopped; });
-	EXPECT_NE(nodes[2]->entry->heir, 0u);
-	heirs[2] = nodes[2]->entry->heir;
+	wait_until([&] { return stopped; });
+	EXPECT_NE(nodes[2]->entry->successor, 0u);
+	successors[2] = nodes[2]->entry->successor;
 	std::string unseen = key(2, "unseen");
 	std::string seen = key(2);
-	views();
+	apply_views();
 	for (int node : { 0, 1 })
 		EXPECT_TRUE(
-			says(ask(node, "POST /pay", seen, "1"), "200", "run"));
-	EXPECT_EQ(ran(), 1u);
+			matches(send_request(node, "POST /pay", seen, "1"), "200", "run"));
+	EXPECT_EQ(run_count(), 1u);
 	for (int node : { 0, 1 })
-		EXPECT_TRUE(says(ask(node, "POST /pay", unseen, "1"), "200",
+		EXPECT_TRUE(matches(send_request(node, "POST /pay", unseen, "1"), "200",
 				 "run"));
-	EXPECT_EQ(ran(), 2u);
+	EXPECT_EQ(run_count(), 2u);
 }
 
 /* Callers are sent to the owner; nothing else of the project is served. */
-TEST_F(Front, AddressesNameTheOwnerFirst)
+TEST_F(RequestRouter, AddressesListTheOwnerFirst)
 {
 	std::string answer =
-		ask(2, "GET /.auburnstile/addresses?service=pay", "");
+		send_request(2, "GET /.auburnstile/addresses?service=pay", "");
 	size_t a = answer.find(nodes[0]->callers);
 	size_t b = answer.find(nodes[1]->callers);
 
 	EXPECT_LT(a, b);
 	EXPECT_NE(answer.find("\"grant\":\"a."), std::string::npos);
-	EXPECT_NE(ask(2, "GET /.auburnstile/addresses?path=/pay/x", "")
+	EXPECT_NE(send_request(2, "GET /.auburnstile/addresses?path=/pay/x", "")
 			  .find("\"service\":\"pay\""),
 		  std::string::npos);
-	EXPECT_TRUE(says(ask(0, "GET /.auburnstile/addresses?service=q", ""),
+	EXPECT_TRUE(matches(send_request(0, "GET /.auburnstile/addresses?service=q", ""),
 			 "404", "not-run"));
-	EXPECT_TRUE(says(ask(0, "GET /v1/dispatch", ""), "404", "not-run"));
-	EXPECT_TRUE(says(ask(0, "GET /metrics", ""), "404", "not-run"));
+	EXPECT_TRUE(matches(send_request(0, "GET /v1/dispatch", ""), "404", "not-run"));
+	EXPECT_TRUE(matches(send_request(0, "GET /metrics", ""), "404", "not-run"));
 }
--- a/tests/test_store_sync.cc
+++ b/tests/test_store_sync.cc
@@ -65,7 +65,7 @@
 			.timers = timers,
 			.address = platform_store_address(store),
 			.changed = on_changed,
-			.told = [](void *) {},
+			.batch_done = [](void *) {},
 			.share = on_share,
 			.duty =
 				[](void *context) {
@@ -82,7 +82,7 @@
 
 		sync = aub_store_sync_new(&options);
 	}
-	void put(const std::string &id)
+	void put_upstream(const std::string &id)
 	{
 		std::string text =
 			"{\"address\":\"127.0.0.1:9\",\"details\":{\"service\":"
@@ -91,14 +91,14 @@
 
 		platform_store_put(store, "servers", id.c_str(), text.c_str());
 	}
-	bool holds(size_t count, int ms = 3000)
+	bool has_upstreams(size_t count, int ms = 3000)
 	{
 		return run_until([&] { return present.size() == count; }, ms);
 	}
 };
 
 /* Guards against two watchers of a zone that both ask for each change. */
-TEST_F(StoreSyncTest, AsksLessOftenAsAStandby)
+TEST_F(StoreSyncTest, StandbyWatcherCallsLessOften)
 {
 	guint64 calls[2];
 
@@ -111,23 +111,23 @@
 		run_for(1200);
 		*count = platform_store_calls(store);
 		for (int i = 0; i < 40; i++) {
-			put("u" + std::to_string(now * 100 + i));
+			put_upstream("u" + std::to_string(now * 100 + i));
 			run_for(50);
 		}
 		*count = platform_store_calls(store) - *count;
 	}
 	EXPECT_GE(calls[0], 6u);
 	EXPECT_LE(calls[1], 3u);
-	EXPECT_TRUE(holds(80));
+	EXPECT_TRUE(has_upstreams(80));
 }
 
 /* Guards against a large fleet whose calls keep a store from returning. */
-TEST_F(StoreSyncTest, AsksAFailingStoreLessOftenInALargeFleet)
+TEST_F(StoreSyncTest, RetriesLessOftenInALargeFleet)
 {
 	fleet = 300;
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
+	ASSERT_TRUE(has_upstreams(1));
 	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
 	run_for(2500);
 	guint64 before = platform_store_calls(store);
@@ -137,47 +137,47 @@
 }
 
 /* Guards against an old configuration while a store's retry is far off. */
-TEST_F(StoreSyncTest, AsksAtOnceForWhatOthersAnnounceWhileTheStoreFails)
+TEST_F(StoreSyncTest, FetchesAnnouncedRevisionImmediatelyWhileStoreFails)
 {
 	fleet = 300;
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
+	ASSERT_TRUE(has_upstreams(1));
 	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
 	run_for(4000);
 	platform_store_set_fault(store, PLATFORM_STORE_WELL);
-	put("u2");
+	put_upstream("u2");
 	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
 				platform_store_put(store, "x", "y", "{}"));
-	EXPECT_TRUE(holds(2, 900));
+	EXPECT_TRUE(has_upstreams(2, 900));
 }
 
 TEST_F(StoreSyncTest, ListsAllPagesAndWatches)
 {
 	for (int i = 0; i < 7; i++)
-		put("u" + std::to_string(i));
+		put_upstream("u" + std::to_string(i));
 	platform_store_set_page(store, 3);
 	start();
-	EXPECT_TRUE(holds(7));
-	put("late");
-	EXPECT_TRUE(holds(8));
+	EXPECT_TRUE(has_upstreams(7));
+	put_upstream("late");
+	EXPECT_TRUE(has_upstreams(8));
 	platform_store_remove(store, "servers", "u3");
-	EXPECT_TRUE(holds(7));
+	EXPECT_TRUE(has_upstreams(7));
 	EXPECT_FALSE(present.count("u3"));
 }
 
-TEST_F(StoreSyncTest, HasOneCallOpenAKindWhileNothingHappens)
+TEST_F(StoreSyncTest, KeepsOneOpenCallPerKindWhenIdle)
 {
-	put("u1");
+	put_upstream("u1");
 	start();
-	EXPECT_TRUE(holds(1));
+	EXPECT_TRUE(has_upstreams(1));
 	run_for(500);
 	guint64 before = platform_store_calls(store);
 	run_for(1500);
 	EXPECT_LE(platform_store_calls(store) - before, 3u);
 }
 
-TEST_F(StoreSyncTest, RidesOutEveryFaultOfTheStore)
+TEST_F(StoreSyncTest, RecoversFromEveryStoreFault)
 {
 	for (auto fault : { PLATFORM_STORE_BUSY, PLATFORM_STORE_LIMITED,
 			    PLATFORM_STORE_RESET, PLATFORM_STORE_SILENT,
@@ -185,31 +185,31 @@
 		platform_store_set_fault(store, PLATFORM_STORE_WELL);
 		aub_store_sync_free(sync);
 		present.clear();
-		put("u1");
+		put_upstream("u1");
 		start();
-		ASSERT_TRUE(holds(1)) << fault;
+		ASSERT_TRUE(has_upstreams(1)) << fault;
 		platform_store_set_fault(store, fault);
-		put("u2");
-		put("u3");
+		put_upstream("u2");
+		put_upstream("u3");
 		run_for(300);
 		platform_store_set_fault(store, PLATFORM_STORE_WELL);
-		EXPECT_TRUE(holds(3, 9000)) << fault;
+		EXPECT_TRUE(has_upstreams(3, 9000)) << fault;
 		platform_store_remove(store, "servers", "u2");
 		platform_store_remove(store, "servers", "u3");
-		EXPECT_TRUE(holds(1, 9000)) << fault;
+		EXPECT_TRUE(has_upstreams(1, 9000)) << fault;
 	}
 }
 
-TEST_F(StoreSyncTest, HoldsEntriesThatLapsedTogether)
+TEST_F(StoreSyncTest, WithholdsRemovalsOfAMassExpiry)
 {
 	/*
 	 * Callers are served throughout. While the store is away most entries
 	 * lapse; they are back within two seconds of its return.
 	 */
 	for (int i = 0; i < 6; i++)
-		put("u" + std::to_string(i));
+		put_upstream("u" + std::to_string(i));
 	start();
-	ASSERT_TRUE(holds(6));
+	ASSERT_TRUE(has_upstreams(6));
 	platform_store_set_fault(store, PLATFORM_STORE_RESET);
 	run_for(400);
 	for (int i = 0; i < 5; i++)
@@ -218,12 +218,12 @@
 	platform_store_set_fault(store, PLATFORM_STORE_WELL);
 	run_for(1800);
 	EXPECT_EQ(present.size(), 6u);
-	put("u0");
-	EXPECT_TRUE(holds(2, 3000));
+	put_upstream("u0");
+	EXPECT_TRUE(has_upstreams(2, 3000));
 	EXPECT_TRUE(present.count("u0"));
 }
 
-TEST_F(StoreSyncTest, TellsAtOnceWhatLeftWhileThisProcessWasCutOff)
+TEST_F(StoreSyncTest, ReportsSingleRemovalImmediatelyAfterPartition)
 {
 	/*
 	 * A caller's request must not reach an upstream that left ten seconds
@@ -231,36 +231,36 @@
 	 * is no mass lapse, so nothing speaks for keeping it.
 	 */
 	for (int i = 0; i < 6; i++)
-		put("u" + std::to_string(i));
+		put_upstream("u" + std::to_string(i));
 	start();
-	ASSERT_TRUE(holds(6));
+	ASSERT_TRUE(has_upstreams(6));
 	platform_store_set_fault(store, PLATFORM_STORE_RESET);
 	run_for(400);
 	platform_store_remove(store, "servers", "u3");
 	platform_store_set_fault(store, PLATFORM_STORE_WELL);
-	EXPECT_TRUE(holds(5, 1500));
+	EXPECT_TRUE(has_upstreams(5, 1500));
 }
 
-TEST_F(StoreSyncTest, AsksOnceWhenItIsToldOfNews)
+TEST_F(StoreSyncTest, FetchesOnceForAnAnnouncedRevision)
 {
-	put("u1");
+	put_upstream("u1");
 	duty = AUB_WATCH_NONE;
 	start();
-	ASSERT_TRUE(holds(1));
+	ASSERT_TRUE(has_upstreams(1));
 	run_for(200); /* the listing is checked */
-	put("u2");
+	put_upstream("u2");
 	run_for(400);
 	EXPECT_EQ(present.size(), 1u);
 	guint64 before = platform_store_calls(store);
 	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
-				aub_store_sync_known(sync,
+				aub_store_sync_known_revision(sync,
 						     AUB_STORE_UPSTREAMS) +
 					1);
-	EXPECT_TRUE(holds(2));
+	EXPECT_TRUE(has_upstreams(2));
 	EXPECT_EQ(platform_store_calls(store) - before, 1u);
 }
 
-TEST_F(StoreSyncTest, DoesNotAskForWhatOthersPassOn)
+TEST_F(StoreSyncTest, DoesNotFetchChangesThatAreShared)
 {
 	/*
 	 * Callers notice nothing; the store is asked hundreds of times. During
@@ -268,22 +268,22 @@
 	 * is told of before the zone's watcher passes it on: there is always
 	 * news of something, but never of anything old.
 	 */
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
-	put("u2");
-	ASSERT_TRUE(holds(2));
+	ASSERT_TRUE(has_upstreams(1));
+	put_upstream("u2");
+	ASSERT_TRUE(has_upstreams(2));
 	aub_store_sync_free(sync);
 	duty = AUB_WATCH_NONE;
 	start();
 	run_for(200);
-	gint64 known = aub_store_sync_known(sync, AUB_STORE_UPSTREAMS);
+	gint64 known = aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
 	guint64 before = platform_store_calls(store);
 
 	for (int i = 1; i <= 20; i++) {
 		aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
 					known + i + 1);
-		aub_store_sync_take(sync, AUB_STORE_UPSTREAMS, known + i - 1,
+		aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, known + i - 1,
 				    known + i, shared[0].data(),
 				    shared[0].size());
 		run_for(100);
@@ -291,7 +291,7 @@
 	EXPECT_EQ(platform_store_calls(store) - before, 0u);
 }
 
-TEST_F(StoreSyncTest, AsksForWhatChangedWhileItListed)
+TEST_F(StoreSyncTest, FetchesChangesMadeDuringListing)
 {
 	/*
 	 * A caller's request must not reach an upstream that left while this
@@ -299,14 +299,14 @@
 	 * page already holds.
 	 */
 	for (int i = 0; i < 6; i++)
-		put("u" + std::to_string(i));
+		put_upstream("u" + std::to_string(i));
 	platform_store_set_page(store, 3);
 	platform_store_set_delay(store, 60);
 	duty = AUB_WATCH_NONE;
 	start();
 	ASSERT_TRUE(run_until([&] { return present.size() == 3; }, 1000));
 	platform_store_remove(store, "servers", "u0");
-	put("u9"); /* in the second page, with the newest revision */
+	put_upstream("u9"); /* in the second page, with the newest revision */
 	ASSERT_TRUE(run_until([&] { return present.count("u9") > 0; }, 1000));
 	EXPECT_TRUE(present.count("u0"));
 	/* Another gateway tells of the newest change. */
@@ -314,37 +314,37 @@
 	EXPECT_TRUE(run_until([&] { return !present.count("u0"); }, 2500));
 }
 
-TEST_F(StoreSyncTest, LeavesAWatchThatHearsNothing)
+TEST_F(StoreSyncTest, AbandonsAWatchThatReceivesNothing)
 {
 	/*
 	 * Callers are handled by the newest configuration. This process waits
 	 * on a watch that the store no longer feeds; another gateway's
 	 * heartbeat tells of a change.
 	 */
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
+	ASSERT_TRUE(has_upstreams(1));
 	run_for(400);
 	platform_store_set_deaf(store, true);
-	put("u2");
+	put_upstream("u2");
 	run_for(400);
 	EXPECT_EQ(present.size(), 1u);
 	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
-				aub_store_sync_known(sync,
+				aub_store_sync_known_revision(sync,
 						     AUB_STORE_UPSTREAMS) +
 					1);
-	EXPECT_TRUE(holds(2, 1000));
+	EXPECT_TRUE(has_upstreams(2, 1000));
 }
 
-TEST_F(StoreSyncTest, TakesSharedChangesOnlyWithoutAGap)
+TEST_F(StoreSyncTest, AppliesSharedChangesOnlyWithoutAGap)
 {
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
+	ASSERT_TRUE(has_upstreams(1));
 	run_for(100);
-	gint64 known = aub_store_sync_known(sync, AUB_STORE_UPSTREAMS);
-	put("u2");
-	ASSERT_TRUE(holds(2));
+	gint64 known = aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
+	put_upstream("u2");
+	ASSERT_TRUE(has_upstreams(2));
 	ASSERT_EQ(shared.size(), 1u);
 	/* Another process, which does not watch, takes the same bytes. */
 	aub_store_sync_free(sync);
@@ -352,19 +352,19 @@
 	duty = AUB_WATCH_NONE;
 	platform_store_remove(store, "servers", "u2");
 	start();
-	ASSERT_TRUE(holds(1));
+	ASSERT_TRUE(has_upstreams(1));
 	run_for(200); /* the listing is checked */
-	gint64 now = aub_store_sync_known(sync, AUB_STORE_UPSTREAMS);
-	aub_store_sync_take(sync, AUB_STORE_UPSTREAMS, now + 5, now + 6,
+	gint64 now = aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
+	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, now + 5, now + 6,
 			    shared[0].data(), shared[0].size());
 	EXPECT_EQ(present.size(), 1u);
-	aub_store_sync_take(sync, AUB_STORE_UPSTREAMS, known, now + 6,
+	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, known, now + 6,
 			    shared[0].data(), shared[0].size());
 	EXPECT_EQ(present.size(), 2u);
-	EXPECT_EQ(aub_store_sync_known(sync, AUB_STORE_UPSTREAMS), now + 6);
+	EXPECT_EQ(aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS), now + 6);
 }
 
-TEST_F(StoreSyncTest, EnrolsUntilItIsDone)
+TEST_F(StoreSyncTest, RetriesRegistrationUntilItSucceeds)
 {
 	struct aub_member_record member = {};
 
@@ -372,14 +372,14 @@
 	member.zone = (char *)"z1";
 	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
 	start();
-	aub_store_sync_enrol(sync, "10.0.0.1", &member);
+	aub_store_sync_register(sync, "10.0.0.1", &member);
 	run_for(300);
 	EXPECT_EQ(platform_store_count(store, "entries"), 0u);
 	platform_store_set_fault(store, PLATFORM_STORE_WELL);
 	EXPECT_TRUE(run_until(
 		[&] { return platform_store_count(store, "entries") == 1; },
 		4000));
-	aub_store_sync_leave(sync);
+	aub_store_sync_deregister(sync);
 	EXPECT_TRUE(run_until(
 		[&] { return platform_store_count(store, "entries") == 0; },
 		2000));
