--- a/include/auburnstile/internal/control.h
+++ b/include/auburnstile/internal/control.h
@@ -1,16 +1,16 @@
 /*
- * The control of one VM: tasks that own their sockets and their state, and
- * the hub through which they tell each other what came in.
+ * The control process of one VM: tasks that own their sockets and state, and
+ * the hub that informs the tasks of each other's changes.
  *
- *   control.c          hub: what is held, the tick, the planned stop
- *   control_peers.c    gossip and configuration to and from other controls
- *   control_store.c    watches the store, proposes assignments
- *   control_entry.c    views to the local entry, its acknowledgements
- *   control_book.c     configurations seen lately
- *   control_apply.c    operators' changes
- *   control_admin.c    operators' questions
+ *   control.c         hub: state held, periodic tick, planned stop
+ *   control_peers.c   gossip and configuration exchange with other controls
+ *   control_store.c   watches the store, proposes assignments
+ *   control_entry.c   views sent to the local entry, its acknowledgements
+ *   config_history.c  recent configurations
+ *   control_apply.c   configuration changes by operators
+ *   control_admin.c   status requests by operators
  *
- * All tasks run on one thread's default main context.
+ * All tasks run in the default main context of one thread.
  */
 #ifndef AUBURNSTILE_INTERNAL_CONTROL_H
 #define AUBURNSTILE_INTERNAL_CONTROL_H
@@ -27,7 +27,7 @@
 
 G_BEGIN_DECLS
 
-/* As read from settings; borrowed while the control runs. */
+/* Values of the settings file; borrowed while the control runs. */
 struct aubi_control_settings {
 	char *name;
 	char *zone;
@@ -40,7 +40,7 @@
 	bool log_json;
 	gint64 stop_ms;
 	gint64 event_capacity;
-	gint64 seed; /* 0: from the clock */
+	gint64 seed; /* 0: derived from the clock */
 };
 
 struct aubi_peers;
@@ -51,7 +51,7 @@
 
 struct aubi_control {
 	const struct aubi_control_settings *settings;
-	char *process; /* "control-a1" */
+	char *process; /* such as "control-a1" */
 	guint64 incarnation;
 	struct aub_timer_service *timers;
 	struct aub_metrics *metrics;
@@ -59,21 +59,23 @@
 	struct aub_admin *admin;
 	struct aubi_membership *membership;
 	struct aubi_agreement agreement;
-	struct aubi_config_history *history; /* configurations seen */
-	struct aub_inventory *inventory; /* of the one held; NULL for none */
-	struct aubi_assignments *assignments; /* held; epoch 0 for none */
+	struct aubi_config_history *history; /* recent configurations */
+	struct aub_inventory *inventory; /* of the current one; NULL: none */
+	struct aubi_assignments *assignments; /* current ones; epoch 0: none */
 	struct aubi_peers *peers;
 	struct aubi_store_task *store;
 	struct aubi_entry_task *entry;
 	struct aubi_config_changes *changes;
 	bool store_reachable;
-	GHashTable *last_states; /* member name -> state last noted */
-	bool superseded; /* noted */
-	bool leaving; /* planned stop */
-	gint64 leave_started_us; /* when it began */
-	bool finished; /* the planned stop is done */
+	/* Member name -> state last recorded as an event. */
+	GHashTable *last_states;
+	bool superseded; /* warning already logged */
+	bool leaving; /* a planned stop has begun */
+	gint64 leave_started_us; /* start of the planned stop */
+	bool finished; /* the planned stop is complete */
 	gint64 leave_deadline_us;
-	gint64 stop_announced_us; /* when STOPPED was told to peers; 0 before */
+	/* When the state STOPPED was sent to peers; 0: not yet. */
+	gint64 stop_announced_us;
 	guint series_messages;
 	guint series_exchanges;
 	guint series_unresponsive_links;
@@ -84,58 +86,72 @@
 	const struct aubi_control_settings *settings, GError **error);
 void aubi_control_free(struct aubi_control *control);
 
-/* Begin the planned stop; `finished` is set when it is done. */
+/* Begins the planned stop; sets `finished` when it is complete. */
 void aubi_control_leave(struct aubi_control *control);
 
 /*
- * Something newer came from `source` ("store", a peer's name). True if it
- * was taken. What doesn't parse is refused and logged.
+ * Adopts a newer object received from `source` ("store", or the name of a
+ * peer). Returns true if it was adopted. An object that cannot be parsed is
+ * rejected and logged.
  */
 bool aubi_control_adopt_config(struct aubi_control *control, const char *json,
-			      gsize length, guint64 version,
-			      const char *source);
+			       gsize length, guint64 version,
+			       const char *source);
 bool aubi_control_adopt_assignments(struct aubi_control *control,
-				   const char *json, gsize length,
-				   guint64 version, const char *source);
+				    const char *json, gsize length,
+				    guint64 version, const char *source);
 
-/* Members, or the own record, changed: ownership and view follow. */
+/*
+ * Informs ownership, the entry's view and gossip that members or this control's
+ * own record changed.
+ */
 void aubi_control_members_changed(struct aubi_control *control);
 
-/* The store answered, or failed to (`error`). */
+/* Records that the store answered (`error` is NULL) or failed to answer. */
 void aubi_control_store_result(struct aubi_control *control,
-			      const GError *error);
+			       const GError *error);
 
-/* Record an event; texts may be NULL. */
-void aubi_control_record_event(struct aubi_control *control, enum aub_event_type type,
-		       guint64 number, const char *peer, const char *zone,
-		       const char *text);
+/* Records an event; the texts may be NULL. */
+void aubi_control_record_event(struct aubi_control *control,
+			       enum aub_event_type type, guint64 number,
+			       const char *peer, const char *zone,
+			       const char *text);
 
-/* The own region, "" for unknown; borrowed. */
+/* Returns the region of `zone`, "" if it is unknown; borrowed. */
 const char *aubi_control_region(const struct aubi_control *control,
 				const char *zone);
 guint aubi_control_rank(const struct aubi_control *control, bool in_region,
 			gint64 now_us);
 bool aubi_control_owns_services(const struct aubi_control *control);
 
-/* control_book.c: the configurations seen lately, the held one last. */
+/* config_history.c: recent configurations, the current one last. */
 struct aubi_config_history *aubi_config_history_new(void);
 void aubi_config_history_free(struct aubi_config_history *history);
-void aubi_config_history_add(struct aubi_config_history *history, struct aub_config *config,
-		   const char *json, gsize length); /* takes config over */
-const struct aub_config *aubi_config_history_current(const struct aubi_config_history *history);
-const struct aub_config *aubi_config_history_find(const struct aubi_config_history *history,
-					guint64 version);
-const char *aubi_config_history_json(const struct aubi_config_history *history, gsize *length);
-/* The same, compressed; borrowed until the next is added. */
+void aubi_config_history_add(struct aubi_config_history *history,
+			     struct aub_config *config, const char *json,
+			     gsize length); /* takes ownership of config */
+const struct aub_config *aubi_config_history_current(
+	const struct aubi_config_history *history);
+const struct aub_config *aubi_config_history_find(
+	const struct aubi_config_history *history, guint64 version);
+const char *aubi_config_history_json(const struct aubi_config_history *history,
+				     gsize *length);
+/*
+ * Returns the current configuration's JSON, compressed; borrowed until the next
+ * configuration is added.
+ */
 GBytes *aubi_config_history_compressed(struct aubi_config_history *history);
 
 /* control_peers.c */
 struct aubi_peers *aubi_peers_new(struct aubi_control *control, GError **error);
 void aubi_peers_free(struct aubi_peers *peers);
-/* Exchange with a few peers now: there is news. Bounded in rate. */
+/*
+ * Starts exchanges with a few peers immediately because state has changed. The
+ * rate is limited; `urgent` allows a higher rate.
+ */
 void aubi_peers_gossip_now(struct aubi_peers *peers, bool urgent);
 void aubi_peers_fill_hello(const struct aubi_control *control,
-		      struct aub_hello *hello);
+			   struct aub_hello *hello);
 
 /* control_store.c */
 struct aubi_store_task *aubi_store_task_new(struct aubi_control *control);
@@ -144,7 +160,7 @@
 void aubi_store_task_members_changed(struct aubi_store_task *task);
 struct aub_store_client *aubi_store_task_client(struct aubi_store_task *task);
 
-/* control_entry.c. The link is taken over. */
+/* control_entry.c. aubi_entry_task_accept() takes ownership of the link. */
 struct aubi_entry_task *aubi_entry_task_new(struct aubi_control *control);
 void aubi_entry_task_free(struct aubi_entry_task *task);
 const struct aub_link_callbacks *aubi_entry_task_callbacks(void);
@@ -157,10 +173,12 @@
 bool aubi_entry_task_stopping(const struct aubi_entry_task *task);
 
 /* control_apply.c and control_admin.c */
-struct aubi_config_changes *aubi_config_changes_new(struct aubi_control *control);
+struct aubi_config_changes *aubi_config_changes_new(
+	struct aubi_control *control);
 void aubi_config_changes_install(struct aubi_config_changes *changes);
 void aubi_config_changes_free(struct aubi_config_changes *changes);
-void aubi_config_changes_tick(struct aubi_config_changes *changes, gint64 now_us);
+void aubi_config_changes_tick(struct aubi_config_changes *changes,
+			      gint64 now_us);
 void aubi_admin_install(struct aubi_control *control);
 
 /* control_metrics.c */
--- a/include/auburnstile/internal/control_edit.h
+++ b/include/auburnstile/internal/control_edit.h
@@ -1,6 +1,4 @@
-/*
- * What operators' changes do to a configuration. Plain functions.
- */
+/* Edits of a configuration that operators request. Pure functions. */
 #ifndef AUBURNSTILE_INTERNAL_CONTROL_EDIT_H
 #define AUBURNSTILE_INTERNAL_CONTROL_EDIT_H
 
@@ -9,27 +7,33 @@
 
 G_BEGIN_DECLS
 
-/* What /v1/KIND/NAME/WORD does to the configuration. */
+/* Effect of a request to /v1/KIND/NAME/ACTION on the configuration. */
 struct aubi_edit {
 	const char *kind;
 	const char *action;
-	bool add; /* to the list, else off it */
-	size_t list_offset; /* offset of it in struct aub_config */
+	bool add; /* add the name to the list; false: remove it */
+	size_t list_offset; /* offset of the list in struct aub_config */
 	bool (*exists)(const struct aub_inventory *inventory, const char *name);
 };
 
 /*
- * The edit that a path "/v1/KIND/NAME/WORD" asks for, and its name (owned by
- * the caller); NULL for another path.
+ * Returns the edit for a path "/v1/KIND/NAME/ACTION" and sets `*name` to NAME,
+ * which the caller owns; returns NULL for any other path.
  */
 const struct aubi_edit *aubi_edit_from_path(const char *path, char **name);
 
-/* False with no error: it is so already. */
+/*
+ * Applies `edit`. Returns false with `error` unset if the configuration already
+ * is in the requested state.
+ */
 bool aubi_edit_list(const struct aubi_edit *edit, const char *name,
 		    const struct aub_inventory *inventory,
 		    struct aub_config *config, GError **error);
 
-/* Put a new inventory in; names that it lacks go off the lists. */
+/*
+ * Replaces the inventory; names that the new inventory lacks are removed from
+ * the lists.
+ */
 bool aubi_edit_inventory(struct aub_config *config, const char *text,
 			 GError **error);
 
--- a/include/auburnstile/internal/control_json.h
+++ b/include/auburnstile/internal/control_json.h
@@ -1,6 +1,4 @@
-/*
- * What the control's answers to operators have in common.
- */
+/* JSON helpers shared by the control's admin handlers. */
 #ifndef AUBURNSTILE_INTERNAL_CONTROL_JSON_H
 #define AUBURNSTILE_INTERNAL_CONTROL_JSON_H
 
@@ -9,24 +7,28 @@
 
 G_BEGIN_DECLS
 
-/* Set `name` to the configuration as stored; null for none. */
+/*
+ * Sets member `name` to the configuration as stored, or to null if there is
+ * none.
+ */
 void aubi_json_set_config(JsonObject *object, const char *name,
 			  const struct aub_config *config);
 
 /*
- * Who holds `version` and who doesn't: a list of {"member", "version",
- * "state"}, of all members that count. Owned by the caller.
+ * Returns a list of {"member", "version", "state", "in_force"} which shows for
+ * each counted member whether `version` is active there. The caller owns the
+ * list.
  */
 JsonArray *aubi_json_config_activation(const struct aubi_control *control,
-			      guint64 version, gint64 now_us);
+				       guint64 version, gint64 now_us);
 
 /*
- * True if each live member that has an entry works by `version` or a newer
- * one. A member unheard of for three seconds takes no new work and is not
- * waited for.
+ * Returns true if `version` or a newer one is active at each live member that
+ * has an entry. A member not heard for three seconds takes no new work, so it
+ * is not waited for.
  */
 bool aubi_config_active_everywhere(const struct aubi_control *control,
-			      guint64 version, gint64 now_us);
+				   guint64 version, gint64 now_us);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/dispatch_probes.h
+++ b/include/auburnstile/internal/dispatch_probes.h
@@ -1,6 +1,4 @@
-/*
- * Probes under way: sent for a service's dispatcher, reported back by name.
- */
+/* Open probes, sent on behalf of the dispatcher of a service. */
 #ifndef AUBURNSTILE_INTERNAL_DISPATCH_PROBES_H
 #define AUBURNSTILE_INTERNAL_DISPATCH_PROBES_H
 
@@ -10,25 +8,33 @@
 
 struct aub_probes;
 
-/* How a probe ended; everything is borrowed for the call. */
+/* Result of a probe; all pointers are borrowed for the duration of the call. */
 struct aub_probe_report {
 	const char *service;
 	const char *upstream;
-	const struct aub_inventory *inventory; /* under which it was sent */
+	const struct aub_inventory
+		*inventory; /* the one at the time of sending */
 	bool answered;
 	const struct aub_upstream_signs *signs;
-	guint32 busy; /* requests at once, by its own report */
+	guint32 busy; /* concurrent requests, as reported by the upstream */
 };
 
 typedef void aub_probe_report_callback(const struct aub_probe_report *report,
-				void *context);
+				       void *context);
 
-/* `upstreams` is borrowed. Freeing ends all probes without a report. */
+/*
+ * `upstreams` is borrowed. aub_probes_free() ends all probes without calling
+ * the callback.
+ */
 struct aub_probes *aub_probes_new(struct aub_upstream_set *upstreams,
-				  aub_probe_report_callback *callback, void *context);
+				  aub_probe_report_callback *callback,
+				  void *context);
 void aub_probes_free(struct aub_probes *probes);
 
-/* Probe an upstream of `inventory`; reported once, until `timeout_us`. */
+/*
+ * Sends a probe to an upstream of `inventory`. The callback is called exactly
+ * once, after `timeout_us` at the latest.
+ */
 void aub_probes_send(struct aub_probes *probes, const char *service,
 		     struct aub_inventory *inventory, guint16 upstream,
 		     gint64 timeout_us);
--- a/include/auburnstile/internal/dispatch_status.h
+++ b/include/auburnstile/internal/dispatch_status.h
@@ -1,6 +1,4 @@
-/*
- * A dispatcher's state as JSON.
- */
+/* Serialises the state of dispatchers as JSON. */
 #ifndef AUBURNSTILE_INTERNAL_DISPATCH_STATUS_H
 #define AUBURNSTILE_INTERNAL_DISPATCH_STATUS_H
 
@@ -9,11 +7,14 @@
 
 G_BEGIN_DECLS
 
-/* {"services":[...]}: the text, owned by the caller, is ready at the end. */
+/*
+ * Builds {"services":[...]}. aub_dispatch_status_end() returns the text, which
+ * the caller owns, and frees the builder.
+ */
 JsonBuilder *aub_dispatch_status_begin(void);
 char *aub_dispatch_status_end(JsonBuilder *builder);
 
-/* Add {"service","role","queued","upstreams":[...]} to `builder`. */
+/* Appends {"service","role","queued","upstreams":[...]} to `builder`. */
 void aub_dispatch_status_build(JsonBuilder *builder, const char *service,
 			       enum aub_dispatch_role role,
 			       const struct aub_dispatcher *dispatcher);
--- a/include/auburnstile/internal/dispatch_task.h
+++ b/include/auburnstile/internal/dispatch_task.h
@@ -1,6 +1,6 @@
 /*
- * Carries out what the dispatchers decide: one dispatcher a service, clients
- * of its upstreams, one timer.
+ * Executes the decisions of the dispatchers. Owns one dispatcher per service
+ * and the clients of the upstreams; each service has one timer.
  */
 #ifndef AUBURNSTILE_INTERNAL_DISPATCH_TASK_H
 #define AUBURNSTILE_INTERNAL_DISPATCH_TASK_H
@@ -18,7 +18,7 @@
 struct aub_dispatch_task_options {
 	enum aub_policy policy;
 	guint32 seed;
-	struct aub_timer_service *timers; /* all borrowed */
+	struct aub_timer_service *timers; /* all pointers are borrowed */
 	struct aub_event_ring *events;
 	struct aub_metrics *metrics;
 };
@@ -26,46 +26,57 @@
 struct aub_dispatch_task *aub_dispatch_task_new(
 	const struct aub_dispatch_task_options *options);
 
-/* Ends everything; callbacks of requests inside are not called. */
+/* Cancels all requests without calling their callbacks. */
 void aub_dispatch_task_free(struct aub_dispatch_task *task);
 
-/* A new inventory; services it no longer has finish what they hold. */
+/*
+ * Sets a new inventory. Services that it no longer contains finish their open
+ * requests.
+ */
 void aub_dispatch_task_configure(struct aub_dispatch_task *task,
 				 struct aub_inventory *inventory);
 
-/* Unknown services are ignored. See aub_dispatcher_set_role(). */
+/*
+ * Sets the role for a service; unknown services are ignored. See
+ * aub_dispatcher_set_role().
+ */
 void aub_dispatch_task_set_role(struct aub_dispatch_task *task,
 				const char *service,
 				enum aub_dispatch_role role, gint64 warm_up_us);
 
-/* A service's dispatcher, borrowed; NULL where there is none. */
+/* Returns the dispatcher of a service, borrowed; NULL if there is none. */
 struct aub_dispatcher *aub_dispatch_task_dispatcher(
 	const struct aub_dispatch_task *task, const char *service);
 
 /*
- * The final answer; owned by the callee. Its id is the request's. May be
- * called from within aub_dispatch_task_submit().
+ * Receives the final answer and owns it. The answer's id is that of the
+ * request. May be called from within aub_dispatch_task_submit().
  */
 typedef void aub_dispatch_callback(struct aub_answer *answer, void *context);
 
 /*
- * Dispatch `call`, borrowed until the callback or aub_dispatch_task_abandon().
- * Its id must be unique, its deadline_ms set; `zone` is that of the entry it
- * came from.
+ * Dispatches `call`, which is borrowed until the callback or
+ * aub_dispatch_task_abandon(). Its id must be unique and its deadline_ms set;
+ * `zone` is that of the entry that received it.
  */
 void aub_dispatch_task_submit(struct aub_dispatch_task *task,
 			      const struct aub_call *call, const char *zone,
 			      aub_dispatch_callback *callback, void *context);
 
-/* Nobody waits any more: cancel. Returns true if it was inside. */
+/*
+ * Cancels a request whose caller has disconnected. Returns true if it was open.
+ */
 bool aub_dispatch_task_abandon(struct aub_dispatch_task *task,
 			       const char *service, guint64 id);
 
-/* Refuse new requests; those inside finish. */
+/* Refuses new requests; open ones finish. */
 void aub_dispatch_task_stop(struct aub_dispatch_task *task);
 guint aub_dispatch_task_pending(const struct aub_dispatch_task *task);
 
-/* {"services":[{"service","role","queued","upstreams":[...]}]}; g_free. */
+/*
+ * Returns {"services":[{"service","role","queued","upstreams":[...]}]}; free
+ * with g_free().
+ */
 char *aub_dispatch_task_status(const struct aub_dispatch_task *task);
 
 G_END_DECLS
--- a/include/auburnstile/internal/entry.h
+++ b/include/auburnstile/internal/entry.h
@@ -1,6 +1,4 @@
-/*
- * One entry process: its parts, put together, and its planned stop.
- */
+/* The entry process: its components and its planned stop. */
 #ifndef AUBURNSTILE_INTERNAL_ENTRY_H
 #define AUBURNSTILE_INTERNAL_ENTRY_H
 
@@ -10,11 +8,11 @@
 
 G_BEGIN_DECLS
 
-/* Filled from its settings file; see docs/SETTINGS.md. */
+/* Values of the settings file; see docs/SETTINGS.md. */
 struct aub_entry_settings {
 	char *name;
 	char *zone;
-	char *callers; /* addresses "ip:port" */
+	char *callers; /* listening address "ip:port" for callers */
 	char *inner;
 	char *admin;
 	char *control;
@@ -34,14 +32,17 @@
 
 struct aub_entry;
 
-/* `settings` is borrowed for the entry's life. Listens on return. */
+/*
+ * Creates an entry, which listens on return. `settings` is borrowed for the
+ * entry's lifetime. Returns NULL and sets `error` on failure.
+ */
 struct aub_entry *aub_entry_new(const struct aub_entry_settings *settings,
 				GError **error);
 void aub_entry_free(struct aub_entry *entry);
 
 /*
- * Begin a planned stop; `stopped` is called when it is over, at the latest
- * after stop_ms. Calling it again does nothing.
+ * Begins a planned stop. `stopped` is called when it is complete, after stop_ms
+ * at the latest. Further calls have no effect.
  */
 typedef void aub_entry_stopped(void *context);
 void aub_entry_stop(struct aub_entry *entry, aub_entry_stopped *stopped,
--- a/include/auburnstile/internal/entry_internal.h
+++ b/include/auburnstile/internal/entry_internal.h
@@ -1,6 +1,4 @@
-/*
- * The parts of an entry, for the files that put it together and stop it.
- */
+/* The components of an entry, shared by entry.c and entry_shutdown.c. */
 #ifndef AUBURNSTILE_INTERNAL_ENTRY_INTERNAL_H
 #define AUBURNSTILE_INTERNAL_ENTRY_INTERNAL_H
 
@@ -10,11 +8,14 @@
 
 enum aub_entry_phase {
 	ENTRY_RUNNING,
-	ENTRY_RELEASING_SERVICES, /* waits for others to own its services */
-	ENTRY_FINISHING_KEYED_REQUESTS, /* waits for keyed requests to end */
+	/* Waits until other entries own its services. */
+	ENTRY_RELEASING_SERVICES,
+	ENTRY_FINISHING_KEYED_REQUESTS, /* waits for open keyed requests */
 	ENTRY_TRANSFERRING_KEYS,
-	ENTRY_ANNOUNCING_SUCCESSOR, /* waits for the control to hear of the successor */
-	ENTRY_CLOSING, /* refuses; waits for the last answers to be written */
+	/* Waits for the control to publish the successor. */
+	ENTRY_ANNOUNCING_SUCCESSOR,
+	/* Refuses requests; waits until the last answers are written. */
+	ENTRY_CLOSING,
 	ENTRY_STOPPED
 };
 
@@ -31,17 +32,18 @@
 	struct aub_relay *relay;
 	struct aub_caller_server *callers;
 	struct aub_admin *admin;
-	const struct aub_inventory *inventory; /* borrowed: last configured */
+	/* Borrowed: the one last configured. */
+	const struct aub_inventory *inventory;
 	bool local_only;
 
 	guint load_timer;
 	guint states_timer;
-	gint64 processor_time_us; /* processor time at the last look */
+	gint64 processor_time_us; /* processor time at the last sample */
 
 	enum aub_entry_phase phase;
 	guint stop_timer;
 	gint64 stop_deadline_us;
-	gint64 phase_started_us; /* start of this phase */
+	gint64 phase_started_us; /* start of the current phase */
 	guint64 successor;
 	aub_entry_stopped *stopped;
 	void *stopped_context;
--- a/include/auburnstile/internal/entry_view.h
+++ b/include/auburnstile/internal/entry_view.h
@@ -1,6 +1,7 @@
 /*
- * What an entry works by: configuration, assignments and members, as its
- * control last told, and for how long it may take new work.
+ * The state by which an entry works, as last received from its control:
+ * configuration, assignments, members, and the lease during which it may take
+ * new work.
  */
 #ifndef AUBURNSTILE_INTERNAL_ENTRY_VIEW_H
 #define AUBURNSTILE_INTERNAL_ENTRY_VIEW_H
@@ -15,11 +16,11 @@
 struct aub_entry_view;
 
 struct aub_entry_view_options {
-	const char *control; /* "ip:port" of its control; copied */
-	const struct aub_hello *hello; /* its own; borrowed */
+	const char *control; /* address "ip:port" of the control; copied */
+	const struct aub_hello *hello; /* of this entry; borrowed */
 	struct aub_timer_service *timers; /* borrowed */
 	struct aub_event_ring *events; /* borrowed */
-	/* A view came into force, or permission to serve lapsed. */
+	/* Called when a view became active or the serving lease expired. */
 	void (*changed)(void *context);
 	void *context;
 };
@@ -28,14 +29,17 @@
 	const struct aub_entry_view_options *options);
 void aub_entry_view_free(struct aub_entry_view *view);
 
-/* Take a view in, as if its control had sent it. Borrowed. */
+/* Applies a view as if the control had sent it. `message` is borrowed. */
 void aub_entry_view_apply(struct aub_entry_view *view,
 			  const struct aub_view *message);
 
-/* True while new work may be taken. */
+/* Returns true while the serving lease allows new work. */
 bool aub_entry_view_serving(const struct aub_entry_view *view);
 
-/* All borrowed until the next change; NULL where there is none. */
+/*
+ * These return borrowed pointers, valid until the next change, or NULL if there
+ * is none.
+ */
 struct aub_inventory *aub_entry_view_inventory(
 	const struct aub_entry_view *view);
 const struct aub_assignment *aub_entry_view_assignment(
@@ -43,11 +47,14 @@
 const struct aub_member *aub_entry_view_member(
 	const struct aub_entry_view *view, guint64 incarnation);
 
-/* Who took over the keys of an entry that stopped in order; 0 if unknown. */
+/*
+ * Returns the incarnation that took over the keys of an entry after its planned
+ * stop, or 0 if it is unknown.
+ */
 guint64 aub_entry_view_successor(const struct aub_entry_view *view,
-			    guint64 incarnation);
+				 guint64 incarnation);
 
-/* Call `visit` for each assignment or member. */
+/* Call `visit` for each assignment or each member. */
 typedef void aub_assignment_visitor(const struct aub_assignment *assignment,
 				    void *context);
 void aub_entry_view_assignments(const struct aub_entry_view *view,
@@ -59,12 +66,16 @@
 guint64 aub_entry_view_config_version(const struct aub_entry_view *view);
 guint64 aub_entry_view_epoch(const struct aub_entry_view *view);
 
-/* Told to the control with the next acknowledgement, which goes at once. */
+/*
+ * Reported to the control with the next acknowledgement; stopping and the
+ * successor are sent immediately.
+ */
 void aub_entry_view_set_stopping(struct aub_entry_view *view);
-void aub_entry_view_set_successor(struct aub_entry_view *view, guint64 successor);
+void aub_entry_view_set_successor(struct aub_entry_view *view,
+				  guint64 successor);
 void aub_entry_view_set_load(struct aub_entry_view *view, guint32 permille);
 
-/* True when nothing waits to be written to the control. */
+/* Returns true if no data is queued for the control. */
 bool aub_entry_view_flushed(const struct aub_entry_view *view);
 
 G_END_DECLS
--- a/include/auburnstile/internal/idempotency.h
+++ b/include/auburnstile/internal/idempotency.h
@@ -1,6 +1,6 @@
 /*
- * Keys of requests that may run at most once: which entry keeps one, who
- * waits for a running one, and the hand-over at a planned stop.
+ * Idempotency keys: locates the entry that owns a key, lets repeated requests
+ * wait for the running one, and transfers the keys at a planned stop.
  */
 #ifndef AUBURNSTILE_INTERNAL_IDEMPOTENCY_H
 #define AUBURNSTILE_INTERNAL_IDEMPOTENCY_H
@@ -17,62 +17,78 @@
 	const char *name; /* of this entry; borrowed */
 	const char *zone;
 	guint64 incarnation;
-	gsize max_bytes; /* of keys and kept answers together */
-	gint64 retention_us; /* how long a key is remembered after its end */
-	struct aub_entry_view *view; /* all borrowed */
+	gsize max_bytes; /* for keys and cached answers together */
+	/* How long a key is retained after its request has ended. */
+	gint64 retention_us;
+	struct aub_entry_view *view; /* all pointers are borrowed */
 	struct aub_timer_service *timers;
 	struct aub_event_ring *events;
 };
 
-struct aub_idempotency *aub_idempotency_new(const struct aub_idempotency_options *options);
+struct aub_idempotency *aub_idempotency_new(
+	const struct aub_idempotency_options *options);
 void aub_idempotency_free(struct aub_idempotency *idempotency);
 
 enum aub_key_location {
 	AUB_KEY_LOCATION_HERE,
-	AUB_KEY_LOCATION_REMOTE, /* with a member */
-	AUB_KEY_LOCATION_LOST, /* nobody knows any more what ran under it */
-	AUB_KEY_LOCATION_INVALID /* no entry handed out such a grant */
+	AUB_KEY_LOCATION_REMOTE, /* at another member */
+	/* No entry still knows which requests ran under it. */
+	AUB_KEY_LOCATION_LOST,
+	AUB_KEY_LOCATION_INVALID /* no entry issued such a grant */
 };
 
-/* Who keeps `key`. `*member` is set for ELSEWHERE; borrowed from the view. */
-enum aub_key_location aub_idempotency_locate(const struct aub_idempotency *idempotency,
-					const char *key,
-					const struct aub_member **member);
+/*
+ * Returns where `key` is owned. Sets `*member` for AUB_KEY_LOCATION_REMOTE; it
+ * is borrowed from the view.
+ */
+enum aub_key_location aub_idempotency_locate(
+	const struct aub_idempotency *idempotency, const char *key,
+	const struct aub_member **member);
 
-/* The end of a running key; `answer` is borrowed. */
-typedef void aub_idempotency_waiter(const struct aub_answer *answer, void *context);
+/*
+ * Called when the request running under a key has ended; `answer` is borrowed.
+ */
+typedef void aub_idempotency_waiter(const struct aub_answer *answer,
+				    void *context);
 
 /*
- * Begin or repeat a keyed request here. For RUNNING, `waiter` is called at
- * its end, unless aub_idempotency_stop_waiting() came first. For KEPT, `*kept` is the
- * kept answer, owned by the caller.
+ * Begins or repeats a keyed request here. For AUB_KEY_RUNNING, `waiter` is
+ * called when the running request ends, unless aub_idempotency_stop_waiting()
+ * is called first. For AUB_KEY_KEPT, `*cached` is set to the cached answer,
+ * which the caller owns.
  */
 enum aub_key_verdict aub_idempotency_begin(struct aub_idempotency *idempotency,
-				      const struct aub_call *call,
-				      aub_idempotency_waiter *waiter, void *context,
-				      struct aub_answer **cached);
-void aub_idempotency_stop_waiting(struct aub_idempotency *idempotency, const char *key,
-		      void *context);
+					   const struct aub_call *call,
+					   aub_idempotency_waiter *waiter,
+					   void *context,
+					   struct aub_answer **cached);
+void aub_idempotency_stop_waiting(struct aub_idempotency *idempotency,
+				  const char *key, void *context);
 
-/* The run under `key` ended; `answer` is borrowed. */
-void aub_idempotency_finish(struct aub_idempotency *idempotency, const char *key,
-		       const struct aub_answer *answer);
+/* Records that the request under `key` has ended; `answer` is borrowed. */
+void aub_idempotency_finish(struct aub_idempotency *idempotency,
+			    const char *key, const struct aub_answer *answer);
 
-/* Keys handed over by a stopping entry. */
-void aub_idempotency_import(struct aub_idempotency *idempotency, const struct aub_keys *keys);
+/* Imports keys that a stopping entry has sent. */
+void aub_idempotency_import(struct aub_idempotency *idempotency,
+			    const struct aub_keys *keys);
 
 /*
- * Hand all keys to a live member; `done` gets its incarnation, or 0 when no
- * member could take them. No key may be running. From now on new keys are
- * kept by the successor.
+ * Transfers all keys to a live member. `done` receives its incarnation, or 0 if
+ * no member could take them. No request may be running under a key. From then
+ * on the successor owns new keys as well.
  */
 typedef void aub_idempotency_transferred(guint64 successor, void *context);
-void aub_idempotency_transfer(struct aub_idempotency *idempotency, struct aub_relay *relay,
-			  aub_idempotency_transferred *done, void *context);
+void aub_idempotency_transfer(struct aub_idempotency *idempotency,
+			      struct aub_relay *relay,
+			      aub_idempotency_transferred *done, void *context);
 void aub_idempotency_acknowledged(struct aub_idempotency *idempotency,
-			     const struct aub_keys_ack *ack);
+				  const struct aub_keys_ack *ack);
 
-/* A planned stop nears: from now on this entry begins no key. */
+/*
+ * Prevents new keys from being started at this entry, near the end of a planned
+ * stop.
+ */
 void aub_idempotency_close(struct aub_idempotency *idempotency);
 bool aub_idempotency_closed(const struct aub_idempotency *idempotency);
 
--- a/include/auburnstile/internal/ownership.h
+++ b/include/auburnstile/internal/ownership.h
@@ -1,9 +1,9 @@
 /*
- * Which member owns each service's queue, and which one stands by.
+ * Assigns an owner and a stand-by to the queue of each service.
  *
- * Plain decisions: members and the assignments in force come in, the new
- * assignments go out. Equal inputs give equal results on every control, so
- * that two that propose at once propose the same.
+ * Pure logic without I/O: members and the current assignments are passed in,
+ * new assignments are returned. Equal inputs give equal results on every
+ * control, so concurrent proposals are the same.
  */
 #ifndef AUBURNSTILE_INTERNAL_OWNERSHIP_H
 #define AUBURNSTILE_INTERNAL_OWNERSHIP_H
@@ -17,7 +17,7 @@
 
 /* The stored object: {"change": "ID", "assignments": [...]}. */
 struct aubi_assignments {
-	guint64 epoch; /* store version */
+	guint64 epoch; /* version of the object in the store */
 	GPtrArray *list; /* of struct aub_assignment, sorted by service */
 };
 
@@ -32,17 +32,18 @@
 	const struct aubi_assignments *assignments, const char *service);
 
 /*
- * The assignments that should be in force, owned by the caller; NULL if
- * these in force are right. `members` is a list of struct aub_member with
- * states as of now. `leaving` lists names of VMs that operators take out.
+ * Returns the assignments to be written, owned by the caller, or NULL if the
+ * current ones need no change. `members` is a list of struct aub_member with
+ * their current states. `leaving` lists the names of VMs that operators take
+ * out.
  *
- *   - an owner that is dead, leaving, in a zone that is out, or restarted
- *     gives way to its stand-by, or else to the member with fewest services;
+ *   - an owner that is dead, leaving, restarted, or in a zone taken out is
+ *     replaced by its stand-by, or else by the member with fewest services;
  *   - a stand-by is in another zone where there is one;
- *   - a service's owner is in the region of its upstreams where it can be;
- *   - with `rebalance` at most one service moves off the fullest member, if
- *     another one has at least two fewer;
- *   - what need not move stays.
+ *   - a service's owner is in the region of its upstreams where possible;
+ *   - with `rebalance`, at most one service moves away from the member with
+ *     most services, if another one has at least two fewer;
+ *   - all other assignments stay unchanged.
  */
 struct aubi_assignments *aubi_ownership_propose(
 	const struct aubi_assignments *current,
@@ -50,9 +51,10 @@
 	const GPtrArray *members, bool rebalance);
 
 /*
- * When to propose: the lowest-ranked live member at once, each further one
- * only if the need has lasted a step longer. No election, no herd on the
- * store. `needed_us` is when the need was first seen here, 0 for none.
+ * Returns true if this control may propose now. The live member with the lowest
+ * rank proposes immediately; each further rank waits one step longer. This
+ * needs no election and avoids concurrent writes to the store. `needed_us` is
+ * when this control first saw that a change is needed, 0 if none is.
  */
 bool aubi_ownership_is_turn(guint rank, gint64 needed_us, gint64 now_us);
 
--- a/include/auburnstile/internal/relay.h
+++ b/include/auburnstile/internal/relay.h
@@ -1,6 +1,6 @@
 /*
- * Requests between entries: a link to each entry spoken to, calls out and
- * calls in.
+ * Requests between entries, over one link per peer entry: outbound calls and
+ * inbound calls.
  */
 #ifndef AUBURNSTILE_INTERNAL_RELAY_H
 #define AUBURNSTILE_INTERNAL_RELAY_H
@@ -12,31 +12,39 @@
 G_BEGIN_DECLS
 
 struct aub_relay;
-struct aub_relay_call; /* one call out */
-struct aub_relay_inbound; /* one call in, being answered */
+struct aub_relay_call; /* an outbound call */
+struct aub_relay_inbound; /* an inbound call that has not been answered */
 
 struct aub_relay_options {
-	const struct aub_hello *hello; /* its own, `address` listened on */
+	const struct aub_hello *hello; /* of this entry; listens on `address` */
 	struct aub_timer_service *timers; /* borrowed */
 	struct aub_event_ring *events; /* borrowed */
 
-	/* May an entry of this incarnation link to this one? */
+	/* Returns true if an entry with this incarnation may open a link. */
 	bool (*is_member)(guint64 incarnation, void *context);
 	/*
-	 * A call came in; `call` is owned by the callee. Exactly one
-	 * aub_relay_answer() follows, unless `gone` came first.
+	 * Called for an inbound call; the callee owns `call`. It must call
+	 * aub_relay_answer() exactly once, unless `gone` was called first.
 	 */
 	void (*arrived)(struct aub_relay_inbound *inbound,
 			struct aub_call *call, void *context);
-	/* Nobody waits for its answer any more: don't use `inbound` again. */
+	/*
+	 * Called when the sender has cancelled or disconnected; `inbound` must
+	 * not be used any more.
+	 */
 	void (*gone)(struct aub_relay_inbound *inbound, void *context);
-	/* Keys were handed to this entry; acknowledged on return. */
+	/*
+	 * Called for keys sent to this entry; they are acknowledged on return.
+	 */
 	void (*keys)(const struct aub_keys *keys, void *context);
 	void (*keys_ack)(const struct aub_keys_ack *ack, void *context);
-	/* An owner tells what it knows; `incarnation` is the sender's. */
+	/*
+	 * Called for upstream states from an owner; `incarnation` is the
+	 * sender's.
+	 */
 	void (*states)(const struct aub_states *states, guint64 incarnation,
 		       void *context);
-	/* A watched peer's link came up or went down. */
+	/* Called when the link to a watched peer came up or went down. */
 	void (*changed)(void *context);
 	void *context;
 };
@@ -44,23 +52,23 @@
 struct aub_relay *aub_relay_new(const struct aub_relay_options *options,
 				GError **error);
 
-/* Callbacks of open calls are not called. */
+/* Frees the relay without calling the callbacks of open calls. */
 void aub_relay_free(struct aub_relay *relay);
 
 enum aub_relay_result {
 	AUB_RELAY_ANSWERED,
-	AUB_RELAY_NOT_SENT, /* provably not received */
-	AUB_RELAY_LOST /* the link ended: it may have been received */
+	AUB_RELAY_NOT_SENT, /* it is certain that the peer did not receive it */
+	AUB_RELAY_LOST /* the link ended; the peer may have received it */
 };
 
-/* `answer` is set for ANSWERED alone and owned by the callee. */
+/* `answer` is only set for AUB_RELAY_ANSWERED; the callee owns it. */
 typedef void aub_relay_callback(enum aub_relay_result result,
 				struct aub_answer *answer, void *context);
 
 /*
- * Send `call` (borrowed until the callback) to the member, whose incarnation
- * goes into `call->receiver`. The callback is never called from within. The
- * handle is valid until then.
+ * Sends `call` to a member and sets `call->receiver` to its incarnation. `call`
+ * is borrowed until the callback, which is never called from within this
+ * function. The returned handle is valid until the callback.
  */
 struct aub_relay_call *aub_relay_send(struct aub_relay *relay,
 				      const struct aub_member *member,
@@ -68,25 +76,29 @@
 				      aub_relay_callback *callback,
 				      void *context);
 
-/* Tell the peer to give up; the callback isn't called any more. */
+/* Cancels the call at the peer; the callback will not be called. */
 void aub_relay_cancel(struct aub_relay_call *call);
 
-/* `answer` is taken over. */
+/* Takes ownership of `answer`. */
 void aub_relay_answer(struct aub_relay_inbound *inbound,
 		      struct aub_answer *answer);
 void aub_relay_inbound_set_data(struct aub_relay_inbound *inbound, void *data);
 void *aub_relay_inbound_data(const struct aub_relay_inbound *inbound);
 
-/* Name and zone of the entry that sent it; borrowed. */
+/* Returns the zone of the entry that sent the call; borrowed. */
 const char *aub_relay_inbound_zone(const struct aub_relay_inbound *inbound);
 
-/* Send a message over the link to a member; false if it isn't up. */
+/*
+ * Sends a message over the link to a member; returns false if the link is not
+ * up.
+ */
 bool aub_relay_send_message(struct aub_relay *relay, guint64 incarnation,
 			    const struct aub_message *message);
 
 /*
- * Keep a link to this member from now on, and look often whether it lives.
- * aub_relay_unwatch_all() ends all watches; links stay until unused.
+ * Keeps a link to this member open and checks frequently whether it responds.
+ * aub_relay_unwatch_all() ends all watches; the links stay open until they are
+ * unused.
  */
 void aub_relay_watch(struct aub_relay *relay, const struct aub_member *member);
 void aub_relay_unwatch_all(struct aub_relay *relay);
@@ -94,7 +106,8 @@
 enum aub_peer_state {
 	AUB_PEER_UNTRIED, /* no link yet, or one is being opened */
 	AUB_PEER_UP,
-	AUB_PEER_DOWN /* the last try failed, or the link was lost */
+	/* The last connection attempt failed, or the link was lost. */
+	AUB_PEER_DOWN
 };
 enum aub_peer_state aub_relay_peer_state(const struct aub_relay *relay,
 					 guint64 incarnation);
--- a/include/auburnstile/internal/routed_request.h
+++ b/include/auburnstile/internal/routed_request.h
@@ -1,6 +1,6 @@
 /*
- * One request inside the front, and the figures kept about requests. Shared
- * by the files of the front only.
+ * One request in the request router, and request statistics. Shared only by the
+ * files of the router.
  */
 #ifndef AUBURNSTILE_INTERNAL_ROUTED_REQUEST_H
 #define AUBURNSTILE_INTERNAL_ROUTED_REQUEST_H
@@ -9,35 +9,41 @@
 
 G_BEGIN_DECLS
 
-/* Reason of an entry that has handed the key to its heir: ask again. */
+/*
+ * Reason sent by an entry that has transferred the key to its successor: the
+ * sender should look up the owner again.
+ */
 #define REASON_KEY_OWNER_MOVED "keeper-moved"
 
 enum routed_request_stage {
 	ROUTED_IDLE,
-	ROUTED_WAITING_FOR_KEY, /* for the end of the same key's first run */
+	ROUTED_WAITING_FOR_KEY, /* for the running request with the same key */
 	ROUTED_DISPATCHED, /* in this entry's dispatcher */
-	ROUTED_RELAYED, /* at another entry */
+	ROUTED_RELAYED, /* sent to another entry */
 	ROUTED_DELAYED /* will be routed again soon */
 };
 
 struct routed_request {
 	struct aub_request_router *router;
 	struct aub_call *call; /* owned */
-	struct aub_caller_request *caller; /* one of the two, or none: */
-	struct aub_relay_inbound *inbound; /* nobody waits any more */
+	struct aub_caller_request
+		*caller; /* one of these two is set, or neither */
+	struct aub_relay_inbound
+		*inbound; /* once the caller has disconnected */
 	enum routed_request_stage stage;
-	bool holds_key; /* its key is marked as running here */
-	bool may_have_run; /* an earlier try's fate is unknown */
-	bool forwarded; /* came from another entry */
-	bool addressed_to_owner; /* and means this one as its service's owner */
+	bool holds_key; /* its key is marked as running at this entry */
+	bool may_have_run; /* the outcome of an earlier attempt is unknown */
+	bool forwarded; /* received from another entry */
+	/* And addressed to this entry as the service's owner. */
+	bool addressed_to_owner;
 	bool standby_tried;
-	bool key_owner_lost; /* its grant names an entry that isn't there */
-	guint reroutes; /* times it was routed anew */
+	bool key_owner_lost; /* its grant names an entry that is unavailable */
+	guint reroutes; /* number of times it was rerouted */
 	struct aub_relay_call *relayed;
 	gint64 arrived_us;
 	gint64 deadline_us;
 	guint timer;
-	char *zone; /* of the entry that relayed it, or NULL */
+	char *zone; /* zone of the entry that relayed it, or NULL */
 };
 
 struct request_stats;
@@ -49,37 +55,42 @@
 	GHashTable *requests; /* set of struct routed_request */
 	guint64 next_id;
 	guint owned;
-	guint running_keys; /* keyed requests running here */
+	guint running_keys; /* keyed requests that run here */
 	bool stopping;
 	bool closed;
 };
 
-/* Counters by service and outcome, registered when first needed. */
+/* Counters by service and outcome, registered on first use. */
 struct request_stats *request_stats_new(struct aub_metrics *metrics);
 void request_stats_free(struct request_stats *stats);
-void request_stats_count_answer(struct request_stats *stats, const char *service,
-			  enum aub_outcome outcome, gint64 took_us);
+void request_stats_count_answer(struct request_stats *stats,
+				const char *service, enum aub_outcome outcome,
+				gint64 took_us);
 void request_stats_count_relayed(struct request_stats *stats);
 void request_stats_set_keys(struct request_stats *stats, guint count,
-			gsize bytes);
+			    gsize bytes);
 void request_stats_set_pending(struct request_stats *stats, guint pending);
 
-/* End a request: `answer` is taken over, `request` is freed. */
-void routed_request_finish(struct routed_request *request, struct aub_answer *answer);
+/* End a request: these take ownership of `answer` and free `request`. */
+void routed_request_finish(struct routed_request *request,
+			   struct aub_answer *answer);
 void routed_request_refuse(struct routed_request *request, guint status,
-		  const char *reason, guint32 retry_after_ms);
+			   const char *reason, guint32 retry_after_ms);
 
-/* Send it to whoever owns its service's queue, or refuse it. */
+/* Sends the request to the owner of its service's queue, or refuses it. */
 void routed_request_send_to_owner(struct routed_request *request);
 
-/* Find the keeper of its key: begin here, send it there, or say unknown. */
+/*
+ * Looks up the owner of the request's key, then starts the request here, sends
+ * it to the owner, or answers that its outcome is unknown.
+ */
 void routed_request_start_keyed(struct routed_request *request);
 
-/* Send it to the keeper of its key. */
+/* Sends the request to the owner of its key. */
 void routed_request_send_to_key_owner(struct routed_request *request,
-			   const struct aub_member *member);
+				      const struct aub_member *member);
 
-/* Milliseconds until its deadline, at least 0. */
+/* Returns the milliseconds until the request's deadline, at least 0. */
 guint32 routed_request_remaining_ms(const struct routed_request *request);
 
 G_END_DECLS
--- a/include/auburnstile/internal/store_sync.h
+++ b/include/auburnstile/internal/store_sync.h
@@ -1,6 +1,6 @@
 /*
- * A copy of what the platform's store holds for this process, kept current
- * by listing once and watching.
+ * A local copy of the objects in the platform's store that this process needs,
+ * kept current by listing once and then watching.
  */
 #ifndef AUBURNSTILE_INTERNAL_STORE_SYNC_H
 #define AUBURNSTILE_INTERNAL_STORE_SYNC_H
@@ -17,23 +17,29 @@
 	struct aub_http_client *client;
 	struct aub_timer_service *timers;
 	const char *address; /* of the store */
-	bool follows_rollouts; /* orders to change versions are read, too */
+	bool follows_rollouts; /* also reads rollout orders */
 	/*
-	 * An object is there, has changed, or is gone; `record` is borrowed.
-	 * Contents may be taken out of it (set to NULL).
+	 * Called when an object exists, has changed, or was removed. `record`
+	 * is borrowed; its contents may be taken (set to NULL).
 	 */
 	void (*changed)(enum aub_store_kind kind, struct aub_record *record,
 			void *context);
-	/* All changes of an answer have been told. */
+	/* Called after all changes of one answer have been reported. */
 	void (*batch_done)(void *context);
-	/* The store's answer to a watch, for others who do not watch. */
+	/*
+	 * Called with the store's answer to a watch, to be forwarded to
+	 * gateways that do not watch.
+	 */
 	void (*share)(enum aub_store_kind kind, gint64 after, gint64 until,
 		      const char *body, gsize length, void *context);
-	/* Does this process watch, or wait to be told of changes? */
+	/*
+	 * Returns whether this process watches the store or receives changes
+	 * from gateways that do.
+	 */
 	enum aub_watch_duty (*duty)(void *context);
-	/* Processes that share the store, this one not counted. */
+	/* Returns the number of other processes that share the store. */
 	guint (*fleet)(void *context);
-	/* The first full listing of a kind was read. */
+	/* Called when the first full listing of a kind has been read. */
 	void (*listed)(enum aub_store_kind kind, void *context);
 	void *context;
 };
@@ -42,52 +48,63 @@
 	const struct aub_store_sync_options *options);
 void aub_store_sync_free(struct aub_store_sync *sync);
 
-/* Record this gateway for the others to find; repeated until it is there. */
+/*
+ * Records this gateway in the store so that others can find it; repeated until
+ * it succeeds.
+ */
 void aub_store_sync_register(struct aub_store_sync *sync, const char *name,
-			  const struct aub_member_record *member);
-/* Ask the store where other gateways are, now. */
+			     const struct aub_member_record *member);
+/* Lists the other gateways in the store immediately. */
 void aub_store_sync_list_members(struct aub_store_sync *sync);
-/* Take the record back: a planned stop. Told once, not repeated. */
+/* Removes the record at a planned stop. Attempted once, not repeated. */
 void aub_store_sync_deregister(struct aub_store_sync *sync);
 
-/* Another gateway knows of a change of `kind` at `revision`. */
+/* Reports that another gateway knows of a change of `kind` at `revision`. */
 void aub_store_sync_announce(struct aub_store_sync *sync,
 			     enum aub_store_kind kind, gint64 revision);
 /*
- * What a watching gateway was told: the changes after `after` up to `until`.
- * Taken if nothing before them is missing here; else the store is asked.
+ * Applies changes received from a watching gateway: those after revision
+ * `after` up to `until`. They are ignored if earlier changes are missing here;
+ * in that case the store is queried.
+ */
+void aub_store_sync_apply_shared(struct aub_store_sync *sync,
+				 enum aub_store_kind kind, gint64 after,
+				 gint64 until, const char *body, gsize length);
+/*
+ * Must be called when the watch duty may have changed; starts watching if this
+ * process has the duty now.
  */
-void aub_store_sync_apply_shared(struct aub_store_sync *sync, enum aub_store_kind kind,
-			 gint64 after, gint64 until, const char *body,
-			 gsize length);
-/* Who watches may have changed: begin, if it is this process now. */
 void aub_store_sync_check_watch_duty(struct aub_store_sync *sync);
-/* Revision of the store at the last change that is known here. */
+/* Returns the store's revision at the last change known here. */
 gint64 aub_store_sync_known_revision(const struct aub_store_sync *sync,
-			    enum aub_store_kind kind);
-/* For how long the store has failed to answer about some kind; 0: it does. */
+				     enum aub_store_kind kind);
+/*
+ * Returns how long the store has failed to answer for some kind, in us; 0 if it
+ * answers.
+ */
 gint64 aub_store_sync_unavailable_us(const struct aub_store_sync *sync);
 
-/* When the store last answered about `kind`; 0: never. */
+/* Returns when the store last answered for `kind`; 0: never. */
 gint64 aub_store_sync_answered_us(const struct aub_store_sync *sync,
-			       enum aub_store_kind kind);
+				  enum aub_store_kind kind);
 
-/* How calls of the store ended, by the kind of object they were about. */
+/* Results of calls to the store, counted by kind of object. */
 enum aub_store_result {
 	AUB_STORE_ANSWERED,
-	AUB_STORE_NO_HISTORY, /* what came after a revision is forgotten */
+	/* Changes after the requested revision are no longer available. */
+	AUB_STORE_NO_HISTORY,
 	AUB_STORE_REFUSED, /* any other status */
-	AUB_STORE_NO_ANSWER, /* no connection, a reset or a timeout */
-	AUB_STORE_UNREADABLE, /* an answer that makes no sense */
+	AUB_STORE_NO_ANSWER, /* no connection, reset or timeout */
+	AUB_STORE_UNREADABLE, /* an answer that cannot be decoded */
 	AUB_STORE_RESULTS
 };
 /*
- * Write `body` as the state of an object. `written` comes once, unless the
- * returned call is cancelled first; with AUB_STORE_REFUSED and conflict where
- * the object is at another revision than the body names.
+ * Writes `body` as the state of an object. The callback is called exactly once
+ * unless the returned handle is cancelled first; with AUB_STORE_REFUSED and
+ * `conflict` set if the object is at another revision than the body names.
  */
-typedef void aub_store_write_callback(enum aub_store_result result, bool conflict,
-			       void *context);
+typedef void aub_store_write_callback(enum aub_store_result result,
+				      bool conflict, void *context);
 struct aub_store_write;
 struct aub_store_write *aub_store_sync_write_state(
 	struct aub_store_sync *sync, enum aub_store_kind kind, const char *name,
--- a/include/auburnstile/internal/store_sync_internal.h
+++ b/include/auburnstile/internal/store_sync_internal.h
@@ -1,6 +1,4 @@
-/*
- * The inside of the copy of the store, shared by its files.
- */
+/* Internals of the store copy, shared by its files. */
 #ifndef AUBURNSTILE_INTERNAL_STORE_SYNC_INTERNAL_H
 #define AUBURNSTILE_INTERNAL_STORE_SYNC_INTERNAL_H
 
@@ -8,8 +6,10 @@
 
 G_BEGIN_DECLS
 
-#define AUB_STORE_CALL_TIMEOUT_MS 1200 /* a slow store takes some 300 ms a call */
-#define AUB_STORE_RETRY_MIN_US (250 * AUB_MS) /* then twice that, and so on */
+/* A slow store needs about 300 ms per call. */
+#define AUB_STORE_CALL_TIMEOUT_MS 1200
+/* Doubled after each further failure. */
+#define AUB_STORE_RETRY_MIN_US (250 * AUB_MS)
 #define AUB_STORE_RETRY_MAX_US (1000 * AUB_MS)
 
 enum aub_store_step { AUB_STORE_LIST, AUB_STORE_WATCH };
@@ -21,28 +21,37 @@
 	struct aub_http_call *call;
 	guint timer;
 	gint64 revision;
-	char *next_page; /* page to go on with */
-	GHashTable *present; /* names that are there */
-	GHashTable *listed_names; /* names of the listing under way */
-	GHashTable *withheld_removals; /* names said to be gone, held back */
+	char *next_page; /* token for the next page of a listing */
+	GHashTable *present; /* names that exist */
+	GHashTable *listed_names; /* names in the current listing */
+	/* Names reported as removed, withheld from users. */
+	GHashTable *withheld_removals;
 	guint removal_timer;
 	gint64 answered_us;
-	gint64 recovered_us; /* when the store was heard again after an absence */
+	gint64 recovered_us; /* when the store answered again after an outage */
 	gint64 retry_us;
 	gint64 changed_revision; /* revision of the last change known here */
-	gint64 known_revision; /* the same, or later where others announced no change of
-			 this kind */
-	gint64 announced_revision; /* the highest that others told of */
-	gint64 awaited_revision; /* has until `announced_timer` to come by itself */
-	gint64 overdue_revision; /* did not: to be asked for */
+	/*
+	 * The same, or a later one up to which no change of this kind is known
+	 * to exist.
+	 */
+	gint64 known_revision;
+	gint64 announced_revision; /* highest revision that others announced */
+	/*
+	 * Announced, expected as a shared change until announced_timer fires.
+	 */
+	gint64 awaited_revision;
+	gint64 overdue_revision; /* did not arrive in time: must be fetched */
 	bool listed;
-	bool consistent_listing; /* an old listing had no history left: list anew */
-	bool listing_unconfirmed; /* nothing was heard since an old listing */
+	/* The last listing's history was gone: list without cached results. */
+	bool consistent_listing;
+	/* No changes received since a cached listing. */
+	bool listing_unconfirmed;
 	guint announced_timer;
-	bool fetching; /* the call under way waits for nothing */
+	bool fetching; /* the open call does not wait for changes */
 	bool failing;
-	gint64 failing_since_us; /* since when */
-	gint64 call_started_us; /* when the last call began */
+	gint64 failing_since_us; /* start of the current failure */
+	gint64 call_started_us; /* start of the last call */
 };
 
 struct aub_store_sync {
@@ -50,22 +59,22 @@
 	char *address;
 	struct aub_store_task tasks[AUB_STORE_KINDS];
 	char *name; /* of the own record; NULL: none */
-	GBytes *record; /* its body */
+	GBytes *record; /* body of the own record */
 	struct aub_http_call *registration_call;
 	guint registration_timer;
 	guint64 results[AUB_STORE_KINDS][AUB_STORE_RESULTS];
 };
 
-/* What an answer tells: a page of a listing, or changes. */
+/* Apply an answer: a page of a listing, or a page of changes. */
 void aub_store_apply_listing(struct aub_store_task *task,
-			    const struct aub_store_page *page, gint64 now_us);
+			     const struct aub_store_page *page, gint64 now_us);
 void aub_store_apply_changes(struct aub_store_task *task,
-			    const struct aub_store_page *page, gint64 now_us);
+			     const struct aub_store_page *page, gint64 now_us);
 
-/* Begin the listing anew; the caller runs the task. */
+/* Restarts the listing; the caller runs the task. */
 void aub_store_relist(struct aub_store_task *task);
 
-/* How a call ended, as far as its head tells. */
+/* Returns the result of a call as far as the response head shows it. */
 enum aub_store_result aub_store_result_of(enum aub_exchange_end end,
 					  const struct aub_http_head *head);
 void aub_store_count(struct aub_store_sync *sync, enum aub_store_kind kind,
--- a/include/auburnstile/internal/upstream_states.h
+++ b/include/auburnstile/internal/upstream_states.h
@@ -1,5 +1,6 @@
 /*
- * What an owner tells its stand-by of its upstreams, as a message.
+ * Message in which the owner of a service sends its upstream states to the
+ * stand-by.
  */
 #ifndef AUBURNSTILE_INTERNAL_UPSTREAM_STATES_H
 #define AUBURNSTILE_INTERNAL_UPSTREAM_STATES_H
@@ -9,11 +10,14 @@
 
 G_BEGIN_DECLS
 
-/* What the dispatcher knows; owned by the caller. */
-struct aub_states *aub_states_from_dispatcher(const struct aub_dispatcher *dispatcher,
-				   const char *service, gint64 now_us);
+/* Returns the upstream states known to the dispatcher; owned by the caller. */
+struct aub_states *aub_states_from_dispatcher(
+	const struct aub_dispatcher *dispatcher, const char *service,
+	gint64 now_us);
 
-/* Let a dispatcher without a role know it; others ignore it. */
+/*
+ * Applies received states to a dispatcher that has no role; others ignore them.
+ */
 void aub_states_apply(struct aub_dispatcher *dispatcher,
 		      const struct aub_states *states, gint64 now_us);
 
--- a/src/coordination/agreement.c
+++ b/src/coordination/agreement.c
@@ -1,17 +1,21 @@
 /*
- * Versions that only rise, freshness, and the two counts that keep an
- * accepted configuration in force everywhere.
+ * Monotonic versions, freshness of the configuration, and the two majority
+ * rules that keep an accepted configuration active everywhere.
  *
- * The counts: with N members known, a change is written only where more than
- * N/2 are heard, and called accepted only once more than N/2 hold it; a
- * process that can't ask the store takes new work only where at least N/2 are
- * heard. So whoever serves hears somebody who holds what was accepted.
+ * With N members known, a change is written only where more than N/2 are heard,
+ * and it is called accepted only once more than N/2 hold it. A process that
+ * cannot reach the store takes new work only where at least N/2 are heard.
+ * Every serving process therefore hears a member that holds each accepted
+ * version.
  */
 #include <auburnstile/internal/agreement.h>
 
-#define STARTUP_GRACE_US ((gint64)1000000) /* peers answer first after a start */
-#define CONFIRMATION_OVERDUE_US ((gint64)1500000) /* half of AUBI_CONFIG_FRESH_MAX_US */
-#define BEHIND_GRACE_US ((gint64)1000000) /* a pull takes much less */
+/* After a start, only peers are asked. */
+#define STARTUP_GRACE_US ((gint64)1000000)
+/* Half of AUBI_CONFIG_FRESH_MAX_US. */
+#define CONFIRMATION_OVERDUE_US ((gint64)1500000)
+/* A pull from a peer takes much less. */
+#define BEHIND_GRACE_US ((gint64)1000000)
 #define WATCH_MIN_US ((gint64)5000000)
 
 struct aubi_agreement aubi_agreement_start(gint64 now_us)
@@ -20,12 +24,12 @@
 }
 
 bool aubi_agreement_adopt_config(struct aubi_agreement *agreement,
-				guint64 version)
+				 guint64 version)
 {
 	/*
-	 * A stale read or a peer that is behind offers an older version.
-	 * A zone taken out would get requests again.
-	 * Only a higher one is ever taken, whoever offers it.
+	 * A stale read of the store or a peer that is behind may offer an older
+	 * version, by which a zone that was taken out would receive requests
+	 * again. Only a higher version is ever adopted, from any source.
 	 */
 	if (version <= agreement->config_version)
 		return false;
@@ -55,7 +59,8 @@
 }
 
 void aubi_agreement_receive_gossip(struct aubi_agreement *agreement,
-			    const struct aub_gossip *gossip, gint64 now_us)
+				   const struct aub_gossip *gossip,
+				   gint64 now_us)
 {
 	gint64 delay_us = aubi_gossip_delay_us(gossip, now_us);
 	bool was_behind = aubi_agreement_is_behind(agreement);
@@ -77,7 +82,7 @@
 }
 
 gint64 aubi_agreement_config_age_us(const struct aubi_agreement *agreement,
-			       gint64 now_us)
+				    gint64 now_us)
 {
 	if (!agreement->confirmed_us ||
 	    agreement->config_version < agreement->confirmed_version)
@@ -85,31 +90,34 @@
 	return MAX(now_us - agreement->confirmed_us, 0);
 }
 
-/* Age of the proof that the members not heard are no majority. */
+/* Returns the age of the proof that the members not heard are no majority. */
 static gint64 half_proof_age_us(const struct aubi_membership *membership,
-			    gint64 now_us)
+				gint64 now_us)
 {
 	guint known = aubi_membership_count(membership);
 
-	return aubi_membership_proof_age_us(membership, (known + 1) / 2, now_us);
+	return aubi_membership_proof_age_us(membership, (known + 1) / 2,
+					    now_us);
 }
 
 /*
- * A control that was paused or cut off hears all its peers at once when it is
- * back, a moment before it has pulled what they hold. Leave to serve by the
- * old version would send requests to a zone that was taken out. So one that
- * had no leave a second ago gets none, and another keeps its own for a second
- * at most, until it holds what it has heard of.
+ * A control that resumes after a pause or a partition hears all its peers at
+ * the same moment, shortly before it has pulled the version they hold. A
+ * serving lease for the old version would send requests to a zone that was
+ * taken out. A control that could not grant a lease within the last second
+ * therefore gets none while it is behind, and one that could may continue for
+ * at most a second until it holds the newer version.
  */
-static bool may_serve_while_behind(const struct aubi_agreement *agreement, gint64 now_us)
+static bool may_serve_while_behind(const struct aubi_agreement *agreement,
+				   gint64 now_us)
 {
 	return now_us - agreement->behind_since_us < BEHIND_GRACE_US &&
 	       now_us - agreement->last_serving_us < BEHIND_GRACE_US;
 }
 
 gint64 aubi_agreement_serve_lease_us(const struct aubi_agreement *agreement,
-			       const struct aubi_membership *membership,
-			       gint64 now_us)
+				     const struct aubi_membership *membership,
+				     gint64 now_us)
 {
 	gint64 age_us;
 
@@ -122,10 +130,10 @@
 	age_us = MIN(aubi_agreement_config_age_us(agreement, now_us),
 		     half_proof_age_us(membership, now_us));
 	/*
-	 * Cut off from store and peers, it would miss a change for good.
-	 * Requests would go on to a zone that was taken out.
-	 * The permission ends AUBI_CONFIG_FRESH_MAX_US after the last proof, wherever
-	 * the process hangs, as it is handed out as time left.
+	 * A process without contact to store and peers would never learn of a
+	 * change and would keep sending requests to a zone that was taken out.
+	 * The lease ends AUBI_CONFIG_FRESH_MAX_US after the last proof wherever
+	 * the process hangs, because it is handed out as remaining time.
 	 */
 	if (age_us >= AUBI_CONFIG_FRESH_MAX_US)
 		return 0;
@@ -141,7 +149,7 @@
 }
 
 bool aubi_agreement_can_accept_changes(const struct aubi_membership *membership,
-			       gint64 now_us)
+				       gint64 now_us)
 {
 	guint majority = aubi_membership_count(membership) / 2 + 1;
 
@@ -156,11 +164,12 @@
 				guint64 version)
 {
 	/*
-	 * A cut may come between the last proof heard and the write.
-	 * A majority would go on by the old version for the whole cut,
-	 * though operators were told that the new one is accepted.
-	 * So it is only called accepted once a majority holds it: whoever
-	 * serves without the store hears one of these.
+	 * A partition may begin between the last proof of life and the write. A
+	 * majority would then continue with the old version while the partition
+	 * lasts, although operators were told that the new one is accepted. The
+	 * change is therefore only reported as accepted once a majority holds
+	 * it: every process that serves without the store hears one of these
+	 * members.
 	 */
 	return agreement->config_version >= version &&
 	       aubi_membership_count_holding(membership, version) * 2 >
@@ -168,19 +177,20 @@
 }
 
 bool aubi_agreement_should_watch_store(struct aubi_agreement *agreement,
-			    const struct aubi_membership *membership,
-			    guint rank, gint64 now_us)
+				       const struct aubi_membership *membership,
+				       guint rank, gint64 now_us)
 {
 	bool joined = now_us - agreement->started_us >= STARTUP_GRACE_US;
 	bool overdue =
-		aubi_agreement_config_age_us(agreement, now_us) > CONFIRMATION_OVERDUE_US &&
+		aubi_agreement_config_age_us(agreement, now_us) >
+			CONFIRMATION_OVERDUE_US &&
 		half_proof_age_us(membership, now_us) > CONFIRMATION_OVERDUE_US;
 
 	/*
-	 * A whole zone that restarts would read the store all at once.
-	 * Every other caller of the store would wait behind that.
-	 * For its first second a control only asks peers, and only a few
-	 * of a region watch at any time.
+	 * If all controls of a restarting zone read the store simultaneously,
+	 * other callers of the store would have to wait. In its first second a
+	 * control therefore only asks its peers, and only a few controls of a
+	 * region watch the store at any time.
 	 */
 	if (joined && (rank < AUBI_STORE_WATCHERS_PER_REGION || overdue))
 		agreement->watch_until_us = now_us + WATCH_MIN_US;
--- a/src/coordination/assignments.c
+++ b/src/coordination/assignments.c
@@ -1,6 +1,4 @@
-/*
- * The assignment object: its lines, and its JSON in the store.
- */
+/* The assignments object and its JSON representation in the store. */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/json.h>
 #include <auburnstile/internal/ownership.h>
@@ -61,8 +59,10 @@
 	aub_string_set(&assignment->service, string_member(object, "service"));
 	aub_string_set(&assignment->owner, string_member(object, "owner"));
 	aub_string_set(&assignment->standby, string_member(object, "standby"));
-	assignment->owner_incarnation = integer_member(object, "owner_incarnation");
-	assignment->standby_incarnation = integer_member(object, "standby_incarnation");
+	assignment->owner_incarnation =
+		integer_member(object, "owner_incarnation");
+	assignment->standby_incarnation =
+		integer_member(object, "standby_incarnation");
 	assignment->epoch = integer_member(object, "epoch");
 	return assignment;
 }
@@ -89,14 +89,16 @@
 		JsonObject *assignment = aub_json_element(lines, i);
 
 		if (assignment)
-			g_ptr_array_add(assignments->list, parse_assignment(assignment));
+			g_ptr_array_add(assignments->list,
+					parse_assignment(assignment));
 	}
 out:
 	json_object_unref(root);
 	return assignments;
 }
 
-static void build_assignment(JsonBuilder *builder, const struct aub_assignment *assignment)
+static void build_assignment(JsonBuilder *builder,
+			     const struct aub_assignment *assignment)
 {
 	json_builder_begin_object(builder);
 	json_builder_set_member_name(builder, "service");
@@ -104,11 +106,13 @@
 	json_builder_set_member_name(builder, "owner");
 	json_builder_add_string_value(builder, assignment->owner);
 	json_builder_set_member_name(builder, "owner_incarnation");
-	json_builder_add_int_value(builder, (gint64)assignment->owner_incarnation);
+	json_builder_add_int_value(builder,
+				   (gint64)assignment->owner_incarnation);
 	json_builder_set_member_name(builder, "standby");
 	json_builder_add_string_value(builder, assignment->standby);
 	json_builder_set_member_name(builder, "standby_incarnation");
-	json_builder_add_int_value(builder, (gint64)assignment->standby_incarnation);
+	json_builder_add_int_value(builder,
+				   (gint64)assignment->standby_incarnation);
 	json_builder_set_member_name(builder, "epoch");
 	json_builder_add_int_value(builder, (gint64)assignment->epoch);
 	json_builder_end_object(builder);
--- a/src/coordination/config_history.c
+++ b/src/coordination/config_history.c
@@ -1,22 +1,24 @@
 /*
- * Configurations seen lately, so that a conflict can show the one an
- * operator's edit began from. The last of them is the one held.
+ * Recent configurations, so that a conflict can show the one on which an
+ * operator's edit was based. The last of them is the current one.
  */
 #include <auburnstile/internal/control.h>
 #include <auburnstile/internal/pack.h>
 
-#define CONFIG_HISTORY_MAX 32 /* a full-size inventory is about 0.1 MB a page */
+#define CONFIG_HISTORY_MAX 32 /* a large inventory takes about 0.1 MB */
 
 struct aubi_config_history {
-	GPtrArray *configs; /* of struct aub_config, versions rising */
-	char *json; /* of the held one, as stored */
+	/* Of struct aub_config, in ascending order of version. */
+	GPtrArray *configs;
+	char *json; /* the current one, as stored */
 	gsize length;
-	GBytes *compressed; /* the same, compressed; NULL until asked for */
+	GBytes *compressed; /* compressed json; NULL until it is requested */
 };
 
 struct aubi_config_history *aubi_config_history_new(void)
 {
-	struct aubi_config_history *history = g_new0(struct aubi_config_history, 1);
+	struct aubi_config_history *history =
+		g_new0(struct aubi_config_history, 1);
 
 	history->configs =
 		g_ptr_array_new_with_free_func((GDestroyNotify)aub_config_free);
@@ -33,8 +35,9 @@
 	g_free(history);
 }
 
-void aubi_config_history_add(struct aubi_config_history *history, struct aub_config *config,
-		   const char *json, gsize length)
+void aubi_config_history_add(struct aubi_config_history *history,
+			     struct aub_config *config, const char *json,
+			     gsize length)
 {
 	g_ptr_array_add(history->configs, config);
 	if (history->configs->len > CONFIG_HISTORY_MAX)
@@ -45,15 +48,16 @@
 	history->length = length;
 }
 
-const struct aub_config *aubi_config_history_current(const struct aubi_config_history *history)
+const struct aub_config *aubi_config_history_current(
+	const struct aubi_config_history *history)
 {
 	if (!history->configs->len)
 		return NULL;
 	return history->configs->pdata[history->configs->len - 1];
 }
 
-const struct aub_config *aubi_config_history_find(const struct aubi_config_history *history,
-					guint64 version)
+const struct aub_config *aubi_config_history_find(
+	const struct aubi_config_history *history, guint64 version)
 {
 	guint i;
 
@@ -66,7 +70,8 @@
 	return NULL;
 }
 
-const char *aubi_config_history_json(const struct aubi_config_history *history, gsize *length)
+const char *aubi_config_history_json(const struct aubi_config_history *history,
+				     gsize *length)
 {
 	*length = history->length;
 	return history->json;
--- a/src/coordination/control.c
+++ b/src/coordination/control.c
@@ -1,5 +1,5 @@
 /*
- * The hub of a control: what is held, and who is told when it changes.
+ * The hub of a control: holds the state and informs the tasks when it changes.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
@@ -10,8 +10,10 @@
 
 #define TICK_INTERVAL_US ((gint64)100000)
 #define METRICS_INTERVAL_US ((gint64)1000000)
-#define STOP_ANNOUNCE_US ((gint64)500000) /* for peers to hear of the stop */
-#define CONTROL_ONLY_STOP_US ((gint64)2000000) /* entry goes on: only control stops */
+/* For gossip to spread the state STOPPED. */
+#define STOP_ANNOUNCE_US ((gint64)500000)
+/* After this the entry stays: only the control stops. */
+#define CONTROL_ONLY_STOP_US ((gint64)2000000)
 
 struct aubi_member_last_state {
 	enum aub_member_state state;
@@ -69,9 +71,10 @@
 	aubi_peers_gossip_now(control->peers, urgent);
 }
 
-void aubi_control_record_event(struct aubi_control *control, enum aub_event_type type,
-		       guint64 number, const char *peer, const char *zone,
-		       const char *text)
+void aubi_control_record_event(struct aubi_control *control,
+			       enum aub_event_type type, guint64 number,
+			       const char *peer, const char *zone,
+			       const char *text)
 {
 	struct aub_event event = { .type = type, .number = (gint64)number };
 
@@ -82,7 +85,8 @@
 }
 
 bool aubi_control_adopt_config(struct aubi_control *control, const char *json,
-			      gsize length, guint64 version, const char *source)
+			       gsize length, guint64 version,
+			       const char *source)
 {
 	struct aub_inventory *inventory = NULL;
 	struct aub_config *config;
@@ -95,7 +99,7 @@
 		inventory = aub_config_inventory(config, &error);
 	if (!inventory) {
 		aub_log_warning("configuration %" G_GUINT64_FORMAT
-				" from %s refused: %s",
+				" from %s rejected: %s",
 				version, source, error->message);
 		aub_config_free(config);
 		g_error_free(error);
@@ -108,15 +112,15 @@
 	control->inventory = inventory;
 	aub_log_message("configuration %" G_GUINT64_FORMAT " from %s", version,
 			source);
-	aubi_control_record_event(control, AUB_EVENT_CONFIG, version, source, NULL,
-			  config->change);
+	aubi_control_record_event(control, AUB_EVENT_CONFIG, version, source,
+				  NULL, config->change);
 	propagate_change(control, true);
 	return true;
 }
 
 bool aubi_control_adopt_assignments(struct aubi_control *control,
-				   const char *json, gsize length,
-				   guint64 version, const char *source)
+				    const char *json, gsize length,
+				    guint64 version, const char *source)
 {
 	struct aubi_assignments *assignments;
 	GError *error = NULL;
@@ -125,7 +129,7 @@
 		return false;
 	assignments = aubi_assignments_parse(json, length, version, &error);
 	if (!assignments) {
-		aub_log_warning("assignments from %s refused: %s", source,
+		aub_log_warning("assignments from %s rejected: %s", source,
 				error->message);
 		g_error_free(error);
 		return false;
@@ -135,14 +139,14 @@
 	control->assignments = assignments;
 	aub_log_info("assignments %" G_GUINT64_FORMAT " from %s", version,
 		     source);
-	aubi_control_record_event(control, AUB_EVENT_ASSIGNMENT, version, source, NULL,
-			  NULL);
+	aubi_control_record_event(control, AUB_EVENT_ASSIGNMENT, version,
+				  source, NULL, NULL);
 	propagate_change(control, true);
 	return true;
 }
 
 static void record_member_state(struct aubi_control *control,
-			const struct aub_member *member)
+				const struct aub_member *member)
 {
 	struct aubi_member_last_state *last;
 
@@ -152,14 +156,15 @@
 		return;
 	if (!last) {
 		last = g_new0(struct aubi_member_last_state, 1);
-		g_hash_table_insert(control->last_states, g_strdup(member->name),
-				    last);
+		g_hash_table_insert(control->last_states,
+				    g_strdup(member->name), last);
 	}
 	last->state = member->state;
 	last->incarnation = member->incarnation;
-	aubi_control_record_event(control, AUB_EVENT_MEMBER, member->incarnation,
-			  member->name, member->zone,
-			  aub_member_state_name(member->state));
+	aubi_control_record_event(control, AUB_EVENT_MEMBER,
+				  member->incarnation, member->name,
+				  member->zone,
+				  aub_member_state_name(member->state));
 	aub_log_info("member %s is %s, entry %" G_GINT64_MODIFIER "x",
 		     member->name, aub_member_state_name(member->state),
 		     member->incarnation);
@@ -183,14 +188,15 @@
 	if (aubi_membership_superseded(control->membership) &&
 	    !control->superseded) {
 		control->superseded = true;
-		aub_log_warning("a newer control named %s is running: this "
-				"one serves no longer",
+		aub_log_warning("a newer control named %s is running; this one "
+				"stops serving",
 				control->settings->name);
 	}
 	propagate_change(control, false);
 }
 
-void aubi_control_store_result(struct aubi_control *control, const GError *error)
+void aubi_control_store_result(struct aubi_control *control,
+			       const GError *error)
 {
 	bool reachable = !error;
 
@@ -198,20 +204,20 @@
 		      error->code == AUB_ERROR_NOT_FOUND))
 		reachable = true;
 	if (reachable)
-		control->agreement.store_answered_us = aub_timer_now(control->timers);
+		control->agreement.store_answered_us =
+			aub_timer_now(control->timers);
 	if (reachable == control->store_reachable)
 		return;
 	control->store_reachable = reachable;
-	aubi_control_record_event(control, AUB_EVENT_STORE, reachable, NULL, NULL,
-			  reachable ? "back" : "away");
+	aubi_control_record_event(control, AUB_EVENT_STORE, reachable, NULL,
+				  NULL, reachable ? "back" : "away");
 	if (reachable)
-		aub_log_message("the store answers");
+		aub_log_message("the store is reachable");
 	else
-		aub_log_warning("the store does not answer: %s",
-				error->message);
+		aub_log_warning("the store is unreachable: %s", error->message);
 }
 
-/* The own record with another state. */
+/* Updates the own record with another state. */
 static void set_state(struct aubi_control *control, enum aub_member_state state)
 {
 	struct aub_member *self;
@@ -233,20 +239,26 @@
 	control->leaving = true;
 	control->leave_started_us = now_us;
 	control->leave_deadline_us = now_us + control->settings->stop_ms * 1000;
-	aub_log_message("stopping: at most %d ms",
+	aub_log_message("stopping within %d ms",
 			(int)control->settings->stop_ms);
-	aubi_control_record_event(control, AUB_EVENT_STOPPING, 0, NULL, NULL, NULL);
+	aubi_control_record_event(control, AUB_EVENT_STOPPING, 0, NULL, NULL,
+				  NULL);
 	set_state(control, AUB_MEMBER_LEAVING);
 }
 
-/* Wait for owners to move and the entry to go; then tell peers, then end. */
+/*
+ * Waits until other members own the services and the entry has stopped, then
+ * announces the state STOPPED to peers and finishes.
+ */
 static void leave_tick(struct aubi_control *control, gint64 now_us)
 {
 	bool entry = aubi_entry_task_connected(control->entry);
-	bool control_only = entry && !aubi_entry_task_stopping(control->entry) &&
-		     now_us - control->leave_started_us >= CONTROL_ONLY_STOP_US;
-	bool owning = aubi_control_owns_services(control) &&
-		      aubi_membership_count_live(control->membership, now_us) > 1;
+	bool control_only =
+		entry && !aubi_entry_task_stopping(control->entry) &&
+		now_us - control->leave_started_us >= CONTROL_ONLY_STOP_US;
+	bool owning =
+		aubi_control_owns_services(control) &&
+		aubi_membership_count_live(control->membership, now_us) > 1;
 
 	if (now_us >= control->leave_deadline_us ||
 	    (control->stop_announced_us &&
@@ -358,11 +370,13 @@
 		aubi_control_free(control);
 		return NULL;
 	}
-	aub_timer_every(control->timers, "tick", TICK_INTERVAL_US, on_tick, control);
-	aub_timer_every(control->timers, "metrics", METRICS_INTERVAL_US, on_metrics,
+	aub_timer_every(control->timers, "tick", TICK_INTERVAL_US, on_tick,
 			control);
-	aubi_control_record_event(control, AUB_EVENT_STARTED, control->incarnation,
-			  NULL, settings->zone, NULL);
+	aub_timer_every(control->timers, "metrics", METRICS_INTERVAL_US,
+			on_metrics, control);
+	aubi_control_record_event(control, AUB_EVENT_STARTED,
+				  control->incarnation, NULL, settings->zone,
+				  NULL);
 	return control;
 }
 
--- a/src/coordination/control_admin.c
+++ b/src/coordination/control_admin.c
@@ -1,6 +1,4 @@
-/*
- * Operators' questions to a control.
- */
+/* Admin handlers that report the control's state to operators. */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/control_json.h>
 #include <auburnstile/internal/json.h>
@@ -39,7 +37,7 @@
 }
 
 JsonArray *aubi_json_config_activation(const struct aubi_control *control,
-			      guint64 version, gint64 now_us)
+				       guint64 version, gint64 now_us)
 {
 	GPtrArray *members = aubi_membership_list(control->membership, now_us);
 	JsonArray *list = json_array_new();
@@ -71,7 +69,7 @@
 }
 
 bool aubi_config_active_everywhere(const struct aubi_control *control,
-			      guint64 version, gint64 now_us)
+				   guint64 version, gint64 now_us)
 {
 	GPtrArray *members = aubi_membership_list(control->membership, now_us);
 	bool everywhere = true;
@@ -94,11 +92,13 @@
 
 	json_object_set_int_member(answer, "version",
 				   (gint64)control->agreement.config_version);
-	aubi_json_set_config(answer, "config", aubi_config_history_current(control->history));
+	aubi_json_set_config(answer, "config",
+			     aubi_config_history_current(control->history));
 	aub_admin_answer(request, 200, aub_json_print(answer));
 }
 
-static void on_config_activation(struct aub_admin_request *request, void *context)
+static void on_config_activation(struct aub_admin_request *request,
+				 void *context)
 {
 	const struct aubi_control *control = context;
 	const char *text = aub_admin_query(request, "version");
@@ -111,11 +111,12 @@
 	json_object_set_int_member(answer, "version", (gint64)version);
 	json_object_set_boolean_member(answer, "everywhere",
 				       aubi_config_active_everywhere(control,
-								version,
-								now_us));
+								     version,
+								     now_us));
 	json_object_set_array_member(answer, "members",
-				     aubi_json_config_activation(control, version,
-							now_us));
+				     aubi_json_config_activation(control,
+								 version,
+								 now_us));
 	aub_admin_answer(request, 200, aub_json_print(answer));
 }
 
@@ -204,9 +205,11 @@
 	const struct aubi_control *control = context;
 	gint64 now_us = aub_timer_now(control->timers);
 	JsonObject *answer = json_object_new();
-	gint64 fresh_us = aubi_agreement_config_age_us(&control->agreement, now_us);
-	gint64 serve_us = aubi_agreement_serve_lease_us(&control->agreement,
-						  control->membership, now_us);
+	gint64 fresh_us =
+		aubi_agreement_config_age_us(&control->agreement, now_us);
+	gint64 serve_us =
+		aubi_agreement_serve_lease_us(&control->agreement,
+					      control->membership, now_us);
 
 	json_object_set_string_member(answer, "member",
 				      control->settings->name);
@@ -236,8 +239,8 @@
 {
 	aub_admin_handle(control->admin, "GET", "/v1/config", on_config,
 			 control);
-	aub_admin_handle(control->admin, "GET", "/v1/in-force", on_config_activation,
-			 control);
+	aub_admin_handle(control->admin, "GET", "/v1/in-force",
+			 on_config_activation, control);
 	aub_admin_handle(control->admin, "GET", "/v1/status", on_status,
 			 control);
 	aubi_config_changes_install(control->changes);
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -1,9 +1,11 @@
 /*
- * Operators' changes: read the newest configuration, edit it, write it under
- * the condition that nobody wrote in between, and wait for it to be in force.
+ * Configuration changes by operators: reads the newest configuration, edits it,
+ * writes it on condition that it was not changed meanwhile, and waits until it
+ * is active.
  *
- * An edit of the inventory names the version it began from and never goes
- * onto another one. Taking something out or back is rebased by itself.
+ * A change of the inventory names the version it was based on and is never
+ * applied to another one. Taking something out of service or returning it is
+ * rebased automatically.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/control.h>
@@ -14,31 +16,33 @@
 
 #include <string.h>
 
-#define ACTIVATION_TIMEOUT_US ((gint64)9000000) /* the letter's 9 s */
-#define ANSWER_DELAY_US ((gint64)300000) /* a look at peers before the answer */
-#define WRITE_ATTEMPTS_MAX 5 /* of a change that is rebased by itself */
+/* 9 s are required by the brief. */
+#define ACTIVATION_TIMEOUT_US ((gint64)9000000)
+/* Lets peers report before the answer. */
+#define ANSWER_DELAY_US ((gint64)300000)
+#define WRITE_ATTEMPTS_MAX 5 /* for a change that is rebased automatically */
 #define STEP "apply change"
 
 struct change {
 	struct aubi_config_changes *owner;
 	struct aub_admin_request *request;
-	const struct aubi_edit *edit; /* NULL: a whole inventory */
-	char *name; /* of what is edited */
-	char *text; /* of the inventory */
+	const struct aubi_edit *edit; /* NULL: replaces the whole inventory */
+	char *name; /* of the object that is edited */
+	char *text; /* of the new inventory */
 	char *author;
 	char *change_id;
-	bool client_chosen_id; /* `change` came with the request */
+	bool client_chosen_id; /* the request contained "change" */
 	guint64 base_version;
 	bool override; /* the operator knows that a majority is gone */
 	guint attempts;
-	char *json; /* being written */
-	guint64 version; /* accepted; 0 before */
+	char *json; /* the configuration being written */
+	guint64 version; /* the version written; 0: not yet */
 	gint64 accepted_us;
 };
 
 struct aubi_config_changes {
 	struct aubi_control *control;
-	GPtrArray *open; /* of struct apply */
+	GPtrArray *open; /* of struct change */
 };
 
 static void change_free(void *data)
@@ -53,7 +57,7 @@
 	g_free(change);
 }
 
-/* Ends the apply; the request must have been answered. */
+/* Ends the change; the request must have been answered. */
 static void change_end(struct change *change)
 {
 	g_ptr_array_remove_fast(change->owner->open, change);
@@ -66,7 +70,7 @@
 }
 
 static void change_refuse(struct change *change, enum aub_error_code code,
-			 const char *text)
+			  const char *text)
 {
 	GError *error = NULL;
 
@@ -77,7 +81,8 @@
 
 static void change_conflict(struct change *change)
 {
-	const struct aubi_config_history *history = change->owner->control->history;
+	const struct aubi_config_history *history =
+		change->owner->control->history;
 	JsonObject *answer = json_object_new();
 	JsonObject *error = json_object_new();
 
@@ -85,12 +90,14 @@
 	json_object_set_string_member(error, "step", STEP);
 	json_object_set_string_member(error, "peer", "");
 	json_object_set_string_member(error, "message",
-				      "the configuration was changed since "
-				      "the version this edit began from");
+				      "the configuration has changed since "
+				      "the version this edit is based on");
 	json_object_set_object_member(answer, "error", error);
 	aubi_json_set_config(answer, "base_config",
-			     aubi_config_history_find(history, change->base_version));
-	aubi_json_set_config(answer, "current_config", aubi_config_history_current(history));
+			     aubi_config_history_find(history,
+						      change->base_version));
+	aubi_json_set_config(answer, "current_config",
+			     aubi_config_history_current(history));
 	json_object_set_int_member(
 		answer, "current_version",
 		(gint64)change->owner->control->agreement.config_version);
@@ -98,7 +105,7 @@
 	change_end(change);
 }
 
-/* The answer of a change that was accepted, or needed no write. */
+/* Answers a change that was accepted or needed no write. */
 static void change_complete(struct change *change, gint64 now_us)
 {
 	struct aubi_control *control = change->owner->control;
@@ -107,14 +114,15 @@
 	json_object_set_boolean_member(answer, "accepted", TRUE);
 	json_object_set_int_member(answer, "version", (gint64)change->version);
 	json_object_set_string_member(answer, "change",
-				      change->change_id ? change->change_id : "");
-	json_object_set_boolean_member(answer, "everywhere",
-				       aubi_config_active_everywhere(control,
-								change->version,
-								now_us));
-	json_object_set_array_member(answer, "in_force",
-				     aubi_json_config_activation(control, change->version,
-							now_us));
+				      change->change_id ? change->change_id :
+							  "");
+	json_object_set_boolean_member(
+		answer, "everywhere",
+		aubi_config_active_everywhere(control, change->version,
+					      now_us));
+	json_object_set_array_member(
+		answer, "in_force",
+		aubi_json_config_activation(control, change->version, now_us));
 	aub_admin_answer(change->request, 200, aub_json_print(answer));
 	change_end(change);
 }
@@ -122,10 +130,11 @@
 static void change_read_store(struct change *change);
 
 /*
- * Failure: the answer to an accepted change was lost, and the operator's
- * command sends it again. It would be told of a conflict with itself, or be
- * written once more over what came after. The id it chose is among those of
- * the configuration held: it was accepted, there is nothing to write.
+ * If the answer to an accepted change was lost, the operator's command sends
+ * the change again. It would be reported as a conflict with itself, or be
+ * written again over later changes. If the id chosen by the client is among
+ * those of the current configuration, the change was accepted and nothing is
+ * written.
  */
 static bool is_applied_already(struct change *change)
 {
@@ -147,8 +156,9 @@
 	struct aubi_control *control = change->owner->control;
 
 	if (object)
-		aubi_control_adopt_config(control, object->value, object->length,
-					 object->version, "store");
+		aubi_control_adopt_config(control, object->value,
+					  object->length, object->version,
+					  "store");
 	if (!is_applied_already(change))
 		change_conflict(change);
 }
@@ -174,14 +184,14 @@
 	change->version = version;
 	change->accepted_us = aub_timer_now(control->timers);
 	aubi_control_adopt_config(control, change->json, strlen(change->json),
-				 version, "operator");
+				  version, "operator");
 }
 
 /*
- * Written on the side of a partition that is no majority, a change would not
- * reach entries that go on serving. They would send requests to a zone that
- * operators believe empty. So nothing is written unless a majority is heard;
- * is_accepted() sees to a cut that comes just then.
+ * A change written in a minority partition would not reach entries in the other
+ * partition that continue to serve, and they would send requests to a zone that
+ * operators believe to be empty. Nothing is written unless a majority is heard;
+ * is_accepted() covers a partition that begins during the write.
  */
 static bool can_accept(struct change *change)
 {
@@ -195,7 +205,8 @@
 static void change_write(struct change *change)
 {
 	struct aubi_control *control = change->owner->control;
-	const struct aub_config *held = aubi_config_history_current(control->history);
+	const struct aub_config *held =
+		aubi_config_history_current(control->history);
 	struct aub_config *config;
 	GError *error = NULL;
 	bool edited;
@@ -206,7 +217,7 @@
 					control->inventory, config, &error) :
 			 aubi_edit_inventory(config, change->text, &error);
 	if (change->edit && !edited && !change->attempts) {
-		/* By what is held there is nothing to do: ask the store. */
+		/* The configuration held needs no change; check the store. */
 		g_clear_error(&error);
 		change_read_store(change);
 	} else if (error) {
@@ -217,9 +228,10 @@
 			change->owner->control->agreement.config_version;
 		change->accepted_us = aub_timer_now(control->timers);
 	} else if (!can_accept(change)) {
-		change_refuse(change, AUB_ERROR_UNAVAILABLE,
-			     "a majority of the members isn't heard: nothing "
-			     "was changed (\"override\" accepts it anyway)");
+		change_refuse(
+			change, AUB_ERROR_UNAVAILABLE,
+			"no majority of the members is heard: nothing was "
+			"changed (\"override\" accepts the change anyway)");
 	} else {
 		if (!change->client_chosen_id) {
 			g_free(change->change_id);
@@ -232,9 +244,10 @@
 		g_free(change->json);
 		change->json = aub_config_serialize(config);
 		aub_store_put(aubi_store_task_client(control->store),
-			      AUB_CONFIG_KEY, change->json, strlen(change->json),
-			      control->agreement.config_version, change->change_id,
-			      on_written, change);
+			      AUB_CONFIG_KEY, change->json,
+			      strlen(change->json),
+			      control->agreement.config_version,
+			      change->change_id, on_written, change);
 	}
 	aub_config_free(config);
 }
@@ -251,11 +264,13 @@
 		return;
 	}
 	if (object)
-		aubi_control_adopt_config(control, object->value, object->length,
-					 object->version, "store");
+		aubi_control_adopt_config(control, object->value,
+					  object->length, object->version,
+					  "store");
 	if (is_applied_already(change))
 		return;
-	if (!change->edit && change->base_version != control->agreement.config_version)
+	if (!change->edit &&
+	    change->base_version != control->agreement.config_version)
 		change_conflict(change);
 	else
 		change_write(change);
@@ -277,7 +292,7 @@
 					  control->membership, change->version);
 }
 
-/* Written, but no majority is known to hold it. */
+/* Reports that the change was written, but no majority is known to hold it. */
 static void change_undecided(struct change *change)
 {
 	GError *error = NULL;
@@ -285,14 +300,16 @@
 	aub_error_set(&error, AUB_ERROR_AMBIGUOUS, STEP, NULL,
 		      "written as version %" G_GUINT64_FORMAT
 		      ", change %s, but no majority of the members is known "
-		      "to hold it: until one is, it is in force only where it "
-		      "was heard of (see /v1/in-force)",
-		      change->version, change->change_id ? change->change_id : "");
+		      "to hold it: until then it is only in effect at members "
+		      "that have received it (see /v1/in-force)",
+		      change->version,
+		      change->change_id ? change->change_id : "");
 	change_fail(change, error);
 	g_error_free(error);
 }
 
-void aubi_config_changes_tick(struct aubi_config_changes *changes, gint64 now_us)
+void aubi_config_changes_tick(struct aubi_config_changes *changes,
+			      gint64 now_us)
 {
 	guint i;
 
@@ -303,8 +320,8 @@
 		if (!change->version || waited_us < ANSWER_DELAY_US)
 			continue;
 		if (waited_us < ACTIVATION_TIMEOUT_US &&
-		    !aubi_config_active_everywhere(changes->control, change->version,
-					      now_us))
+		    !aubi_config_active_everywhere(changes->control,
+						   change->version, now_us))
 			continue;
 		if (is_accepted(change))
 			change_complete(change, now_us);
@@ -314,10 +331,11 @@
 }
 
 /*
- * Failure: the store's reads are stale or slow while its writes are good.
- * Symptom: an operator's change is refused though peers know the newest.
- * Enough: it is written onto what is held, and the write's condition tells
- * if that wasn't the newest; only then is the store read.
+ * Reads from the store may be stale or slow while writes work, and an
+ * operator's change would be refused although peers have the newest version.
+ * The change is therefore applied to the configuration held; the condition of
+ * the write detects whether that was not the newest, and only then the store is
+ * read.
  */
 static void change_start(struct change *change)
 {
@@ -331,7 +349,10 @@
 		change_read_store(change);
 }
 
-/* The request's body as an object; answers and returns NULL if it is none. */
+/*
+ * Returns the request's body as an object. If it is none, answers the request
+ * with an error and returns NULL.
+ */
 static JsonObject *parse_body(struct aub_admin_request *request)
 {
 	GError *error = NULL;
@@ -350,7 +371,10 @@
 	return body;
 }
 
-/* The operator knows that those unheard are gone for good. */
+/*
+ * Forgets all members that are not heard, because the operator knows that they
+ * are permanently gone.
+ */
 static void forget_dead(struct aubi_control *control)
 {
 	guint count;
@@ -359,15 +383,15 @@
 					    aub_timer_now(control->timers));
 	if (!count)
 		return;
-	aub_log_warning("%u members unheard are forgotten: an operator's "
-			"override",
+	aub_log_warning("forgot %u members that are not heard, as requested "
+			"by an operator's override",
 			count);
 	aubi_control_members_changed(control);
 }
 
 static struct change *change_new(struct aubi_config_changes *changes,
-			       struct aub_admin_request *request,
-			       JsonObject *body)
+				 struct aub_admin_request *request,
+				 JsonObject *body)
 {
 	struct change *change = g_new0(struct change, 1);
 	const char *author = aub_json_string(body, "author");
@@ -386,7 +410,10 @@
 
 #define CHANGE_ID_RULE "\"change\" must be 8 to 64 letters, digits or hyphens"
 
-/* An id is looked for in the object's text: it must stand out there. */
+/*
+ * Change ids are searched for in the text of the configuration and must be
+ * distinguishable there.
+ */
 static bool change_id_is_valid(const struct change *change)
 {
 	gsize length;
@@ -396,8 +423,8 @@
 	length = strlen(change->change_id);
 	return length >= 8 && length <= 64 &&
 	       strspn(change->change_id, "abcdefghijklmnopqrstuvwxyz"
-				     "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
-				     "0123456789-") == length;
+					 "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
+					 "0123456789-") == length;
 }
 
 static void on_apply(struct aub_admin_request *request, void *context)
@@ -414,7 +441,7 @@
 	change->base_version = (guint64)aub_json_integer(body, "base");
 	if (!text)
 		change_refuse(change, AUB_ERROR_INVALID,
-			     "\"inventory\" is missing");
+			      "\"inventory\" is missing");
 	else if (!change_id_is_valid(change))
 		change_refuse(change, AUB_ERROR_INVALID, CHANGE_ID_RULE);
 	else
@@ -430,7 +457,8 @@
 	if (!body)
 		return;
 	change = change_new(context, request, body);
-	change->edit = aubi_edit_from_path(aub_admin_path(request), &change->name);
+	change->edit =
+		aubi_edit_from_path(aub_admin_path(request), &change->name);
 	if (!change->edit)
 		change_refuse(change, AUB_ERROR_NOT_FOUND, "no such command");
 	else if (!change_id_is_valid(change))
@@ -440,9 +468,11 @@
 	json_object_unref(body);
 }
 
-struct aubi_config_changes *aubi_config_changes_new(struct aubi_control *control)
+struct aubi_config_changes *aubi_config_changes_new(
+	struct aubi_control *control)
 {
-	struct aubi_config_changes *changes = g_new0(struct aubi_config_changes, 1);
+	struct aubi_config_changes *changes =
+		g_new0(struct aubi_config_changes, 1);
 
 	changes->control = control;
 	changes->open = g_ptr_array_new_with_free_func(change_free);
--- a/src/coordination/control_edit.c
+++ b/src/coordination/control_edit.c
@@ -1,6 +1,4 @@
-/*
- * What operators' changes do to a configuration.
- */
+/* Edits of a configuration that operators request. */
 #include <auburnstile/internal/control_edit.h>
 
 #include <auburnstile/error.h>
@@ -61,9 +59,9 @@
 	return -1;
 }
 
-static void remove_unknown_names(GPtrArray *list, const struct aub_inventory *inventory,
-		  bool (*exists)(const struct aub_inventory *inventory,
-				 const char *name))
+static void remove_unknown_names(
+	GPtrArray *list, const struct aub_inventory *inventory,
+	bool (*exists)(const struct aub_inventory *inventory, const char *name))
 {
 	guint i;
 
@@ -84,7 +82,8 @@
 	aub_string_set(&config->text, text);
 	remove_unknown_names(config->zones_out, inventory, zone_exists);
 	remove_unknown_names(config->vms_leaving, inventory, vm_exists);
-	remove_unknown_names(config->upstreams_leaving, inventory, upstream_exists);
+	remove_unknown_names(config->upstreams_leaving, inventory,
+			     upstream_exists);
 	aub_inventory_unref(inventory);
 	return true;
 }
--- a/src/coordination/control_entry.c
+++ b/src/coordination/control_entry.c
@@ -1,6 +1,6 @@
 /*
- * The local entry: it hears by views what it works by, and tells by
- * acknowledgements what is in force, its load, and a planned stop.
+ * The local entry: the control sends it views, and the entry's acknowledgements
+ * report the active version, its load and a planned stop.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/control.h>
@@ -8,25 +8,29 @@
 
 #include <string.h>
 
-#define VIEW_INTERVAL_US ((gint64)500000) /* between views that bring no news */
-#define CONFIG_RESEND_US ((gint64)2000000) /* a configuration not acknowledged */
-#define RECONNECT_GRACE_US ((gint64)300000) /* time to connect again */
-#define ACK_TIMEOUT_US ((gint64)1500000) /* without acknowledgement: paused */
+#define VIEW_INTERVAL_US ((gint64)500000) /* between views without changes */
+/* Until an unacknowledged configuration is resent. */
+#define CONFIG_RESEND_US ((gint64)2000000)
+#define RECONNECT_GRACE_US ((gint64)300000) /* time to reconnect */
+/* Without acknowledgements: treated as paused. */
+#define ACK_TIMEOUT_US ((gint64)1500000)
 
 struct aubi_entry_task {
 	struct aubi_control *control;
 	struct aub_link *link; /* owned; NULL while there is no entry */
-	guint view_source; /* a view is due as soon as the loop is idle */
-	gint64 view_sent_us; /* last view sent */
-	guint64 config_sent_version; /* configuration bytes last sent */
+	guint view_source; /* idle source that will send a view */
+	gint64 view_sent_us; /* when the last view was sent */
+	/* Configuration whose bytes were last sent. */
+	guint64 config_sent_version;
 	gint64 config_sent_us;
 	guint64 acked_version;
 	guint64 ack_number;
-	gint64 acked_us; /* or since the link came up */
-	gint64 link_lost_us; /* link went down; 0 while it is up or long gone */
+	gint64 acked_us; /* last acknowledgement, or when the link came up */
+	/* When the link went down; 0: it is up, or loss handled. */
+	gint64 link_lost_us;
 	bool stopping;
 	guint64 successor;
-	guint64 bytes; /* over links that ended */
+	guint64 bytes; /* transferred over links that have ended */
 };
 
 static gint64 now(const struct aubi_entry_task *task)
@@ -53,7 +57,7 @@
 				aub_assignment_copy(lines->pdata[i]));
 }
 
-/* Configuration bytes go along only while they are not acknowledged. */
+/* Includes the configuration's bytes only while they are not acknowledged. */
 static void copy_config(struct aubi_entry_task *task, struct aub_view *view,
 			gint64 now_us)
 {
@@ -64,7 +68,8 @@
 	view->config_version = version;
 	if (!version || task->acked_version >= version)
 		return;
-	if (task->config_sent_version == version && now_us - task->config_sent_us < CONFIG_RESEND_US)
+	if (task->config_sent_version == version &&
+	    now_us - task->config_sent_us < CONFIG_RESEND_US)
 		return;
 	task->config_sent_version = version;
 	task->config_sent_us = now_us;
@@ -80,7 +85,7 @@
 	gint64 serve_us;
 
 	serve_us = aubi_agreement_serve_lease_us(&control->agreement,
-					   control->membership, now_us);
+						 control->membership, now_us);
 	view = (struct aub_view *)aub_message_new(AUB_MESSAGE_VIEW);
 	copy_config(task, view, now_us);
 	copy_assignments(task, view);
@@ -110,7 +115,7 @@
 						    on_view_due, task, NULL);
 }
 
-/* The own record, from what is known of the entry. */
+/* Updates the own record from the state of the entry. */
 static void update_self(struct aubi_entry_task *task, bool present)
 {
 	struct aubi_control *control = task->control;
@@ -153,7 +158,8 @@
 	const struct aub_hello *old;
 
 	if (strcmp(hello->name, task->control->settings->name) != 0) {
-		aub_log_warning("refused the entry of %s", hello->name);
+		aub_log_warning("refused a link from the entry of %s",
+				hello->name);
 		return false;
 	}
 	old = task->link ? aub_link_hello(task->link) : NULL;
@@ -175,7 +181,7 @@
 {
 	struct aubi_entry_task *task = context;
 
-	aub_log_info("entry %s is here", hello->callers_address);
+	aub_log_info("entry %s connected", hello->callers_address);
 	task->link_lost_us = 0;
 	task->acked_us = now(task);
 	update_self(task, true);
@@ -189,15 +195,17 @@
 	struct aub_member *copy;
 	bool state_changed;
 
-	state_changed = ack->stopping != task->stopping || ack->heir != task->successor;
+	state_changed =
+		ack->stopping != task->stopping || ack->heir != task->successor;
 	task->acked_us = now(task);
 	task->ack_number = ack->number;
 	task->stopping = ack->stopping;
 	task->successor = ack->heir;
 	self = aubi_membership_self(control->membership);
 	if (ack->config_version != task->acked_version)
-		aubi_control_record_event(control, AUB_EVENT_VIEW, ack->config_version,
-				  NULL, NULL, "in force at the entry");
+		aubi_control_record_event(control, AUB_EVENT_VIEW,
+					  ack->config_version, NULL, NULL,
+					  "active at the entry");
 	if (state_changed || !self->incarnation ||
 	    ack->config_version != task->acked_version) {
 		task->acked_version = ack->config_version;
@@ -218,7 +226,7 @@
 	if (message->type == AUB_MESSAGE_VIEW_ACK) {
 		on_ack(task, (struct aub_view_ack *)message);
 	} else {
-		aub_log_warning("entry's link: unexpected %s",
+		aub_log_warning("link to the entry: unexpected %s",
 				aub_message_type_name(message->type));
 		close_link(task);
 	}
@@ -229,7 +237,7 @@
 {
 	struct aubi_entry_task *task = context;
 
-	aub_log_info("entry's link ended: %s",
+	aub_log_info("link to the entry closed: %s",
 		     error ? error->message : "closed");
 	if (link != task->link) {
 		aub_link_free(link);
@@ -252,16 +260,19 @@
 }
 
 /*
- * An entry that is gone or paused can't own a queue: its services would
- * stand still. Gone for 0.3 s or silent for 1.5 s it has no incarnation in
- * the own record, and ownership moves at once, not after three seconds.
+ * An entry that is disconnected or paused cannot own a queue, as its services
+ * would stall. After 0.3 s without a link or 1.5 s without an acknowledgement
+ * the entry's incarnation is removed from the own record, so ownership moves
+ * immediately instead of after the three seconds until the member counts as
+ * dead.
  */
 static void check_presence(struct aubi_entry_task *task, gint64 now_us)
 {
 	const struct aub_member *self =
 		aubi_membership_self(task->control->membership);
 
-	if (task->link_lost_us && now_us - task->link_lost_us >= RECONNECT_GRACE_US) {
+	if (task->link_lost_us &&
+	    now_us - task->link_lost_us >= RECONNECT_GRACE_US) {
 		task->link_lost_us = 0;
 		if (self->state != AUB_MEMBER_STOPPED && self->incarnation)
 			update_self(task, false);
--- a/src/coordination/control_metrics.c
+++ b/src/coordination/control_metrics.c
@@ -1,6 +1,4 @@
-/*
- * The control's counters and gauges, refreshed once a second.
- */
+/* Counters and gauges of the control, refreshed once a second. */
 #include <auburnstile/internal/control.h>
 
 #include <stdio.h>
@@ -42,15 +40,16 @@
 
 static gint64 read_fresh(const struct aubi_control *control, gint64 now_us)
 {
-	gint64 age_us = aubi_agreement_config_age_us(&control->agreement, now_us);
+	gint64 age_us =
+		aubi_agreement_config_age_us(&control->agreement, now_us);
 
 	return age_us == AUBI_AGE_UNKNOWN_US ? -1 : age_us / 1000;
 }
 
 static gint64 read_serve(const struct aubi_control *control, gint64 now_us)
 {
-	return aubi_agreement_serve_lease_us(&control->agreement, control->membership,
-				       now_us) /
+	return aubi_agreement_serve_lease_us(&control->agreement,
+					     control->membership, now_us) /
 	       1000;
 }
 
@@ -78,7 +77,7 @@
 	return (gint64)out;
 }
 
-/* Links to the local entry never leave the VM: told apart from the rest. */
+/* Links to the local entry never leave the VM and are counted separately. */
 static gint64 read_local_bytes(const struct aubi_control *control,
 			       gint64 now_us)
 {
@@ -109,20 +108,23 @@
 }
 
 static const struct aubi_gauge gauges[] = {
-	{ "auburnstile_config_version", "configuration held", read_config },
-	{ "auburnstile_epoch", "assignments held", read_epoch },
-	{ "auburnstile_members_known", "members that count", read_known },
-	{ "auburnstile_members_live", "members heard of lately", read_live },
-	{ "auburnstile_store_reachable", "1 if it answered last",
-	  read_reachable },
-	{ "auburnstile_fresh_ms", "age of the last confirmation, -1 for none",
+	{ "auburnstile_config_version", "version of the current configuration",
+	  read_config },
+	{ "auburnstile_epoch", "epoch of the current assignments", read_epoch },
+	{ "auburnstile_members_known", "members counted for majorities",
+	  read_known },
+	{ "auburnstile_members_live", "members heard recently", read_live },
+	{ "auburnstile_store_reachable",
+	  "1 if the store answered the last call", read_reachable },
+	{ "auburnstile_fresh_ms", "age of the last confirmation, -1 if none",
 	  read_fresh },
-	{ "auburnstile_serve_ms", "time the entry may take new work",
+	{ "auburnstile_serve_ms", "remaining serving lease of the entry",
 	  read_serve },
 	{ "auburnstile_store_calls", "calls to the store", read_calls },
-	{ "auburnstile_link_bytes_in", "read from links", read_bytes_in },
-	{ "auburnstile_link_bytes_out", "written to links", read_bytes_out },
-	{ "auburnstile_entry_bytes", "to and from the local entry",
+	{ "auburnstile_link_bytes_in", "bytes read from links", read_bytes_in },
+	{ "auburnstile_link_bytes_out", "bytes written to links",
+	  read_bytes_out },
+	{ "auburnstile_entry_bytes", "bytes to and from the local entry",
 	  read_local_bytes },
 	{ "auburnstile_processor_us", "processor time used", read_processor },
 	{ "auburnstile_resident_bytes", "resident memory", read_memory },
@@ -139,7 +141,7 @@
 	control->series_exchanges =
 		aub_metrics_counter(metrics,
 				    "auburnstile_gossip_exchanges_total", NULL,
-				    "gossip exchanges begun");
+				    "gossip exchanges started");
 	control->series_unresponsive_links = aub_metrics_counter(
 		metrics, "auburnstile_silent_links_total", NULL,
 		"links closed because an answer was overdue");
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -1,7 +1,7 @@
 /*
- * Gossip with the other controls: a few exchanges a second, each over a link
- * that is kept while it is used, and configuration pulled from whoever holds
- * a newer one.
+ * Gossip with other controls: a few exchanges a second, each over a link that
+ * stays open while it is used. Newer configurations and assignments are pulled
+ * from peers that hold them.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/control.h>
@@ -11,21 +11,24 @@
 #include <string.h>
 
 #define CONNECT_TIMEOUT_MS 700
-#define ANSWER_TIMEOUT_US ((gint64)1000000) /* no answer for so long: dead link */
-#define LINK_IDLE_TIMEOUT_US ((gint64)60000000) /* unused for so long: closed */
-#define PULL_TIMEOUT_US ((gint64)1000000) /* wait for one pull before another */
-#define OBJECT_MAX_BYTES ((gsize)2 << 20) /* the store's is a megabyte */
+/* For an answer, before the link counts as dead. */
+#define ANSWER_TIMEOUT_US ((gint64)1000000)
+/* Until an unused link is closed. */
+#define LINK_IDLE_TIMEOUT_US ((gint64)60000000)
+#define PULL_TIMEOUT_US ((gint64)1000000) /* before another pull may start */
+#define OBJECT_MAX_BYTES ((gsize)2 << 20) /* the store's limit is 1 MB */
 #define EXTRA_EXCHANGE_PEERS 3
-#define EXTRA_EXCHANGES_PER_S 6 /* extra exchanges a second, for news of members */
-#define URGENT_EXCHANGES_PER_S 24 /* and of configuration or assignments: rare */
+#define EXTRA_EXCHANGES_PER_S 6 /* extra exchanges after member changes */
+/* And after configuration or assignment changes. */
+#define URGENT_EXCHANGES_PER_S 24
 
 /* A link to or from one peer. */
 struct peer {
 	struct aubi_peers *task;
 	struct aub_link *link; /* owned */
-	char *address; /* that was connected to; NULL for accepted ones */
-	bool exchange_pending; /* ask as soon as it is up */
-	gint64 request_sent_us; /* an answer is due; 0 for none */
+	char *address; /* connected to; NULL: accepted link */
+	bool exchange_pending; /* begin an exchange when the link is up */
+	gint64 request_sent_us; /* an answer is due since then; 0: none */
 	gint64 used_us;
 };
 
@@ -56,7 +59,7 @@
 	g_free(peer);
 }
 
-/* Drops the peer and its link; the peer is gone after this. */
+/* Closes the link and frees the peer. */
 static void peer_drop(struct peer *peer)
 {
 	if (peer->address)
@@ -74,7 +77,10 @@
 	aub_link_send(peer->link, message);
 }
 
-/* Versions, freshness and the store's state, as every gossip says them. */
+/*
+ * Creates a gossip message with the versions, their freshness and the store's
+ * state.
+ */
 static struct aub_gossip *gossip_new(const struct aubi_control *control,
 				     gint64 now_us)
 {
@@ -113,7 +119,9 @@
 	aub_message_free(&gossip->base);
 }
 
-/* Ask for what the peer holds and this control doesn't, once at a time. */
+/*
+ * Requests what the peer holds and this control does not; one pull at a time.
+ */
 static void pull(struct peer *peer, const struct aub_gossip *received)
 {
 	struct aubi_peers *task = peer->task;
@@ -150,12 +158,11 @@
 	if (received->echo)
 		peer->request_sent_us = 0;
 	changed = aubi_membership_receive(control->membership, hello->name,
-				       hello->incarnation, received, now_us);
+					  hello->incarnation, received, now_us);
 	aubi_agreement_receive_gossip(&control->agreement, received, now_us);
 	if (aubi_membership_reply(control->membership, received,
-				   aubi_agreement_is_behind(
-					   &control->agreement),
-				   answer, now_us))
+				  aubi_agreement_is_behind(&control->agreement),
+				  answer, now_us))
 		peer_send(peer, &answer->base);
 	aub_message_free(&answer->base);
 	pull(peer, received);
@@ -181,7 +188,8 @@
 	push = (struct aub_config_push *)aub_message_new(AUB_MESSAGE_CONFIG);
 	if (control->agreement.config_version > wanted->config_version) {
 		push->config_version = control->agreement.config_version;
-		set_bytes(&push->config, aubi_config_history_compressed(control->history));
+		set_bytes(&push->config,
+			  aubi_config_history_compressed(control->history));
 	}
 	if (control->agreement.epoch > wanted->epoch) {
 		push->epoch = control->agreement.epoch;
@@ -195,13 +203,14 @@
 	aub_message_free(&push->base);
 }
 
-/* aubi_control_adopt_config() or its like of the assignments. */
+/* aubi_control_adopt_config() or aubi_control_adopt_assignments(). */
 typedef bool adopt_function(struct aubi_control *control, const char *json,
-			   gsize length, guint64 version, const char *source);
+			    gsize length, guint64 version, const char *source);
 
-/* Unpack one object and hand it to the hub. */
-static void adopt_compressed(struct peer *peer, const struct aub_bytes *compressed,
-			guint64 version, adopt_function *adopt)
+/* Decompresses one object and passes it to the hub. */
+static void adopt_compressed(struct peer *peer,
+			     const struct aub_bytes *compressed,
+			     guint64 version, adopt_function *adopt)
 {
 	const char *from = aub_link_hello(peer->link)->name;
 	GError *error = NULL;
@@ -209,10 +218,10 @@
 	GBytes *bytes;
 	gsize length;
 
-	bytes = aubi_unpack(compressed->data, compressed->length, OBJECT_MAX_BYTES, from,
-			    &error);
+	bytes = aubi_unpack(compressed->data, compressed->length,
+			    OBJECT_MAX_BYTES, from, &error);
 	if (!bytes) {
-		aub_log_warning("version %" G_GUINT64_FORMAT " refused: %s",
+		aub_log_warning("version %" G_GUINT64_FORMAT " rejected: %s",
 				version, error->message);
 		g_error_free(error);
 		return;
@@ -227,10 +236,10 @@
 	peer->task->pulled_us = 0;
 	if (push->config_version)
 		adopt_compressed(peer, &push->config, push->config_version,
-			    aubi_control_adopt_config);
+				 aubi_control_adopt_config);
 	if (push->epoch)
 		adopt_compressed(peer, &push->assignments, push->epoch,
-			    aubi_control_adopt_assignments);
+				 aubi_control_adopt_assignments);
 }
 
 static void on_up(struct aub_link *link, const struct aub_hello *hello,
@@ -239,7 +248,7 @@
 	struct peer *peer = context;
 
 	if (hello->role != AUB_ROLE_CONTROL) {
-		aub_log_warning("%s is no control", aub_link_peer(link));
+		aub_log_warning("%s is not a control", aub_link_peer(link));
 		peer_drop(peer);
 		return;
 	}
@@ -273,7 +282,7 @@
 
 static void on_down(struct aub_link *link, const GError *error, void *context)
 {
-	aub_log_debug("control link %s ended: %s", aub_link_peer(link),
+	aub_log_debug("control link %s closed: %s", aub_link_peer(link),
 		      error ? error->message : "closed");
 	peer_drop(context);
 }
@@ -307,7 +316,7 @@
 }
 
 void aubi_peers_fill_hello(const struct aubi_control *control,
-		      struct aub_hello *hello)
+			   struct aub_hello *hello)
 {
 	hello->role = AUB_ROLE_CONTROL;
 	hello->incarnation =
@@ -361,16 +370,17 @@
 		task->extra_window_us = now_us;
 		task->extra_exchanges = 0;
 	}
-	for (i = 0; i < EXTRA_EXCHANGE_PEERS && task->extra_exchanges < limit; i++) {
+	for (i = 0; i < EXTRA_EXCHANGE_PEERS && task->extra_exchanges < limit;
+	     i++) {
 		task->extra_exchanges++;
 		exchange(task);
 	}
 }
 
 /*
- * An open connection can go silent for good while new ones work. The peer
- * would look dead though it lives. An answer overdue by a second ends the
- * link; the next exchange opens another.
+ * An open connection can become half-open while new ones work, and the peer
+ * would look dead although it is alive. A link whose answer is overdue by a
+ * second is closed; the next exchange opens a new one.
  */
 static gboolean should_close(void *key, void *value, void *context)
 {
@@ -378,9 +388,11 @@
 	gint64 now_us = now(peer->task);
 	struct aubi_control *control = peer->task->control;
 
-	if (peer->request_sent_us && now_us - peer->request_sent_us > ANSWER_TIMEOUT_US) {
-		aub_metrics_add(control->metrics, control->series_unresponsive_links, 1);
-		aub_log_info("control link %s is silent: closed",
+	if (peer->request_sent_us &&
+	    now_us - peer->request_sent_us > ANSWER_TIMEOUT_US) {
+		aub_metrics_add(control->metrics,
+				control->series_unresponsive_links, 1);
+		aub_log_info("control link %s is unresponsive: closing it",
 			     aub_link_peer(peer->link));
 		return TRUE;
 	}
@@ -415,8 +427,8 @@
 		return NULL;
 	}
 	task->gossip_timer =
-		aub_timer_every(control->timers, "gossip", AUBI_GOSSIP_INTERVAL_US,
-				on_gossip_due, task);
+		aub_timer_every(control->timers, "gossip",
+				AUBI_GOSSIP_INTERVAL_US, on_gossip_due, task);
 	return task;
 }
 
--- a/src/coordination/control_store.c
+++ b/src/coordination/control_store.c
@@ -1,6 +1,6 @@
 /*
- * The control's dealings with the platform's store: a watch while it is this
- * control's turn, and assignments proposed by conditional writes.
+ * Access to the platform's store: watches it while this control has that duty,
+ * and proposes assignments by conditional writes.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/control.h>
@@ -10,11 +10,14 @@
 
 #define STORE_PREFIX "auburnstile/"
 #define CALL_TIMEOUT_MS 1000
-#define WATCH_WAIT_MS 500 /* a confirmation of freshness twice a second */
+#define WATCH_WAIT_MS 500 /* confirms the version held twice a second */
 #define CALLS_PER_S_MAX 10
-#define PROPOSE_INTERVAL_US ((gint64)250000) /* between computations, lowest rank */
-#define PROPOSE_RANK_DELAY_US ((gint64)500000) /* more, a rank */
-#define REBALANCE_INTERVAL_US ((gint64)5000000) /* between moves for balance */
+/* Between computations, at rank 0. */
+#define PROPOSE_INTERVAL_US ((gint64)250000)
+/* Longer for each further rank. */
+#define PROPOSE_RANK_DELAY_US ((gint64)500000)
+/* Between moves that only balance load. */
+#define REBALANCE_INTERVAL_US ((gint64)5000000)
 #define BACKOFF_MIN_US ((gint64)500000)
 #define BACKOFF_MAX_US ((gint64)8000000)
 
@@ -22,32 +25,35 @@
 	struct aubi_control *control;
 	struct aub_store_client *client;
 	bool watching;
-	gint64 watch_requested_us; /* no later than the watch's request now open */
-	guint64 newest_config_version; /* seen in the store, parsed or not */
+	gint64 watch_requested_us; /* not later than the open watch request */
+	/* Seen in the store, whether or not it parsed. */
+	guint64 newest_config_version;
 	bool dirty; /* members, configuration or assignments changed */
 	gint64 computed_us;
-	gint64 needed_us; /* another assignment is needed since then */
+	gint64 needed_us; /* since when other assignments are needed; 0: not */
 	gint64 rebalanced_us;
 	gint64 retry_after_us; /* backoff after a failed write */
 	gint64 backoff_us;
 	bool writing;
 	struct aubi_assignments *proposal; /* being written */
-	char *json; /* its text */
+	char *json; /* its JSON */
 };
 
 static void adopt_object(struct aubi_store_task *task,
-			const struct aub_store_object *object)
+			 const struct aub_store_object *object)
 {
 	struct aubi_control *control = task->control;
 
 	if (!strcmp(object->key, AUB_CONFIG_KEY)) {
-		task->newest_config_version = MAX(task->newest_config_version, object->version);
-		aubi_control_adopt_config(control, object->value, object->length,
-					 object->version, "store");
+		task->newest_config_version =
+			MAX(task->newest_config_version, object->version);
+		aubi_control_adopt_config(control, object->value,
+					  object->length, object->version,
+					  "store");
 	} else if (!strcmp(object->key, AUBI_ASSIGNMENTS_KEY)) {
 		aubi_control_adopt_assignments(control, object->value,
-					      object->length, object->version,
-					      "store");
+					       object->length, object->version,
+					       "store");
 	}
 }
 
@@ -68,12 +74,13 @@
 		return;
 	}
 	/*
-	 * The answer may have waited in a buffer while this process was
-	 * paused. A stale picture would pass for a fresh one.
-	 * So it counts from when the watch before it was answered, which
-	 * is no later than this one's request.
+	 * The answer may have waited in a buffer while this process was paused,
+	 * and stale data would pass for fresh. The confirmation therefore
+	 * counts from the time the previous watch was answered, which is not
+	 * later than this watch's request.
 	 */
-	if (version >= control->agreement.config_version && task->watch_requested_us)
+	if (version >= control->agreement.config_version &&
+	    task->watch_requested_us)
 		aubi_agreement_confirm(&control->agreement,
 				       MAX(control->agreement.config_version,
 					   task->newest_config_version),
@@ -134,8 +141,8 @@
 		task->writing = false;
 		task->backoff_us = 0;
 		aubi_control_adopt_assignments(control, task->json,
-					      strlen(task->json), version,
-					      "own proposal");
+					       strlen(task->json), version,
+					       "own proposal");
 	}
 	g_clear_pointer(&task->json, g_free);
 }
@@ -162,7 +169,8 @@
 					bool rebalance, gint64 now_us)
 {
 	struct aubi_control *control = task->control;
-	const struct aub_config *config = aubi_config_history_current(control->history);
+	const struct aub_config *config =
+		aubi_config_history_current(control->history);
 	struct aubi_assignments *proposal;
 	GPtrArray *members;
 
@@ -174,7 +182,7 @@
 	return proposal;
 }
 
-/* Ownership is moved where a majority is heard, in order of rank. */
+/* Proposes assignments where a majority is heard, in order of rank. */
 static void propose(struct aubi_store_task *task, gint64 now_us)
 {
 	struct aubi_control *control = task->control;
@@ -184,7 +192,8 @@
 
 	if (task->writing || now_us < task->retry_after_us)
 		return;
-	if (now_us - task->computed_us < PROPOSE_INTERVAL_US + rank * PROPOSE_RANK_DELAY_US)
+	if (now_us - task->computed_us <
+	    PROPOSE_INTERVAL_US + rank * PROPOSE_RANK_DELAY_US)
 		return;
 	rebalance = now_us - task->rebalanced_us >= REBALANCE_INTERVAL_US;
 	if (!task->dirty && !task->needed_us && !rebalance)
@@ -222,7 +231,8 @@
 	bool wanted;
 
 	wanted = aubi_agreement_should_watch_store(&control->agreement,
-					control->membership, rank, now_us);
+						   control->membership, rank,
+						   now_us);
 	set_watching(task, wanted && !retired);
 	if (control->inventory && !retired &&
 	    now_us - control->agreement.started_us > 2 * AUB_SECOND)
--- a/src/coordination/dispatch_probes.c
+++ b/src/coordination/dispatch_probes.c
@@ -1,6 +1,6 @@
 /*
- * Probes under way. A probe keeps the inventory it was sent under, so that
- * its end is never taken for one of another inventory's upstream.
+ * Open probes. A probe holds a reference to the inventory it was sent under, so
+ * that its result is never attributed to an upstream of another inventory.
  */
 #include <auburnstile/internal/dispatch_probes.h>
 
@@ -30,7 +30,8 @@
 }
 
 struct aub_probes *aub_probes_new(struct aub_upstream_set *upstreams,
-				  aub_probe_report_callback *callback, void *context)
+				  aub_probe_report_callback *callback,
+				  void *context)
 {
 	struct aub_probes *probes = g_new0(struct aub_probes, 1);
 
--- a/src/coordination/dispatch_status.c
+++ b/src/coordination/dispatch_status.c
@@ -1,9 +1,7 @@
-/*
- * A dispatcher's state as JSON, for operators.
- */
+/* Serialises the state of a dispatcher as JSON, for operators. */
 #include <auburnstile/internal/dispatch_status.h>
 
-#define STATUS_UPSTREAMS_MAX 1024 /* upstreams of a service that are shown */
+#define STATUS_UPSTREAMS_MAX 1024 /* upstreams shown per service */
 
 static const char *const role_names[] = {
 	[AUB_DISPATCH_NONE] = "none",
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -1,7 +1,7 @@
 /*
- * The task around the dispatchers. Each event goes into a dispatcher and its
- * actions are carried out before anything else happens, so that handles in
- * actions always belong to the current inventory.
+ * Runs the dispatchers. Each event is passed to a dispatcher and the resulting
+ * actions are executed before any other event, so that handles in actions
+ * always refer to the current inventory.
  */
 #include <auburnstile/internal/answer.h>
 #include <auburnstile/internal/dispatch_probes.h>
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-/* A new owner is known to all within about this time. */
+/* A new owner is known to all entries within about this time. */
 #define NOT_OWNER_RETRY_MS 200
 
 struct service {
@@ -21,21 +21,22 @@
 	enum aub_dispatch_role role;
 	struct aub_inventory *inventory; /* owned reference */
 	bool removed; /* no longer in the inventory */
-	bool running_actions; /* in drain(): events nest, actions don't */
+	bool running_actions; /* in run_actions(), which must not nest */
 	GHashTable *requests; /* id -> struct request */
 	guint timer;
-	gint64 timer_us; /* when it is due; 0: none */
+	gint64 timer_us; /* when the timer expires; 0: none */
 	guint queue_gauge;
 	guint probe_counter;
 };
 
 struct request {
 	struct service *service;
-	const struct aub_call *call; /* NULL: nobody waits any more */
+	const struct aub_call *call; /* NULL: the caller no longer waits */
 	guint64 id;
 	bool once;
 	GPtrArray *attempts; /* of struct attempt, still open */
-	struct aub_answer *answers[2]; /* whole answers awaiting a verdict */
+	struct aub_answer
+		*answers[2]; /* complete answers, awaiting a decision */
 	guint32 answer_attempts[2];
 	aub_dispatch_callback *callback;
 	void *context;
@@ -215,7 +216,7 @@
 	run_actions(service);
 }
 
-/* Forget a request that nobody waits for and that has nothing open. */
+/* Frees a request that no caller waits for and that has no open attempts. */
 static void free_if_done(struct request *request)
 {
 	if (request->call || request->attempts->len)
@@ -249,7 +250,7 @@
 }
 
 static void store_answer(struct request *request, guint32 number,
-			struct aub_answer *answer)
+			 struct aub_answer *answer)
 {
 	gsize slot = request->answers[0] ? 1 : 0;
 
@@ -258,8 +259,9 @@
 	request->answer_attempts[slot] = number;
 }
 
-static void record_event(const struct attempt *attempt, enum aub_event_type type,
-		 gint64 number, const char *text)
+static void record_event(const struct attempt *attempt,
+			 enum aub_event_type type, gint64 number,
+			 const char *text)
 {
 	aub_event_note(attempt->request->service->task->options.events, type,
 		       attempt->request->id, number, attempt->upstream, text);
@@ -289,9 +291,10 @@
 		record_event(attempt, AUB_EVENT_ANSWERED, answer->status, NULL);
 	else
 		record_event(attempt,
-		     result == AUB_ATTEMPT_CANCELLED ? AUB_EVENT_CANCELLED :
-						       AUB_EVENT_FAILED,
-		     number, result_names[result]);
+			     result == AUB_ATTEMPT_CANCELLED ?
+				     AUB_EVENT_CANCELLED :
+				     AUB_EVENT_FAILED,
+			     number, result_names[result]);
 	if (answer && request->call)
 		store_answer(request, number, answer);
 	else
@@ -332,7 +335,7 @@
 	else if (is_retry)
 		record_event(attempt, AUB_EVENT_RETRIED, action->attempt, NULL);
 	record_event(attempt, AUB_EVENT_DISPATCHED, action->attempt,
-	     request->once ? "once" : NULL);
+		     request->once ? "once" : NULL);
 	attempt->handle =
 		aub_upstream_send(client, request->call, is_retry,
 				  action->timeout_us, on_attempt_done, attempt);
@@ -378,7 +381,8 @@
 			action->upstream, action->timeout_us);
 }
 
-static void execute_action(struct service *service, const struct aub_action *action)
+static void execute_action(struct service *service,
+			   const struct aub_action *action)
 {
 	struct request *request;
 
@@ -463,7 +467,7 @@
 }
 
 static void refuse_immediately(const struct aub_call *call,
-			   aub_dispatch_callback *callback, void *context)
+			       aub_dispatch_callback *callback, void *context)
 {
 	struct aub_answer *answer;
 
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -1,7 +1,4 @@
-/*
- * An entry put together: each part gets what it needs of the others, and
- * their callbacks meet here.
- */
+/* Creates the components of an entry and connects their callbacks. */
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
 #include <auburnstile/internal/addresses.h>
@@ -12,12 +9,14 @@
 #include <sys/resource.h>
 
 #define HEADER_TIMEOUT_MS 10000
-#define STATES_INTERVAL_US (250 * AUB_MS) /* a stand-by's knowledge is that old */
+/* Maximum age of a stand-by's upstream states. */
+#define STATES_INTERVAL_US (250 * AUB_MS)
 #define IDLE_TIMEOUT_MS 60000
 #define BODY_TIMEOUT_MS 30000
 #define WRITE_TIMEOUT_MS 30000
-#define KEY_RETENTION_MAX_S G_GINT64_CONSTANT(604800) /* a week */
-#define BODY_DEFAULT_MAX_BYTES (1u << 20) /* where no service is known for a path */
+#define KEY_RETENTION_MAX_S G_GINT64_CONSTANT(604800) /* one week */
+/* If no service is known for a path. */
+#define BODY_DEFAULT_MAX_BYTES (1u << 20)
 
 #define FIELD(name) offsetof(struct aub_entry_settings, name)
 
@@ -47,28 +46,28 @@
 	  .type = AUB_SETTING_STRING,
 	  .offset = FIELD(policy),
 	  .fallback = "auburnstile",
-	  .help = "how upstreams are chosen; others are baselines" },
+	  .help = "load balancing policy; others are baselines" },
 	{ .key = "key_mb",
 	  .type = AUB_SETTING_INTEGER,
 	  .offset = FIELD(key_mb),
 	  .minimum = 1,
 	  .maximum = 4096,
 	  .fallback = "128",
-	  .help = "room for keys and kept answers, MB" },
+	  .help = "memory for keys and cached answers, MB" },
 	{ .key = "key_keep_s",
 	  .type = AUB_SETTING_INTEGER,
 	  .offset = FIELD(key_keep_s),
 	  .minimum = 1,
 	  .maximum = KEY_RETENTION_MAX_S,
 	  .fallback = "1200",
-	  .help = "time a key is remembered after its end, s" },
+	  .help = "time a key is retained after its request ended, s" },
 	{ .key = "connections",
 	  .type = AUB_SETTING_INTEGER,
 	  .offset = FIELD(connections),
 	  .minimum = 1,
 	  .maximum = 100000,
 	  .fallback = "4000",
-	  .help = "open connections of callers at most" },
+	  .help = "maximum number of open caller connections" },
 	{ .key = NULL },
 };
 
@@ -227,7 +226,8 @@
 {
 	struct aub_entry *entry = context;
 	gint64 processor_time_us = processor_us();
-	gint64 permille = (processor_time_us - entry->processor_time_us) * 1000 / AUB_SECOND;
+	gint64 permille = (processor_time_us - entry->processor_time_us) *
+			  1000 / AUB_SECOND;
 
 	entry->processor_time_us = processor_time_us;
 	aub_entry_view_set_load(entry->view, CLAMP(permille, 0, 1000));
@@ -260,17 +260,19 @@
 			.events = entry->events,
 			.metrics = entry->metrics,
 		});
-	entry->idempotency = aub_idempotency_new(&(struct aub_idempotency_options){
-		.name = settings->name,
-		.zone = settings->zone,
-		.incarnation = entry->hello->incarnation,
-		.max_bytes = (gsize)settings->key_mb << 20,
-		.retention_us = settings->key_keep_s * AUB_SECOND,
-		.view = entry->view,
-		.timers = entry->timers,
-		.events = entry->events,
-	});
-	entry->router = aub_request_router_new(&(struct aub_request_router_options){
+	entry->idempotency =
+		aub_idempotency_new(&(struct aub_idempotency_options){
+			.name = settings->name,
+			.zone = settings->zone,
+			.incarnation = entry->hello->incarnation,
+			.max_bytes = (gsize)settings->key_mb << 20,
+			.retention_us = settings->key_keep_s * AUB_SECOND,
+			.view = entry->view,
+			.timers = entry->timers,
+			.events = entry->events,
+		});
+	entry->router = aub_request_router_new(&(
+		struct aub_request_router_options){
 		.hello = entry->hello,
 		.view = entry->view,
 		.idempotency = entry->idempotency,
@@ -374,16 +376,17 @@
 		.context = entry,
 	});
 	create_components(entry, policy,
-		       settings->seed ? (guint32)settings->seed :
-					g_random_int());
+			  settings->seed ? (guint32)settings->seed :
+					   g_random_int());
 	if (!listen_inner(entry, error) || !listen_callers(entry, error)) {
 		aub_entry_free(entry);
 		return NULL;
 	}
-	entry->load_timer = aub_timer_every(entry->timers, "second",
-					      AUB_SECOND, update_load, entry);
-	entry->states_timer = aub_timer_every(entry->timers, "states",
-					      STATES_INTERVAL_US, on_send_states, entry);
+	entry->load_timer = aub_timer_every(entry->timers, "second", AUB_SECOND,
+					    update_load, entry);
+	entry->states_timer =
+		aub_timer_every(entry->timers, "states", STATES_INTERVAL_US,
+				on_send_states, entry);
 	aub_event_note(entry->events, AUB_EVENT_STARTED, 0,
 		       (gint64)entry->hello->incarnation, NULL, NULL);
 	return entry;
--- a/src/coordination/entry_shutdown.c
+++ b/src/coordination/entry_shutdown.c
@@ -1,8 +1,10 @@
 /*
- * The planned stop of an entry, step by step: others own its services, what
- * runs ends, its keys go to an successor, its callers are elsewhere.
+ * The planned stop of an entry in phases: other entries take over its services,
+ * running requests finish, its keys are transferred to a successor, and callers
+ * move to other entries.
  *
- * Each step has a share of the time; the last one ends it in any case.
+ * Each phase may take part of the remaining time; the deadline of the whole
+ * stop ends it in any phase.
  */
 #include <auburnstile/internal/entry_internal.h>
 #include <auburnstile/log.h>
@@ -10,8 +12,9 @@
 #define TICK_INTERVAL_US (20 * AUB_MS)
 
 /*
- * Time callers have to notice the stale mark and go elsewhere before new
- * keys are refused, and for the control to tell the others of the successor.
+ * Time for callers to notice the header Auburnstile-Addresses-Stale and move to
+ * other entries before new keys are refused, and time for the control to
+ * publish the successor to other members.
  */
 #define CALLER_NOTICE_US (500 * AUB_MS)
 #define SUCCESSOR_ANNOUNCE_US (700 * AUB_MS)
@@ -22,7 +25,7 @@
 }
 
 static void set_phase(struct aub_entry *entry, enum aub_entry_phase phase,
-		  const char *text)
+		      const char *text)
 {
 	entry->phase = phase;
 	entry->phase_started_us = now(entry);
@@ -36,10 +39,11 @@
 
 	entry->successor = successor;
 	aub_entry_view_set_successor(entry->view, successor);
-	set_phase(entry, ENTRY_ANNOUNCING_SUCCESSOR, successor ? "announce successor" : "no successor");
+	set_phase(entry, ENTRY_ANNOUNCING_SUCCESSOR,
+		  successor ? "announce successor" : "no successor");
 }
 
-/* A share of the time that is left for the whole stop. */
+/* Returns true once the phase has used half of the time left for the stop. */
 static bool phase_time_is_over(const struct aub_entry *entry, gint64 now_us)
 {
 	return now_us - entry->phase_started_us >
@@ -71,29 +75,31 @@
 {
 	switch (entry->phase) {
 	case ENTRY_RELEASING_SERVICES:
-		if (!services_released(entry, now_us) && !phase_time_is_over(entry, now_us))
+		if (!services_released(entry, now_us) &&
+		    !phase_time_is_over(entry, now_us))
 			return;
 		aub_idempotency_close(entry->idempotency);
-		set_phase(entry, ENTRY_FINISHING_KEYED_REQUESTS, "finish keyed requests");
+		set_phase(entry, ENTRY_FINISHING_KEYED_REQUESTS,
+			  "finish keyed requests");
 		break;
 	case ENTRY_FINISHING_KEYED_REQUESTS:
-		if (aub_request_router_running_keys(entry->router) && !phase_time_is_over(entry, now_us))
+		if (aub_request_router_running_keys(entry->router) &&
+		    !phase_time_is_over(entry, now_us))
 			return;
-		set_phase(entry, ENTRY_TRANSFERRING_KEYS, "hand keys over");
+		set_phase(entry, ENTRY_TRANSFERRING_KEYS, "transfer keys");
 		aub_idempotency_transfer(entry->idempotency, entry->relay,
-				     on_keys_transferred, entry);
+					 on_keys_transferred, entry);
 		break;
 	case ENTRY_ANNOUNCING_SUCCESSOR:
 		if (now_us - entry->phase_started_us < SUCCESSOR_ANNOUNCE_US)
 			return;
 		aub_request_router_close(entry->router);
-		set_phase(entry, ENTRY_CLOSING, "last answers");
+		set_phase(entry, ENTRY_CLOSING, "write last answers");
 		break;
 	case ENTRY_CLOSING:
-		if (is_idle(entry) &&
-		    aub_entry_view_flushed(entry->view) &&
+		if (is_idle(entry) && aub_entry_view_flushed(entry->view) &&
 		    now_us - entry->phase_started_us >= 2 * TICK_INTERVAL_US)
-			finish_stop(entry, "in order");
+			finish_stop(entry, "stop complete");
 		break;
 	case ENTRY_RUNNING:
 	case ENTRY_TRANSFERRING_KEYS:
@@ -107,10 +113,12 @@
 	struct aub_entry *entry = context;
 
 	if (now_us >= entry->stop_deadline_us) {
-		aub_log_warning("stop: cut off %u requests, %u connections",
-				aub_request_router_pending(entry->router),
-				aub_caller_server_busy(entry->callers));
-		finish_stop(entry, "time is up");
+		aub_log_warning(
+			"stop: deadline reached, aborting %u requests on "
+			"%u connections",
+			aub_request_router_pending(entry->router),
+			aub_caller_server_busy(entry->callers));
+		finish_stop(entry, "deadline reached");
 	} else
 		advance(entry, now_us);
 }
@@ -122,10 +130,11 @@
 		return;
 	entry->stopped = stopped;
 	entry->stopped_context = context;
-	entry->stop_deadline_us = now(entry) + entry->settings->stop_ms * AUB_MS;
-	set_phase(entry, ENTRY_RELEASING_SERVICES, "turn callers away");
+	entry->stop_deadline_us =
+		now(entry) + entry->settings->stop_ms * AUB_MS;
+	set_phase(entry, ENTRY_RELEASING_SERVICES, "redirect callers");
 	aub_request_router_stop(entry->router);
 	aub_entry_view_set_stopping(entry->view);
-	entry->stop_timer =
-		aub_timer_every(entry->timers, "stop", TICK_INTERVAL_US, on_tick, entry);
+	entry->stop_timer = aub_timer_every(entry->timers, "stop",
+					    TICK_INTERVAL_US, on_tick, entry);
 }
--- a/src/coordination/entry_view.c
+++ b/src/coordination/entry_view.c
@@ -1,8 +1,8 @@
 /*
- * The entry's link to its control, and the view that came over it.
+ * The entry's link to its control and the view received over it.
  *
- * Versions only rise. While the control is away the old view stands, for as
- * long as the last permission lasts.
+ * Versions never decrease. While the control is unavailable the current view
+ * stays active until the serving lease expires.
  */
 #include <auburnstile/config.h>
 #include <auburnstile/internal/entry_view.h>
@@ -10,10 +10,10 @@
 #include <auburnstile/log.h>
 
 #define CONNECT_TIMEOUT_MS 1000
-#define SUCCESSORS_MAX 4096 /* a fleet's planned stops in some weeks */
+#define SUCCESSORS_MAX 4096 /* planned stops of a fleet in several weeks */
 #define RECONNECT_DELAY_US (200 * AUB_MS)
 
-/* Views come every 500 ms; a link without any for this long went silent. */
+/* Views arrive every 500 ms; a link without any for this long is half-open. */
 #define LINK_TIMEOUT_US (3 * AUB_SECOND)
 
 struct aub_entry_view {
@@ -29,8 +29,9 @@
 	guint64 epoch;
 	GHashTable *assignments; /* service -> struct aub_assignment */
 	GHashTable *members; /* incarnation -> struct aub_member */
-	GHashTable *successors; /* incarnation -> incarnation of its heir */
-	GQueue successor_order; /* keys of `heirs`, oldest first */
+	GHashTable
+		*successors; /* incarnation -> incarnation of its successor */
+	GQueue successor_order; /* keys of `successors`, oldest first */
 	gint64 serve_until_us;
 	guint32 load_permille;
 	bool stopping;
@@ -69,9 +70,9 @@
 	aub_message_free(&ack->base);
 }
 
-/* Returns false where this configuration can't be put into force. */
+/* Returns false if this configuration cannot be activated. */
 static bool apply_config(struct aub_entry_view *view,
-			const struct aub_view *message)
+			 const struct aub_view *message)
 {
 	struct aub_inventory *inventory = NULL;
 	struct aub_config *config;
@@ -85,7 +86,7 @@
 	aub_config_free(config);
 	if (!inventory) {
 		aub_log_warning("configuration %" G_GUINT64_FORMAT
-				" not taken: %s",
+				" rejected: %s",
 				message->config_version, error->message);
 		g_error_free(error);
 		return false;
@@ -98,7 +99,7 @@
 }
 
 static void apply_assignments(struct aub_entry_view *view,
-			     const struct aub_view *message)
+			      const struct aub_view *message)
 {
 	view->epoch = message->epoch;
 	g_hash_table_remove_all(view->assignments);
@@ -111,12 +112,13 @@
 }
 
 /*
- * Failure: an entry stops in order, another starts in its place, its record
- * goes, and callers who repeat hear "unknown" although its heir has the key.
- * Heirs once named are remembered for longer than keys are.
+ * After a planned stop another entry may start under the same name, and the
+ * record of the stopped one is removed. Repeated requests would then be
+ * answered "unknown" although the successor has the key. Successors are
+ * therefore remembered for longer than keys are.
  */
 static void remember_successor(struct aub_entry_view *view,
-		       const struct aub_member *member)
+			       const struct aub_member *member)
 {
 	guint64 *key;
 
@@ -133,13 +135,13 @@
 }
 
 /*
- * Failure: a control that has just started knows few members, and keys kept
- * by the others would count as lost: their callers would hear "unknown". So
- * members are only forgotten on the word of a control that is sure enough to
- * let its entry serve.
+ * A control that has just started knows few members. If the others were
+ * forgotten, the keys they own would count as lost and their callers would get
+ * "unknown". Members are therefore only forgotten when the control is sure
+ * enough to grant a serving lease.
  */
 static void apply_members(struct aub_entry_view *view,
-			 const struct aub_view *message)
+			  const struct aub_view *message)
 {
 	if (message->serve)
 		g_hash_table_remove_all(view->members);
@@ -161,14 +163,15 @@
 		return;
 	aub_event_note(view->options.events, AUB_EVENT_VIEW, 0,
 		       (gint64)view->config_version, NULL, "lapsed");
-	aub_log_warning("permission to serve lapsed");
+	aub_log_warning("serving lease expired");
 	view->options.changed(view->options.context);
 }
 
 /*
- * Failure: an entry is paused, wakes, reads a view that waited in its buffer,
- * and sends work into a zone taken out long ago. Permission counts from the
- * entry's own clock at the acknowledgement that the view follows.
+ * Returns when the lease in `message` expires. An entry that resumes after a
+ * pause may read a view that waited in its buffer, and would send work into a
+ * zone taken out long ago. The lease therefore counts from the acknowledgement
+ * that the view echoes, by the entry's own clock.
  */
 static gint64 lease_expiry_us(const struct aub_entry_view *view,
 			      const struct aub_view *message)
@@ -181,12 +184,12 @@
 }
 
 /*
- * Failure: a control that read a stale copy renews the permission of an entry
- * that already holds more, and requests go by what was taken out. Permission
- * counts only with versions at least those held.
+ * A control that read a stale copy could renew the lease of an entry that
+ * already holds newer versions, and requests would go to a zone that was taken
+ * out. A lease is only accepted with exactly the versions held.
  */
 static void apply_lease(struct aub_entry_view *view,
-			    const struct aub_view *message)
+			const struct aub_view *message)
 {
 	aub_timer_cancel(view->options.timers, view->lease_timer);
 	view->lease_timer = 0;
@@ -200,8 +203,9 @@
 					   lease_expiry_us(view, message));
 	if (!view->serve_until_us)
 		return;
-	view->lease_timer = aub_timer_at(view->options.timers, "permission",
-				   view->serve_until_us + 1, on_lease_expired, view);
+	view->lease_timer =
+		aub_timer_at(view->options.timers, "permission",
+			     view->serve_until_us + 1, on_lease_expired, view);
 }
 
 void aub_entry_view_apply(struct aub_entry_view *view,
@@ -242,7 +246,7 @@
 {
 	struct aub_entry_view *view = context;
 
-	aub_log_message("linked to control %s", hello->name);
+	aub_log_message("connected to control %s", hello->name);
 	send_ack(view);
 }
 
@@ -261,9 +265,9 @@
 	aub_log_info("control: %s", reason);
 	aub_link_free(view->link);
 	view->link = NULL;
-	view->reconnect_timer =
-		aub_timer_at(view->options.timers, "reconnect",
-			     now(view) + RECONNECT_DELAY_US, on_reconnect, view);
+	view->reconnect_timer = aub_timer_at(view->options.timers, "reconnect",
+					     now(view) + RECONNECT_DELAY_US,
+					     on_reconnect, view);
 }
 
 static void on_down(struct aub_link *link, const GError *error, void *context)
@@ -272,17 +276,17 @@
 }
 
 /*
- * Failure: something between the two lost track of the connection, and no
- * view comes over it any more. The entry would stop serving although its
- * control is well; a new connection gets through.
+ * A middlebox may lose track of the connection, so that no view arrives over it
+ * any more. The entry would stop serving although its control is healthy, while
+ * a new connection would work.
  */
 static void check_link(void *context, gint64 now_us)
 {
 	struct aub_entry_view *view = context;
 
-	if (view->link &&
-	    now_us - MAX(view->link_opened_us, aub_link_last_heard_us(view->link)) >
-		    LINK_TIMEOUT_US)
+	if (view->link && now_us - MAX(view->link_opened_us,
+				       aub_link_last_heard_us(view->link)) >
+				  LINK_TIMEOUT_US)
 		drop_link(view, "silent");
 }
 
@@ -295,8 +299,9 @@
 static void connect_control(struct aub_entry_view *view)
 {
 	view->link_opened_us = now(view);
-	view->link = aub_link_connect(view->control, view->options.hello,
-				      CONNECT_TIMEOUT_MS, &link_callbacks, view);
+	view->link =
+		aub_link_connect(view->control, view->options.hello,
+				 CONNECT_TIMEOUT_MS, &link_callbacks, view);
 }
 
 struct aub_entry_view *aub_entry_view_new(
@@ -310,11 +315,11 @@
 						  assignment_free);
 	view->members = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					      member_free);
-	view->successors = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					    g_free);
+	view->successors = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						 g_free, g_free);
 	g_queue_init(&view->successor_order);
-	view->watch_timer = aub_timer_every(options->timers, "control", AUB_SECOND,
-				      check_link, view);
+	view->watch_timer = aub_timer_every(options->timers, "control",
+					    AUB_SECOND, check_link, view);
 	if (view->control)
 		connect_control(view);
 	return view;
@@ -362,9 +367,10 @@
 }
 
 guint64 aub_entry_view_successor(const struct aub_entry_view *view,
-			    guint64 incarnation)
+				 guint64 incarnation)
 {
-	const guint64 *successor = g_hash_table_lookup(view->successors, &incarnation);
+	const guint64 *successor =
+		g_hash_table_lookup(view->successors, &incarnation);
 
 	return successor ? *successor : 0;
 }
@@ -407,7 +413,8 @@
 	send_ack(view);
 }
 
-void aub_entry_view_set_successor(struct aub_entry_view *view, guint64 successor)
+void aub_entry_view_set_successor(struct aub_entry_view *view,
+				  guint64 successor)
 {
 	view->successor = successor;
 	send_ack(view);
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -1,10 +1,10 @@
 /*
- * What one control tells another of the members, and what it believes.
+ * Gossip messages: encoding the state of members and merging what peers send.
  *
- * A proof of life is relayed as an age that only grows on its way: the
- * reader adds the whole round trip. While both sides know the same roster a
- * member costs two bytes a message; where they differ, tags show exactly
- * which records the other side lacks, and only these are sent.
+ * A proof of life is relayed as an age that only grows, because the reader adds
+ * the whole round trip. While both sides know the same roster, a member takes
+ * two bytes per message; otherwise tags identify exactly the records the other
+ * side lacks, and only these are sent.
  */
 #include <auburnstile/internal/membership_table.h>
 
@@ -15,14 +15,15 @@
 #define FLAG_CONFIG_ACTIVE 0x80
 #define FLAG_CONFIG_HELD 0x40
 #define LOAD_MASK 0x3f
-#define LOAD_UNIT_PERMILLE 20 /* permille a step of the 6 bits */
+#define LOAD_UNIT_PERMILLE 20 /* per unit of the 6-bit load */
 #define COMPACT_ROW_BYTES 2
 #define TAGGED_ROW_BYTES 6
 #define TAG_BYTES 4
-#define MESSAGE_RECORDS_MAX 256 /* records a message; the rest comes next time */
+/* Further records follow in the next exchange. */
+#define MESSAGE_RECORDS_MAX 256
 
 void aubi_membership_begin_exchange(const struct aubi_membership *membership,
-			 struct aub_gossip *gossip, gint64 now_us)
+				    struct aub_gossip *gossip, gint64 now_us)
 {
 	gossip->number = (guint64)(now_us / 1000);
 	gossip->echo = 0;
@@ -39,7 +40,8 @@
 	return now_us - sent_us;
 }
 
-static int compare_records(const struct aub_member *a, const struct aub_member *b)
+static int compare_records(const struct aub_member *a,
+			   const struct aub_member *b)
 {
 	if (a->control_incarnation != b->control_incarnation)
 		return a->control_incarnation > b->control_incarnation ? 1 : -1;
@@ -49,13 +51,14 @@
 }
 
 /*
- * A record under the own name. Of a newer start: this process was replaced
- * and serves no longer. But if that one is silent, it is dead, and the own
- * clock was behind when this one started: it could never be heard. So it
- * takes a number above the dead one's.
+ * Processes a record with this member's own name. If it belongs to a newer
+ * process that is alive, this process has been replaced and stops serving. If
+ * the newer process is dead, this process started with a slow clock and its
+ * records would always be ignored, so it continues with a number above that of
+ * the dead process.
  */
 static bool receive_own_name(struct aubi_membership *membership,
-			  const struct aub_member *member, gint64 now_us)
+			     const struct aub_member *member, gint64 now_us)
 {
 	struct aub_member *self = membership->self->member;
 
@@ -73,13 +76,14 @@
 		return true;
 	}
 	if (member->incarnation != self->incarnation)
-		return aubi_membership_retain_stopped(membership, member, now_us);
+		return aubi_membership_retain_stopped(membership, member,
+						      now_us);
 	return false;
 }
 
-/* One full record out of a message. True if the table changed. */
+/* Merges one full record from a message. Returns true if the table changed. */
 static bool receive_record(struct aubi_membership *membership,
-			const struct aub_member *member, gint64 now_us)
+			   const struct aub_member *member, gint64 now_us)
 {
 	gint64 age_us = (gint64)member->age_ms * 1000;
 	struct aubi_member_record *record =
@@ -101,7 +105,8 @@
 	}
 	if (compare_records(member, record->member) < 0 &&
 	    member->incarnation != record->member->incarnation)
-		return aubi_membership_retain_stopped(membership, member, now_us);
+		return aubi_membership_retain_stopped(membership, member,
+						      now_us);
 	if (compare_records(member, record->member) <= 0)
 		return false;
 	old = record->member;
@@ -144,8 +149,8 @@
 }
 
 static void receive_age(const struct aub_gossip *gossip,
-		     struct aubi_member_record *record, const guint8 *age_flags,
-		     gint64 delay_us, gint64 now_us)
+			struct aubi_member_record *record,
+			const guint8 *age_flags, gint64 delay_us, gint64 now_us)
 {
 	gint64 at_us = now_us - delay_us - age_flags[0] * AGE_UNIT_US;
 	guint32 load = (age_flags[1] & LOAD_MASK) * LOAD_UNIT_PERMILLE;
@@ -163,7 +168,7 @@
 }
 
 static void receive_ages(struct aubi_membership *membership,
-		      const struct aub_gossip *gossip, gint64 now_us)
+			 const struct aub_gossip *gossip, gint64 now_us)
 {
 	gint64 delay_us = aubi_gossip_delay_us(gossip, now_us);
 	bool compact = is_compact(gossip);
@@ -184,14 +189,14 @@
 				   find_tag(membership, row);
 		if (record && record != membership->self)
 			receive_age(gossip, record,
-				 row + (compact ? 0 : TAG_BYTES), delay_us,
-				 now_us);
+				    row + (compact ? 0 : TAG_BYTES), delay_us,
+				    now_us);
 	}
 }
 
-bool aubi_membership_receive(struct aubi_membership *membership, const char *from,
-			  guint64 start, const struct aub_gossip *gossip,
-			  gint64 now_us)
+bool aubi_membership_receive(struct aubi_membership *membership,
+			     const char *from, guint64 start,
+			     const struct aub_gossip *gossip, gint64 now_us)
 {
 	struct aubi_member_record *sender;
 	bool changed = false;
@@ -199,7 +204,7 @@
 
 	for (i = 0; i < gossip->members->len; i++)
 		changed |= receive_record(membership, gossip->members->pdata[i],
-				       now_us);
+					  now_us);
 	if (changed)
 		aubi_membership_rehash(membership);
 	sender = aubi_membership_find(membership, from);
@@ -250,7 +255,7 @@
 	g_byte_array_unref(rows);
 }
 
-/* Add the full records whose tag `heard` doesn't list. */
+/* Adds the full records whose tags are not listed in `received`. */
 static void write_missing(const struct aubi_membership *membership,
 			  const struct aub_gossip *received,
 			  struct aub_gossip *gossip, gint64 now_us)
@@ -285,11 +290,11 @@
 }
 
 bool aubi_membership_reply(const struct aubi_membership *membership,
-			    const struct aub_gossip *received, bool behind,
-			    struct aub_gossip *gossip, gint64 now_us)
+			   const struct aub_gossip *received, bool behind,
+			   struct aub_gossip *gossip, gint64 now_us)
 {
-	bool has_tags =
-		received->ages.length && !is_compact(received) && is_tagged(received);
+	bool has_tags = received->ages.length && !is_compact(received) &&
+			is_tagged(received);
 	bool compact = received->roster == membership->roster &&
 		       received->known == membership->records->len;
 
--- a/src/coordination/idempotency.c
+++ b/src/coordination/idempotency.c
@@ -1,19 +1,22 @@
 /*
- * The keeper of keys.
+ * Ownership of idempotency keys.
  *
- * A key names the one incarnation that may run requests under it. Whoever
- * can't reach that incarnation, or the successor it named, never runs them.
+ * A key names the single incarnation that may run requests under it. An entry
+ * that cannot reach that incarnation, or the successor it named, never runs
+ * them.
  */
 #include <auburnstile/internal/idempotency.h>
 #include <auburnstile/internal/headers.h>
 #include <auburnstile/log.h>
 
-#define SUCCESSOR_CHAIN_MAX 16 /* stops in a row that a key is followed through */
-#define PART_TARGET_BYTES (1u << 20) /* of a hand-over message, about */
+/* Consecutive planned stops followed per key. */
+#define SUCCESSOR_CHAIN_MAX 16
+#define PART_TARGET_BYTES (1u << 20) /* per transfer message, approximately */
 #define PART_RECORDS_MAX 1000
 #define SUCCESSOR_ATTEMPTS_MAX 3
 #define SUCCESSOR_ACK_TIMEOUT_US (2 * AUB_SECOND) /* for an acknowledgement */
-#define LINK_CHECK_INTERVAL_US (50 * AUB_MS) /* between looks whether the link is up */
+/* Between checks whether the link is up. */
+#define LINK_CHECK_INTERVAL_US (50 * AUB_MS)
 
 struct waiter {
 	aub_idempotency_waiter *callback;
@@ -24,21 +27,21 @@
 	struct aub_idempotency_options options;
 	struct aub_key_table *table;
 	GHashTable *waiters; /* key -> GArray of struct waiter */
-	GHashTable *adopted; /* set of incarnations whose keys are here */
+	GHashTable *adopted; /* set of incarnations whose keys were imported */
 
-	/* The hand-over, once it began. */
+	/* State of the transfer, once it has begun. */
 	struct aub_relay *relay;
 	GPtrArray *records;
 	guint next_record; /* first record not yet sent */
-	guint32 part_number; /* that awaits its acknowledgement */
-	bool awaiting_ack; /* one is under way */
-	bool last_part_sent; /* it was the last */
+	guint32 part_number; /* of the part awaiting its acknowledgement */
+	bool awaiting_ack; /* a part has been sent */
+	bool last_part_sent; /* and it was the last one */
 	guint64 successor;
 	GHashTable *tried;
 	guint attempts;
 	gint64 attempt_started_us;
 	guint timer;
-	bool closed; /* begins no new key */
+	bool closed; /* starts no new key */
 	bool transferring;
 	bool transferred;
 	aub_idempotency_transferred *done;
@@ -55,19 +58,21 @@
 	g_array_unref(data);
 }
 
-struct aub_idempotency *aub_idempotency_new(const struct aub_idempotency_options *options)
+struct aub_idempotency *aub_idempotency_new(
+	const struct aub_idempotency_options *options)
 {
 	struct aub_idempotency *idempotency = g_new0(struct aub_idempotency, 1);
 
 	idempotency->options = *options;
 	idempotency->table =
 		aub_key_table_new(options->max_bytes, options->retention_us);
-	idempotency->waiters = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-						waiters_free);
-	idempotency->adopted = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						g_free, NULL);
+	idempotency->waiters = g_hash_table_new_full(g_str_hash, g_str_equal,
+						     g_free, waiters_free);
+	idempotency->adopted =
+		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+				      NULL);
 	idempotency->tried = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					      g_free, NULL);
+						   g_free, NULL);
 	return idempotency;
 }
 
@@ -107,7 +112,9 @@
 		if (!successor)
 			break;
 		incarnation = successor;
-		/* Named as successor, but the keys never came. */
+		/*
+		 * This entry is named as successor, but the keys never arrived.
+		 */
 		if (incarnation == idempotency->options.incarnation)
 			return AUB_KEY_LOCATION_LOST;
 	}
@@ -117,9 +124,9 @@
 	return AUB_KEY_LOCATION_LOST;
 }
 
-enum aub_key_location aub_idempotency_locate(const struct aub_idempotency *idempotency,
-					const char *key,
-					const struct aub_member **member)
+enum aub_key_location aub_idempotency_locate(
+	const struct aub_idempotency *idempotency, const char *key,
+	const struct aub_member **member)
 {
 	guint64 incarnation;
 	gint64 issued_s;
@@ -158,7 +165,7 @@
 		answer->status = 504;
 		aub_string_set(&answer->reason, "kept-unknown");
 	} else if (record->stripped) {
-		/* Part of an answer must not pass for the whole. */
+		/* A partial answer must not be returned as a complete one. */
 		answer->status = 410;
 		aub_string_set(&answer->reason, "answer-not-kept");
 		return answer;
@@ -173,7 +180,7 @@
 	return answer;
 }
 
-/* Age of a valid key's grant, by this VM's wall clock. */
+/* Returns the age of a valid key's grant, by the wall clock of this VM. */
 static gint64 grant_age_us(const char *key)
 {
 	guint64 incarnation;
@@ -186,9 +193,10 @@
 }
 
 enum aub_key_verdict aub_idempotency_begin(struct aub_idempotency *idempotency,
-				      const struct aub_call *call,
-				      aub_idempotency_waiter *waiter, void *context,
-				      struct aub_answer **cached)
+					   const struct aub_call *call,
+					   aub_idempotency_waiter *waiter,
+					   void *context,
+					   struct aub_answer **cached)
 {
 	const struct aub_key_record *record = NULL;
 	guint8 fingerprint[AUB_FINGERPRINT_BYTES];
@@ -201,9 +209,9 @@
 	aub_request_fingerprint(call->method, call->path, &call->body,
 				authorization ? authorization : "",
 				cookie ? cookie : "", fingerprint);
-	verdict = aub_key_table_begin(idempotency->table, call->key, fingerprint,
-				      grant_age_us(call->key), now(idempotency),
-				      &record);
+	verdict = aub_key_table_begin(idempotency->table, call->key,
+				      fingerprint, grant_age_us(call->key),
+				      now(idempotency), &record);
 	if (verdict == AUB_KEY_KEPT)
 		*cached = cached_answer(record);
 	else if (verdict == AUB_KEY_RUNNING)
@@ -211,7 +219,8 @@
 	return verdict;
 }
 
-void aub_idempotency_stop_waiting(struct aub_idempotency *idempotency, const char *key, void *context)
+void aub_idempotency_stop_waiting(struct aub_idempotency *idempotency,
+				  const char *key, void *context)
 {
 	GArray *list = g_hash_table_lookup(idempotency->waiters, key);
 
@@ -225,8 +234,8 @@
 		g_hash_table_remove(idempotency->waiters, key);
 }
 
-void aub_idempotency_finish(struct aub_idempotency *idempotency, const char *key,
-		       const struct aub_answer *answer)
+void aub_idempotency_finish(struct aub_idempotency *idempotency,
+			    const char *key, const struct aub_answer *answer)
 {
 	GArray *list = g_hash_table_lookup(idempotency->waiters, key);
 
@@ -243,17 +252,19 @@
 	g_array_unref(list);
 }
 
-static void record_keys_event(struct aub_idempotency *idempotency, guint count, const char *text)
+static void record_keys_event(struct aub_idempotency *idempotency, guint count,
+			      const char *text)
 {
-	aub_event_note(idempotency->options.events, AUB_EVENT_KEYS, 0, count, NULL,
-		       text);
+	aub_event_note(idempotency->options.events, AUB_EVENT_KEYS, 0, count,
+		       NULL, text);
 }
 
-void aub_idempotency_import(struct aub_idempotency *idempotency, const struct aub_keys *keys)
+void aub_idempotency_import(struct aub_idempotency *idempotency,
+			    const struct aub_keys *keys)
 {
 	for (guint i = 0; i < keys->records->len; i++)
-		aub_key_table_import(idempotency->table, keys->records->pdata[i],
-				     now(idempotency));
+		aub_key_table_import(idempotency->table,
+				     keys->records->pdata[i], now(idempotency));
 	record_keys_event(idempotency, keys->records->len, "taken over");
 	if (keys->last)
 		g_hash_table_add(idempotency->adopted,
@@ -266,7 +277,7 @@
 	const struct aub_member *best;
 };
 
-/* Another zone first: a zone that is taken out stops all of its entries. */
+/* Prefers another zone, because taking out a zone stops all its entries. */
 static void consider_successor(const struct aub_member *member, void *context)
 {
 	struct successor_search *search = context;
@@ -278,8 +289,9 @@
 	    g_hash_table_contains(idempotency->tried, &member->incarnation))
 		return;
 	other_zone = g_strcmp0(member->zone, idempotency->options.zone) != 0;
-	if (!search->best || (other_zone && !g_strcmp0(search->best->zone,
-						       idempotency->options.zone)))
+	if (!search->best ||
+	    (other_zone &&
+	     !g_strcmp0(search->best->zone, idempotency->options.zone)))
 		search->best = member;
 }
 
@@ -290,23 +302,25 @@
 	idempotency->successor = successor;
 	idempotency->transferred = successor != 0;
 	record_keys_event(idempotency, idempotency->records->len,
-		  successor ? "handed over" : "no successor found");
+			  successor ? "handed over" : "no successor found");
 	idempotency->done(successor, idempotency->context);
 }
 
-/* Next of the members not tried yet; false when there is none. */
+/* Selects the next member not tried yet; returns false if there is none. */
 static bool choose_successor(struct aub_idempotency *idempotency)
 {
 	struct successor_search search = { .idempotency = idempotency };
 
 	if (idempotency->attempts++ >= SUCCESSOR_ATTEMPTS_MAX)
 		return false;
-	aub_entry_view_members(idempotency->options.view, consider_successor, &search);
+	aub_entry_view_members(idempotency->options.view, consider_successor,
+			       &search);
 	if (!search.best)
 		return false;
 	idempotency->successor = search.best->incarnation;
 	g_hash_table_add(idempotency->tried,
-			 g_memdup2(&idempotency->successor, sizeof(idempotency->successor)));
+			 g_memdup2(&idempotency->successor,
+				   sizeof(idempotency->successor)));
 	idempotency->next_record = 0;
 	idempotency->part_number = 0;
 	idempotency->awaiting_ack = false;
@@ -326,17 +340,19 @@
 	keys = (struct aub_keys *)aub_message_new(AUB_MESSAGE_KEYS);
 	keys->incarnation = idempotency->options.incarnation;
 	keys->part = idempotency->part_number;
-	/* Records are lent to the message and stay with the list. */
+	/* The list keeps ownership of the records in the message. */
 	g_ptr_array_set_free_func(keys->records, NULL);
 	while (next < idempotency->records->len && bytes < PART_TARGET_BYTES &&
 	       keys->records->len < PART_RECORDS_MAX) {
-		struct aub_key_record *record = idempotency->records->pdata[next++];
+		struct aub_key_record *record =
+			idempotency->records->pdata[next++];
 
 		bytes += record->body.length + AUB_KEY_LIMIT;
 		g_ptr_array_add(keys->records, record);
 	}
 	keys->last = next == idempotency->records->len;
-	sent = aub_relay_send_message(idempotency->relay, idempotency->successor, &keys->base);
+	sent = aub_relay_send_message(idempotency->relay,
+				      idempotency->successor, &keys->base);
 	if (sent) {
 		idempotency->next_record = next;
 		idempotency->last_part_sent = keys->last;
@@ -353,16 +369,20 @@
 	struct aub_idempotency *idempotency = context;
 	enum aub_peer_state state;
 
-	state = aub_relay_peer_state(idempotency->relay, idempotency->successor);
-	if (state == AUB_PEER_UP && !idempotency->awaiting_ack && send_part(idempotency))
+	state = aub_relay_peer_state(idempotency->relay,
+				     idempotency->successor);
+	if (state == AUB_PEER_UP && !idempotency->awaiting_ack &&
+	    send_part(idempotency))
 		return;
-	if (state != AUB_PEER_DOWN && now_us - idempotency->attempt_started_us < SUCCESSOR_ACK_TIMEOUT_US)
+	if (state != AUB_PEER_DOWN &&
+	    now_us - idempotency->attempt_started_us < SUCCESSOR_ACK_TIMEOUT_US)
 		return;
 	/*
-	 * Failure: the first successor took all keys but its word is lost, a second
-	 * one gets them too, and each runs what the other was first asked.
-	 * Whoever was sent the last part stays the successor: if it has the keys,
-	 * it is the only one, and if not, the answer is "unknown".
+	 * If the first successor received all keys and its acknowledgement is
+	 * lost, a second one would get them as well, and both would run
+	 * requests under the same key. The member that was sent the last part
+	 * therefore stays the successor: if it has the keys it is the only one,
+	 * and if not, requests are answered "unknown".
 	 */
 	if (idempotency->last_part_sent)
 		end_transfer(idempotency, idempotency->successor);
@@ -371,9 +391,10 @@
 }
 
 void aub_idempotency_acknowledged(struct aub_idempotency *idempotency,
-			     const struct aub_keys_ack *ack)
+				  const struct aub_keys_ack *ack)
 {
-	if (!idempotency->transferring || idempotency->transferred || !idempotency->awaiting_ack ||
+	if (!idempotency->transferring || idempotency->transferred ||
+	    !idempotency->awaiting_ack ||
 	    ack->incarnation != idempotency->options.incarnation ||
 	    ack->part != idempotency->part_number)
 		return;
@@ -385,8 +406,9 @@
 		send_part(idempotency);
 }
 
-void aub_idempotency_transfer(struct aub_idempotency *idempotency, struct aub_relay *relay,
-			  aub_idempotency_transferred *done, void *context)
+void aub_idempotency_transfer(struct aub_idempotency *idempotency,
+			      struct aub_relay *relay,
+			      aub_idempotency_transferred *done, void *context)
 {
 	g_assert(!idempotency->transferring);
 	idempotency->transferring = true;
@@ -394,9 +416,12 @@
 	idempotency->relay = relay;
 	idempotency->done = done;
 	idempotency->context = context;
-	idempotency->records = aub_key_table_export(idempotency->table, now(idempotency));
-	idempotency->timer = aub_timer_every(idempotency->options.timers, "hand over",
-					LINK_CHECK_INTERVAL_US, check_transfer, idempotency);
+	idempotency->records =
+		aub_key_table_export(idempotency->table, now(idempotency));
+	idempotency->timer =
+		aub_timer_every(idempotency->options.timers, "hand over",
+				LINK_CHECK_INTERVAL_US, check_transfer,
+				idempotency);
 	if (!choose_successor(idempotency))
 		end_transfer(idempotency, 0);
 }
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -1,19 +1,23 @@
 /*
- * Members of the fleet as one control knows them.
+ * Members of the fleet as known to one control.
  *
- * Rules kept here:
- *   - a record only gives way to one of a newer start or a higher revision;
+ * Invariants:
+ *
+ *   - a record is only replaced by one of a newer process or with a higher
+ *     revision;
  *   - only a member itself changes its record, others relay it;
- *   - "dead" is each control's own judgement from ages, never relayed;
- *   - a proof of life is relayed as an age that only grows on its way.
+ *   - each control decides from ages which members are dead, and does not relay
+ *     that decision;
+ *   - a proof of life is relayed as an age that only grows.
  *
- * membership_notes.txt gives the bytes this costs.
+ * membership_notes.txt gives the resulting bandwidth.
  */
 #include <auburnstile/internal/membership_table.h>
 
 #include <string.h>
 
-#define LOST_PEER_PICK_PERIOD 6 /* every 6th peer is a dead one or a seed */
+/* Every 6th peer is a dead member or a seed. */
+#define LOST_PEER_PICK_PERIOD 6
 
 static void record_free(void *data)
 {
@@ -111,7 +115,8 @@
 
 static bool is_counted(const struct aubi_member_record *record)
 {
-	return !is_stopped_incarnation(record) && record->member->state != AUB_MEMBER_STOPPED;
+	return !is_stopped_incarnation(record) &&
+	       record->member->state != AUB_MEMBER_STOPPED;
 }
 
 static gint64 last_sign_us(const struct aubi_member_record *record)
@@ -179,12 +184,14 @@
 }
 
 /*
- * An entry that left in order is about to be replaced under its name: keys
- * granted by it would be answered "unknown" though its heir has them. Its
- * record goes on under its own incarnation until the keys have expired.
+ * When an entry has stopped as planned and another one starts under its name,
+ * keys granted by the stopped entry would be answered "unknown" although its
+ * successor has them. The record of the stopped incarnation is therefore
+ * retained under a key of its own until the keys have expired.
  */
 bool aubi_membership_retain_stopped(struct aubi_membership *membership,
-			       const struct aub_member *stopped, gint64 now_us)
+				    const struct aub_member *stopped,
+				    gint64 now_us)
 {
 	struct aubi_member_record *record;
 	char *key;
@@ -240,9 +247,9 @@
 }
 
 /*
- * Failure: a side that is cut off forgets all the others as dead.
- * Symptom: it counts itself complete and serves again, by an old version.
- * Enough: only who hears a majority forgets, and two sides never both do.
+ * A minority partition that forgot the other members as dead would count itself
+ * complete and would serve again, with an old version. Members are only
+ * forgotten where a majority is heard, which cannot be true on both sides.
  */
 static bool may_forget(const struct aubi_membership *membership, gint64 now_us)
 {
@@ -253,8 +260,8 @@
 }
 
 static bool is_expired(const struct aubi_membership *membership,
-		    const struct aubi_member_record *record, bool forget,
-		    gint64 now_us)
+		       const struct aubi_member_record *record, bool forget,
+		       gint64 now_us)
 {
 	gint64 age_us = now_us - last_sign_us(record);
 
@@ -309,7 +316,10 @@
 	return changed || membership->records->len != before;
 }
 
-/* Seeds at which no live member is known: a peer may be there unknown. */
+/*
+ * Adds seed addresses at which no live member is known, as an unknown peer may
+ * run there.
+ */
 static void add_seeds(const struct aubi_membership *membership,
 		      GPtrArray *addresses, gint64 now_us)
 {
@@ -334,7 +344,7 @@
 }
 
 const char *aubi_membership_pick_peer(struct aubi_membership *membership,
-				 gint64 now_us)
+				      gint64 now_us)
 {
 	GPtrArray *live = g_ptr_array_new();
 	GPtrArray *unreachable = g_ptr_array_new();
@@ -348,13 +358,15 @@
 
 		if (record == membership->self || !is_counted(record))
 			continue;
-		g_ptr_array_add(is_live(membership, record, now_us) ? live :
-								      unreachable,
+		g_ptr_array_add(is_live(membership, record, now_us) ?
+					live :
+					unreachable,
 				record->member->control_address);
 	}
 	add_seeds(membership, unreachable, now_us);
 	membership->picks++;
-	if (!live->len || (unreachable->len && membership->picks % LOST_PEER_PICK_PERIOD == 0))
+	if (!live->len || (unreachable->len &&
+			   membership->picks % LOST_PEER_PICK_PERIOD == 0))
 		from = unreachable;
 	if (from->len)
 		address = from->pdata[g_rand_int_range(membership->random, 0,
@@ -396,7 +408,7 @@
 }
 
 guint aubi_membership_count_live(const struct aubi_membership *membership,
-			   gint64 now_us)
+				 gint64 now_us)
 {
 	guint live = 0;
 	guint i;
@@ -408,7 +420,7 @@
 }
 
 guint aubi_membership_count_holding(const struct aubi_membership *membership,
-			      guint64 version)
+				    guint64 version)
 {
 	guint holders = 0;
 	guint i;
@@ -417,8 +429,9 @@
 		const struct aubi_member_record *record =
 			membership->records->pdata[i];
 
-		holders += is_counted(record) && (record == membership->self ||
-					      record->held_version >= version);
+		holders +=
+			is_counted(record) && (record == membership->self ||
+					       record->held_version >= version);
 	}
 	return holders;
 }
@@ -432,7 +445,7 @@
 }
 
 gint64 aubi_membership_proof_age_us(const struct aubi_membership *membership,
-				guint count, gint64 now_us)
+				    guint count, gint64 now_us)
 {
 	GArray *times = g_array_new(FALSE, FALSE, sizeof(gint64));
 	gint64 age_us = AUBI_AGE_UNKNOWN_US;
--- a/src/coordination/ownership.c
+++ b/src/coordination/ownership.c
@@ -1,20 +1,21 @@
 /*
- * Placement of services on members, one pass over the services.
+ * Placement of services on members, in one pass over the services.
  *
- * Costs compare in this order: another region than the service's upstreams,
- * (for a stand-by) the owner's own zone, services held already, load, and
- * last a hash of both names, so that ties don't all fall on one member.
+ * Costs are compared in this order: another region than that of the service's
+ * upstreams; for a stand-by, the zone of the owner; the number of services
+ * assigned; load; and finally a hash of both names, so that ties are spread
+ * over the members.
  */
 #include <auburnstile/internal/ownership.h>
 
 #include <string.h>
 
 #define TURN_DELAY_PER_RANK_US ((gint64)2000000)
-#define LOAD_STEP_PERMILLE 100 /* permille: smaller differences are noise */
+#define LOAD_STEP_PERMILLE 100 /* smaller differences are noise */
 
 struct candidate {
 	const struct aub_member *member; /* borrowed */
-	const char *region; /* borrowed; "" if its zone isn't known */
+	const char *region; /* borrowed; "" if the zone is not known */
 	guint owned_count;
 	guint standby_count;
 };
@@ -52,8 +53,9 @@
 	return false;
 }
 
-static void collect_candidates(struct placement *placement, const GPtrArray *leaving,
-		    const GPtrArray *members)
+static void collect_candidates(struct placement *placement,
+			       const GPtrArray *leaving,
+			       const GPtrArray *members)
 {
 	guint i;
 
@@ -73,7 +75,7 @@
 }
 
 static struct candidate *find_candidate(const struct placement *placement,
-				      const char *name, guint64 incarnation)
+					const char *name, guint64 incarnation)
 {
 	guint i;
 
@@ -89,7 +91,7 @@
 	return NULL;
 }
 
-/* Region of a service's upstreams; "" for none or no upstream. */
+/* Returns the region of a service's upstreams; "" if there is none. */
 static const char *service_region(const struct aub_inventory *inventory,
 				  guint16 service)
 {
@@ -121,8 +123,9 @@
 
 	cost.parts[0] = region[0] && strcmp(candidate->region, region) != 0;
 	cost.parts[1] = owner && !strcmp(owner->member->zone, member->zone);
-	cost.parts[2] = owner ? candidate->owned_count + candidate->standby_count :
-				candidate->owned_count;
+	cost.parts[2] =
+		owner ? candidate->owned_count + candidate->standby_count :
+			candidate->owned_count;
 	cost.parts[3] = member->load_permille / LOAD_STEP_PERMILLE;
 	cost.parts[4] = g_str_hash(member->name) * 31 ^ g_str_hash(service);
 	return cost;
@@ -139,10 +142,11 @@
 	return false;
 }
 
-/* The best member for a service; for a stand-by, `owner` is set. */
+/* Returns the best member for a service. To choose a stand-by, pass `owner`. */
 static struct candidate *choose_candidate(const struct placement *placement,
-				const char *service, const char *region,
-				const struct candidate *owner)
+					  const char *service,
+					  const char *region,
+					  const struct candidate *owner)
 {
 	struct candidate *best = NULL;
 	struct cost best_cost = { { 0 } };
@@ -164,7 +168,8 @@
 	return best;
 }
 
-static void set_owner(struct aub_assignment *assignment, struct candidate *candidate)
+static void set_owner(struct aub_assignment *assignment,
+		      struct candidate *candidate)
 {
 	aub_string_set(&assignment->owner, candidate->member->name);
 	assignment->owner_incarnation = candidate->member->incarnation;
@@ -182,15 +187,20 @@
 		candidate->standby_count++;
 }
 
-/* Keep who may stay; count them before anyone is placed anew. */
-static void keep_current(const struct placement *placement, struct aub_assignment *assignment)
+/*
+ * Keeps the owner and stand-by that are still eligible. Done for all services
+ * first, so that the counts are complete before any new placement.
+ */
+static void keep_current(const struct placement *placement,
+			 struct aub_assignment *assignment)
 {
 	struct candidate *owner;
 	struct candidate *standby;
 
-	owner = find_candidate(placement, assignment->owner, assignment->owner_incarnation);
+	owner = find_candidate(placement, assignment->owner,
+			       assignment->owner_incarnation);
 	standby = find_candidate(placement, assignment->standby,
-			       assignment->standby_incarnation);
+				 assignment->standby_incarnation);
 	if (!owner && standby) {
 		owner = standby;
 		standby = NULL;
@@ -221,24 +231,27 @@
 	return false;
 }
 
-static void fill_vacancies(const struct placement *placement, struct aub_assignment *assignment)
+static void fill_vacancies(const struct placement *placement,
+			   struct aub_assignment *assignment)
 {
-	guint16 service =
-		aub_inventory_service(placement->inventory, assignment->service);
+	guint16 service = aub_inventory_service(placement->inventory,
+						assignment->service);
 	const char *region = service_region(placement->inventory, service);
 	struct candidate *owner;
 	struct candidate *standby;
 
 	if (!assignment->owner[0]) {
-		owner = choose_candidate(placement, assignment->service, region, NULL);
+		owner = choose_candidate(placement, assignment->service, region,
+					 NULL);
 		if (owner)
 			set_owner(assignment, owner);
 	}
-	owner = find_candidate(placement, assignment->owner, assignment->owner_incarnation);
+	owner = find_candidate(placement, assignment->owner,
+			       assignment->owner_incarnation);
 	if (!owner)
 		return;
 	standby = find_candidate(placement, assignment->standby,
-			       assignment->standby_incarnation);
+				 assignment->standby_incarnation);
 	if (standby && !strcmp(standby->member->zone, owner->member->zone) &&
 	    other_zone_exists(placement, owner)) {
 		standby->standby_count--;
@@ -246,12 +259,16 @@
 	}
 	if (!standby)
 		set_standby(assignment,
-			    choose_candidate(placement, assignment->service, region, owner));
+			    choose_candidate(placement, assignment->service,
+					     region, owner));
 }
 
-/* Move one service from the fullest to the emptiest of its region. */
+/*
+ * Moves one service from the member with most services to the one with fewest
+ * in its region.
+ */
 static void rebalance_one(const struct placement *placement,
-		     struct aubi_assignments *proposal)
+			  struct aubi_assignments *proposal)
 {
 	struct aub_assignment *best_assignment = NULL;
 	struct candidate *best = NULL;
@@ -265,13 +282,15 @@
 		guint16 service;
 
 		owner = find_candidate(placement, assignment->owner,
-				     assignment->owner_incarnation);
+				       assignment->owner_incarnation);
 		service = aub_inventory_service(placement->inventory,
 						assignment->service);
 		other = choose_candidate(placement, assignment->service,
-			       service_region(placement->inventory, service),
-			       NULL);
-		if (!owner || !other || other->owned_count + best_gap >= owner->owned_count)
+					 service_region(placement->inventory,
+							service),
+					 NULL);
+		if (!owner || !other ||
+		    other->owned_count + best_gap >= owner->owned_count)
 			continue;
 		best_gap = owner->owned_count - other->owned_count;
 		best_assignment = assignment;
@@ -279,7 +298,8 @@
 	}
 	if (!best)
 		return;
-	find_candidate(placement, best_assignment->owner, best_assignment->owner_incarnation)
+	find_candidate(placement, best_assignment->owner,
+		       best_assignment->owner_incarnation)
 		->owned_count--;
 	set_owner(best_assignment, best);
 	if (!strcmp(best_assignment->standby, best_assignment->owner))
@@ -288,7 +308,7 @@
 }
 
 static bool same_assignment(const struct aub_assignment *a,
-		      const struct aub_assignment *b)
+			    const struct aub_assignment *b)
 {
 	return a && !strcmp(a->owner, b->owner) &&
 	       !strcmp(a->standby, b->standby) &&
@@ -304,16 +324,18 @@
 	if (current->list->len != proposal->list->len)
 		return true;
 	for (i = 0; i < proposal->list->len; i++) {
-		const struct aub_assignment *assignment = proposal->list->pdata[i];
+		const struct aub_assignment *assignment =
+			proposal->list->pdata[i];
 
-		if (!same_assignment(aubi_assignments_find(current, assignment->service),
-			       assignment))
+		if (!same_assignment(aubi_assignments_find(current,
+							   assignment->service),
+				     assignment))
 			return true;
 	}
 	return false;
 }
 
-/* Lines that change get the epoch after the current one, at the least. */
+/* Sets the epoch of changed assignments to the one after the current epoch. */
 static void raise_epochs(const struct aubi_assignments *current,
 			 struct aubi_assignments *proposal)
 {
@@ -322,8 +344,9 @@
 	for (i = 0; i < proposal->list->len; i++) {
 		struct aub_assignment *assignment = proposal->list->pdata[i];
 
-		if (!same_assignment(aubi_assignments_find(current, assignment->service),
-			       assignment))
+		if (!same_assignment(aubi_assignments_find(current,
+							   assignment->service),
+				     assignment))
 			assignment->epoch = current->epoch + 1;
 	}
 }
@@ -354,14 +377,15 @@
 		struct aub_assignment *assignment;
 
 		old = aubi_assignments_find(current, name);
-		assignment = old ? aub_assignment_copy(old) : aub_assignment_new();
+		assignment =
+			old ? aub_assignment_copy(old) : aub_assignment_new();
 		aub_string_set(&assignment->service, name);
 		g_ptr_array_add(proposal->list, assignment);
 	}
 	g_ptr_array_sort(proposal->list, by_service);
 	/*
-	 * With nobody to place on, nothing is gained by a write; the old
-	 * lines still say whom a stand-by stands by for.
+	 * Without any candidate a write would gain nothing, and the existing
+	 * assignments still tell a stand-by which owner it stands in for.
 	 */
 	if (!placement.candidates->len) {
 		aubi_assignments_free(proposal);
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -1,8 +1,9 @@
 /*
- * Links to other entries and the calls on them.
+ * Links to other entries and the outbound calls on them.
  *
- * A peer is one incarnation of an entry. Calls wait while its link is being
- * opened; once a call was written, the end of the link leaves it unknown.
+ * A peer is one incarnation of an entry. Calls are queued while its link is
+ * being opened. If the link ends after a call was written, the outcome of the
+ * call is unknown.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/relay.h>
@@ -12,17 +13,24 @@
 
 #define CONNECT_TIMEOUT_MS 400
 
-/* A peer that failed is not tried again for this long; calls go elsewhere. */
+/*
+ * Delay before a failed peer is tried again; until then calls fail immediately
+ * and are sent elsewhere.
+ */
 #define PEER_RETRY_DELAY_US (100 * AUB_MS)
 
 #define PING_INTERVAL_US (200 * AUB_MS)
 
-/* Incarnations come and go, 210 a day; one that is gone is then forgotten. */
+/*
+ * About 210 incarnations start and end per day; a departed one is forgotten
+ * after this time.
+ */
 #define PEER_RETENTION_US (60 * AUB_SECOND)
 
 /*
- * A link silent for this long is given up. Longer than a noisy neighbour's
- * usual pause; short enough that a frozen owner's callers wait under 1 s.
+ * A link without any data for this long is closed. It is longer than the
+ * typical pause caused by a noisy neighbour, and short enough that callers wait
+ * less than 1 s when an owner is paused.
  */
 #define LINK_TIMEOUT_US (800 * AUB_MS)
 
@@ -34,7 +42,7 @@
 	struct aub_link *link;
 	enum aub_peer_state state;
 	bool watched;
-	gint64 down_us; /* when it last failed */
+	gint64 down_us; /* time of the last failure */
 	gint64 up_us;
 	guint64 last_ping;
 	GHashTable *calls; /* id -> struct aub_relay_call */
@@ -46,7 +54,7 @@
 	struct aub_call *call; /* borrowed */
 	guint64 id;
 	bool written;
-	guint fail_source; /* failing soon, without a peer */
+	guint fail_source; /* idle source that fails the call */
 	aub_relay_callback *callback;
 	void *context;
 };
@@ -106,7 +114,10 @@
 	callback(result, answer, context);
 }
 
-/* Take one call out of a peer whose link is gone; NULL when none is left. */
+/*
+ * Returns a call of a peer whose link was closed, except those that are about
+ * to fail; NULL if none is left.
+ */
 static struct aub_relay_call *next_open_call(struct peer *peer)
 {
 	GHashTableIter iterator;
@@ -164,8 +175,9 @@
 	struct aub_relay_call *call;
 
 	/*
-	 * Failure: another process took over the address, and a request meant
-	 * for the old one runs there, though the old one's keys say otherwise.
+	 * Another process may have taken over the address. A request addressed
+	 * to the previous incarnation must not run there, as it may already
+	 * have run under the keys of the previous one.
 	 */
 	if (hello->incarnation != peer->incarnation) {
 		lose_link(peer, "another incarnation answers");
@@ -231,7 +243,10 @@
 	return peer;
 }
 
-/* Open a link unless there is one; false while the peer counts as down. */
+/*
+ * Opens a link unless there is one; returns false while the peer counts as
+ * down.
+ */
 static bool ensure_link(struct peer *peer)
 {
 	struct aub_relay *relay = peer->relay;
@@ -242,8 +257,9 @@
 	    now(relay) - peer->down_us < PEER_RETRY_DELAY_US)
 		return false;
 	peer->up_us = now(relay);
-	peer->link = aub_link_connect(peer->address, relay->options.hello,
-				      CONNECT_TIMEOUT_MS, &peer_callbacks, peer);
+	peer->link =
+		aub_link_connect(peer->address, relay->options.hello,
+				 CONNECT_TIMEOUT_MS, &peer_callbacks, peer);
 	return true;
 }
 
@@ -265,7 +281,9 @@
 	struct peer *peer = get_peer(relay, member);
 	struct aub_relay_call *call;
 
-	/* One call an id and peer; its id is new, or the first has ended. */
+	/*
+	 * Ids are unique per peer: the id is new, or its first call has ended.
+	 */
 	g_assert(!g_hash_table_contains(peer->calls, &message->id));
 	call = g_new0(struct aub_relay_call, 1);
 	call->peer = peer;
@@ -278,9 +296,9 @@
 	aub_event_note(relay->options.events, AUB_EVENT_RELAYED, message->id,
 		       message->purpose, NULL, member->name);
 	/*
-	 * Failure: an entry went silent, and each request meant for it waits
-	 * for a new link that never comes up: 400 ms for every caller. After
-	 * the first, calls fail at once while the link is tried beside them.
+	 * When an entry does not respond, each request for it would wait up to
+	 * 400 ms for a new link that never comes up. After the first failure
+	 * calls fail immediately while the link is retried concurrently.
 	 */
 	if (!ensure_link(peer) || peer->state == AUB_PEER_DOWN)
 		call->fail_source = g_idle_add(on_fail_call, call);
@@ -347,7 +365,10 @@
 	return peer ? peer->state : AUB_PEER_UNTRIED;
 }
 
-/* Returns true when the link turned out to be dead. */
+/*
+ * Pings a peer that is watched or has open calls; returns true if its link is
+ * dead.
+ */
 static bool check_peer(struct peer *peer, gint64 now_us)
 {
 	gint64 heard_us;
@@ -410,8 +431,9 @@
 		aub_relay_free(relay);
 		return NULL;
 	}
-	relay->ping_timer = aub_timer_every(options->timers, "pings", PING_INTERVAL_US,
-				       on_ping_timer, relay);
+	relay->ping_timer =
+		aub_timer_every(options->timers, "pings", PING_INTERVAL_US,
+				on_ping_timer, relay);
 	return relay;
 }
 
--- a/src/coordination/relay_listener.c
+++ b/src/coordination/relay_listener.c
@@ -1,6 +1,5 @@
 /*
- * Links that other entries opened to this one, and the calls that came over
- * them.
+ * Links that other entries opened to this one, and the inbound calls on them.
  */
 #include <auburnstile/internal/relay_listener.h>
 #include <auburnstile/link.h>
@@ -24,7 +23,7 @@
 struct aub_relay_listener {
 	const struct aub_relay_options *options; /* borrowed */
 	struct aub_link_server *server;
-	GHashTable *links; /* set of struct guest */
+	GHashTable *links; /* set of struct inbound_link */
 };
 
 static void inbound_link_free(struct inbound_link *inbound_link)
@@ -51,7 +50,7 @@
 }
 
 static void on_inbound_down(struct aub_link *link, const GError *error,
-			  void *context)
+			    void *context)
 {
 	struct inbound_link *inbound_link = context;
 	GHashTableIter iterator;
@@ -67,13 +66,14 @@
 	inbound_link_free(inbound_link);
 }
 
-static void receive_call(struct inbound_link *inbound_link, struct aub_call *call)
+static void receive_call(struct inbound_link *inbound_link,
+			 struct aub_call *call)
 {
 	struct aub_relay_listener *listener = inbound_link->listener;
 	struct aub_relay_inbound *inbound;
 
 	if (g_hash_table_contains(inbound_link->inbound, &call->id)) {
-		aub_log_warning("call repeated by %s",
+		aub_log_warning("duplicate call id from %s",
 				aub_link_peer(inbound_link->link));
 		aub_message_free(&call->base);
 		return;
@@ -85,7 +85,8 @@
 	listener->options->arrived(inbound, call, listener->options->context);
 }
 
-static void receive_keys(struct inbound_link *inbound_link, const struct aub_keys *keys)
+static void receive_keys(struct inbound_link *inbound_link,
+			 const struct aub_keys *keys)
 {
 	struct aub_relay_listener *listener = inbound_link->listener;
 	struct aub_keys_ack *ack;
@@ -100,8 +101,8 @@
 	aub_message_free(&ack->base);
 }
 
-static void on_inbound_message(struct aub_link *link, struct aub_message *message,
-			     void *context)
+static void on_inbound_message(struct aub_link *link,
+			       struct aub_message *message, void *context)
 {
 	struct inbound_link *inbound_link = context;
 	struct aub_relay_inbound *inbound;
@@ -112,14 +113,15 @@
 		return;
 	case AUB_MESSAGE_CANCEL:
 		inbound = g_hash_table_lookup(
-			inbound_link->inbound, &((struct aub_cancel *)message)->id);
+			inbound_link->inbound,
+			&((struct aub_cancel *)message)->id);
 		if (inbound)
 			cancel_inbound(inbound);
 		break;
 	case AUB_MESSAGE_STATES:
-		inbound_link->listener->options->states((struct aub_states *)message,
-					       inbound_link->incarnation,
-					       inbound_link->listener->options->context);
+		inbound_link->listener->options->states(
+			(struct aub_states *)message, inbound_link->incarnation,
+			inbound_link->listener->options->context);
 		break;
 	case AUB_MESSAGE_KEYS:
 		receive_keys(inbound_link, (struct aub_keys *)message);
@@ -131,7 +133,7 @@
 }
 
 static void on_inbound_up(struct aub_link *link, const struct aub_hello *hello,
-			void *context)
+			  void *context)
 {
 }
 
@@ -150,7 +152,7 @@
 
 	if (hello->role != AUB_ROLE_ENTRY ||
 	    !listener->options->is_member(hello->incarnation,
-				    listener->options->context)) {
+					  listener->options->context)) {
 		aub_log_info("refused a link from %s: not a member",
 			     aub_link_peer(link));
 		return NULL;
@@ -194,7 +196,8 @@
 struct aub_relay_listener *aub_relay_listener_new(
 	const struct aub_relay_options *options, GError **error)
 {
-	struct aub_relay_listener *listener = g_new0(struct aub_relay_listener, 1);
+	struct aub_relay_listener *listener =
+		g_new0(struct aub_relay_listener, 1);
 
 	listener->options = options;
 	listener->links = g_hash_table_new(NULL, NULL);
