--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -1,9 +1,9 @@
 /*
- * Arrival and end of requests at an entry.
+ * Arrival and completion of requests at an entry.
  *
- * Each request ends with exactly one answer that says run, not-run or
- * unknown. A request that carries a key, or falls under a rule of its
- * service, may not be repeated.
+ * Each request ends with exactly one answer that says run, not-run or unknown.
+ * A request that carries a key, or matches an at-most-once rule of its service,
+ * must not be retried.
  */
 #include <auburnstile/internal/upstream_states.h>
 #include <auburnstile/internal/answer.h>
@@ -14,17 +14,19 @@
 #define RETRY_SHORT_MS 300
 #define RETRY_LONG_MS 1000
 #define DEADLINE_MAX_MS (10 * 60 * 1000)
-#define DEADLINE_DEFAULT_MS 30000 /* where the service isn't known here */
+#define DEADLINE_DEFAULT_MS 30000 /* if the service is not known here */
 
 /*
- * Time a new owner leaves for what its predecessor may still have in flight,
- * during which it takes half of the slots.
+ * During this time a new owner uses half of the slots, because requests of its
+ * predecessor may still be in flight.
  */
 #define WARM_UP_US AUB_SECOND
 
-struct aub_request_router *aub_request_router_new(const struct aub_request_router_options *options)
+struct aub_request_router *aub_request_router_new(
+	const struct aub_request_router_options *options)
 {
-	struct aub_request_router *router = g_new0(struct aub_request_router, 1);
+	struct aub_request_router *router =
+		g_new0(struct aub_request_router, 1);
 
 	router->options = *options;
 	router->next_id = options->first_id;
@@ -33,7 +35,8 @@
 	return router;
 }
 
-void aub_request_router_set_relay(struct aub_request_router *router, struct aub_relay *relay)
+void aub_request_router_set_relay(struct aub_request_router *router,
+				  struct aub_relay *relay)
 {
 	router->relay = relay;
 }
@@ -67,8 +70,9 @@
 	g_free(router);
 }
 
-/* Should the caller ask anew which addresses to use? */
-static bool addresses_are_stale(const struct aub_request_router *router, const char *service)
+/* Returns true if the caller should refresh its list of addresses. */
+static bool addresses_are_stale(const struct aub_request_router *router,
+				const char *service)
 {
 	const struct aub_assignment *assignment;
 	guint64 self = router->options.hello->incarnation;
@@ -78,9 +82,10 @@
 	if (router->options.local_only)
 		return false;
 	/*
-	 * Failure: an entry is cut off from its control and refuses; callers
-	 * come back to it, since by its old picture it owns the service. They
-	 * are sent to ask others, and addresses() leaves this entry out.
+	 * An entry without contact to its control refuses requests, but callers
+	 * would return to it because its outdated view still names it as owner.
+	 * Callers are told to ask other entries, and addresses() omits this
+	 * one.
 	 */
 	if (!aub_entry_view_serving(router->options.view))
 		return true;
@@ -90,7 +95,7 @@
 }
 
 static void record_finished(struct routed_request *request,
-		       const struct aub_answer *answer)
+			    const struct aub_answer *answer)
 {
 	struct aub_request_router *router = request->router;
 	gint64 took_us =
@@ -102,20 +107,22 @@
 			       answer->reason :
 			       aub_outcome_name(answer->outcome));
 	if (request->caller)
-		request_stats_count_answer(router->stats, request->call->service,
-				     answer->outcome, took_us);
+		request_stats_count_answer(router->stats,
+					   request->call->service,
+					   answer->outcome, took_us);
 	request_stats_set_pending(router->stats,
-			      g_hash_table_size(router->requests) - 1);
+				  g_hash_table_size(router->requests) - 1);
 }
 
-void routed_request_finish(struct routed_request *request, struct aub_answer *answer)
+void routed_request_finish(struct routed_request *request,
+			   struct aub_answer *answer)
 {
 	struct aub_request_router *router = request->router;
 
 	/*
-	 * Failure: a first try's fate is unknown, the second is refused, and
-	 * the caller reads "not run" although the first ran. Only the whole
-	 * request's fate goes out.
+	 * If the outcome of a first attempt is unknown and the second attempt
+	 * is refused, "not-run" would be wrong, as the first may have run. The
+	 * answer reports the outcome of the request as a whole.
 	 */
 	if (request->may_have_run && answer->outcome == AUB_OUTCOME_NOT_RUN)
 		answer->outcome = AUB_OUTCOME_UNKNOWN;
@@ -124,22 +131,25 @@
 	if (request->holds_key) {
 		request->holds_key = false;
 		router->running_keys--;
-		aub_idempotency_finish(router->options.idempotency, request->call->key,
-				  answer);
+		aub_idempotency_finish(router->options.idempotency,
+				       request->call->key, answer);
 	}
-	request_stats_set_keys(router->stats,
-			   aub_idempotency_count(router->options.idempotency),
-			   aub_idempotency_bytes(router->options.idempotency));
+	request_stats_set_keys(
+		router->stats,
+		aub_idempotency_count(router->options.idempotency),
+		aub_idempotency_bytes(router->options.idempotency));
 	/*
-	 * Failure: an entry restarts under its address; callers go on making
-	 * keys from the old grant, and every new request ends as unknown until
-	 * their answer expires. Told to ask anew, each loses one at most.
+	 * After an entry has restarted under the same address, callers continue
+	 * to create keys from the old grant, and every new request would end as
+	 * unknown until their cached addresses expire. The stale mark limits
+	 * this to one request per caller.
 	 */
 	if (request->caller)
-		aub_caller_answer(request->caller, answer,
-				  request->key_owner_lost ||
-					  addresses_are_stale(router,
-						   request->call->service));
+		aub_caller_answer(
+			request->caller, answer,
+			request->key_owner_lost ||
+				addresses_are_stale(router,
+						    request->call->service));
 	else if (request->inbound)
 		aub_relay_answer(request->inbound, answer);
 	else
@@ -148,15 +158,18 @@
 }
 
 void routed_request_refuse(struct routed_request *request, guint status,
-		  const char *reason, guint32 retry_after_ms)
+			   const char *reason, guint32 retry_after_ms)
 {
 	aub_event_note(request->router->options.events, AUB_EVENT_REFUSED,
 		       request->call->id, retry_after_ms, NULL, reason);
-	routed_request_finish(request,
-		     aub_answer_not_run(status, reason, retry_after_ms));
+	routed_request_finish(request, aub_answer_not_run(status, reason,
+							  retry_after_ms));
 }
 
-/* Find its service and rule; false where it was refused for them. */
+/*
+ * Sets the request's service and applies its rules; returns false if the
+ * request was refused.
+ */
 static bool classify(struct routed_request *request)
 {
 	struct aub_request_router *router = request->router;
@@ -168,7 +181,8 @@
 
 	inventory = aub_entry_view_inventory(router->options.view);
 	if (!inventory) {
-		routed_request_refuse(request, 503, "no-configuration", RETRY_LONG_MS);
+		routed_request_refuse(request, 503, "no-configuration",
+				      RETRY_LONG_MS);
 		return false;
 	}
 	handle = aub_inventory_route(inventory, call->path);
@@ -185,13 +199,15 @@
 	}
 	call->once = rule || *call->key;
 	if (!aub_entry_view_serving(router->options.view)) {
-		routed_request_refuse(request, 503, "not-serving", RETRY_LONG_MS);
+		routed_request_refuse(request, 503, "not-serving",
+				      RETRY_LONG_MS);
 		return false;
 	}
 	return true;
 }
 
-static void on_key_owner_finished(const struct aub_answer *answer, void *context)
+static void on_key_owner_finished(const struct aub_answer *answer,
+				  void *context)
 {
 	struct routed_request *request = context;
 
@@ -203,26 +219,29 @@
 	struct routed_request *request = context;
 
 	request->timer = 0;
-	aub_idempotency_stop_waiting(request->router->options.idempotency, request->call->key,
-			 request);
+	aub_idempotency_stop_waiting(request->router->options.idempotency,
+				     request->call->key, request);
 	routed_request_finish(request, aub_answer_unknown("still-running"));
 }
 
-/* Its key is kept here: run it, or answer with what is known. */
+/*
+ * Starts a request whose key is owned here, or answers it from the key table.
+ */
 static void begin_key(struct routed_request *request)
 {
 	struct aub_request_router *router = request->router;
 	struct aub_idempotency *idempotency = router->options.idempotency;
 	struct aub_answer *cached = NULL;
 
-	switch (aub_idempotency_begin(idempotency, request->call, on_key_owner_finished,
-				 request, &cached)) {
+	switch (aub_idempotency_begin(idempotency, request->call,
+				      on_key_owner_finished, request,
+				      &cached)) {
 	case AUB_KEY_NEW:
 		request->holds_key = true;
 		router->running_keys++;
 		if (aub_idempotency_closed(idempotency))
 			routed_request_refuse(request, 503, "keys-moving",
-				     RETRY_SHORT_MS);
+					      RETRY_SHORT_MS);
 		else if (classify(request))
 			routed_request_send_to_owner(request);
 		break;
@@ -236,7 +255,8 @@
 		routed_request_finish(request, cached);
 		break;
 	case AUB_KEY_MISMATCH:
-		routed_request_refuse(request, 422, "key-of-another-request", 0);
+		routed_request_refuse(request, 422, "key-of-another-request",
+				      0);
 		break;
 	case AUB_KEY_FULL:
 		routed_request_refuse(request, 503, "keys-full", RETRY_LONG_MS);
@@ -245,7 +265,8 @@
 		routed_request_refuse(request, 409, "grant-over", 0);
 		break;
 	case AUB_KEY_FORGOTTEN:
-		routed_request_finish(request, aub_answer_unknown("key-forgotten"));
+		routed_request_finish(request,
+				      aub_answer_unknown("key-forgotten"));
 		break;
 	}
 }
@@ -256,21 +277,23 @@
 	const struct aub_member *member;
 
 	request->call->once = true;
-	switch (aub_idempotency_locate(router->options.idempotency, request->call->key,
-				  &member)) {
+	switch (aub_idempotency_locate(router->options.idempotency,
+				       request->call->key, &member)) {
 	case AUB_KEY_LOCATION_HERE:
 		begin_key(request);
 		break;
 	case AUB_KEY_LOCATION_REMOTE:
 		if (request->forwarded)
 			routed_request_finish(request,
-				     aub_answer_unknown(REASON_KEY_OWNER_MOVED));
+					      aub_answer_unknown(
+						      REASON_KEY_OWNER_MOVED));
 		else
 			routed_request_send_to_key_owner(request, member);
 		break;
 	case AUB_KEY_LOCATION_LOST:
 		request->key_owner_lost = true;
-		routed_request_finish(request, aub_answer_unknown("keeper-gone"));
+		routed_request_finish(request,
+				      aub_answer_unknown("keeper-gone"));
 		break;
 	case AUB_KEY_LOCATION_INVALID:
 		routed_request_refuse(request, 400, "key-without-grant", 0);
@@ -300,7 +323,7 @@
 }
 
 static struct routed_request *request_new(struct aub_request_router *router,
-					 struct aub_call *call)
+					  struct aub_call *call)
 {
 	struct routed_request *request = g_new0(struct routed_request, 1);
 
@@ -310,14 +333,14 @@
 	set_deadline(request);
 	g_hash_table_add(router->requests, request);
 	request_stats_set_pending(router->stats,
-			      g_hash_table_size(router->requests));
+				  g_hash_table_size(router->requests));
 	aub_event_note(router->options.events, AUB_EVENT_ARRIVED, call->id, 0,
 		       NULL, call->path);
 	return request;
 }
 
 void aub_request_router_caller_arrived(struct aub_caller_request *caller,
-			      struct aub_call *call, void *context)
+				       struct aub_call *call, void *context)
 {
 	struct aub_request_router *router = context;
 	struct routed_request *request;
@@ -334,7 +357,7 @@
 		routed_request_send_to_owner(request);
 }
 
-/* Is it meant for this incarnation? */
+/* Returns true if the call is addressed to this incarnation. */
 static bool is_for_this_incarnation(const struct routed_request *request)
 {
 	return request->call->receiver ==
@@ -342,7 +365,7 @@
 }
 
 void aub_request_router_relay_arrived(struct aub_relay_inbound *inbound,
-			     struct aub_call *call, void *context)
+				      struct aub_call *call, void *context)
 {
 	struct aub_request_router *router = context;
 	struct routed_request *request = request_new(router, call);
@@ -354,18 +377,20 @@
 	aub_relay_inbound_set_data(inbound, request);
 	if (!is_for_this_incarnation(request))
 		routed_request_refuse(request, 503, "another-incarnation",
-			     RETRY_SHORT_MS);
+				      RETRY_SHORT_MS);
 	else if (call->purpose == AUB_CALL_KEEPER)
 		routed_request_start_keyed(request);
 	else if (!aub_entry_view_serving(router->options.view))
-		routed_request_refuse(request, 503, "not-serving", RETRY_LONG_MS);
+		routed_request_refuse(request, 503, "not-serving",
+				      RETRY_LONG_MS);
 	else
 		routed_request_send_to_owner(request);
 }
 
 /*
- * The one who waited is gone. A keyed request runs on, so that its caller's
- * repeat finds the answer; any other is cancelled.
+ * Handles the disconnection of the caller or relaying entry. A keyed request
+ * continues, so that the caller's repeat finds the answer; any other request is
+ * cancelled.
  */
 static void abandon(struct routed_request *request)
 {
@@ -376,11 +401,11 @@
 	if (request->holds_key)
 		return;
 	aub_event_note(router->options.events, AUB_EVENT_CANCELLED,
-		       request->call->id, 0, NULL, "caller gone");
+		       request->call->id, 0, NULL, "caller disconnected");
 	switch (request->stage) {
 	case ROUTED_WAITING_FOR_KEY:
-		aub_idempotency_stop_waiting(router->options.idempotency, request->call->key,
-				 request);
+		aub_idempotency_stop_waiting(router->options.idempotency,
+					     request->call->key, request);
 		break;
 	case ROUTED_DISPATCHED:
 		aub_dispatch_task_abandon(router->options.dispatch,
@@ -397,12 +422,14 @@
 	request_free(request);
 }
 
-void aub_request_router_caller_gone(struct aub_caller_request *caller, void *context)
+void aub_request_router_caller_gone(struct aub_caller_request *caller,
+				    void *context)
 {
 	abandon(aub_caller_request_data(caller));
 }
 
-void aub_request_router_relay_cancelled(struct aub_relay_inbound *inbound, void *context)
+void aub_request_router_relay_cancelled(struct aub_relay_inbound *inbound,
+					void *context)
 {
 	abandon(aub_relay_inbound_data(inbound));
 }
@@ -445,7 +472,8 @@
 		if (standby && standby->state == AUB_MEMBER_LIVE)
 			aub_relay_watch(router->relay, standby);
 	}
-	aub_dispatch_task_set_role(router->options.dispatch, assignment->service,
+	aub_dispatch_task_set_role(router->options.dispatch,
+				   assignment->service,
 				   role_of(router, assignment), WARM_UP_US);
 }
 
@@ -471,7 +499,8 @@
 	if (!dispatcher)
 		return;
 	states = aub_states_from_dispatcher(dispatcher, assignment->service,
-				 aub_timer_now(router->options.timers));
+					    aub_timer_now(
+						    router->options.timers));
 	aub_relay_send_message(router->relay, assignment->standby_incarnation,
 			       &states->base);
 	aub_message_free(&states->base);
@@ -483,11 +512,12 @@
 }
 
 void aub_request_router_receive_states(struct aub_request_router *router,
-			    const struct aub_states *states,
-			    guint64 incarnation)
+				       const struct aub_states *states,
+				       guint64 incarnation)
 {
 	const struct aub_assignment *assignment =
-		aub_entry_view_assignment(router->options.view, states->service);
+		aub_entry_view_assignment(router->options.view,
+					  states->service);
 	struct aub_dispatcher *dispatcher;
 
 	if (!assignment || assignment->owner_incarnation != incarnation)
--- a/src/coordination/request_router_forward.c
+++ b/src/coordination/request_router_forward.c
@@ -1,9 +1,9 @@
 /*
- * Where a request goes: to the owner of its service's queue, here or at
- * another entry, else to the stand-by.
+ * Selects the destination of a request: the owner of its service's queue, which
+ * may be this entry, or else the stand-by.
  *
- * A request that may not be repeated is sent on a second time only if the
- * first was provably not received.
+ * A request that must not be repeated is only sent a second time if it is
+ * certain that the first one was not received.
  */
 #include <auburnstile/internal/answer.h>
 #include <auburnstile/internal/routed_request.h>
@@ -11,23 +11,24 @@
 #include <string.h>
 
 /*
- * A request that was provably not run waits this long for ownership, or its
- * key, to arrive somewhere; a planned stop or a death is known to all by then.
+ * A request that certainly did not run waits up to this long for ownership, or
+ * its key, to move; by then a planned stop or a failure is known everywhere.
  */
 #define REROUTE_MAX_US (2500 * AUB_MS)
-#define REROUTE_STEP_US (50 * AUB_MS) /* first wait; later ones are longer */
+#define REROUTE_STEP_US (50 * AUB_MS) /* first delay; later ones are longer */
 #define REROUTE_STEPS_MAX 4
 
 #define NO_OWNER_RETRY_MS 500
-#define RETRY_COST_CENTIATTEMPTS 100 /* what one more attempt costs, in 1/100 */
+/* Cost of one more attempt, in 1/100 attempts. */
+#define RETRY_COST_CENTIATTEMPTS 100
 
-/* A peer answers by the deadline; its answer needs a moment more. */
+/* A peer answers by the deadline; this is added for the transfer. */
 #define PEER_ANSWER_MARGIN_US (150 * AUB_MS)
 
 guint32 routed_request_remaining_ms(const struct routed_request *request)
 {
 	gint64 remaining_us = request->deadline_us -
-			 aub_timer_now(request->router->options.timers);
+			      aub_timer_now(request->router->options.timers);
 
 	return MAX(remaining_us, 0) / AUB_MS;
 }
@@ -46,8 +47,12 @@
 				 on_dispatched, request);
 }
 
-/* Call `again` a little later; false when it has waited long enough. */
-static bool retry_later(struct routed_request *request, aub_timer_callback *again)
+/*
+ * Calls `again` after a short delay; returns false when the request has waited
+ * for the maximum time.
+ */
+static bool retry_later(struct routed_request *request,
+			aub_timer_callback *again)
 {
 	struct aub_request_router *router = request->router;
 	gint64 at_us;
@@ -75,9 +80,9 @@
 }
 
 /*
- * Failure: ownership moves, and for some hundred milliseconds entries
- * disagree who has it; callers see refusals. Nothing was run, so the request
- * is held and sent where the next view says.
+ * While ownership moves, entries disagree about the owner for some hundred
+ * milliseconds, and callers would see refusals. As the request did not run, it
+ * is delayed and then sent to the owner named by the next view.
  */
 static bool route_later(struct routed_request *request)
 {
@@ -88,7 +93,7 @@
 }
 
 static bool reroute_if_not_owner(struct routed_request *request,
-			const struct aub_answer *answer)
+				 const struct aub_answer *answer)
 {
 	if (answer->outcome != AUB_OUTCOME_NOT_RUN ||
 	    g_strcmp0(answer->reason,
@@ -101,7 +106,7 @@
 {
 	if (!route_later(request))
 		routed_request_refuse(request, 503, "owner-unreachable",
-			     NO_OWNER_RETRY_MS);
+				      NO_OWNER_RETRY_MS);
 }
 
 static void on_dispatched(struct aub_answer *answer, void *context)
@@ -115,8 +120,8 @@
 		routed_request_finish(request, answer);
 }
 
-static const struct aub_member *live_member(const struct aub_request_router *router,
-					    guint64 incarnation)
+static const struct aub_member *live_member(
+	const struct aub_request_router *router, guint64 incarnation)
 {
 	const struct aub_member *member;
 
@@ -129,7 +134,7 @@
 
 static void try_standby(struct routed_request *request);
 
-/* The link ended with the request on it: it may be running there. */
+/* Handles a lost link: the request may be running at the owner. */
 static void on_owner_lost(struct routed_request *request)
 {
 	struct aub_call *call = request->call;
@@ -137,7 +142,8 @@
 	request->may_have_run = true;
 	if (call->once || call->retry_budget < RETRY_COST_CENTIATTEMPTS ||
 	    request->standby_tried) {
-		routed_request_finish(request, aub_answer_unknown("entry-lost"));
+		routed_request_finish(request,
+				      aub_answer_unknown("entry-lost"));
 		return;
 	}
 	call->retry_budget -= RETRY_COST_CENTIATTEMPTS;
@@ -183,7 +189,7 @@
 }
 
 static void on_key_owner_answer(enum aub_relay_result result,
-			     struct aub_answer *answer, void *context)
+				struct aub_answer *answer, void *context)
 {
 	struct routed_request *request = context;
 
@@ -191,7 +197,10 @@
 	request->stage = ROUTED_IDLE;
 	aub_timer_cancel(request->router->options.timers, request->timer);
 	request->timer = 0;
-	/* The keeper, or its heir, runs a key once however often it comes. */
+	/*
+	 * The owner of a key, or its successor, runs a key once however often
+	 * the request arrives.
+	 */
 	if ((result != AUB_RELAY_ANSWERED ||
 	     !g_strcmp0(answer->reason, REASON_KEY_OWNER_MOVED)) &&
 	    retry_later(request, on_key_owner_retry)) {
@@ -199,9 +208,9 @@
 		return;
 	}
 	/*
-	 * Failure: the keeper can't be reached, and the caller, told "not
-	 * run", asks for a new key and pays twice. An earlier try under this
-	 * key may have run, which only the keeper knows.
+	 * If the owner of the key cannot be reached, "not-run" would let the
+	 * caller request a new key and pay twice. An earlier attempt under this
+	 * key may have run, which only the key owner knows.
 	 */
 	if (result != AUB_RELAY_ANSWERED) {
 		request->key_owner_lost = true;
@@ -235,15 +244,16 @@
 	request->call->deadline_ms = routed_request_remaining_ms(request);
 	request->stage = ROUTED_RELAYED;
 	aub_timer_cancel(router->options.timers, request->timer);
-	request->timer = aub_timer_at(router->options.timers, "relayed",
-				      request->deadline_us + PEER_ANSWER_MARGIN_US,
-				      on_overdue, request);
+	request->timer =
+		aub_timer_at(router->options.timers, "relayed",
+			     request->deadline_us + PEER_ANSWER_MARGIN_US,
+			     on_overdue, request);
 	request->relayed = aub_relay_send(router->relay, member, request->call,
 					  callback, request);
 }
 
 void routed_request_send_to_key_owner(struct routed_request *request,
-			   const struct aub_member *member)
+				      const struct aub_member *member)
 {
 	relay_to(request, member, AUB_CALL_KEEPER, on_key_owner_answer);
 }
@@ -273,8 +283,9 @@
 }
 
 /*
- * A request from another entry, meant for this one as owner. It goes no
- * further, but for a stand-by that still reaches the owner.
+ * Routes a request from another entry that is addressed to this one as owner.
+ * It is not relayed further, except by a stand-by that can still reach the
+ * owner.
  */
 static void route_forwarded(struct routed_request *request,
 			    const struct aub_assignment *assignment)
@@ -312,7 +323,8 @@
 	assignment = aub_entry_view_assignment(router->options.view,
 					       request->call->service);
 	if (!assignment) {
-		routed_request_refuse(request, 503, "no-owner", NO_OWNER_RETRY_MS);
+		routed_request_refuse(request, 503, "no-owner",
+				      NO_OWNER_RETRY_MS);
 		return;
 	}
 	if (assignment->owner_incarnation ==
--- a/src/coordination/request_stats.c
+++ b/src/coordination/request_stats.c
@@ -1,16 +1,14 @@
-/*
- * Figures about requests, by service.
- */
+/* Request metrics by service. */
 #include <auburnstile/internal/routed_request.h>
 
 struct service_series {
-	guint outcomes[AUB_OUTCOME_UNKNOWN + 1]; /* handles of counters */
+	guint outcomes[AUB_OUTCOME_UNKNOWN + 1]; /* handles of the counters */
 	guint latency;
 };
 
 struct request_stats {
 	struct aub_metrics *metrics;
-	GHashTable *by_service; /* service -> struct row */
+	GHashTable *by_service; /* service -> struct service_series */
 	guint relayed;
 	guint keys;
 	guint key_bytes;
@@ -26,15 +24,15 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	stats->relayed =
 		aub_metrics_counter(metrics, "auburnstile_relayed_total", NULL,
-				    "Requests sent on to another entry.");
+				    "Requests relayed to another entry.");
 	stats->keys = aub_metrics_gauge(metrics, "auburnstile_keys", NULL,
-					  "Keys remembered here.");
+					"Keys retained at this entry.");
 	stats->key_bytes =
 		aub_metrics_gauge(metrics, "auburnstile_key_bytes", NULL,
-				  "Bytes of keys and kept answers.");
+				  "Bytes of keys and cached answers.");
 	stats->pending =
 		aub_metrics_gauge(metrics, "auburnstile_requests_pending", NULL,
-				  "Requests inside this entry.");
+				  "Requests open at this entry.");
 	return stats;
 }
 
@@ -44,9 +42,11 @@
 	g_free(stats);
 }
 
-static struct service_series *find_series(struct request_stats *stats, const char *service)
+static struct service_series *find_series(struct request_stats *stats,
+					  const char *service)
 {
-	struct service_series *service_series = g_hash_table_lookup(stats->by_service, service);
+	struct service_series *service_series =
+		g_hash_table_lookup(stats->by_service, service);
 	char *labels;
 
 	if (service_series)
@@ -67,14 +67,17 @@
 		stats->metrics, "auburnstile_request_us", labels,
 		"Time from a request's arrival to its answer.");
 	g_free(labels);
-	g_hash_table_insert(stats->by_service, g_strdup(service), service_series);
+	g_hash_table_insert(stats->by_service, g_strdup(service),
+			    service_series);
 	return service_series;
 }
 
-void request_stats_count_answer(struct request_stats *stats, const char *service,
-			  enum aub_outcome outcome, gint64 took_us)
+void request_stats_count_answer(struct request_stats *stats,
+				const char *service, enum aub_outcome outcome,
+				gint64 took_us)
 {
-	struct service_series *service_series = find_series(stats, *service ? service : "none");
+	struct service_series *service_series =
+		find_series(stats, *service ? service : "none");
 
 	aub_metrics_add(stats->metrics, service_series->outcomes[outcome], 1);
 	aub_metrics_observe(stats->metrics, service_series->latency, took_us);
@@ -85,7 +88,8 @@
 	aub_metrics_add(stats->metrics, stats->relayed, 1);
 }
 
-void request_stats_set_keys(struct request_stats *stats, guint count, gsize bytes)
+void request_stats_set_keys(struct request_stats *stats, guint count,
+			    gsize bytes)
 {
 	aub_metrics_set(stats->metrics, stats->keys, count);
 	aub_metrics_set(stats->metrics, stats->key_bytes, (gint64)bytes);
--- a/src/coordination/store_changes.c
+++ b/src/coordination/store_changes.c
@@ -1,18 +1,20 @@
 /*
- * What the store's answers change in the copy of it: entries that are there,
- * that are gone, or that only seem to be.
+ * Applies the store's answers to the local copy: objects that exist, that were
+ * removed, or that only appear to be removed.
  */
 #include <auburnstile/internal/store_sync_internal.h>
 
 /*
- * Failure: the store was away, entries of upstreams that live have lapsed,
- * and its first answers miss them. Symptom: no upstream is left. Enough: they
- * are back within two seconds of its return; until then the old ones hold.
- * A few that are gone have left: a process that was cut off from the store
- * must not send to them.
+ * After an outage of the store the records of live upstreams have expired, and
+ * its first answers lack them, which would leave no upstream. The records are
+ * back within two seconds after the store recovers; until then the previous
+ * ones stay in use. If only a few records are missing, those upstreams have
+ * departed, and a process that was partitioned from the store must not send
+ * requests to them.
  */
 #define MASS_EXPIRY_HOLD_US (2200 * AUB_MS)
-#define MASS_EXPIRY_DIVISOR 3 /* more than a third of all at once */
+/* More than 1/3 removed together: mass expiry. */
+#define MASS_EXPIRY_DIVISOR 3
 
 static void report_removed(struct aub_store_task *task, const char *name)
 {
@@ -41,7 +43,9 @@
 	g_list_free(names);
 }
 
-/* Do `removed` entries at once look like a lapse, not like upstreams leaving?
+/*
+ * Returns true if `removed` simultaneous removals indicate a mass expiry rather
+ * than upstreams that departed.
  */
 static bool is_mass_expiry(const struct aub_store_task *task, guint removed)
 {
@@ -50,7 +54,7 @@
 }
 
 static void apply_removal(struct aub_store_task *task, const char *name,
-			 bool mass_expiry, gint64 now_us)
+			  bool mass_expiry, gint64 now_us)
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
 	gint64 until = task->recovered_us + MASS_EXPIRY_HOLD_US;
@@ -64,11 +68,12 @@
 	g_hash_table_add(task->withheld_removals, g_strdup(name));
 	if (!task->removal_timer)
 		task->removal_timer =
-			aub_timer_at(timers, "lapsed", until, report_withheld_removals, task);
+			aub_timer_at(timers, "lapsed", until,
+				     report_withheld_removals, task);
 }
 
 static void apply_record(struct aub_store_task *task, struct aub_record *record,
-			bool mass_expiry, gint64 now_us)
+			 bool mass_expiry, gint64 now_us)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 
@@ -92,9 +97,9 @@
 }
 
 /*
- * Old listings cost a tenth of a call. They tell the revision they are from:
- * who watches gets what came after it, and the others hear by heartbeats that
- * they are behind.
+ * Cached listings cost a tenth of a call. They contain the revision they are
+ * from: processes that watch receive all later changes, and the others learn
+ * from heartbeats that they are behind.
  */
 static void finish_listing(struct aub_store_task *task, gint64 now_us)
 {
@@ -107,7 +112,7 @@
 	g_list_free(names);
 	for (guint i = 0; i < missing->len; i++)
 		apply_removal(task, g_ptr_array_index(missing, i),
-			     is_mass_expiry(task, missing->len), now_us);
+			      is_mass_expiry(task, missing->len), now_us);
 	g_ptr_array_unref(missing);
 	g_hash_table_remove_all(task->listed_names);
 	task->step = AUB_STORE_WATCH;
@@ -117,13 +122,15 @@
 }
 
 /*
- * All gateways have to name a change by the same revision, or each takes the
- * others' for newer ones and asks the store: the change's own. A removal has
- * none of its own; the answer's stands for it. Nothing past `most` counts:
- * later pages of a listing may hold changes that its first page is too old for.
+ * All gateways have to identify a change by the same revision, the one of the
+ * changed object; otherwise each would take the others' revisions for newer
+ * ones and query the store. A removed object has no revision of its own, so the
+ * answer's revision is used. Revisions above `max_revision` are ignored: later
+ * pages of a listing may contain changes that are newer than its first page.
  */
 static void update_revisions(struct aub_store_task *task,
-			 const struct aub_store_page *page, gint64 max_revision)
+			     const struct aub_store_page *page,
+			     gint64 max_revision)
 {
 	for (guint i = 0; i < page->records->len; i++) {
 		const struct aub_record *record =
@@ -132,14 +139,19 @@
 		gint64 revision =
 			record->removed ? page->revision : record->revision;
 
-		task->changed_revision = MAX(task->changed_revision, MIN(revision, max_revision));
+		task->changed_revision = MAX(task->changed_revision,
+					     MIN(revision, max_revision));
 	}
-	task->known_revision = MAX(task->known_revision, task->changed_revision);
+	task->known_revision =
+		MAX(task->known_revision, task->changed_revision);
 }
 
-/* A listing's revision is that of its first page: later changes are watched. */
+/*
+ * The revision of a listing is that of its first page; later changes are
+ * received by the watch.
+ */
 void aub_store_apply_listing(struct aub_store_task *task,
-			    const struct aub_store_page *page, gint64 now_us)
+			     const struct aub_store_page *page, gint64 now_us)
 {
 	if (!task->next_page)
 		task->revision = page->revision;
@@ -168,18 +180,20 @@
 }
 
 void aub_store_apply_changes(struct aub_store_task *task,
-			    const struct aub_store_page *page, gint64 now_us)
+			     const struct aub_store_page *page, gint64 now_us)
 {
 	bool mass_expiry = is_mass_expiry(task, count_removed(page));
 
 	for (guint i = 0; i < page->records->len; i++)
-		apply_record(task, g_ptr_array_index(page->records, i), mass_expiry,
-			    now_us);
+		apply_record(task, g_ptr_array_index(page->records, i),
+			     mass_expiry, now_us);
 	task->revision = MAX(task->revision, page->revision);
 	update_revisions(task, page, page->revision);
-	if (task->announced_revision > task->known_revision && page->revision >= task->announced_revision)
+	if (task->announced_revision > task->known_revision &&
+	    page->revision >= task->announced_revision)
 		task->known_revision =
-			task->announced_revision; /* it was no change of this kind */
+			/* The change was of another kind. */
+			task->announced_revision;
 }
 
 void aub_store_relist(struct aub_store_task *task)
--- a/src/coordination/store_registration.c
+++ b/src/coordination/store_registration.c
@@ -1,5 +1,6 @@
 /*
- * This gateway's own record in the store, for others whose seeds are all gone.
+ * This gateway's record in the store, for gateways whose seeds are all
+ * unavailable.
  */
 #include <auburnstile/internal/store_sync_internal.h>
 
@@ -14,12 +15,13 @@
 }
 
 /*
- * Each enrols before it lists: of two that start together, at least one
- * finds the other, and its heartbeat tells the other in turn.
+ * Each gateway registers before it lists the others: of two that start
+ * concurrently, at least one finds the other, and its heartbeat informs the
+ * other in turn.
  */
 static void on_registered(enum aub_exchange_end end,
-			const struct aub_http_head *head, const char *body,
-			gsize length, void *context)
+			  const struct aub_http_head *head, const char *body,
+			  gsize length, void *context)
 {
 	struct aub_store_sync *sync = context;
 	struct aub_timer_service *timers = sync->options.timers;
@@ -32,11 +34,12 @@
 		aub_store_sync_list_members(sync);
 		return;
 	}
-	sync->registration_timer = aub_timer_at(
-		timers, "enrol",
-		aub_timer_now(timers) + AUB_STORE_RETRY_MAX_US +
-			g_random_int_range(0, AUB_STORE_RETRY_MAX_US),
-		on_registration_timer, sync);
+	sync->registration_timer =
+		aub_timer_at(timers, "enrol",
+			     aub_timer_now(timers) + AUB_STORE_RETRY_MAX_US +
+				     g_random_int_range(0,
+							AUB_STORE_RETRY_MAX_US),
+			     on_registration_timer, sync);
 }
 
 static void send_registration(struct aub_store_sync *sync)
@@ -52,21 +55,23 @@
 		.timeout_ms = AUB_STORE_CALL_TIMEOUT_MS,
 	};
 
-	sync->registration_call = aub_http_call_new(sync->options.client, &options,
-					     on_registered, sync);
+	sync->registration_call =
+		aub_http_call_new(sync->options.client, &options, on_registered,
+				  sync);
 	g_free(path);
 }
 
 void aub_store_sync_register(struct aub_store_sync *sync, const char *name,
-			  const struct aub_member_record *member)
+			     const struct aub_member_record *member)
 {
 	sync->name = g_strdup(name);
 	sync->record = sync->options.platform->member_body(name, member);
 	send_registration(sync);
 }
 
-static void on_deregistered(enum aub_exchange_end end, const struct aub_http_head *head,
-		    const char *body, gsize length, void *context)
+static void on_deregistered(enum aub_exchange_end end,
+			    const struct aub_http_head *head, const char *body,
+			    gsize length, void *context)
 {
 	struct aub_store_sync *sync = context;
 
@@ -93,7 +98,8 @@
 	path = sync->options.platform->object_path(AUB_STORE_MEMBERS,
 						   sync->name);
 	options.path = path;
-	sync->registration_call = aub_http_call_new(sync->options.client, &options,
-					     on_deregistered, sync);
+	sync->registration_call =
+		aub_http_call_new(sync->options.client, &options,
+				  on_deregistered, sync);
 	g_free(path);
 }
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -1,8 +1,9 @@
 /*
- * One task a kind: list, watch, and list anew when the watch has a gap.
+ * One task per kind of object: it lists, then watches, and lists again when the
+ * watch has missed changes.
  *
- * A watch is one call for as long as nothing happens, and each event ends
- * it: events that come together are collected by a short pause.
+ * A watch is one call that stays open until something changes; each change ends
+ * it. Changes that occur close together are collected by a short pause.
  */
 #include <auburnstile/internal/decision_log.h>
 #include <auburnstile/internal/store_sync_internal.h>
@@ -10,34 +11,38 @@
 #include <string.h>
 
 /*
- * A watch whose connection went silent is found out by its time limit at the
- * latest; other gateways' heartbeats tell sooner what it missed.
+ * A watch whose connection became half-open ends by this time limit at the
+ * latest; heartbeats of other gateways report earlier what it missed.
  */
 #define WATCH_WAIT_MS 4000
 #define WATCH_TIMEOUT_MARGIN_MS 500
-#define FETCH_WAIT_MS 1 /* what there is, at once */
-#define BATCH_PAUSE_US (250 * AUB_MS) /* collects events that come together */
+#define FETCH_WAIT_MS 1 /* returns what is available immediately */
+/* Collects changes that occur together. */
+#define BATCH_PAUSE_US (250 * AUB_MS)
 
 /*
- * Failure: both of a zone's watchers ask for each change. Symptom: while
- * upstreams are replaced, most calls of the store tell what the other one has
- * just passed on. Enough: the second one asks a quarter as often, and as soon
- * as the first no longer hears the store it is the first.
+ * If both watchers of a zone fetched each change, most calls to the store
+ * during a replacement of upstreams would return what the other watcher has
+ * just shared. The second watcher therefore calls a quarter as often, and
+ * becomes the first one as soon as the other no longer hears the store.
  */
 #define STANDBY_WATCH_WAIT_MS 8000
 #define STANDBY_BATCH_PAUSE_US (1000 * AUB_MS)
 /*
- * Whoever hears of a later revision waits this long for the changes
- * themselves: its zone's watchers may be in a pause while another zone's are
- * not.
+ * A process that learns of a later revision waits this long for the changes to
+ * be shared, because the watchers of its zone may be pausing while those of
+ * another zone are not.
  */
 #define SHARED_CHANGES_WAIT_US (700 * AUB_MS)
 #define CONNECTION_IDLE_US (20 * AUB_SECOND)
 
-/* Orders are rare, and one that is heard of late loses some of its time. */
+/*
+ * Rollout orders are rare, and the time by which one is noticed late is lost
+ * for the rollout.
+ */
 #define ROLLOUTS_WATCH_WAIT_MS 16000
 
-#define RETRY_PER_GATEWAY_US (10 * AUB_MS) /* for each gateway of the fleet */
+#define RETRY_PER_GATEWAY_US (10 * AUB_MS) /* per gateway of the fleet */
 #define RETRY_LARGE_FLEET_MAX_US (3000 * AUB_MS)
 
 const char *aub_store_kind_name(enum aub_store_kind kind)
@@ -66,7 +71,7 @@
 	return names[result];
 }
 
-/* How a call ended, as far as its head tells. */
+/* Returns the result of a call as far as the response head shows it. */
 enum aub_store_result aub_store_result_of(enum aub_exchange_end end,
 					  const struct aub_http_head *head)
 {
@@ -104,7 +109,8 @@
 }
 
 static void log_store_event(const struct aub_store_task *task,
-		      enum aub_log_event event, const char *why, gint64 age_us)
+			    enum aub_log_event event, const char *why,
+			    gint64 age_us)
 {
 	aub_log_begin(event);
 	aub_log_text("kind", aub_store_kind_name(task->kind));
@@ -114,7 +120,10 @@
 	aub_log_end();
 }
 
-/* While the store fails, one kind asks whether it is back: calls cost. */
+/*
+ * Returns true for the one kind that checks whether a failing store has
+ * recovered, because calls are costly.
+ */
 static bool is_recovery_probe(const struct aub_store_task *task)
 {
 	for (guint i = 0; i < (guint)task->kind; i++)
@@ -123,7 +132,7 @@
 	return true;
 }
 
-/* The store is back: the kinds that waited for it ask again. */
+/* Retries all kinds that were waiting for the store to recover. */
 static void retry_failing_tasks(struct aub_store_sync *sync)
 {
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
@@ -139,7 +148,7 @@
 	if (task->failing) {
 		task->recovered_us = now_us;
 		log_store_event(task, AUB_LOG_STORE_REGAINED, "",
-			  now_us - task->answered_us);
+				now_us - task->answered_us);
 		task->failing = false;
 		retry_failing_tasks(task->sync);
 	}
@@ -148,11 +157,11 @@
 }
 
 /*
- * Failure: the store fails, and each gateway asks once a second whether it is
- * back. Symptom: an outage costs calls by the fleet's size, and the store
- * returns under their load. Enough: the interval grows with the fleet, so far
- * that a gateway that was turned away is back before it counts as reachable.
- * A revision that others announce is asked for at once all the same.
+ * If each gateway retried a failing store once a second, an outage would cost
+ * calls in proportion to the fleet, and the store would have to recover under
+ * that load. The interval grows with the fleet, but is limited so that a
+ * gateway that was refused has retried before it stops counting as current. A
+ * revision announced by others is fetched immediately nevertheless.
  */
 static gint64 retry_max_us(const struct aub_store_task *task)
 {
@@ -167,14 +176,16 @@
 	gint64 now = aub_timer_now(task->sync->options.timers);
 
 	if (!task->failing) {
-		log_store_event(task, AUB_LOG_STORE_LOST, why, now - task->answered_us);
+		log_store_event(task, AUB_LOG_STORE_LOST, why,
+				now - task->answered_us);
 		task->failing_since_us = now;
 	}
 	task->failing = true;
 	if (!is_recovery_probe(task))
 		return;
 	schedule_task(task,
-		   task->retry_us + g_random_int_range(0, AUB_STORE_RETRY_MIN_US));
+		      task->retry_us +
+			      g_random_int_range(0, AUB_STORE_RETRY_MIN_US));
 	task->retry_us = MIN(task->retry_us * 2, retry_max_us(task));
 }
 
@@ -187,19 +198,20 @@
 	return options->duty(options->context);
 }
 
-/* Changes that come together are collected before the next call. */
+/* Changes that occur close together are collected before the next call. */
 static void schedule_next_watch(struct aub_store_task *task, guint changes)
 {
 	bool behind = task->overdue_revision > task->known_revision;
 	bool standby = duty(task) == AUB_WATCH_STANDBY;
-	gint64 pause_us = standby && !behind ? STANDBY_BATCH_PAUSE_US : BATCH_PAUSE_US;
+	gint64 pause_us =
+		standby && !behind ? STANDBY_BATCH_PAUSE_US : BATCH_PAUSE_US;
 
 	await_announced(task);
 	schedule_task(task, changes || behind ? pause_us : 0);
 }
 
 static void apply_page(struct aub_store_task *task, const char *body,
-		      gsize length)
+		       gsize length)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 	gint64 now = aub_timer_now(options->timers);
@@ -224,8 +236,9 @@
 
 		aub_store_apply_changes(task, page, now);
 		if (page->records->len)
-			options->share(task->kind, before, task->changed_revision, body,
-				       length, options->context);
+			options->share(task->kind, before,
+				       task->changed_revision, body, length,
+				       options->context);
 		task->listing_unconfirmed = false;
 		schedule_next_watch(task, page->records->len);
 	}
@@ -243,13 +256,13 @@
 	task->call = NULL;
 	task->fetching = false;
 	if (result == AUB_STORE_ANSWERED) {
-		apply_page(task, body, length); /* counts it, too */
+		apply_page(task, body, length); /* counts the result as well */
 		return;
 	}
 	aub_store_count(task->sync, task->kind, result);
 	if (result == AUB_STORE_NO_ANSWER) {
-		store_failed(task,
-		       end == AUB_EXCHANGE_TIMEOUT ? "timeout" : "connection");
+		store_failed(task, end == AUB_EXCHANGE_TIMEOUT ? "timeout" :
+								 "connection");
 	} else if (result == AUB_STORE_NO_HISTORY) {
 		log_store_event(task, AUB_LOG_STORE_HISTORY_GONE, "", 0);
 		aub_store_relist(task);
@@ -262,7 +275,7 @@
 	}
 }
 
-/* Members are read once; from then on heartbeats tell. */
+/* Members are read once; later changes are learnt from heartbeats. */
 static bool is_followed(const struct aub_store_task *task)
 {
 	return task->kind != AUB_STORE_MEMBERS &&
@@ -270,7 +283,10 @@
 		task->sync->options.follows_rollouts);
 }
 
-/* For orders one watcher a zone will do: the others' heartbeats tell, too. */
+/*
+ * For rollout orders one watcher per zone suffices, because heartbeats report
+ * them as well.
+ */
 static bool may_watch(const struct aub_store_task *task)
 {
 	enum aub_watch_duty now = duty(task);
@@ -284,7 +300,8 @@
 {
 	if (task->kind == AUB_STORE_ROLLOUTS)
 		return ROLLOUTS_WATCH_WAIT_MS;
-	return duty(task) == AUB_WATCH_STANDBY ? STANDBY_WATCH_WAIT_MS : WATCH_WAIT_MS;
+	return duty(task) == AUB_WATCH_STANDBY ? STANDBY_WATCH_WAIT_MS :
+						 WATCH_WAIT_MS;
 }
 
 static void run_task(struct aub_store_task *task)
@@ -293,20 +310,22 @@
 	const struct aub_platform *platform = sync->options.platform;
 	bool watch = task->step == AUB_STORE_WATCH;
 	/*
-	 * Failure: a call that waits is read by a store that then falls silent.
-	 * Symptom: it hangs for seconds after the store is back. Enough: while
-	 * the store fails, calls ask for what there is and wait for nothing.
+	 * If a store accepts a waiting call and then becomes unresponsive, the
+	 * call would hang for seconds after the store has recovered. While the
+	 * store fails, calls fetch the available changes and do not wait.
 	 */
-	bool fetch = watch && (task->failing || task->overdue_revision > task->known_revision);
+	bool fetch = watch && (task->failing ||
+			       task->overdue_revision > task->known_revision);
 	guint wait_ms = fetch ? FETCH_WAIT_MS : watch_ms(task);
 	char *path;
 	struct aub_http_call_options options = {
 		.method = "GET",
 		.address = sync->address,
 		.peer = aub_store_kind_name(task->kind),
-		.timeout_ms = watch && !fetch ? wait_ms + WATCH_TIMEOUT_MARGIN_MS :
-						AUB_STORE_CALL_TIMEOUT_MS,
-		/* After a failure a kept connection may be a silent one. */
+		.timeout_ms = watch && !fetch ?
+				      wait_ms + WATCH_TIMEOUT_MARGIN_MS :
+				      AUB_STORE_CALL_TIMEOUT_MS,
+		/* After a failure a pooled connection may be half-open. */
 		.idle_us = task->failing ? 0 : CONNECTION_IDLE_US,
 	};
 
@@ -339,10 +358,12 @@
 		task->retry_us = AUB_STORE_RETRY_MIN_US;
 		task->present = g_hash_table_new_full(g_str_hash, g_str_equal,
 						      g_free, NULL);
-		task->listed_names = g_hash_table_new_full(g_str_hash, g_str_equal,
-						   g_free, NULL);
-		task->withheld_removals = g_hash_table_new_full(g_str_hash, g_str_equal,
-						   g_free, NULL);
+		task->listed_names =
+			g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					      NULL);
+		task->withheld_removals =
+			g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					      NULL);
 		if (is_followed(task))
 			run_task(task);
 	}
@@ -380,18 +401,21 @@
 	if (task->call || task->timer)
 		return;
 	aub_store_relist(task);
-	/* Old ones will do, again and again: heartbeats tell who is there. */
+	/*
+	 * A cached listing always suffices: heartbeats report which members
+	 * exist.
+	 */
 	task->consistent_listing = false;
 	run_task(task);
 }
 
 /*
- * Failure: the store no longer feeds a watch that waits (it is about to drop
- * its history), and others have heard of a change. Symptom: this process goes
- * by the old configuration for as long as the watch waits. Enough: a revision
- * that has not come by itself is asked for, and the watch is given up. Each
- * has its own time to come, or changes that are about to be passed on would be
- * asked for by the whole fleet.
+ * The store may no longer feed an open watch, for instance shortly before it
+ * drops its history, while others have received a change. This process would
+ * use the old configuration until the watch ends. An announced revision that is
+ * not received in time is fetched and the watch is abandoned. Each revision
+ * gets its own waiting time; otherwise changes about to be shared would be
+ * fetched by the whole fleet.
  */
 static void on_announced_overdue(void *context, gint64 now_us)
 {
@@ -405,9 +429,9 @@
 	task->overdue_revision = task->awaited_revision;
 	if (!task->listed || task->step != AUB_STORE_WATCH || task->fetching)
 		return;
-	/* A retry that is due soon will do; one that is far off will not. */
-	if (task->timer && (!task->failing ||
-			    now_us - task->call_started_us < AUB_STORE_RETRY_MAX_US))
+	/* A retry that is due soon suffices; one that is far off does not. */
+	if (task->timer && (!task->failing || now_us - task->call_started_us <
+						      AUB_STORE_RETRY_MAX_US))
 		return;
 	aub_timer_cancel(task->sync->options.timers, task->timer);
 	task->timer = 0;
@@ -420,12 +444,14 @@
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
 
-	if (task->announced_revision <= task->known_revision || task->announced_timer)
+	if (task->announced_revision <= task->known_revision ||
+	    task->announced_timer)
 		return;
 	task->awaited_revision = task->announced_revision;
-	task->announced_timer = aub_timer_at(timers, "store changes",
-					     aub_timer_now(timers) + SHARED_CHANGES_WAIT_US,
-					     on_announced_overdue, task);
+	task->announced_timer =
+		aub_timer_at(timers, "store changes",
+			     aub_timer_now(timers) + SHARED_CHANGES_WAIT_US,
+			     on_announced_overdue, task);
 }
 
 void aub_store_sync_announce(struct aub_store_sync *sync,
@@ -439,9 +465,9 @@
 	await_announced(task);
 }
 
-void aub_store_sync_apply_shared(struct aub_store_sync *sync, enum aub_store_kind kind,
-			 gint64 after, gint64 until, const char *body,
-			 gsize length)
+void aub_store_sync_apply_shared(struct aub_store_sync *sync,
+				 enum aub_store_kind kind, gint64 after,
+				 gint64 until, const char *body, gsize length)
 {
 	struct aub_store_task *task = &sync->tasks[kind];
 	struct aub_store_page *page;
@@ -453,7 +479,8 @@
 	if (!page)
 		return;
 	task->announced_revision = MAX(task->announced_revision, until);
-	aub_store_apply_changes(task, page, aub_timer_now(sync->options.timers));
+	aub_store_apply_changes(task, page,
+				aub_timer_now(sync->options.timers));
 	task->changed_revision = MAX(task->changed_revision, until);
 	task->known_revision = MAX(task->known_revision, until);
 	aub_store_page_free(page);
@@ -472,7 +499,7 @@
 }
 
 gint64 aub_store_sync_known_revision(const struct aub_store_sync *sync,
-			    enum aub_store_kind kind)
+				     enum aub_store_kind kind)
 {
 	return sync->tasks[kind].known_revision;
 }
@@ -492,7 +519,7 @@
 }
 
 gint64 aub_store_sync_answered_us(const struct aub_store_sync *sync,
-			       enum aub_store_kind kind)
+				  enum aub_store_kind kind)
 {
 	return sync->tasks[kind].answered_us;
 }
--- a/src/coordination/store_write.c
+++ b/src/coordination/store_write.c
@@ -1,7 +1,7 @@
 /*
- * Writes of an object's state, each taken only at one revision of the object.
- * One that is not answered may have been done: it is never repeated here, and
- * whoever asked for it finds out by the object itself.
+ * Conditional writes of an object's state, each valid for one revision of the
+ * object. A write without an answer may have succeeded: it is never repeated
+ * here, and the writer finds out from the object itself.
  */
 #include <auburnstile/internal/store_sync_internal.h>
 
--- a/src/coordination/upstream_states.c
+++ b/src/coordination/upstream_states.c
@@ -1,11 +1,11 @@
 /*
- * Knowledge of upstreams, and of requests that crash them, between a
- * dispatcher and a message.
+ * Conversion between a dispatcher's state (its upstreams, and requests that
+ * crash upstreams) and the message that carries it to the stand-by.
  */
 #include <auburnstile/internal/upstream_states.h>
 
-#define UPSTREAMS_MAX 1024 /* of one service; more are left out */
-#define CRASHES_MAX 256 /* likewise */
+#define UPSTREAMS_MAX 1024 /* per service; further ones are omitted */
+#define CRASHES_MAX 256 /* per service; further ones are omitted */
 
 static void add_upstreams(struct aub_states *states,
 			  const struct aub_dispatcher *dispatcher,
@@ -13,8 +13,8 @@
 {
 	struct aub_upstream_knowledge *list =
 		g_new(struct aub_upstream_knowledge, UPSTREAMS_MAX);
-	guint count =
-		aub_dispatcher_knowledge(dispatcher, list, UPSTREAMS_MAX, now_us);
+	guint count = aub_dispatcher_knowledge(dispatcher, list, UPSTREAMS_MAX,
+					       now_us);
 
 	for (guint i = 0; i < count; i++) {
 		struct aub_upstream_state *state = aub_upstream_state_new();
@@ -31,15 +31,16 @@
 }
 
 /*
- * Failure: the owner of a service goes away, and a request that brought two
- * upstreams down brings down two more under the next owner. Enough: the next
- * owner is the stand-by, and it is told within a moment.
+ * When a service's owner fails, a request that has crashed two upstreams would
+ * crash two more under the next owner. The next owner is the stand-by, which
+ * receives these records within a fraction of a second.
  */
 static void add_crashes(struct aub_states *states,
 			const struct aub_dispatcher *dispatcher, gint64 now_us)
 {
 	struct aub_crash_mark list[CRASHES_MAX];
-	guint count = aub_dispatcher_crashes(dispatcher, list, CRASHES_MAX, now_us);
+	guint count =
+		aub_dispatcher_crashes(dispatcher, list, CRASHES_MAX, now_us);
 
 	for (guint i = 0; i < count; i++) {
 		struct aub_crash_record *record = aub_crash_record_new();
@@ -67,8 +68,9 @@
 	}
 }
 
-struct aub_states *aub_states_from_dispatcher(const struct aub_dispatcher *dispatcher,
-				   const char *service, gint64 now_us)
+struct aub_states *aub_states_from_dispatcher(
+	const struct aub_dispatcher *dispatcher, const char *service,
+	gint64 now_us)
 {
 	struct aub_states *states =
 		(struct aub_states *)aub_message_new(AUB_MESSAGE_STATES);
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -1,6 +1,6 @@
 /*
- * Several memberships and agreements in one test, with a clock of its own
- * and a matrix of who reaches whom. No sockets: messages are handed over.
+ * Several memberships and agreements in one test, with a simulated clock and a
+ * configurable reachability between nodes. Messages are passed without sockets.
  */
 #ifndef TESTS_SIMULATED_FLEET_H
 #define TESTS_SIMULATED_FLEET_H
@@ -26,7 +26,7 @@
 	std::function<bool(int)> store = [](int) { return true; };
 	guint64 store_version = 0;
 	std::vector<std::pair<int, guint64>> pulls;
-	gsize bytes = 0; /* of encoded gossip, by all */
+	gsize bytes = 0; /* of encoded gossip, sent by all nodes */
 
 	~SimulatedFleet()
 	{
@@ -68,8 +68,8 @@
 	{
 		auto *gossip = (struct aub_gossip *)aub_message_new(
 			AUB_MESSAGE_GOSSIP);
-		gint64 fresh =
-			aubi_agreement_config_age_us(&nodes[i].agreement, now_us);
+		gint64 fresh = aubi_agreement_config_age_us(&nodes[i].agreement,
+							    now_us);
 
 		gossip->config_version = nodes[i].agreement.config_version;
 		gossip->fresh_ms = fresh == AUBI_AGE_UNKNOWN_US ?
@@ -78,7 +78,7 @@
 		return gossip;
 	}
 
-	/* One message from `from` to `to`; true if it came through. */
+	/* Delivers one message; returns true if it arrived. */
 	bool deliver(int from, int to, const struct aub_gossip *gossip)
 	{
 		GBytes *payload = aub_message_encode(&gossip->base, nullptr);
@@ -88,13 +88,14 @@
 		if (!reaches(from, to))
 			return false;
 		aubi_membership_receive(nodes[to].membership,
-				     nodes[from].name.c_str(),
-				     aubi_membership_self(
-					     nodes[from].membership)
-					     ->control_incarnation,
-				     gossip, now_us);
-		aubi_agreement_receive_gossip(&nodes[to].agreement, gossip, now_us);
-		/* A pull brings what the other holds, by the next round. */
+					nodes[from].name.c_str(),
+					aubi_membership_self(
+						nodes[from].membership)
+						->control_incarnation,
+					gossip, now_us);
+		aubi_agreement_receive_gossip(&nodes[to].agreement, gossip,
+					      now_us);
+		/* A pull transfers the sender's version by the next round. */
 		if (reaches(to, from))
 			pulls.push_back({ to, gossip->config_version });
 		return true;
@@ -106,7 +107,8 @@
 		int from = a;
 		int to = b;
 
-		aubi_membership_begin_exchange(nodes[a].membership, message, now_us);
+		aubi_membership_begin_exchange(nodes[a].membership, message,
+					       now_us);
 		while (deliver(from, to, message)) {
 			struct aub_gossip *answer = new_gossip(to);
 			bool wanted = aubi_membership_reply(
@@ -123,18 +125,21 @@
 		aub_message_free(&message->base);
 	}
 
-	/* A third of a second: an exchange each; some read the store. */
+	/*
+	 * Advances the clock by one gossip interval, a third of a second: each
+	 * node starts one exchange, and some read the store.
+	 */
 	void round()
 	{
 		now_us += AUBI_GOSSIP_INTERVAL_US;
 		for (auto &pull : pulls)
-			aubi_agreement_adopt_config(&nodes[pull.first].agreement,
-						   pull.second);
+			aubi_agreement_adopt_config(
+				&nodes[pull.first].agreement, pull.second);
 		pulls.clear();
 		for (size_t i = 0; i < nodes.size(); i++) {
 			Node &node = nodes[i];
-			int to = find(
-				aubi_membership_pick_peer(node.membership, now_us));
+			int to = find(aubi_membership_pick_peer(node.membership,
+								now_us));
 			guint rank =
 				aubi_membership_rank(node.membership, nullptr,
 						     nullptr, now_us);
@@ -146,10 +151,10 @@
 				exchange((int)i, to);
 			if (store((int)i) &&
 			    aubi_agreement_should_watch_store(&node.agreement,
-						   node.membership, rank,
-						   now_us)) {
+							      node.membership,
+							      rank, now_us)) {
 				aubi_agreement_adopt_config(&node.agreement,
-							   store_version);
+							    store_version);
 				aubi_agreement_confirm(&node.agreement,
 						       store_version, now_us);
 			}
@@ -167,12 +172,14 @@
 	bool serves(int i)
 	{
 		return aubi_agreement_serve_lease_us(&nodes[i].agreement,
-					       nodes[i].membership, now_us) > 0;
+						     nodes[i].membership,
+						     now_us) > 0;
 	}
 
 	bool accepts(int i)
 	{
-		return aubi_agreement_can_accept_changes(nodes[i].membership, now_us);
+		return aubi_agreement_can_accept_changes(nodes[i].membership,
+							 now_us);
 	}
 
 	guint live(int i)
--- a/tests/test_agreement.cc
+++ b/tests/test_agreement.cc
@@ -1,4 +1,6 @@
-/* An accepted configuration is in force everywhere: the cuts, as a table. */
+/*
+ * An accepted configuration is active everywhere, in all kinds of partitions.
+ */
 #include <gtest/gtest.h>
 
 #include <random>
@@ -19,19 +21,21 @@
 	EXPECT_FALSE(aubi_agreement_adopt_epoch(&agreement, 8));
 }
 
-/* A stale reader of the store confirms an old version: that says nothing. */
+/* A stale read of the store may confirm an old version and must be ignored. */
 TEST(Agreement, IgnoresConfirmationOfAnOlderVersion)
 {
 	struct aubi_agreement agreement = aubi_agreement_start(1);
 
 	aubi_agreement_adopt_config(&agreement, 7);
 	aubi_agreement_confirm(&agreement, 6, 1000);
-	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500), AUBI_AGE_UNKNOWN_US);
+	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500),
+		  AUBI_AGE_UNKNOWN_US);
 	aubi_agreement_confirm(&agreement, 7, 1000);
 	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500), 500);
-	/* Told of a newer one that isn't held yet: no longer fresh. */
+	/* A newer version exists but is not held yet, so nothing is fresh. */
 	aubi_agreement_confirm(&agreement, 8, 1200);
-	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500), AUBI_AGE_UNKNOWN_US);
+	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500),
+		  AUBI_AGE_UNKNOWN_US);
 	aubi_agreement_adopt_config(&agreement, 8);
 	EXPECT_EQ(aubi_agreement_config_age_us(&agreement, 1500), 300);
 }
@@ -39,10 +43,10 @@
 struct Partition {
 	const char *name;
 	int nodes;
-	int minority; /* nodes 0..minority-1 are one side */
+	int minority; /* nodes 0..minority-1 form one side */
 	bool store_minority;
 	bool store_majority;
-	/* After five seconds of it: */
+	/* Expected after five seconds: */
 	bool minority_serves;
 	bool majority_serves;
 	bool minority_accepts;
@@ -75,9 +79,9 @@
 }
 
 /*
- * What the caller sees in each cut: a side that may miss an accepted change
- * refuses new work; all others go on. What an operator sees: the side that
- * is no majority refuses changes.
+ * In each partition, a side that may miss an accepted change refuses new work
+ * and all other nodes continue; a side that is no majority refuses changes by
+ * operators.
  */
 TEST(Agreement, ServesAndAcceptsChangesOnlyWhereAllowedInEachPartition)
 {
@@ -86,33 +90,37 @@
 
 		start_fleet(fleet, partition.nodes);
 		fleet.reaches = [&](int a, int b) {
-			return (a < partition.minority) == (b < partition.minority);
+			return (a < partition.minority) ==
+			       (b < partition.minority);
 		};
 		fleet.store = [&](int i) {
-			return i < partition.minority ? partition.store_minority :
-						  partition.store_majority;
+			return i < partition.minority ?
+				       partition.store_minority :
+				       partition.store_majority;
 		};
 		fleet.run(5);
 		for (int i = 0; i < partition.nodes; i++) {
 			bool in_minority = i < partition.minority;
 
-			EXPECT_EQ(fleet.serves(i), in_minority ? partition.minority_serves :
-							   partition.majority_serves)
+			EXPECT_EQ(fleet.serves(i),
+				  in_minority ? partition.minority_serves :
+						partition.majority_serves)
 				<< partition.name << ", node " << i;
 			EXPECT_EQ(fleet.accepts(i),
 				  in_minority ? partition.minority_accepts :
-					  partition.majority_accepts)
+						partition.majority_accepts)
 				<< partition.name << ", node " << i;
 		}
 	}
 }
 
 /*
- * The property behind the table: a zone is taken out by an accepted change;
- * three seconds later nobody who serves holds an older version. Cuts of 1 to
- * 5 of 9 nodes, with and without the store on their side, the change written
- * 0 to 6 s after the cut. Without the count of holders this fails: one node
- * with the store on its side, the cut less than 3 s before the write.
+ * Three seconds after a zone was taken out by an accepted change, no serving
+ * node may hold an older version. Covers partitions of 1 to 5 of 9 nodes, with
+ * and without the store on their side, and changes written 0 to 6 s after the
+ * partition began. If acceptance did not count the members that hold the
+ * version, this would fail for one node with the store on its side and less
+ * than 3 s between partition and write.
  */
 TEST(Agreement, NoServingNodeHoldsAnOldVersionThreeSecondsAfterAcceptance)
 {
@@ -178,9 +186,9 @@
 }
 
 /*
- * A zone is cut off from the rest and from the store, for twenty minutes. The
- * rest takes changes meanwhile. If the cut-off side forgot the others, it
- * would count itself complete, and serve again by the old version.
+ * A zone is partitioned from the rest and the store for twenty minutes while
+ * the rest accepts changes. If the partitioned side forgot the other members,
+ * it would count itself complete and serve again with the old version.
  */
 TEST(Agreement, IsolatedMinorityNeverResumesServing)
 {
@@ -195,7 +203,10 @@
 		EXPECT_EQ(fleet.accepts(i), i >= 3) << i;
 	}
 	EXPECT_EQ(aubi_membership_count(fleet.nodes[6].membership), 4u);
-	/* One that starts there learns from the two whom it doesn't hear. */
+	/*
+	 * A node that starts there learns about the unreachable members from
+	 * the two others.
+	 */
 	aubi_membership_free(fleet.nodes[0].membership);
 	fleet.nodes[0] = fleet.nodes[fleet.add("n0", "a", 900)];
 	fleet.nodes.pop_back();
@@ -209,11 +220,11 @@
 }
 
 /*
- * The same property under anything: nodes that go from side to side, one-way
- * cuts, pauses, a store that each node reaches or not, and changes written by
- * whoever may. 120 fixed seeds of 80 s each. Restarts are left out: a majority
- * that holds a change and is replaced while the store is down loses it
- * (agreement_notes.txt).
+ * The same property under random faults: nodes that change sides, one-way
+ * partitions, pauses, a store that each node may or may not reach, and changes
+ * written by any node that may write; 120 fixed seeds of 80 s each. Restarts
+ * are excluded: if the majority that holds a change is replaced while the store
+ * is down, the change is lost (agreement_notes.txt).
  */
 class RandomFaults
 {
@@ -225,15 +236,15 @@
 	bool paused[n] = {};
 	bool store_reachable[n] = {};
 	bool blocked[n][n] = {};
-	std::vector<std::pair<guint64, gint64>> accepted; /* version, when */
-	std::vector<std::pair<guint64, int>> written; /* version, by whom */
+	std::vector<std::pair<guint64, gint64>> accepted; /* version, time */
+	std::vector<std::pair<guint64, int>> written; /* version, writer */
 
 	explicit RandomFaults(unsigned seed) : random(seed)
 	{
 		start_fleet(fleet, n);
 		fleet.reaches = [this](int a, int b) {
-			return side[a] == side[b] && !blocked[a][b] && !paused[a] &&
-			       !paused[b];
+			return side[a] == side[b] && !blocked[a][b] &&
+			       !paused[a] && !paused[b];
 		};
 		fleet.store = [this](int i) {
 			return store_reachable[i] && !paused[i];
@@ -285,7 +296,7 @@
 			return;
 		fleet.store_version++;
 		aubi_agreement_adopt_config(&fleet.nodes[i].agreement,
-					   fleet.store_version);
+					    fleet.store_version);
 		written.push_back({ fleet.store_version, i });
 	}
 
@@ -305,7 +316,10 @@
 		}
 	}
 
-	/* A node that serves by a version that gave way over 3 s ago, or -1. */
+	/*
+	 * Returns a node that serves with a version replaced over 3 s ago, or
+	 * -1.
+	 */
 	int find_stale_node()
 	{
 		for (auto &it : accepted) {
@@ -345,9 +359,9 @@
 }
 
 /*
- * More than half are gone for good. An operator says so: the rest forget them
- * and can accept changes and move owners again. One that was alive all along
- * is a member again as soon as it is heard.
+ * More than half of the members are permanently gone. After the operator's
+ * override the others forget them and can accept changes and move owners again.
+ * A forgotten member that is alive rejoins as soon as it is heard.
  */
 TEST(Agreement, ForgettingTheDeadRestoresAMajorityAndLiveMembersRejoin)
 {
@@ -369,7 +383,7 @@
 		EXPECT_EQ(fleet.live(i), 7u) << i;
 }
 
-/* A whole zone restarts: only few may turn to the store at once. */
+/* When a whole zone restarts, only a few controls may read the store. */
 TEST(Agreement, OnlyFewNodesReadTheStoreAfterAZoneRestart)
 {
 	SimulatedFleet fleet;
@@ -381,8 +395,9 @@
 						  nullptr, fleet.now_us);
 
 		watching +=
-			aubi_agreement_should_watch_store(&node.agreement, node.membership,
-					       rank, fleet.now_us);
+			aubi_agreement_should_watch_store(&node.agreement,
+							  node.membership, rank,
+							  fleet.now_us);
 	}
 	EXPECT_LE(watching, 4);
 	for (int i = 0; i < 6; i++)
--- a/tests/test_control.cc
+++ b/tests/test_control.cc
@@ -1,4 +1,7 @@
-/* Real controls with the stand-in store; the test plays their entries. */
+/*
+ * Real control processes with the stand-in store; the test simulates the
+ * entries.
+ */
 #include <gtest/gtest.h>
 
 #include <auburnstile/link.h>
@@ -15,21 +18,23 @@
 #include "fleet/fleet_inventory.h"
 }
 
-/* An entry as its control sees one: takes views, acknowledges them. */
+/* An entry as seen by its control: applies and acknowledges views. */
 struct FakeEntry {
 	struct aub_link *link = nullptr;
 	guint64 incarnation;
 	guint64 config_version = 0;
 	guint64 epoch = 0;
-	guint config_transfers = 0; /* views that brought configuration bytes */
+	guint config_transfers = 0; /* views that contained a configuration */
 	bool serve = false;
 	bool paused = false;
 	bool stopping = false;
 	guint64 successor = 0;
-	std::vector<std::pair<guint64, guint64>> successors; /* incarnation, heir */
+	std::vector<std::pair<guint64, guint64>>
+		successors; /* incarnation, successor */
 	std::vector<std::string> owners;
 	bool down = false;
-	guint64 min_serving_version = 0; /* no leave to serve by an older version */
+	guint64 min_serving_version =
+		0; /* a lease for an older version is an error */
 
 	FakeEntry(const struct fleet_member *member, guint64 number)
 	    : incarnation(number)
@@ -77,7 +82,8 @@
 	void apply_view(const struct aub_view *view)
 	{
 		EXPECT_GE(view->config_version, config_version) << "went back";
-		EXPECT_FALSE(view->serve && view->config_version < min_serving_version);
+		EXPECT_FALSE(view->serve &&
+			     view->config_version < min_serving_version);
 		config_transfers += view->config.length > 0;
 		if (view->config.length)
 			config_version = view->config_version;
@@ -150,12 +156,15 @@
 		fleet = fleet_new(&options, &error);
 		ASSERT_TRUE(fleet) << error->message;
 		for (guint i = 0; i < members; i++)
-			ASSERT_TRUE(fleet_start_control(fleet, member_at(i), &error))
+			ASSERT_TRUE(fleet_start_control(fleet, member_at(i),
+							&error))
 				<< error->message;
-		ASSERT_TRUE(wait_until([&] { return count_live(0) == members; }, 10));
+		ASSERT_TRUE(wait_until([&] { return count_live(0) == members; },
+				       10));
 		for (guint i = 0; with_entries && i < members; i++)
 			entries.push_back(
-				std::make_unique<FakeEntry>(member_at(i), 1000 + i));
+				std::make_unique<FakeEntry>(member_at(i),
+							    1000 + i));
 	}
 
 	void TearDown() override
@@ -169,7 +178,10 @@
 		return fleet_member(fleet, i);
 	}
 
-	/* Run the loop until `what` holds; false after `seconds`. */
+	/*
+	 * Runs the main loop until `what` returns true; returns false after
+	 * `seconds`.
+	 */
 	bool wait_until(const std::function<bool()> &what, double seconds)
 	{
 		gint64 end = g_get_monotonic_time() + (gint64)(seconds * 1e6);
@@ -185,8 +197,8 @@
 	JsonObject *get(guint i, const char *path)
 	{
 		guint status = 0;
-		JsonNode *node = fleet_admin(fleet, member_at(i), "GET", path, nullptr,
-					     &status, nullptr);
+		JsonNode *node = fleet_admin(fleet, member_at(i), "GET", path,
+					     nullptr, &status, nullptr);
 		JsonObject *object = nullptr;
 
 		if (node && status == 200)
@@ -228,7 +240,7 @@
 		return count;
 	}
 
-	/* A request to a control that runs while the loop does. */
+	/* An asynchronous request to a control. */
 	struct Call {
 		guint status = 0;
 		std::string body;
@@ -240,8 +252,8 @@
 	{
 		auto call = std::make_shared<Call>();
 		SoupSession *session = soup_session_new();
-		std::string url =
-			std::string("http://") + member_at(i)->control_admin + path;
+		std::string url = std::string("http://") +
+				  member_at(i)->control_admin + path;
 		SoupMessage *message = soup_message_new("POST", url.c_str());
 		GBytes *bytes = g_bytes_new(body.data(), body.size());
 		struct Box {
@@ -363,7 +375,7 @@
 		8));
 }
 
-/* The store counts each call; the fleet must not make many when idle. */
+/* The store counts every call; an idle fleet must cause few of them. */
 TEST_F(Control, OnlyFewControlsWatchTheStore)
 {
 	start(6, false);
@@ -378,9 +390,9 @@
 }
 
 /*
- * The store goes away. Callers go on being served by what is held; an
- * operator is told at once that nothing was changed; when the store is back,
- * the same change goes through.
+ * While the store is down, callers continue to be served with the current
+ * configuration and an operator is told immediately that nothing was changed.
+ * Once the store is back, the same change succeeds.
  */
 TEST_F(Control, StoreOutageBlocksChangesButNotServing)
 {
@@ -398,9 +410,9 @@
 }
 
 /*
- * The links of one control to the store go silent: open, but nothing comes
- * back. It is one of the two that watch. Its entry goes on, because peers are
- * heard; a change made elsewhere reaches it; one asked of it is refused.
+ * The store links of one control, one of the two watchers, become half-open.
+ * Its entry continues to serve because peers are heard, and receives a change
+ * made elsewhere; a change requested from this control is refused.
  */
 TEST_F(Control, UnresponsiveStoreLinkBlocksOnlyWritesOfThatControl)
 {
@@ -433,7 +445,7 @@
 		25));
 }
 
-/* Both that watch the store are killed, then a change comes. */
+/* Both controls that watch the store are killed before a change. */
 TEST_F(Control, OtherControlsTakeOverWhenStoreWatchersDie)
 {
 	start(6, false);
@@ -446,8 +458,9 @@
 }
 
 /*
- * A zone is taken out; then every control is replaced while the store serves
- * stale reads. If one took the old object, the zone would get requests again.
+ * A zone is taken out, then all controls are replaced while the store returns
+ * stale reads. If a control adopted the old object, the zone would receive
+ * requests again.
  */
 TEST_F(Control, StaleReadAfterRestartNeverRevertsConfig)
 {
@@ -461,16 +474,18 @@
 	for (guint i = 0; i < 4; i++) {
 		fleet_signal(member_at(i), FLEET_CONTROL, SIGKILL);
 		ASSERT_TRUE(fleet_start_control(fleet, member_at(i), nullptr));
-		ASSERT_TRUE(
-			wait_until([&] { return status_number(i, "config_version") > 0; },
-			     9));
+		ASSERT_TRUE(wait_until(
+			[&] { return status_number(i, "config_version") > 0; },
+			9));
 		EXPECT_EQ(status_number(i, "config_version"), 2) << i;
 		fleet_run_ms(500);
 	}
 	EXPECT_TRUE(all_have_version(2));
 }
 
-/* Two operators apply onto the same version at once: one is told no. */
+/*
+ * Of two operators who edit the same version concurrently, one gets a conflict.
+ */
 TEST_F(Control, ConcurrentEditsOfOneVersionConflict)
 {
 	start(4, false);
@@ -483,7 +498,7 @@
 	const std::string &lost = one->status == 409 ? one->body : two->body;
 	EXPECT_NE(lost.find("\"base_config\":{"), std::string::npos) << lost;
 	EXPECT_NE(lost.find("\"current_config\":{"), std::string::npos);
-	/* Taking out is rebased by itself, and so never conflicts. */
+	/* Taking out a zone is rebased automatically and never conflicts. */
 	auto three = post(1, "/v1/zones/z1/out", "{}");
 	auto four = post(2, "/v1/zones/z2/out", "{}");
 	ASSERT_TRUE(wait_until([&] { return three->done && four->done; }, 14));
@@ -491,7 +506,10 @@
 	EXPECT_EQ(four->status, 200u) << four->body;
 }
 
-/* The store takes the write, its answer is lost: the operator still hears. */
+/*
+ * The store executes the write but its answer is lost: the operator still
+ * learns that the change was accepted.
+ */
 TEST_F(Control, ReportsAcceptanceWhenStoreAnswerIsLost)
 {
 	start(3, false);
@@ -504,10 +522,10 @@
 }
 
 /*
- * A control is frozen for six seconds; meanwhile a zone is taken out. When it
- * wakes, its sockets hold old gossip and an old answer of the store. A view
- * that gives leave to serve by the old version would send requests to the
- * zone long after the operator was told that it is out.
+ * A control is paused for six seconds while a zone is taken out. When it
+ * resumes, its sockets contain old gossip and an old answer of the store. A
+ * serving lease for the old version would send requests to the zone after the
+ * operator was told that it is out.
  */
 TEST_F(Control, ResumedControlGrantsNoLeaseForAnOldVersion)
 {
@@ -532,21 +550,24 @@
 		EXPECT_TRUE(wait_until(
 			[&] {
 				return entries[paused_index]->serve &&
-				       entries[paused_index]->config_version == newer;
+				       entries[paused_index]->config_version ==
+					       newer;
 			},
 			8));
 	}
 }
 
 /*
- * An entry stops answering while its control lives. Its services would stand
- * still; ownership moves though nobody is dead for three seconds yet.
+ * An entry stops acknowledging views while its control lives. Its services
+ * would stall, so ownership moves before the three seconds have passed after
+ * which a member counts as dead.
  */
 TEST_F(Control, ReassignsServicesOfAnUnresponsiveEntry)
 {
 	start(4, true);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
-	ASSERT_TRUE(wait_until([&] { return entries[0]->owners.size() == 3; }, 8));
+	ASSERT_TRUE(
+		wait_until([&] { return entries[0]->owners.size() == 3; }, 8));
 	guint owner = 0;
 	while (owner < 4 && !entries[0]->owns(member_at(owner)->name))
 		owner++;
@@ -562,18 +583,21 @@
 }
 
 /*
- * A VM is stopped in order: its entry hands its keys to an heir and goes, its
- * control follows. Later repeats find the heir through every other control.
+ * During a planned stop of a VM the entry transfers its keys to a successor and
+ * exits, followed by its control. Later repeats of requests must find the
+ * successor through every other control.
  */
 TEST_F(Control, PlannedStopPublishesSuccessorEverywhere)
 {
 	start(4, true);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
-	ASSERT_TRUE(wait_until([&] { return entries[0]->owners.size() == 3; }, 8));
+	ASSERT_TRUE(
+		wait_until([&] { return entries[0]->owners.size() == 3; }, 8));
 	fleet_signal(member_at(3), FLEET_CONTROL, SIGTERM);
 	entries[3]->stopping = true;
 	entries[3]->acknowledge();
-	EXPECT_TRUE(wait_until([&] { return !entries[0]->owns(member_at(3)->name); }, 8));
+	EXPECT_TRUE(wait_until(
+		[&] { return !entries[0]->owns(member_at(3)->name); }, 8));
 	entries[3]->successor = 1001;
 	entries[3]->acknowledge();
 	fleet_run_ms(200);
--- a/tests/test_idempotency.cc
+++ b/tests/test_idempotency.cc
@@ -1,4 +1,4 @@
-/* The keeper of keys: who keeps one, and its hand-over to one heir. */
+/* Ownership of idempotency keys and their transfer to a single successor. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/idempotency.h>
@@ -12,7 +12,7 @@
 
 const guint64 SELF = 100;
 
-/* An entry that takes keys and never acknowledges them. */
+/* An entry that receives keys and never acknowledges them. */
 class SilentSuccessor
 {
       public:
@@ -85,7 +85,7 @@
 	struct aub_link *link = NULL;
 };
 
-/* What a keeper needs around it: a view with two members, and a relay. */
+/* Fixture with a view of two members, and a relay. */
 class IdempotencyTransfer : public testing::Test
 {
       protected:
@@ -170,10 +170,10 @@
 } // namespace
 
 /*
- * A stopping entry hands its keys over; the heir takes all of them, and its
- * acknowledgement is lost. If a second entry got the keys too, a caller's
- * request could begin at one and its repeat at the other, and run twice.
- * So only one entry may ever be sent the last part.
+ * A stopping entry transfers its keys, and the successor's acknowledgement is
+ * lost. If a second entry got the keys too, a request could start at one and
+ * its repeat at the other, and run twice. Only one entry may ever be sent the
+ * last part.
  */
 TEST_F(IdempotencyTransfer, SendsTheLastPartToOnlyOneSuccessor)
 {
--- a/tests/test_membership.cc
+++ b/tests/test_membership.cc
@@ -1,9 +1,10 @@
-/* Members learnt by gossip: who is known, live, replaced, left. */
+/* Members learnt by gossip: known, live, replaced and stopped ones. */
 #include <gtest/gtest.h>
 
 #include "simulated_fleet.h"
 
-static std::string state_of(SimulatedFleet &fleet, int at, const std::string &name)
+static std::string state_of(SimulatedFleet &fleet, int at,
+			    const std::string &name)
 {
 	GPtrArray *list =
 		aubi_membership_list(fleet.nodes[at].membership, fleet.now_us);
@@ -36,7 +37,7 @@
 		EXPECT_EQ(fleet.live(i), 19u) << i;
 }
 
-/* Nobody may look dead in a fleet where all live: owners would move. */
+/* While all members live, none may appear dead, because owners would move. */
 TEST(Membership, NeverMarksLiveMembersDead)
 {
 	for (int nodes : { 3, 19, 100 }) {
@@ -86,9 +87,10 @@
 }
 
 /*
- * A caller's keys were granted by an entry that stopped in order. Its VM
- * comes back at once under the same name. A repeat must still find the heir,
- * so the old incarnation has to be known beside the new one, everywhere.
+ * Keys were granted by an entry that then stopped as planned, and its VM
+ * returns immediately under the same name. Repeated requests must still find
+ * the successor, so every member has to know the old incarnation as well as the
+ * new one.
  */
 TEST(Membership, SuccessorIsKnownAfterReplacementUnderTheSameName)
 {
@@ -147,9 +149,9 @@
 }
 
 /*
- * A VM is replaced by one whose clock is a minute behind. Its number is lower
- * than the dead one's; taken for the older process it would serve nobody
- * until the dead one is forgotten, a quarter of an hour later.
+ * A VM is replaced by one whose clock is a minute behind, so its incarnation is
+ * lower than that of the dead process. If it were taken for the older process,
+ * it would not serve until the dead one is forgotten after 15 minutes.
  */
 TEST(Membership, ReplacementWithSlowClockTakesOver)
 {
@@ -170,9 +172,9 @@
 }
 
 /*
- * A control is paused for ten seconds. When it wakes, its sockets are full of
- * old gossip saying that all is well. It must not believe that it hears a
- * majority: it would give its entry leave to serve by an old configuration.
+ * A control is paused for ten seconds and resumes with sockets full of old
+ * gossip. It must not conclude that it hears a majority, or it would grant its
+ * entry a serving lease for an old configuration.
  */
 TEST(Membership, DelayedAnswerIsNoProofOfLife)
 {
@@ -183,21 +185,22 @@
 	add_nodes(fleet, 3);
 	fleet.run(4);
 	ask = fleet.new_gossip(0);
-	aubi_membership_begin_exchange(fleet.nodes[0].membership, ask, fleet.now_us);
+	aubi_membership_begin_exchange(fleet.nodes[0].membership, ask,
+				       fleet.now_us);
 	answer = fleet.new_gossip(1);
-	ASSERT_TRUE(aubi_membership_reply(fleet.nodes[1].membership, ask,
-					   false, answer, fleet.now_us));
+	ASSERT_TRUE(aubi_membership_reply(fleet.nodes[1].membership, ask, false,
+					  answer, fleet.now_us));
 	fleet.now_us += 10 * 1000000LL;
 	aubi_membership_receive(fleet.nodes[0].membership, "n1", 101, answer,
-			     fleet.now_us);
+				fleet.now_us);
 	EXPECT_GE(aubi_membership_proof_age_us(fleet.nodes[0].membership, 2,
-					   fleet.now_us),
+					       fleet.now_us),
 		  10 * 1000000LL);
 	aub_message_free(&ask->base);
 	aub_message_free(&answer->base);
 }
 
-/* The letter's budget: 4 KB a second a node. Frames only, both ways. */
+/* The brief allows 4 KB/s per node. Frames only, sent and received. */
 TEST(Membership, GossipStaysWithinBandwidthBudget)
 {
 	for (int nodes : { 19, 38, 76 }) {
--- a/tests/test_ownership.cc
+++ b/tests/test_ownership.cc
@@ -1,4 +1,4 @@
-/* Placement: who owns which service, and what moves when members change. */
+/* Placement of services on members, and what moves when members change. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/error.h>
@@ -45,7 +45,8 @@
 		ASSERT_TRUE(inventory) << error->message;
 		for (guint i = 0; i < inventory->zones->len; i++)
 			aub_zone_at(inventory, i)->out =
-				zones_out.count(aub_zone_at(inventory, i)->name) > 0;
+				zones_out.count(
+					aub_zone_at(inventory, i)->name) > 0;
 	}
 
 	void TearDown() override
@@ -57,7 +58,7 @@
 	}
 
 	struct aub_member *add_member(const char *name, const char *zone,
-				  guint64 incarnation)
+				      guint64 incarnation)
 	{
 		struct aub_member *it = aub_member_new();
 
@@ -69,7 +70,10 @@
 		return it;
 	}
 
-	/* Propose until nothing moves; how many lines had their owner moved. */
+	/*
+	 * Applies proposals until none is made; returns how many owners
+	 * changed.
+	 */
 	int converge(bool rebalance = false)
 	{
 		int moved = 0;
@@ -85,12 +89,12 @@
 			next->epoch = current->epoch + 1;
 			for (guint i = 0; i < next->list->len; i++) {
 				auto *assignment = (struct aub_assignment *)
-						     next->list->pdata[i];
-				auto *old =
-					aubi_assignments_find(current,
-							      assignment->service);
+							   next->list->pdata[i];
+				auto *old = aubi_assignments_find(
+					current, assignment->service);
 
-				moved += old && strcmp(old->owner, assignment->owner);
+				moved += old &&
+					 strcmp(old->owner, assignment->owner);
 			}
 			aubi_assignments_free(current);
 			current = next;
@@ -104,8 +108,7 @@
 		std::map<std::string, int> count;
 
 		for (guint i = 0; i < current->list->len; i++)
-			count[((struct aub_assignment *)
-				       current->list->pdata[i])
+			count[((struct aub_assignment *)current->list->pdata[i])
 				      ->owner]++;
 		return count;
 	}
@@ -125,11 +128,13 @@
 	{
 		for (guint i = 0; i < current->list->len; i++) {
 			auto *assignment = (struct aub_assignment *)
-					     current->list->pdata[i];
+						   current->list->pdata[i];
 
-			EXPECT_STRNE(assignment->owner, "") << assignment->service;
+			EXPECT_STRNE(assignment->owner, "")
+				<< assignment->service;
 			EXPECT_STRNE(assignment->owner, assignment->standby);
-			EXPECT_EQ(zones_out.count(zone_of(assignment->owner)), 0u);
+			EXPECT_EQ(zones_out.count(zone_of(assignment->owner)),
+				  0u);
 			if (*assignment->standby) {
 				EXPECT_NE(zone_of(assignment->owner),
 					  zone_of(assignment->standby))
@@ -143,8 +148,8 @@
 		const char *names[] = { "a1", "a2", "b1", "b2", "c1", "c2" };
 
 		for (guint64 i = 0; i < 6; i++)
-			add_member(names[i], std::string(1, names[i][0]).c_str(),
-			       10 + i);
+			add_member(names[i],
+				   std::string(1, names[i][0]).c_str(), 10 + i);
 	}
 };
 
@@ -167,7 +172,8 @@
 	std::map<std::string, std::string> standby;
 	int owned_before = count_owned()["b1"];
 	for (guint i = 0; i < current->list->len; i++) {
-		auto *assignment = (struct aub_assignment *)current->list->pdata[i];
+		auto *assignment =
+			(struct aub_assignment *)current->list->pdata[i];
 
 		if (!strcmp(assignment->owner, "b1"))
 			standby[assignment->service] = assignment->standby;
@@ -181,7 +187,10 @@
 	check_invariants();
 }
 
-/* A restarted entry knows nothing of its queue: it isn't the owner it was. */
+/*
+ * A restarted entry has lost the state of its queue, so it no longer is the
+ * owner.
+ */
 TEST_F(Placement, RestartedOwnerLosesOwnership)
 {
 	build_inventory(8);
@@ -277,7 +286,10 @@
 	g_free(json);
 }
 
-/* Controls propose in order of rank: no election, no herd on the store. */
+/*
+ * Controls propose in order of rank, which needs no election and avoids
+ * concurrent writes to the store.
+ */
 TEST_F(Placement, ProposalTurnsFollowRank)
 {
 	EXPECT_FALSE(aubi_ownership_is_turn(0, 0, 100));
--- a/tests/test_processes.cc
+++ b/tests/test_processes.cc
@@ -1,6 +1,6 @@
 /*
- * What every process promises its operators, with the real programs: settings
- * checked at the door, signals, planned stops, health, and who is let in.
+ * Operational behaviour of the real programs: validation of settings, signals,
+ * planned stops, health checks, and access control.
  */
 #include <gtest/gtest.h>
 
@@ -26,12 +26,13 @@
 }
 
 struct program_result {
-	int code; /* -1: ended by a signal, or still ran after 10 s */
+	int code; /* -1: ended by a signal, or still running after 10 s */
 	std::string err;
 };
 
-/* Run a program with a settings file that it should refuse. */
-static program_result run_with_settings(const char *program, const std::string &settings)
+/* Runs a program with settings that it should reject. */
+static program_result run_with_settings(const char *program,
+					const std::string &settings)
 {
 	char *folder = g_dir_make_tmp("settings-XXXXXX", nullptr);
 	std::string file = std::string(folder) + "/a.toml";
@@ -61,11 +62,12 @@
 {
 	for (const char *program :
 	     { "auburnstile-entry", "auburnstile-control" }) {
-		program_result result = run_with_settings(program, "name = \"a\"\n"
-						  "zoen = \"z\"\n"
-						  "inner = \"localhost:1\"\n"
-						  "stop_ms = 5\n"
-						  "log_json = 1\n");
+		program_result result =
+			run_with_settings(program, "name = \"a\"\n"
+						   "zoen = \"z\"\n"
+						   "inner = \"localhost:1\"\n"
+						   "stop_ms = 5\n"
+						   "log_json = 1\n");
 
 		EXPECT_EQ(result.code, 1) << program << result.err;
 		for (const char *part :
@@ -88,19 +90,22 @@
 	const std::string control = common + "store = \"http://127.0.0.1:1\"\n";
 
 	program_result result =
-		run_with_settings("auburnstile-entry", entry + "log_level = \"loud\"\n");
+		run_with_settings("auburnstile-entry",
+				  entry + "log_level = \"loud\"\n");
 	EXPECT_NE(result.code, 0);
 	EXPECT_TRUE(contains(result.err, "log_level")) << result.err;
-	result = run_with_settings("auburnstile-entry", entry + "policy = \"magic\"\n");
+	result = run_with_settings("auburnstile-entry",
+				   entry + "policy = \"magic\"\n");
 	EXPECT_NE(result.code, 0);
 	EXPECT_TRUE(contains(result.err, "magic")) << result.err;
 	for (const auto &[program, text] :
 	     { std::pair("auburnstile-entry", entry),
 	       std::pair("auburnstile-control", control) }) {
-		result = run_with_settings(program,
-				 text + "token_file = \"/nonexistent/t\"\n");
+		result = run_with_settings(
+			program, text + "token_file = \"/nonexistent/t\"\n");
 		EXPECT_NE(result.code, 0) << program;
-		EXPECT_TRUE(contains(result.err, "/nonexistent/t")) << result.err;
+		EXPECT_TRUE(contains(result.err, "/nonexistent/t"))
+			<< result.err;
 	}
 }
 
@@ -146,7 +151,7 @@
 		g_free(inventory);
 	}
 
-	/* True once an entry answers a request by an upstream's answer. */
+	/* Returns true once the entry returns the answer of an upstream. */
 	bool serves(struct fleet_member *member)
 	{
 		std::string url = std::string("http://") + member->callers +
@@ -164,7 +169,7 @@
 		return false;
 	}
 
-	/* Status of a GET, 0 where nothing answered. */
+	/* Returns the status of a GET, 0 if there was no answer. */
 	static guint get(const char *address, const char *path,
 			 const char *token, std::string *body = nullptr)
 	{
@@ -192,7 +197,7 @@
 		return result;
 	}
 
-	/* Requests sent and not yet answered. */
+	/* Sends a request without reading its answer. */
 	GSocketConnection *send(const char *address, const std::string &text)
 	{
 		GSocketClient *client = g_socket_client_new();
@@ -277,8 +282,9 @@
 	struct fleet_member *member = fleet_member(fleet, 1);
 
 	fleet_signal(member, FLEET_BOTH, SIGHUP);
-	for (int i = 0; i < 100 && (!contains(log(member, "-entry"), "restart") ||
-				    !contains(log(member, "-control"), "restart"));
+	for (int i = 0;
+	     i < 100 && (!contains(log(member, "-entry"), "restart") ||
+			 !contains(log(member, "-control"), "restart"));
 	     i++)
 		g_usleep(50000);
 	EXPECT_TRUE(contains(log(member, "-entry"), "restart"));
@@ -288,9 +294,9 @@
 }
 
 /*
- * A VM is taken out of service while callers wait for their answers. A stop
- * that cut them off would lose answers to requests that ran. What is in
- * flight is answered whole, and the processes end with status 0 in time.
+ * A VM is taken out of service while callers wait for their answers. Closing
+ * their connections would lose the answers to requests that ran. All requests
+ * in flight get complete answers, and the processes exit with status 0 in time.
  */
 TEST_F(Processes, PlannedStopAnswersRequestsInFlight)
 {
@@ -313,7 +319,8 @@
 		std::string answer = receive(connection);
 
 		EXPECT_TRUE(contains(answer, " 200 OK")) << answer;
-		EXPECT_TRUE(contains(answer, "Auburnstile-Outcome: run")) << answer;
+		EXPECT_TRUE(contains(answer, "Auburnstile-Outcome: run"))
+			<< answer;
 	}
 	EXPECT_TRUE(fleet_stop(member, FLEET_BOTH, STOP_TIMEOUT_MS));
 	EXPECT_TRUE(contains(log(member, "-entry"), "stopped"));
--- a/tests/test_request_router.cc
+++ b/tests/test_request_router.cc
@@ -1,7 +1,7 @@
 /*
- * The way of a request through entries: each caller hears run, not-run or
- * unknown, and it is true. Whole entries in this process, views given by
- * hand, upstreams that write down what they ran.
+ * Requests routed through real entries in this process: each caller gets the
+ * correct outcome run, not-run or unknown. The tests supply the views, and the
+ * upstream records the requests it runs.
  */
 #include <gtest/gtest.h>
 
@@ -70,7 +70,8 @@
 	int owner = 0;
 	int standby = 1;
 	std::vector<guint64> successors = { 0, 0, 0 };
-	std::string node_c_address; /* in place of c's real address, if set */
+	/* Overrides the relay address of entry c if set. */
+	std::string node_c_address;
 
 	void SetUp() override
 	{
@@ -79,10 +80,10 @@
 		reply("HTTP/1.1 200 OK\r\nX-Boot-Id: 1\r\n"
 		      "Content-Length: 4\r\n\r\npaid");
 		apply_views();
-		/* A new owner settles for a second. */
+		/* A new owner warms up for a second. */
 		wait_until([&] {
-			return send_request(owner, "GET /pay/x", "").find(" 200") !=
-			       std::string::npos;
+			return send_request(owner, "GET /pay/x", "")
+				       .find(" 200") != std::string::npos;
 		});
 		upstream.requests.clear();
 	}
@@ -181,8 +182,8 @@
 				       hello->callers_address);
 			member->incarnation = hello->incarnation;
 			member->heir = successors[i];
-			member->state =
-				successors[i] ? AUB_MEMBER_STOPPED : AUB_MEMBER_LIVE;
+			member->state = successors[i] ? AUB_MEMBER_STOPPED :
+							AUB_MEMBER_LIVE;
 			g_ptr_array_add(view->members, member);
 		}
 		aub_entry_view_apply(node.entry->view, view);
@@ -207,8 +208,9 @@
 	}
 
 	std::string send_request(int node, const std::string &line,
-			const std::string &key, const std::string &body = "",
-			const std::string &more = "")
+				 const std::string &key,
+				 const std::string &body = "",
+				 const std::string &more = "")
 	{
 		Caller caller(nodes[node]->port);
 		caller.send(request(line, key, body, more));
@@ -217,7 +219,7 @@
 
 	const gint64 issued_s = g_get_real_time() / AUB_SECOND;
 
-	/* A key kept by this node. */
+	/* Returns a key owned by this node. */
 	std::string key(int node, const std::string &text = "k")
 	{
 		char *grant =
@@ -236,9 +238,10 @@
 		return count;
 	}
 
-	static bool matches(const std::string &answer, const std::string &status,
-			 const std::string &outcome,
-			 const std::string &reason = "")
+	static bool matches(const std::string &answer,
+			    const std::string &status,
+			    const std::string &outcome,
+			    const std::string &reason = "")
 	{
 		return answer.rfind("HTTP/1.1 " + status, 0) == 0 &&
 		       answer.find("Auburnstile-Outcome: " + outcome +
@@ -250,30 +253,33 @@
 };
 
 /*
- * A parent pays and sends it again: through the same entry, through another,
- * with another amount, as somebody else. It ran once; the first two repeats
- * get the kept answer, the last two nothing.
+ * A payment is repeated at the same entry, at another entry, with another
+ * amount, and by another user. It runs once; the first two repeats get the
+ * cached answer and the last two are refused.
  */
 TEST_F(RequestRouter, RepeatGetsTheCachedAnswerAtEveryEntry)
 {
 	for (int node : { 0, 0, 1, 2 }) {
-		std::string answer = send_request(node, "POST /pay", key(0), "10");
+		std::string answer =
+			send_request(node, "POST /pay", key(0), "10");
 		EXPECT_TRUE(matches(answer, "200", "run")) << answer;
 		EXPECT_NE(answer.find("\r\n\r\npaid"), std::string::npos);
 	}
 	for (int node : { 0, 2 }) {
-		EXPECT_TRUE(matches(send_request(node, "POST /pay", key(0), "99"), "422",
-				 "not-run", "key-of-another-request"));
-		EXPECT_TRUE(matches(send_request(node, "POST /pay", key(0), "10",
-				     "Authorization: other\r\n"),
-				 "422", "not-run"));
+		EXPECT_TRUE(
+			matches(send_request(node, "POST /pay", key(0), "99"),
+				"422", "not-run", "key-of-another-request"));
+		EXPECT_TRUE(
+			matches(send_request(node, "POST /pay", key(0), "10",
+					     "Authorization: other\r\n"),
+				"422", "not-run"));
 	}
 	EXPECT_EQ(run_count(), 1u);
 }
 
 /*
- * The caller repeats while the first still runs, then both connections and a
- * third wait for one end. It runs once, and all get its answer.
+ * A request is repeated while the first one still runs. It runs once, and both
+ * callers get the same outcome.
  */
 TEST_F(RequestRouter, RepeatsWaitForTheRunningRequest)
 {
@@ -291,34 +297,43 @@
 	EXPECT_EQ(run_count(), 1u);
 }
 
-/* The upstream runs a payment and dies before it answers: never again. */
+/*
+ * The upstream runs a payment and fails before it answers: the request must
+ * never be run again.
+ */
 TEST_F(RequestRouter, RequestThatMayHaveRunIsUnknownAndNotRetried)
 {
 	reply("", true);
-	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(0), "1"), "504", "unknown"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(0), "1"), "504",
+			    "unknown"));
 	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 	for (int node : { 0, 1, 2 })
-		EXPECT_TRUE(matches(send_request(node, "POST /pay", key(0), "1"), "504",
-				 "unknown", node ? "" : "kept-unknown"));
+		EXPECT_TRUE(
+			matches(send_request(node, "POST /pay", key(0), "1"),
+				"504", "unknown", node ? "" : "kept-unknown"));
 	EXPECT_EQ(run_count(), 1u);
 	EXPECT_TRUE(matches(send_request(2, "POST /pay", ""), "200", "run"));
 }
 
-/* The upstream's own refusals are not runs: the same key may run later. */
+/*
+ * A request that the upstream refused did not run, so the same key may run
+ * later.
+ */
 TEST_F(RequestRouter, RefusedRequestMayRunLaterUnderItsKey)
 {
 	reply("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 	std::string answer = send_request(2, "POST /pay", key(0), "1",
-				 "Auburnstile-Deadline-Ms: 300\r\n");
+					  "Auburnstile-Deadline-Ms: 300\r\n");
 	EXPECT_NE(answer.find("Outcome: not-run"), std::string::npos) << answer;
 	reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 	wait_until([&] {
-		return matches(send_request(2, "POST /pay", key(0), "1"), "200", "run");
+		return matches(send_request(2, "POST /pay", key(0), "1"), "200",
+			       "run");
 	});
 }
 
 /*
- * The caller leaves in the middle of a keyed request. It runs on, and the
+ * The caller disconnects during a keyed request. The request continues, and the
  * repeat gets its answer instead of "unknown".
  */
 TEST_F(RequestRouter, KeyedRequestContinuesAfterCallerDisconnects)
@@ -333,12 +348,15 @@
 	EXPECT_EQ(upstream.closed, 0);
 	upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 	wait_until([&] {
-		return matches(send_request(2, "POST /pay", key(0), "1"), "200", "run");
+		return matches(send_request(2, "POST /pay", key(0), "1"), "200",
+			       "run");
 	});
 	EXPECT_EQ(run_count(), 1u);
 }
 
-/* Any other request is given up with its caller: its slot is free again. */
+/*
+ * A request without a key is cancelled with its caller, which frees its slot.
+ */
 TEST_F(RequestRouter, UnkeyedRequestIsCancelledWhenCallerDisconnects)
 {
 	reply("");
@@ -355,8 +373,9 @@
 }
 
 /*
- * Keys whose keeper is gone, never was, or is no entry at all. Nothing runs,
- * and only what no entry can have run is called not run.
+ * The owner of the key is gone, never existed, or the key names no entry.
+ * Nothing runs, and "not-run" is only answered if no entry can have run the
+ * request.
  */
 TEST_F(RequestRouter, RequestWithUnavailableKeyOwnerNeverRuns)
 {
@@ -364,39 +383,52 @@
 
 	nodes.pop_back();
 	apply_views();
-	EXPECT_TRUE(matches(send_request(0, "POST /pay", gone, "1"), "504", "unknown"));
-	EXPECT_TRUE(matches(send_request(0, "POST /pay", "a.1234.0.5/k"), "504", "unknown",
-			 "keeper-gone"));
-	/* The caller's grant is old: it must ask anew, or lose every request.
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", gone, "1"), "504",
+			    "unknown"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", "a.1234.0.5/k"), "504",
+			    "unknown", "keeper-gone"));
+	/*
+	 * The grant is outdated: the caller must request a new one, or every
+	 * further request would fail.
 	 */
 	EXPECT_NE(send_request(0, "POST /pay", "a.1234.0.5/k")
 			  .find("Auburnstile-Addresses-Stale: 1"),
 		  std::string::npos);
-	EXPECT_TRUE(matches(send_request(0, "POST /pay", "mine"), "400", "not-run",
-			 "key-without-grant"));
-	EXPECT_TRUE(matches(send_request(0, "POST /pay/key", ""), "428", "not-run",
-			 "key-required"));
-	EXPECT_TRUE(matches(send_request(0, "GET /none", ""), "404", "not-run"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", "mine"), "400",
+			    "not-run", "key-without-grant"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay/key", ""), "428",
+			    "not-run", "key-required"));
+	EXPECT_TRUE(
+		matches(send_request(0, "GET /none", ""), "404", "not-run"));
 	EXPECT_EQ(run_count(), 0u);
 }
 
-/* The owner dies: its stand-by takes requests, also from other entries. */
+/*
+ * The owner fails: its stand-by dispatches requests, also those from other
+ * entries.
+ */
 TEST_F(RequestRouter, StandbyTakesOverWhenOwnerIsUnavailable)
 {
 	owner = 2;
 	standby = 1;
 	epoch++;
 	apply_views();
-	wait_until([&] { return matches(send_request(0, "GET /pay/x", ""), "200", "run"); });
+	wait_until([&] {
+		return matches(send_request(0, "GET /pay/x", ""), "200", "run");
+	});
 	nodes.pop_back();
-	wait_until([&] { return matches(send_request(0, "GET /pay/x", ""), "200", "run"); });
-	wait_until([&] { return matches(send_request(1, "GET /pay/x", ""), "200", "run"); });
+	wait_until([&] {
+		return matches(send_request(0, "GET /pay/x", ""), "200", "run");
+	});
+	wait_until([&] {
+		return matches(send_request(1, "GET /pay/x", ""), "200", "run");
+	});
 }
 
 /*
- * The link to the owner swallows bytes: it opens, and nothing ever comes
- * back. What was never taken goes to the stand-by; what only the silent one
- * may run is unknown, within seconds, and runs nowhere else.
+ * The link to an entry can be opened, but the entry never answers. Requests
+ * that it did not receive are dispatched by the stand-by. A request that only
+ * this entry may run ends as unknown within seconds and does not run elsewhere.
  */
 TEST_F(RequestRouter, UnresponsiveEntryIsBypassed)
 {
@@ -408,17 +440,24 @@
 	standby = 1;
 	epoch++;
 	apply_views();
-	wait_until([&] { return matches(send_request(0, "GET /pay/x", ""), "200", "run"); });
-	EXPECT_TRUE(matches(send_request(0, "POST /pay", "", "1"), "200", "run"));
-	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(0), "1"), "200", "run"));
+	wait_until([&] {
+		return matches(send_request(0, "GET /pay/x", ""), "200", "run");
+	});
+	EXPECT_TRUE(
+		matches(send_request(0, "POST /pay", "", "1"), "200", "run"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(0), "1"), "200",
+			    "run"));
 	EXPECT_EQ(run_count(), 2u);
-	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(2), "1"), "504", "unknown",
-			 "keeper-unreachable"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(2), "1"), "504",
+			    "unknown", "keeper-unreachable"));
 	EXPECT_EQ(run_count(), 2u);
 	EXPECT_GT(silent.connections, 0);
 }
 
-/* Views may be late or stale: versions never go back, leave isn't renewed. */
+/*
+ * Views may arrive late or be stale: versions never decrease and such a view
+ * does not renew the lease.
+ */
 TEST_F(RequestRouter, OnlyCurrentViewsRenewTheServingLease)
 {
 	struct aub_entry_view *held = nodes[0]->entry->view;
@@ -434,12 +473,17 @@
 	serve = false;
 	view(*nodes[0]);
 	EXPECT_TRUE(matches(send_request(0, "GET /pay/x", ""), "503", "not-run",
-			 "not-serving"));
-	/* It owns the service by its picture, yet sends callers elsewhere. */
+			    "not-serving"));
+	/*
+	 * By its view it owns the service, yet it directs callers to other
+	 * entries.
+	 */
 	std::string where =
 		send_request(0, "GET /.auburnstile/addresses?service=pay", "");
-	EXPECT_EQ(where.find(loopback_address(nodes[0]->port)), std::string::npos);
-	EXPECT_NE(where.find(loopback_address(nodes[1]->port)), std::string::npos);
+	EXPECT_EQ(where.find(loopback_address(nodes[0]->port)),
+		  std::string::npos);
+	EXPECT_NE(where.find(loopback_address(nodes[1]->port)),
+		  std::string::npos);
 	EXPECT_NE(send_request(0, "GET /pay/x", "").find("Addresses-Stale: 1"),
 		  std::string::npos);
 	serve = true;
@@ -456,14 +500,16 @@
 }
 
 /*
- * The keeper stops in order. Its keys go to an heir: a repeat still gets the
- * kept answer, through any entry, also under a key it never saw.
+ * The key owner stops as planned and its keys are transferred to a successor. A
+ * repeat at any entry still gets the cached answer, and a key that was granted
+ * but never used can still run.
  */
 TEST_F(RequestRouter, PlannedStopTransfersKeysToSuccessor)
 {
 	bool stopped = false;
 
-	EXPECT_TRUE(matches(send_request(2, "POST /pay", key(2), "1"), "200", "run"));
+	EXPECT_TRUE(matches(send_request(2, "POST /pay", key(2), "1"), "200",
+			    "run"));
 	aub_entry_stop(nodes[2]->entry, on_stopped, &stopped);
 	EXPECT_NE(send_request(2, "GET /pay/x", "").find("Addresses-Stale: 1"),
 		  std::string::npos);
@@ -474,16 +520,20 @@
 	std::string seen = key(2);
 	apply_views();
 	for (int node : { 0, 1 })
-		EXPECT_TRUE(
-			matches(send_request(node, "POST /pay", seen, "1"), "200", "run"));
+		EXPECT_TRUE(matches(send_request(node, "POST /pay", seen, "1"),
+				    "200", "run"));
 	EXPECT_EQ(run_count(), 1u);
 	for (int node : { 0, 1 })
-		EXPECT_TRUE(matches(send_request(node, "POST /pay", unseen, "1"), "200",
-				 "run"));
+		EXPECT_TRUE(
+			matches(send_request(node, "POST /pay", unseen, "1"),
+				"200", "run"));
 	EXPECT_EQ(run_count(), 2u);
 }
 
-/* Callers are sent to the owner; nothing else of the project is served. */
+/*
+ * Callers are directed to the owner, and no admin endpoint is reachable by
+ * them.
+ */
 TEST_F(RequestRouter, AddressesListTheOwnerFirst)
 {
 	std::string answer =
@@ -496,8 +546,12 @@
 	EXPECT_NE(send_request(2, "GET /.auburnstile/addresses?path=/pay/x", "")
 			  .find("\"service\":\"pay\""),
 		  std::string::npos);
-	EXPECT_TRUE(matches(send_request(0, "GET /.auburnstile/addresses?service=q", ""),
-			 "404", "not-run"));
-	EXPECT_TRUE(matches(send_request(0, "GET /v1/dispatch", ""), "404", "not-run"));
-	EXPECT_TRUE(matches(send_request(0, "GET /metrics", ""), "404", "not-run"));
+	EXPECT_TRUE(
+		matches(send_request(0, "GET /.auburnstile/addresses?service=q",
+				     ""),
+			"404", "not-run"));
+	EXPECT_TRUE(matches(send_request(0, "GET /v1/dispatch", ""), "404",
+			    "not-run"));
+	EXPECT_TRUE(
+		matches(send_request(0, "GET /metrics", ""), "404", "not-run"));
 }
--- a/tests/test_store_sync.cc
+++ b/tests/test_store_sync.cc
@@ -1,5 +1,5 @@
 /*
- * The copy of the store: listed, watched, shared, and held through absences.
+ * The local copy of the store: listing, watching, sharing changes, and outages.
  */
 #include "gateway_rig.h"
 
@@ -97,7 +97,7 @@
 	}
 };
 
-/* Guards against two watchers of a zone that both ask for each change. */
+/* Two watchers of a zone must not both fetch each change. */
 TEST_F(StoreSyncTest, StandbyWatcherCallsLessOften)
 {
 	guint64 calls[2];
@@ -121,7 +121,7 @@
 	EXPECT_TRUE(has_upstreams(80));
 }
 
-/* Guards against a large fleet whose calls keep a store from returning. */
+/* The retries of a large fleet must not keep the store from recovering. */
 TEST_F(StoreSyncTest, RetriesLessOftenInALargeFleet)
 {
 	fleet = 300;
@@ -136,7 +136,9 @@
 	EXPECT_GE(platform_store_calls(store) - before, 1u);
 }
 
-/* Guards against an old configuration while a store's retry is far off. */
+/*
+ * An old configuration must not stay in use because the next retry is far off.
+ */
 TEST_F(StoreSyncTest, FetchesAnnouncedRevisionImmediatelyWhileStoreFails)
 {
 	fleet = 300;
@@ -203,8 +205,9 @@
 TEST_F(StoreSyncTest, WithholdsRemovalsOfAMassExpiry)
 {
 	/*
-	 * Callers are served throughout. While the store is away most entries
-	 * lapse; they are back within two seconds of its return.
+	 * While the store is unavailable most records expire; they are back
+	 * within two seconds after it recovers. Callers must be served
+	 * throughout.
 	 */
 	for (int i = 0; i < 6; i++)
 		put_upstream("u" + std::to_string(i));
@@ -226,9 +229,9 @@
 TEST_F(StoreSyncTest, ReportsSingleRemovalImmediatelyAfterPartition)
 {
 	/*
-	 * A caller's request must not reach an upstream that left ten seconds
-	 * ago. Only this process was cut off; one entry of six is gone, which
-	 * is no mass lapse, so nothing speaks for keeping it.
+	 * A request must not reach an upstream that left ten seconds ago. Only
+	 * this process was partitioned from the store; one of six records is
+	 * missing, which is no mass expiry, so it is removed immediately.
 	 */
 	for (int i = 0; i < 6; i++)
 		put_upstream("u" + std::to_string(i));
@@ -247,15 +250,14 @@
 	duty = AUB_WATCH_NONE;
 	start();
 	ASSERT_TRUE(has_upstreams(1));
-	run_for(200); /* the listing is checked */
+	run_for(200); /* confirms the listing */
 	put_upstream("u2");
 	run_for(400);
 	EXPECT_EQ(present.size(), 1u);
 	guint64 before = platform_store_calls(store);
-	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
-				aub_store_sync_known_revision(sync,
-						     AUB_STORE_UPSTREAMS) +
-					1);
+	aub_store_sync_announce(
+		sync, AUB_STORE_UPSTREAMS,
+		aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS) + 1);
 	EXPECT_TRUE(has_upstreams(2));
 	EXPECT_EQ(platform_store_calls(store) - before, 1u);
 }
@@ -263,10 +265,10 @@
 TEST_F(StoreSyncTest, DoesNotFetchChangesThatAreShared)
 {
 	/*
-	 * Callers notice nothing; the store is asked hundreds of times. During
-	 * a release something changes several times a second, and each change
-	 * is told of before the zone's watcher passes it on: there is always
-	 * news of something, but never of anything old.
+	 * During a release something changes several times a second, and each
+	 * change is announced before the zone's watcher shares it. There always
+	 * is a newer announced revision but never an overdue one, so the store
+	 * must not be queried; it would be hundreds of times.
 	 */
 	put_upstream("u1");
 	start();
@@ -283,9 +285,9 @@
 	for (int i = 1; i <= 20; i++) {
 		aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
 					known + i + 1);
-		aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, known + i - 1,
-				    known + i, shared[0].data(),
-				    shared[0].size());
+		aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS,
+					    known + i - 1, known + i,
+					    shared[0].data(), shared[0].size());
 		run_for(100);
 	}
 	EXPECT_EQ(platform_store_calls(store) - before, 0u);
@@ -294,9 +296,9 @@
 TEST_F(StoreSyncTest, FetchesChangesMadeDuringListing)
 {
 	/*
-	 * A caller's request must not reach an upstream that left while this
-	 * process listed: its first page is older than a change that a later
-	 * page already holds.
+	 * A request must not reach an upstream that left while this process was
+	 * listing: the first page of the listing is older than a change that a
+	 * later page already contains.
 	 */
 	for (int i = 0; i < 6; i++)
 		put_upstream("u" + std::to_string(i));
@@ -309,7 +311,7 @@
 	put_upstream("u9"); /* in the second page, with the newest revision */
 	ASSERT_TRUE(run_until([&] { return present.count("u9") > 0; }, 1000));
 	EXPECT_TRUE(present.count("u0"));
-	/* Another gateway tells of the newest change. */
+	/* Another gateway announces the newest revision. */
 	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS, 8);
 	EXPECT_TRUE(run_until([&] { return !present.count("u0"); }, 2500));
 }
@@ -317,9 +319,9 @@
 TEST_F(StoreSyncTest, AbandonsAWatchThatReceivesNothing)
 {
 	/*
-	 * Callers are handled by the newest configuration. This process waits
-	 * on a watch that the store no longer feeds; another gateway's
-	 * heartbeat tells of a change.
+	 * The store no longer feeds the open watch, and another gateway's
+	 * heartbeat announces a change. Callers must be served with the newest
+	 * configuration.
 	 */
 	put_upstream("u1");
 	start();
@@ -329,10 +331,9 @@
 	put_upstream("u2");
 	run_for(400);
 	EXPECT_EQ(present.size(), 1u);
-	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
-				aub_store_sync_known_revision(sync,
-						     AUB_STORE_UPSTREAMS) +
-					1);
+	aub_store_sync_announce(
+		sync, AUB_STORE_UPSTREAMS,
+		aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS) + 1);
 	EXPECT_TRUE(has_upstreams(2, 1000));
 }
 
@@ -346,22 +347,23 @@
 	put_upstream("u2");
 	ASSERT_TRUE(has_upstreams(2));
 	ASSERT_EQ(shared.size(), 1u);
-	/* Another process, which does not watch, takes the same bytes. */
+	/* Another process, which does not watch, applies the same bytes. */
 	aub_store_sync_free(sync);
 	present.clear();
 	duty = AUB_WATCH_NONE;
 	platform_store_remove(store, "servers", "u2");
 	start();
 	ASSERT_TRUE(has_upstreams(1));
-	run_for(200); /* the listing is checked */
+	run_for(200); /* confirms the listing */
 	gint64 now = aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
 	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, now + 5, now + 6,
-			    shared[0].data(), shared[0].size());
+				    shared[0].data(), shared[0].size());
 	EXPECT_EQ(present.size(), 1u);
 	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, known, now + 6,
-			    shared[0].data(), shared[0].size());
+				    shared[0].data(), shared[0].size());
 	EXPECT_EQ(present.size(), 2u);
-	EXPECT_EQ(aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS), now + 6);
+	EXPECT_EQ(aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS),
+		  now + 6);
 }
 
 TEST_F(StoreSyncTest, RetriesRegistrationUntilItSucceeds)
