--- a/include/auburnstile/internal/membership_table.h
+++ b/include/auburnstile/internal/membership_table.h
@@ -24,7 +24,7 @@
 	struct aubi_member_record *self; /* borrowed from records */
 	char **seeds;
 	GRand *random;
-	guint picks;
+	guint pick_count;
 	guint64 roster;
 	bool superseded;
 };
--- a/include/auburnstile/internal/relay.h
+++ b/include/auburnstile/internal/relay.h
@@ -24,7 +24,7 @@
 	bool (*is_member)(guint64 incarnation, void *context);
 	/*
 	 * Called for an inbound call; the callee owns `call`. It must call
-	 * aub_relay_answer() exactly once, unless `gone` was called first.
+	 * aub_relay_answer() exactly once, unless `cancelled` was called first.
 	 */
 	void (*arrived)(struct aub_relay_inbound *inbound,
 			struct aub_call *call, void *context);
@@ -32,7 +32,7 @@
 	 * Called when the sender has cancelled or disconnected; `inbound` must
 	 * not be used any more.
 	 */
-	void (*gone)(struct aub_relay_inbound *inbound, void *context);
+	void (*cancelled)(struct aub_relay_inbound *inbound, void *context);
 	/*
 	 * Called for keys sent to this entry; they are acknowledged on return.
 	 */
--- a/include/auburnstile/internal/request_router.h
+++ b/include/auburnstile/internal/request_router.h
@@ -78,7 +78,8 @@
 guint aub_request_router_running_keys(const struct aub_request_router *router);
 
 /* Returns the number of services that this entry owns according to the view. */
-guint aub_request_router_owned(const struct aub_request_router *router);
+guint aub_request_router_owned_services(
+	const struct aub_request_router *router);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/routed_request.h
+++ b/include/auburnstile/internal/routed_request.h
@@ -54,7 +54,7 @@
 	struct request_stats *stats;
 	GHashTable *requests; /* set of struct routed_request */
 	guint64 next_id;
-	guint owned;
+	guint owned_services;
 	guint running_keys; /* keyed requests that run here */
 	bool stopping;
 	bool closed;
--- a/include/auburnstile/internal/store_sync.h
+++ b/include/auburnstile/internal/store_sync.h
@@ -36,9 +36,9 @@
 	 * Returns whether this process watches the store or receives changes
 	 * from gateways that do.
 	 */
-	enum aub_watch_duty (*duty)(void *context);
+	enum aub_watch_duty (*watch_duty)(void *context);
 	/* Returns the number of other processes that share the store. */
-	guint (*fleet)(void *context);
+	guint (*fleet_size)(void *context);
 	/* Called when the first full listing of a kind has been read. */
 	void (*listed)(enum aub_store_kind kind, void *context);
 	void *context;
--- a/include/auburnstile/internal/store_sync_internal.h
+++ b/include/auburnstile/internal/store_sync_internal.h
@@ -14,7 +14,7 @@
 
 enum aub_store_step { AUB_STORE_LIST, AUB_STORE_WATCH };
 
-struct aub_store_task {
+struct aub_store_sync_task {
 	struct aub_store_sync *sync;
 	enum aub_store_kind kind;
 	enum aub_store_step step;
@@ -22,7 +22,7 @@
 	guint timer;
 	gint64 revision;
 	char *next_page; /* token for the next page of a listing */
-	GHashTable *present; /* names that exist */
+	GHashTable *existing_names; /* names that exist */
 	GHashTable *listed_names; /* names in the current listing */
 	/* Names reported as removed, withheld from users. */
 	GHashTable *withheld_removals;
@@ -57,7 +57,7 @@
 struct aub_store_sync {
 	struct aub_store_sync_options options;
 	char *address;
-	struct aub_store_task tasks[AUB_STORE_KINDS];
+	struct aub_store_sync_task tasks[AUB_STORE_KINDS];
 	char *name; /* of the own record; NULL: none */
 	GBytes *record; /* body of the own record */
 	struct aub_http_call *registration_call;
@@ -66,13 +66,13 @@
 };
 
 /* Apply an answer: a page of a listing, or a page of changes. */
-void aub_store_apply_listing(struct aub_store_task *task,
+void aub_store_apply_listing(struct aub_store_sync_task *task,
 			     const struct aub_store_page *page, gint64 now_us);
-void aub_store_apply_changes(struct aub_store_task *task,
+void aub_store_apply_changes(struct aub_store_sync_task *task,
 			     const struct aub_store_page *page, gint64 now_us);
 
 /* Restarts the listing; the caller runs the task. */
-void aub_store_relist(struct aub_store_task *task);
+void aub_store_relist(struct aub_store_sync_task *task);
 
 /* Returns the result of a call as far as the response head shows it. */
 enum aub_store_result aub_store_result_of(enum aub_exchange_end end,
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -138,13 +138,13 @@
  */
 static bool is_applied_already(struct change *change)
 {
-	const struct aub_config *held =
+	const struct aub_config *current =
 		aubi_config_history_current(change->owner->control->history);
 
-	if (!change->client_chosen_id || !held ||
-	    !aub_config_has_change(held, change->change_id))
+	if (!change->client_chosen_id || !current ||
+	    !aub_config_has_change(current, change->change_id))
 		return false;
-	change->version = held->version;
+	change->version = current->version;
 	change->accepted_us = aub_timer_now(change->owner->control->timers);
 	return true;
 }
@@ -205,13 +205,13 @@
 static void change_write(struct change *change)
 {
 	struct aubi_control *control = change->owner->control;
-	const struct aub_config *held =
+	const struct aub_config *current =
 		aubi_config_history_current(control->history);
 	struct aub_config *config;
 	GError *error = NULL;
 	bool edited;
 
-	config = held ? aub_config_copy(held) : aub_config_new();
+	config = current ? aub_config_copy(current) : aub_config_new();
 	edited = change->edit ?
 			 aubi_edit_list(change->edit, change->name,
 					control->inventory, config, &error) :
@@ -339,11 +339,11 @@
  */
 static void change_start(struct change *change)
 {
-	guint64 held = change->owner->control->agreement.config_version;
+	guint64 current = change->owner->control->agreement.config_version;
 
 	if (is_applied_already(change))
 		return;
-	if (change->edit ? held > 0 : change->base_version == held)
+	if (change->edit ? current > 0 : change->base_version == current)
 		change_write(change);
 	else
 		change_read_store(change);
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -125,12 +125,12 @@
 static void pull(struct peer *peer, const struct aub_gossip *received)
 {
 	struct aubi_peers *task = peer->task;
-	const struct aubi_agreement *held = &task->control->agreement;
+	const struct aubi_agreement *agreement = &task->control->agreement;
 	gint64 now_us = now(task);
 	struct aub_config_pull *message;
 
-	if (received->config_version <= held->config_version &&
-	    received->epoch <= held->epoch)
+	if (received->config_version <= agreement->config_version &&
+	    received->epoch <= agreement->epoch)
 		return;
 	if (now_us - task->pulled_us < PULL_TIMEOUT_US &&
 	    received->config_version <= task->pulled_version &&
@@ -141,8 +141,8 @@
 	task->pulled_epoch = received->epoch;
 	message = (struct aub_config_pull *)aub_message_new(
 		AUB_MESSAGE_CONFIG_PULL);
-	message->config_version = held->config_version;
-	message->epoch = held->epoch;
+	message->config_version = agreement->config_version;
+	message->epoch = agreement->epoch;
 	peer_send(peer, &message->base);
 	aub_message_free(&message->base);
 }
--- a/src/coordination/control_store.c
+++ b/src/coordination/control_store.c
@@ -90,7 +90,7 @@
 
 static void set_watching(struct aubi_store_task *task, bool wanted)
 {
-	const struct aubi_agreement *held = &task->control->agreement;
+	const struct aubi_agreement *agreement = &task->control->agreement;
 
 	if (wanted == task->watching)
 		return;
@@ -102,8 +102,8 @@
 	aub_log_info("watching the store");
 	task->watch_requested_us = aub_timer_now(task->control->timers);
 	aub_store_watch_start(task->client, STORE_PREFIX,
-			      MIN(held->config_version, held->epoch), on_watch,
-			      task);
+			      MIN(agreement->config_version, agreement->epoch),
+			      on_watch, task);
 }
 
 static void on_reread(const struct aub_store_object *object,
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -123,7 +123,7 @@
 	aub_request_router_relay_arrived(inbound, call, entry->router);
 }
 
-static void on_relay_gone(struct aub_relay_inbound *inbound, void *context)
+static void on_relay_cancelled(struct aub_relay_inbound *inbound, void *context)
 {
 	struct aub_entry *entry = context;
 
@@ -144,15 +144,16 @@
 	aub_idempotency_acknowledged(entry->idempotency, ack);
 }
 
-static void on_arrived(struct aub_caller_request *request,
-		       struct aub_call *call, void *context)
+static void on_caller_request(struct aub_caller_request *request,
+			      struct aub_call *call, void *context)
 {
 	struct aub_entry *entry = context;
 
 	aub_request_router_caller_arrived(request, call, entry->router);
 }
 
-static void on_gone(struct aub_caller_request *request, void *context)
+static void on_caller_disconnected(struct aub_caller_request *request,
+				   void *context)
 {
 	struct aub_entry *entry = context;
 
@@ -294,7 +295,7 @@
 			.events = entry->events,
 			.is_member = is_member_incarnation,
 			.arrived = on_relay_arrived,
-			.gone = on_relay_gone,
+			.cancelled = on_relay_cancelled,
 			.keys = on_keys,
 			.keys_ack = on_keys_ack,
 			.states = on_states,
@@ -320,8 +321,8 @@
 			.body_ms = BODY_TIMEOUT_MS,
 			.write_ms = WRITE_TIMEOUT_MS,
 			.timers = entry->timers,
-			.arrived = on_arrived,
-			.gone = on_gone,
+			.arrived = on_caller_request,
+			.gone = on_caller_disconnected,
 			.body_limit = body_limit,
 			.addresses = addresses,
 			.context = entry,
--- a/src/coordination/entry_shutdown.c
+++ b/src/coordination/entry_shutdown.c
@@ -52,7 +52,7 @@
 
 static bool services_released(const struct aub_entry *entry, gint64 now_us)
 {
-	return !aub_request_router_owned(entry->router) &&
+	return !aub_request_router_owned_services(entry->router) &&
 	       now_us - entry->phase_started_us >= CALLER_NOTICE_US;
 }
 
@@ -99,7 +99,7 @@
 	case ENTRY_CLOSING:
 		if (is_idle(entry) && aub_entry_view_flushed(entry->view) &&
 		    now_us - entry->phase_started_us >= 2 * TICK_INTERVAL_US)
-			finish_stop(entry, "stop complete");
+			finish_stop(entry, "all requests finished");
 		break;
 	case ENTRY_RUNNING:
 	case ENTRY_TRANSFERRING_KEYS:
--- a/src/coordination/idempotency.c
+++ b/src/coordination/idempotency.c
@@ -27,7 +27,8 @@
 	struct aub_idempotency_options options;
 	struct aub_key_table *table;
 	GHashTable *waiters; /* key -> GArray of struct waiter */
-	GHashTable *adopted; /* set of incarnations whose keys were imported */
+	GHashTable *imported_from; /* set of incarnations whose keys were
+				      imported */
 
 	/* State of the transfer, once it has begun. */
 	struct aub_relay *relay;
@@ -68,7 +69,7 @@
 		aub_key_table_new(options->max_bytes, options->retention_us);
 	idempotency->waiters = g_hash_table_new_full(g_str_hash, g_str_equal,
 						     g_free, waiters_free);
-	idempotency->adopted =
+	idempotency->imported_from =
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 				      NULL);
 	idempotency->tried = g_hash_table_new_full(g_int64_hash, g_int64_equal,
@@ -84,7 +85,7 @@
 	g_clear_pointer(&idempotency->records, g_ptr_array_unref);
 	aub_key_table_free(idempotency->table);
 	g_hash_table_unref(idempotency->waiters);
-	g_hash_table_unref(idempotency->adopted);
+	g_hash_table_unref(idempotency->imported_from);
 	g_hash_table_unref(idempotency->tried);
 	g_free(idempotency);
 }
@@ -103,7 +104,8 @@
 			incarnation = idempotency->successor;
 			continue;
 		}
-		if (g_hash_table_contains(idempotency->adopted, &incarnation)) {
+		if (g_hash_table_contains(idempotency->imported_from,
+					  &incarnation)) {
 			incarnation = idempotency->options.incarnation;
 			continue;
 		}
@@ -267,7 +269,7 @@
 				     keys->records->pdata[i], now(idempotency));
 	record_keys_event(idempotency, keys->records->len, "taken over");
 	if (keys->last)
-		g_hash_table_add(idempotency->adopted,
+		g_hash_table_add(idempotency->imported_from,
 				 g_memdup2(&keys->incarnation,
 					   sizeof(keys->incarnation)));
 }
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -364,9 +364,9 @@
 				record->member->control_address);
 	}
 	add_seeds(membership, unreachable, now_us);
-	membership->picks++;
+	membership->pick_count++;
 	if (!live->len || (unreachable->len &&
-			   membership->picks % LOST_PEER_PICK_PERIOD == 0))
+			   membership->pick_count % LOST_PEER_PICK_PERIOD == 0))
 		from = unreachable;
 	if (from->len)
 		address = from->pdata[g_rand_int_range(membership->random, 0,
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -51,7 +51,7 @@
 
 struct aub_relay_call {
 	struct peer *peer;
-	struct aub_call *call; /* borrowed */
+	struct aub_call *message; /* borrowed */
 	guint64 id;
 	bool written;
 	guint fail_source; /* idle source that fails the call */
@@ -165,7 +165,7 @@
 static void write_call(struct aub_relay_call *call)
 {
 	call->written = true;
-	aub_link_send(call->peer->link, &call->call->base);
+	aub_link_send(call->peer->link, &call->message->base);
 }
 
 static void on_peer_up(struct aub_link *link, const struct aub_hello *hello,
@@ -287,7 +287,7 @@
 	g_assert(!g_hash_table_contains(peer->calls, &message->id));
 	call = g_new0(struct aub_relay_call, 1);
 	call->peer = peer;
-	call->call = message;
+	call->message = message;
 	call->id = message->id;
 	call->callback = callback;
 	call->context = context;
--- a/src/coordination/relay_listener.c
+++ b/src/coordination/relay_listener.c
@@ -45,7 +45,7 @@
 	struct aub_relay_listener *listener = inbound->inbound_link->listener;
 
 	g_hash_table_remove(inbound->inbound_link->inbound, &inbound->id);
-	listener->options->gone(inbound, listener->options->context);
+	listener->options->cancelled(inbound, listener->options->context);
 	g_free(inbound);
 }
 
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -465,7 +465,7 @@
 	guint64 self = router->options.hello->incarnation;
 
 	if (assignment->owner_incarnation == self) {
-		router->owned++;
+		router->owned_services++;
 		standby =
 			aub_entry_view_member(router->options.view,
 					      assignment->standby_incarnation);
@@ -479,7 +479,7 @@
 
 void aub_request_router_update_roles(struct aub_request_router *router)
 {
-	router->owned = 0;
+	router->owned_services = 0;
 	aub_relay_unwatch_all(router->relay);
 	aub_entry_view_assignments(router->options.view, update_role, router);
 }
@@ -549,7 +549,7 @@
 	return router->running_keys;
 }
 
-guint aub_request_router_owned(const struct aub_request_router *router)
+guint aub_request_router_owned_services(const struct aub_request_router *router)
 {
-	return router->owned;
+	return router->owned_services;
 }
--- a/src/coordination/store_changes.c
+++ b/src/coordination/store_changes.c
@@ -16,20 +16,20 @@
 /* More than 1/3 removed together: mass expiry. */
 #define MASS_EXPIRY_DIVISOR 3
 
-static void report_removed(struct aub_store_task *task, const char *name)
+static void report_removed(struct aub_store_sync_task *task, const char *name)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 	struct aub_record *record = aub_record_new(name);
 
 	record->removed = true;
-	g_hash_table_remove(task->present, name);
+	g_hash_table_remove(task->existing_names, name);
 	options->changed(task->kind, record, options->context);
 	aub_record_free(record);
 }
 
 static void report_withheld_removals(void *context, gint64 now_us)
 {
-	struct aub_store_task *task = context;
+	struct aub_store_sync_task *task = context;
 	GList *names = g_hash_table_get_keys(task->withheld_removals);
 
 	task->removal_timer = 0;
@@ -47,19 +47,21 @@
  * Returns true if `removed` simultaneous removals indicate a mass expiry rather
  * than upstreams that departed.
  */
-static bool is_mass_expiry(const struct aub_store_task *task, guint removed)
+static bool is_mass_expiry(const struct aub_store_sync_task *task,
+			   guint removed)
 {
 	return task->kind == AUB_STORE_UPSTREAMS &&
-	       removed * MASS_EXPIRY_DIVISOR > g_hash_table_size(task->present);
+	       removed * MASS_EXPIRY_DIVISOR >
+		       g_hash_table_size(task->existing_names);
 }
 
-static void apply_removal(struct aub_store_task *task, const char *name,
+static void apply_removal(struct aub_store_sync_task *task, const char *name,
 			  bool mass_expiry, gint64 now_us)
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
 	gint64 until = task->recovered_us + MASS_EXPIRY_HOLD_US;
 
-	if (!g_hash_table_contains(task->present, name))
+	if (!g_hash_table_contains(task->existing_names, name))
 		return;
 	if (!mass_expiry || !task->recovered_us || now_us >= until) {
 		report_removed(task, name);
@@ -72,8 +74,9 @@
 				     report_withheld_removals, task);
 }
 
-static void apply_record(struct aub_store_task *task, struct aub_record *record,
-			 bool mass_expiry, gint64 now_us)
+static void apply_record(struct aub_store_sync_task *task,
+			 struct aub_record *record, bool mass_expiry,
+			 gint64 now_us)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 
@@ -82,11 +85,11 @@
 		return;
 	}
 	g_hash_table_remove(task->withheld_removals, record->name);
-	g_hash_table_add(task->present, g_strdup(record->name));
+	g_hash_table_add(task->existing_names, g_strdup(record->name));
 	options->changed(task->kind, record, options->context);
 }
 
-static void report_listed(struct aub_store_task *task)
+static void report_listed(struct aub_store_sync_task *task)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 
@@ -101,9 +104,9 @@
  * from: processes that watch receive all later changes, and the others learn
  * from heartbeats that they are behind.
  */
-static void finish_listing(struct aub_store_task *task, gint64 now_us)
+static void finish_listing(struct aub_store_sync_task *task, gint64 now_us)
 {
-	GList *names = g_hash_table_get_keys(task->present);
+	GList *names = g_hash_table_get_keys(task->existing_names);
 	GPtrArray *missing = g_ptr_array_new_with_free_func(g_free);
 
 	for (GList *link = names; link; link = link->next)
@@ -128,7 +131,7 @@
  * answer's revision is used. Revisions above `max_revision` are ignored: later
  * pages of a listing may contain changes that are newer than its first page.
  */
-static void update_revisions(struct aub_store_task *task,
+static void update_revisions(struct aub_store_sync_task *task,
 			     const struct aub_store_page *page,
 			     gint64 max_revision)
 {
@@ -150,7 +153,7 @@
  * The revision of a listing is that of its first page; later changes are
  * received by the watch.
  */
-void aub_store_apply_listing(struct aub_store_task *task,
+void aub_store_apply_listing(struct aub_store_sync_task *task,
 			     const struct aub_store_page *page, gint64 now_us)
 {
 	if (!task->next_page)
@@ -179,7 +182,7 @@
 	return count;
 }
 
-void aub_store_apply_changes(struct aub_store_task *task,
+void aub_store_apply_changes(struct aub_store_sync_task *task,
 			     const struct aub_store_page *page, gint64 now_us)
 {
 	bool mass_expiry = is_mass_expiry(task, count_removed(page));
@@ -196,7 +199,7 @@
 			task->announced_revision;
 }
 
-void aub_store_relist(struct aub_store_task *task)
+void aub_store_relist(struct aub_store_sync_task *task)
 {
 	task->step = AUB_STORE_LIST;
 	task->consistent_listing = task->listing_unconfirmed;
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -88,17 +88,17 @@
 	sync->results[kind][result]++;
 }
 
-static void run_task(struct aub_store_task *task);
+static void run_task(struct aub_store_sync_task *task);
 
 static void on_task_timer(void *context, gint64 now_us)
 {
-	struct aub_store_task *task = context;
+	struct aub_store_sync_task *task = context;
 
 	task->timer = 0;
 	run_task(task);
 }
 
-static void schedule_task(struct aub_store_task *task, gint64 in_us)
+static void schedule_task(struct aub_store_sync_task *task, gint64 in_us)
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
 
@@ -108,7 +108,7 @@
 			     on_task_timer, task);
 }
 
-static void log_store_event(const struct aub_store_task *task,
+static void log_store_event(const struct aub_store_sync_task *task,
 			    enum aub_log_event event, const char *why,
 			    gint64 age_us)
 {
@@ -124,7 +124,7 @@
  * Returns true for the one kind that checks whether a failing store has
  * recovered, because calls are costly.
  */
-static bool is_recovery_probe(const struct aub_store_task *task)
+static bool is_recovery_probe(const struct aub_store_sync_task *task)
 {
 	for (guint i = 0; i < (guint)task->kind; i++)
 		if (task->sync->tasks[i].failing)
@@ -136,14 +136,14 @@
 static void retry_failing_tasks(struct aub_store_sync *sync)
 {
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
-		struct aub_store_task *task = &sync->tasks[i];
+		struct aub_store_sync_task *task = &sync->tasks[i];
 
 		if (task->failing && !task->call && !task->timer)
 			schedule_task(task, 0);
 	}
 }
 
-static void store_answered(struct aub_store_task *task, gint64 now_us)
+static void store_answered(struct aub_store_sync_task *task, gint64 now_us)
 {
 	if (task->failing) {
 		task->recovered_us = now_us;
@@ -163,15 +163,16 @@
  * gateway that was refused has retried before it stops counting as current. A
  * revision announced by others is fetched immediately nevertheless.
  */
-static gint64 retry_max_us(const struct aub_store_task *task)
+static gint64 retry_max_us(const struct aub_store_sync_task *task)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
-	gint64 us = options->fleet(options->context) * RETRY_PER_GATEWAY_US;
+	gint64 us =
+		options->fleet_size(options->context) * RETRY_PER_GATEWAY_US;
 
 	return CLAMP(us, AUB_STORE_RETRY_MAX_US, RETRY_LARGE_FLEET_MAX_US);
 }
 
-static void store_failed(struct aub_store_task *task, const char *why)
+static void store_failed(struct aub_store_sync_task *task, const char *why)
 {
 	gint64 now = aub_timer_now(task->sync->options.timers);
 
@@ -189,17 +190,17 @@
 	task->retry_us = MIN(task->retry_us * 2, retry_max_us(task));
 }
 
-static void await_announced(struct aub_store_task *task);
+static void await_announced(struct aub_store_sync_task *task);
 
-static enum aub_watch_duty duty(const struct aub_store_task *task)
+static enum aub_watch_duty duty(const struct aub_store_sync_task *task)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
 
-	return options->duty(options->context);
+	return options->watch_duty(options->context);
 }
 
 /* Changes that occur close together are collected before the next call. */
-static void schedule_next_watch(struct aub_store_task *task, guint changes)
+static void schedule_next_watch(struct aub_store_sync_task *task, guint changes)
 {
 	bool behind = task->overdue_revision > task->known_revision;
 	bool standby = duty(task) == AUB_WATCH_STANDBY;
@@ -210,7 +211,7 @@
 	schedule_task(task, changes || behind ? pause_us : 0);
 }
 
-static void apply_page(struct aub_store_task *task, const char *body,
+static void apply_page(struct aub_store_sync_task *task, const char *body,
 		       gsize length)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
@@ -250,7 +251,7 @@
 		      const struct aub_http_head *head, const char *body,
 		      gsize length, void *context)
 {
-	struct aub_store_task *task = context;
+	struct aub_store_sync_task *task = context;
 	enum aub_store_result result = aub_store_result_of(end, head);
 
 	task->call = NULL;
@@ -276,7 +277,7 @@
 }
 
 /* Members are read once; later changes are learnt from heartbeats. */
-static bool is_followed(const struct aub_store_task *task)
+static bool is_followed(const struct aub_store_sync_task *task)
 {
 	return task->kind != AUB_STORE_MEMBERS &&
 	       (task->kind != AUB_STORE_ROLLOUTS ||
@@ -287,7 +288,7 @@
  * For rollout orders one watcher per zone suffices, because heartbeats report
  * them as well.
  */
-static bool may_watch(const struct aub_store_task *task)
+static bool may_watch(const struct aub_store_sync_task *task)
 {
 	enum aub_watch_duty now = duty(task);
 
@@ -296,7 +297,7 @@
 	return is_followed(task) && now != AUB_WATCH_NONE;
 }
 
-static guint watch_ms(const struct aub_store_task *task)
+static guint watch_ms(const struct aub_store_sync_task *task)
 {
 	if (task->kind == AUB_STORE_ROLLOUTS)
 		return ROLLOUTS_WATCH_WAIT_MS;
@@ -304,7 +305,7 @@
 						 WATCH_WAIT_MS;
 }
 
-static void run_task(struct aub_store_task *task)
+static void run_task(struct aub_store_sync_task *task)
 {
 	struct aub_store_sync *sync = task->sync;
 	const struct aub_platform *platform = sync->options.platform;
@@ -351,13 +352,14 @@
 	sync->options = *options;
 	sync->address = g_strdup(options->address);
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
-		struct aub_store_task *task = &sync->tasks[i];
+		struct aub_store_sync_task *task = &sync->tasks[i];
 
 		task->sync = sync;
 		task->kind = (enum aub_store_kind)i;
 		task->retry_us = AUB_STORE_RETRY_MIN_US;
-		task->present = g_hash_table_new_full(g_str_hash, g_str_equal,
-						      g_free, NULL);
+		task->existing_names =
+			g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					      NULL);
 		task->listed_names =
 			g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					      NULL);
@@ -375,13 +377,13 @@
 	if (!sync)
 		return;
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
-		struct aub_store_task *task = &sync->tasks[i];
+		struct aub_store_sync_task *task = &sync->tasks[i];
 
 		aub_http_call_cancel(task->call);
 		aub_timer_cancel(sync->options.timers, task->timer);
 		aub_timer_cancel(sync->options.timers, task->removal_timer);
 		aub_timer_cancel(sync->options.timers, task->announced_timer);
-		g_hash_table_unref(task->present);
+		g_hash_table_unref(task->existing_names);
 		g_hash_table_unref(task->listed_names);
 		g_hash_table_unref(task->withheld_removals);
 		g_free(task->next_page);
@@ -396,7 +398,7 @@
 
 void aub_store_sync_list_members(struct aub_store_sync *sync)
 {
-	struct aub_store_task *task = &sync->tasks[AUB_STORE_MEMBERS];
+	struct aub_store_sync_task *task = &sync->tasks[AUB_STORE_MEMBERS];
 
 	if (task->call || task->timer)
 		return;
@@ -419,7 +421,7 @@
  */
 static void on_announced_overdue(void *context, gint64 now_us)
 {
-	struct aub_store_task *task = context;
+	struct aub_store_sync_task *task = context;
 
 	task->announced_timer = 0;
 	if (task->awaited_revision <= task->known_revision) {
@@ -440,7 +442,7 @@
 	run_task(task);
 }
 
-static void await_announced(struct aub_store_task *task)
+static void await_announced(struct aub_store_sync_task *task)
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
 
@@ -457,7 +459,7 @@
 void aub_store_sync_announce(struct aub_store_sync *sync,
 			     enum aub_store_kind kind, gint64 revision)
 {
-	struct aub_store_task *task = &sync->tasks[kind];
+	struct aub_store_sync_task *task = &sync->tasks[kind];
 
 	if (revision <= task->announced_revision)
 		return;
@@ -469,7 +471,7 @@
 				 enum aub_store_kind kind, gint64 after,
 				 gint64 until, const char *body, gsize length)
 {
-	struct aub_store_task *task = &sync->tasks[kind];
+	struct aub_store_sync_task *task = &sync->tasks[kind];
 	struct aub_store_page *page;
 
 	if (!task->listed || task->step != AUB_STORE_WATCH ||
@@ -490,7 +492,7 @@
 void aub_store_sync_check_watch_duty(struct aub_store_sync *sync)
 {
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
-		struct aub_store_task *task = &sync->tasks[i];
+		struct aub_store_sync_task *task = &sync->tasks[i];
 
 		if (is_followed(task) && !task->call && !task->timer &&
 		    (!task->failing || is_recovery_probe(task)))
@@ -510,7 +512,7 @@
 	gint64 longest = 0;
 
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
-		const struct aub_store_task *task = &sync->tasks[i];
+		const struct aub_store_sync_task *task = &sync->tasks[i];
 
 		if (i != AUB_STORE_MEMBERS && task->failing)
 			longest = MAX(longest, now - task->failing_since_us);
--- a/tests/test_request_router.cc
+++ b/tests/test_request_router.cc
@@ -142,7 +142,7 @@
 		       loopback_address(upstream.port) + "\" }]\n";
 	}
 
-	void view(EntryNode &node)
+	void apply_view(EntryNode &node)
 	{
 		struct aub_view *view =
 			(struct aub_view *)aub_message_new(AUB_MESSAGE_VIEW);
@@ -193,7 +193,7 @@
 	void apply_views()
 	{
 		for (auto &node : nodes)
-			view(*node);
+			apply_view(*node);
 	}
 
 	static std::string request(const std::string &line,
@@ -379,12 +379,12 @@
  */
 TEST_F(RequestRouter, RequestWithUnavailableKeyOwnerNeverRuns)
 {
-	std::string gone = key(2);
+	std::string departed_key = key(2);
 
 	nodes.pop_back();
 	apply_views();
-	EXPECT_TRUE(matches(send_request(0, "POST /pay", gone, "1"), "504",
-			    "unknown"));
+	EXPECT_TRUE(matches(send_request(0, "POST /pay", departed_key, "1"),
+			    "504", "unknown"));
 	EXPECT_TRUE(matches(send_request(0, "POST /pay", "a.1234.0.5/k"), "504",
 			    "unknown", "keeper-gone"));
 	/*
@@ -432,10 +432,10 @@
  */
 TEST_F(RequestRouter, UnresponsiveEntryIsBypassed)
 {
-	Peer silent;
+	Peer unresponsive;
 
-	silent.script = [](const std::string &) { return PeerReply{}; };
-	node_c_address = loopback_address(silent.port);
+	unresponsive.script = [](const std::string &) { return PeerReply{}; };
+	node_c_address = loopback_address(unresponsive.port);
 	owner = 2;
 	standby = 1;
 	epoch++;
@@ -451,7 +451,7 @@
 	EXPECT_TRUE(matches(send_request(0, "POST /pay", key(2), "1"), "504",
 			    "unknown", "keeper-unreachable"));
 	EXPECT_EQ(run_count(), 2u);
-	EXPECT_GT(silent.connections, 0);
+	EXPECT_GT(unresponsive.connections, 0);
 }
 
 /*
@@ -460,18 +460,18 @@
  */
 TEST_F(RequestRouter, OnlyCurrentViewsRenewTheServingLease)
 {
-	struct aub_entry_view *held = nodes[0]->entry->view;
+	struct aub_entry_view *entry_view = nodes[0]->entry->view;
 
 	config_version = 5;
 	epoch = 5;
-	view(*nodes[0]);
+	apply_view(*nodes[0]);
 	config_version = 3;
 	epoch = 4;
-	view(*nodes[0]);
-	EXPECT_EQ(aub_entry_view_config_version(held), 5u);
-	EXPECT_EQ(aub_entry_view_epoch(held), 5u);
+	apply_view(*nodes[0]);
+	EXPECT_EQ(aub_entry_view_config_version(entry_view), 5u);
+	EXPECT_EQ(aub_entry_view_epoch(entry_view), 5u);
 	serve = false;
-	view(*nodes[0]);
+	apply_view(*nodes[0]);
 	EXPECT_TRUE(matches(send_request(0, "GET /pay/x", ""), "503", "not-run",
 			    "not-serving"));
 	/*
@@ -487,11 +487,11 @@
 	EXPECT_NE(send_request(0, "GET /pay/x", "").find("Addresses-Stale: 1"),
 		  std::string::npos);
 	serve = true;
-	view(*nodes[0]);
-	EXPECT_FALSE(aub_entry_view_serving(held));
+	apply_view(*nodes[0]);
+	EXPECT_FALSE(aub_entry_view_serving(entry_view));
 	config_version = epoch = 5;
-	view(*nodes[0]);
-	EXPECT_TRUE(aub_entry_view_serving(held));
+	apply_view(*nodes[0]);
+	EXPECT_TRUE(aub_entry_view_serving(entry_view));
 }
 
 static void on_stopped(void *context)
@@ -516,17 +516,18 @@
 	wait_until([&] { return stopped; });
 	EXPECT_NE(nodes[2]->entry->successor, 0u);
 	successors[2] = nodes[2]->entry->successor;
-	std::string unseen = key(2, "unseen");
-	std::string seen = key(2);
+	std::string unused_key = key(2, "unseen");
+	std::string used_key = key(2);
 	apply_views();
-	for (int node : { 0, 1 })
-		EXPECT_TRUE(matches(send_request(node, "POST /pay", seen, "1"),
-				    "200", "run"));
-	EXPECT_EQ(run_count(), 1u);
 	for (int node : { 0, 1 })
 		EXPECT_TRUE(
-			matches(send_request(node, "POST /pay", unseen, "1"),
+			matches(send_request(node, "POST /pay", used_key, "1"),
 				"200", "run"));
+	EXPECT_EQ(run_count(), 1u);
+	for (int node : { 0, 1 })
+		EXPECT_TRUE(matches(send_request(node, "POST /pay", unused_key,
+						 "1"),
+				    "200", "run"));
 	EXPECT_EQ(run_count(), 2u);
 }
 
--- a/tests/test_store_sync.cc
+++ b/tests/test_store_sync.cc
@@ -67,11 +67,11 @@
 			.changed = on_changed,
 			.batch_done = [](void *) {},
 			.share = on_share,
-			.duty =
+			.watch_duty =
 				[](void *context) {
 					return ((StoreSyncTest *)context)->duty;
 				},
-			.fleet =
+			.fleet_size =
 				[](void *context) {
 					return ((StoreSyncTest *)context)
 						->fleet;
