--- a/include/auburnstile/internal/dispatch_probes.h
+++ b/include/auburnstile/internal/dispatch_probes.h
@@ -12,8 +12,8 @@
 struct aub_probe_report {
 	const char *service;
 	const char *upstream;
-	const struct aub_inventory
-		*inventory; /* the one at the time of sending */
+	/* The one at the time of sending. */
+	const struct aub_inventory *inventory;
 	bool answered;
 	const struct aub_upstream_signs *signs;
 	guint32 busy; /* concurrent requests, as reported by the upstream */
--- a/include/auburnstile/internal/request_router.h
+++ b/include/auburnstile/internal/request_router.h
@@ -15,8 +15,8 @@
 struct aub_request_router;
 
 struct aub_request_router_options {
-	const struct aub_hello
-		*hello; /* of this entry; all pointers are borrowed */
+	/* Of this entry; all pointers are borrowed. */
+	const struct aub_hello *hello;
 	struct aub_entry_view *view;
 	struct aub_idempotency *idempotency;
 	struct aub_dispatch_task *dispatch;
@@ -38,8 +38,8 @@
 /* Callbacks for the caller server and the relay; the context is the router. */
 void aub_request_router_caller_arrived(struct aub_caller_request *caller,
 				       struct aub_call *call, void *context);
-void aub_request_router_caller_gone(struct aub_caller_request *caller,
-				    void *context);
+void aub_request_router_caller_disconnected(struct aub_caller_request *caller,
+					    void *context);
 void aub_request_router_relay_arrived(struct aub_relay_inbound *inbound,
 				      struct aub_call *call, void *context);
 void aub_request_router_relay_cancelled(struct aub_relay_inbound *inbound,
--- a/include/auburnstile/internal/routed_request.h
+++ b/include/auburnstile/internal/routed_request.h
@@ -26,15 +26,17 @@
 struct routed_request {
 	struct aub_request_router *router;
 	struct aub_call *call; /* owned */
-	struct aub_caller_request
-		*caller; /* one of these two is set, or neither */
-	struct aub_relay_inbound
-		*inbound; /* once the caller has disconnected */
+	/*
+	 * One of these two is set, or neither once the caller has
+	 * disconnected.
+	 */
+	struct aub_caller_request *caller;
+	struct aub_relay_inbound *inbound;
 	enum routed_request_stage stage;
 	bool holds_key; /* its key is marked as running at this entry */
 	bool may_have_run; /* the outcome of an earlier attempt is unknown */
 	bool forwarded; /* received from another entry */
-	/* And addressed to this entry as the service's owner. */
+	/* Sent to this entry because it is the service's owner. */
 	bool addressed_to_owner;
 	bool standby_tried;
 	bool key_owner_lost; /* its grant names an entry that is unavailable */
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -35,8 +35,8 @@
 	guint64 id;
 	bool once;
 	GPtrArray *attempts; /* of struct attempt, still open */
-	struct aub_answer
-		*answers[2]; /* complete answers, awaiting a decision */
+	/* Complete answers, awaiting a decision. */
+	struct aub_answer *answers[2];
 	guint32 answer_attempts[2];
 	aub_dispatch_callback *callback;
 	void *context;
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -157,7 +157,7 @@
 {
 	struct aub_entry *entry = context;
 
-	aub_request_router_caller_gone(request, entry->router);
+	aub_request_router_caller_disconnected(request, entry->router);
 }
 
 static guint32 body_limit(const char *path, void *context)
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -422,8 +422,8 @@
 	request_free(request);
 }
 
-void aub_request_router_caller_gone(struct aub_caller_request *caller,
-				    void *context)
+void aub_request_router_caller_disconnected(struct aub_caller_request *caller,
+					    void *context)
 {
 	abandon(aub_caller_request_data(caller));
 }
