--- a/include/auburnstile/internal/control.h
+++ b/include/auburnstile/internal/control.h
@@ -87,7 +87,7 @@
 void aubi_control_free(struct aubi_control *control);
 
 /* Begins the planned stop; sets `finished` when it is complete. */
-void aubi_control_leave(struct aubi_control *control);
+void aubi_control_stop(struct aubi_control *control);
 
 /*
  * Adopts a newer object received from `source` ("store", or the name of a
--- a/include/auburnstile/internal/store_sync_internal.h
+++ b/include/auburnstile/internal/store_sync_internal.h
@@ -75,10 +75,11 @@
 void aub_store_relist(struct aub_store_sync_task *task);
 
 /* Returns the result of a call as far as the response head shows it. */
-enum aub_store_result aub_store_result_of(enum aub_exchange_end end,
-					  const struct aub_http_head *head);
-void aub_store_count(struct aub_store_sync *sync, enum aub_store_kind kind,
-		     enum aub_store_result result);
+enum aub_store_result aub_store_result_from_head(
+	enum aub_exchange_end end, const struct aub_http_head *head);
+void aub_store_count_result(struct aub_store_sync *sync,
+			    enum aub_store_kind kind,
+			    enum aub_store_result result);
 
 G_END_DECLS
 
--- a/programs/auburnstile-control.c
+++ b/programs/auburnstile-control.c
@@ -41,7 +41,7 @@
 
 static gboolean on_terminate(void *context)
 {
-	aubi_control_leave(context);
+	aubi_control_stop(context);
 	return G_SOURCE_CONTINUE;
 }
 
--- a/src/coordination/assignments.c
+++ b/src/coordination/assignments.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#define STEP "read assignments"
+#define ERROR_STEP "read assignments"
 
 struct aubi_assignments *aubi_assignments_new(void)
 {
@@ -71,7 +71,8 @@
 						guint64 version, GError **error)
 {
 	struct aubi_assignments *assignments = NULL;
-	JsonObject *root = aub_json_parse(json, length, STEP, NULL, error);
+	JsonObject *root =
+		aub_json_parse(json, length, ERROR_STEP, NULL, error);
 	JsonArray *lines;
 	guint i;
 
@@ -79,7 +80,7 @@
 		return NULL;
 	lines = aub_json_array(root, "assignments");
 	if (!lines) {
-		aub_error_set(error, AUB_ERROR_INVALID, STEP, NULL,
+		aub_error_set(error, AUB_ERROR_INVALID, ERROR_STEP, NULL,
 			      "no list of assignments");
 		goto out;
 	}
--- a/src/coordination/control.c
+++ b/src/coordination/control.c
@@ -230,7 +230,7 @@
 	aubi_control_members_changed(control);
 }
 
-void aubi_control_leave(struct aubi_control *control)
+void aubi_control_stop(struct aubi_control *control)
 {
 	gint64 now_us = aub_timer_now(control->timers);
 
@@ -250,7 +250,7 @@
  * Waits until other members own the services and the entry has stopped, then
  * announces the state STOPPED to peers and finishes.
  */
-static void leave_tick(struct aubi_control *control, gint64 now_us)
+static void advance_stop(struct aubi_control *control, gint64 now_us)
 {
 	bool entry = aubi_entry_task_connected(control->entry);
 	bool control_only =
@@ -284,7 +284,7 @@
 	aubi_entry_task_tick(control->entry, now_us);
 	aubi_config_changes_tick(control->changes, now_us);
 	if (control->leaving)
-		leave_tick(control, now_us);
+		advance_stop(control, now_us);
 }
 
 static void on_metrics(void *context, gint64 now_us)
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -21,7 +21,7 @@
 /* Lets peers report before the answer. */
 #define ANSWER_DELAY_US ((gint64)300000)
 #define WRITE_ATTEMPTS_MAX 5 /* for a change that is rebased automatically */
-#define STEP "apply change"
+#define ERROR_STEP "apply change"
 
 struct change {
 	struct aubi_config_changes *owner;
@@ -74,7 +74,7 @@
 {
 	GError *error = NULL;
 
-	aub_error_set(&error, code, STEP, NULL, "%s", text);
+	aub_error_set(&error, code, ERROR_STEP, NULL, "%s", text);
 	change_fail(change, error);
 	g_error_free(error);
 }
@@ -87,7 +87,7 @@
 	JsonObject *error = json_object_new();
 
 	json_object_set_string_member(error, "code", "conflict");
-	json_object_set_string_member(error, "step", STEP);
+	json_object_set_string_member(error, "step", ERROR_STEP);
 	json_object_set_string_member(error, "peer", "");
 	json_object_set_string_member(error, "message",
 				      "the configuration has changed since "
@@ -297,7 +297,7 @@
 {
 	GError *error = NULL;
 
-	aub_error_set(&error, AUB_ERROR_AMBIGUOUS, STEP, NULL,
+	aub_error_set(&error, AUB_ERROR_AMBIGUOUS, ERROR_STEP, NULL,
 		      "written as version %" G_GUINT64_FORMAT
 		      ", change %s, but no majority of the members is known "
 		      "to hold it: until then it is only in effect at members "
@@ -363,7 +363,7 @@
 	text = aub_admin_body(request, &length);
 	if (!length)
 		return json_object_new();
-	body = aub_json_parse(text, length, STEP, NULL, &error);
+	body = aub_json_parse(text, length, ERROR_STEP, NULL, &error);
 	if (!body) {
 		aub_admin_fail(request, error);
 		g_error_free(error);
--- a/src/coordination/control_edit.c
+++ b/src/coordination/control_edit.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-#define STEP "apply change"
+#define ERROR_STEP "apply change"
 
 static bool zone_exists(const struct aub_inventory *inventory, const char *name)
 {
@@ -96,7 +96,7 @@
 	int index = list_index(list, name);
 
 	if (!inventory || (index < 0 && !edit->exists(inventory, name))) {
-		aub_error_set(error, AUB_ERROR_NOT_FOUND, STEP, name,
+		aub_error_set(error, AUB_ERROR_NOT_FOUND, ERROR_STEP, name,
 			      "not in the inventory's %s", edit->kind);
 		return false;
 	}
--- a/src/coordination/control_metrics.c
+++ b/src/coordination/control_metrics.c
@@ -5,7 +5,7 @@
 #include <sys/resource.h>
 #include <unistd.h>
 
-#define MICROSECONDS ((gint64)1000000)
+#define US_PER_SECOND ((gint64)1000000)
 
 struct aubi_gauge {
 	const char *name;
@@ -90,7 +90,7 @@
 
 	if (getrusage(RUSAGE_SELF, &usage))
 		return 0;
-	return (usage.ru_utime.tv_sec + usage.ru_stime.tv_sec) * MICROSECONDS +
+	return (usage.ru_utime.tv_sec + usage.ru_stime.tv_sec) * US_PER_SECOND +
 	       usage.ru_utime.tv_usec + usage.ru_stime.tv_usec;
 }
 
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -347,7 +347,7 @@
 	return peer;
 }
 
-static void exchange(struct aubi_peers *task)
+static void begin_exchange(struct aubi_peers *task)
 {
 	struct aubi_control *control = task->control;
 	const char *address;
@@ -373,7 +373,7 @@
 	for (i = 0; i < EXTRA_EXCHANGE_PEERS && task->extra_exchanges < limit;
 	     i++) {
 		task->extra_exchanges++;
-		exchange(task);
+		begin_exchange(task);
 	}
 }
 
@@ -405,7 +405,7 @@
 
 	g_hash_table_foreach_remove(task->outward, should_close, NULL);
 	g_hash_table_foreach_remove(task->inward, should_close, NULL);
-	exchange(task);
+	begin_exchange(task);
 }
 
 struct aubi_peers *aubi_peers_new(struct aubi_control *control, GError **error)
--- a/src/coordination/control_store.c
+++ b/src/coordination/control_store.c
@@ -165,8 +165,8 @@
 	g_free(change);
 }
 
-static struct aubi_assignments *compute(struct aubi_store_task *task,
-					bool rebalance, gint64 now_us)
+static struct aubi_assignments *compute_proposal(struct aubi_store_task *task,
+						 bool rebalance, gint64 now_us)
 {
 	struct aubi_control *control = task->control;
 	const struct aub_config *config =
@@ -202,7 +202,7 @@
 	task->dirty = false;
 	if (rebalance)
 		task->rebalanced_us = now_us;
-	proposal = compute(task, rebalance && rank == 0, now_us);
+	proposal = compute_proposal(task, rebalance && rank == 0, now_us);
 	if (!proposal) {
 		task->needed_us = 0;
 		return;
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -286,7 +286,7 @@
 	});
 }
 
-static bool listen_inner(struct aub_entry *entry, GError **error)
+static bool listen_entries(struct aub_entry *entry, GError **error)
 {
 	entry->relay = aub_relay_new(
 		&(struct aub_relay_options){
@@ -379,7 +379,7 @@
 	create_components(entry, policy,
 			  settings->seed ? (guint32)settings->seed :
 					   g_random_int());
-	if (!listen_inner(entry, error) || !listen_callers(entry, error)) {
+	if (!listen_entries(entry, error) || !listen_callers(entry, error)) {
 		aub_entry_free(entry);
 		return NULL;
 	}
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -251,7 +251,8 @@
  * complete and would serve again, with an old version. Members are only
  * forgotten where a majority is heard, which cannot be true on both sides.
  */
-static bool may_forget(const struct aubi_membership *membership, gint64 now_us)
+static bool can_forget_dead(const struct aubi_membership *membership,
+			    gint64 now_us)
 {
 	guint majority = aubi_membership_count(membership) / 2 + 1;
 
@@ -296,7 +297,7 @@
 bool aubi_membership_tick(struct aubi_membership *membership, gint64 now_us)
 {
 	guint before = membership->records->len;
-	bool forget = may_forget(membership, now_us);
+	bool forget = can_forget_dead(membership, now_us);
 	bool changed = false;
 	guint i;
 
@@ -436,7 +437,7 @@
 	return holders;
 }
 
-static int by_time_falling(const void *a, const void *b)
+static int by_time_descending(const void *a, const void *b)
 {
 	gint64 left = *(const gint64 *)a;
 	gint64 right = *(const gint64 *)b;
@@ -461,7 +462,7 @@
 		if (is_counted(record) && at_us)
 			g_array_append_val(times, at_us);
 	}
-	g_array_sort(times, by_time_falling);
+	g_array_sort(times, by_time_descending);
 	if (!count)
 		age_us = 0;
 	else if (times->len >= count)
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -170,7 +170,7 @@
  * Sets the request's service and applies its rules; returns false if the
  * request was refused.
  */
-static bool classify(struct routed_request *request)
+static bool assign_service(struct routed_request *request)
 {
 	struct aub_request_router *router = request->router;
 	struct aub_call *call = request->call;
@@ -227,7 +227,7 @@
 /*
  * Starts a request whose key is owned here, or answers it from the key table.
  */
-static void begin_key(struct routed_request *request)
+static void start_key(struct routed_request *request)
 {
 	struct aub_request_router *router = request->router;
 	struct aub_idempotency *idempotency = router->options.idempotency;
@@ -242,7 +242,7 @@
 		if (aub_idempotency_closed(idempotency))
 			routed_request_refuse(request, 503, "keys-moving",
 					      RETRY_SHORT_MS);
-		else if (classify(request))
+		else if (assign_service(request))
 			routed_request_send_to_owner(request);
 		break;
 	case AUB_KEY_RUNNING:
@@ -280,7 +280,7 @@
 	switch (aub_idempotency_locate(router->options.idempotency,
 				       request->call->key, &member)) {
 	case AUB_KEY_LOCATION_HERE:
-		begin_key(request);
+		start_key(request);
 		break;
 	case AUB_KEY_LOCATION_REMOTE:
 		if (request->forwarded)
@@ -353,7 +353,7 @@
 		routed_request_refuse(request, 503, "stopping", RETRY_SHORT_MS);
 	else if (*call->key)
 		routed_request_start_keyed(request);
-	else if (classify(request))
+	else if (assign_service(request))
 		routed_request_send_to_owner(request);
 }
 
@@ -392,7 +392,7 @@
  * continues, so that the caller's repeat finds the answer; any other request is
  * cancelled.
  */
-static void abandon(struct routed_request *request)
+static void abandon_request(struct routed_request *request)
 {
 	struct aub_request_router *router = request->router;
 
@@ -425,13 +425,13 @@
 void aub_request_router_caller_disconnected(struct aub_caller_request *caller,
 					    void *context)
 {
-	abandon(aub_caller_request_data(caller));
+	abandon_request(aub_caller_request_data(caller));
 }
 
 void aub_request_router_relay_cancelled(struct aub_relay_inbound *inbound,
 					void *context)
 {
-	abandon(aub_relay_inbound_data(inbound));
+	abandon_request(aub_relay_inbound_data(inbound));
 }
 
 static enum aub_dispatch_role role_of(const struct aub_request_router *router,
--- a/src/coordination/request_router_forward.c
+++ b/src/coordination/request_router_forward.c
@@ -20,7 +20,7 @@
 
 #define NO_OWNER_RETRY_MS 500
 /* Cost of one more attempt, in 1/100 attempts. */
-#define RETRY_COST_CENTIATTEMPTS 100
+#define RETRY_COST_HUNDREDTHS 100
 
 /* A peer answers by the deadline; this is added for the transfer. */
 #define PEER_ANSWER_MARGIN_US (150 * AUB_MS)
@@ -140,13 +140,13 @@
 	struct aub_call *call = request->call;
 
 	request->may_have_run = true;
-	if (call->once || call->retry_budget < RETRY_COST_CENTIATTEMPTS ||
+	if (call->once || call->retry_budget < RETRY_COST_HUNDREDTHS ||
 	    request->standby_tried) {
 		routed_request_finish(request,
 				      aub_answer_unknown("entry-lost"));
 		return;
 	}
-	call->retry_budget -= RETRY_COST_CENTIATTEMPTS;
+	call->retry_budget -= RETRY_COST_HUNDREDTHS;
 	aub_event_note(request->router->options.events, AUB_EVENT_RETRIED,
 		       call->id, 0, NULL, "owner lost");
 	try_standby(request);
--- a/src/coordination/store_registration.c
+++ b/src/coordination/store_registration.c
@@ -27,8 +27,8 @@
 	struct aub_timer_service *timers = sync->options.timers;
 
 	sync->registration_call = NULL;
-	aub_store_count(sync, AUB_STORE_MEMBERS,
-			aub_store_result_of(end, head));
+	aub_store_count_result(sync, AUB_STORE_MEMBERS,
+			       aub_store_result_from_head(end, head));
 	if (end == AUB_EXCHANGE_WHOLE &&
 	    (head->status / 100 == 2 || head->status == 409)) {
 		aub_store_sync_list_members(sync);
@@ -76,8 +76,8 @@
 	struct aub_store_sync *sync = context;
 
 	sync->registration_call = NULL;
-	aub_store_count(sync, AUB_STORE_MEMBERS,
-			aub_store_result_of(end, head));
+	aub_store_count_result(sync, AUB_STORE_MEMBERS,
+			       aub_store_result_from_head(end, head));
 }
 
 void aub_store_sync_deregister(struct aub_store_sync *sync)
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -72,8 +72,8 @@
 }
 
 /* Returns the result of a call as far as the response head shows it. */
-enum aub_store_result aub_store_result_of(enum aub_exchange_end end,
-					  const struct aub_http_head *head)
+enum aub_store_result aub_store_result_from_head(
+	enum aub_exchange_end end, const struct aub_http_head *head)
 {
 	if (end != AUB_EXCHANGE_WHOLE)
 		return AUB_STORE_NO_ANSWER;
@@ -82,8 +82,9 @@
 	return head->status / 100 == 2 ? AUB_STORE_ANSWERED : AUB_STORE_REFUSED;
 }
 
-void aub_store_count(struct aub_store_sync *sync, enum aub_store_kind kind,
-		     enum aub_store_result result)
+void aub_store_count_result(struct aub_store_sync *sync,
+			    enum aub_store_kind kind,
+			    enum aub_store_result result)
 {
 	sync->results[kind][result]++;
 }
@@ -222,12 +223,13 @@
 					       &error);
 
 	if (!page) {
-		aub_store_count(task->sync, task->kind, AUB_STORE_UNREADABLE);
+		aub_store_count_result(task->sync, task->kind,
+				       AUB_STORE_UNREADABLE);
 		store_failed(task, error->message);
 		g_error_free(error);
 		return;
 	}
-	aub_store_count(task->sync, task->kind, AUB_STORE_ANSWERED);
+	aub_store_count_result(task->sync, task->kind, AUB_STORE_ANSWERED);
 	store_answered(task, now);
 	if (task->step == AUB_STORE_LIST) {
 		aub_store_apply_listing(task, page, now);
@@ -252,7 +254,7 @@
 		      gsize length, void *context)
 {
 	struct aub_store_sync_task *task = context;
-	enum aub_store_result result = aub_store_result_of(end, head);
+	enum aub_store_result result = aub_store_result_from_head(end, head);
 
 	task->call = NULL;
 	task->fetching = false;
@@ -260,7 +262,7 @@
 		apply_page(task, body, length); /* counts the result as well */
 		return;
 	}
-	aub_store_count(task->sync, task->kind, result);
+	aub_store_count_result(task->sync, task->kind, result);
 	if (result == AUB_STORE_NO_ANSWER) {
 		store_failed(task, end == AUB_EXCHANGE_TIMEOUT ? "timeout" :
 								 "connection");
--- a/src/coordination/store_write.c
+++ b/src/coordination/store_write.c
@@ -20,11 +20,11 @@
 		       gsize length, void *context)
 {
 	struct aub_store_write *write = context;
-	enum aub_store_result result = aub_store_result_of(end, head);
+	enum aub_store_result result = aub_store_result_from_head(end, head);
 	bool conflict = result == AUB_STORE_REFUSED &&
 			head->status == SOUP_STATUS_CONFLICT;
 
-	aub_store_count(write->sync, write->kind, result);
+	aub_store_count_result(write->sync, write->kind, result);
 	write->written(result, conflict, write->context);
 	g_free(write);
 }
