--- a/fuzz/fuzz_pack.c
+++ b/fuzz/fuzz_pack.c
@@ -4,15 +4,15 @@
  */
 #include "fuzz.h"
 
-#include <auburnstile/internal/pack.h>
+#include <auburnstile/internal/compression.h>
 
 #define LIMIT 65536
 
 static void check_there_and_back(const guint8 *data, gsize size)
 {
-	GBytes *packed = aubi_pack(data, size);
+	GBytes *packed = aubi_compress(data, size);
 	GBytes *back =
-		aubi_unpack(g_bytes_get_data(packed, NULL),
+		aubi_decompress(g_bytes_get_data(packed, NULL),
 			    g_bytes_get_size(packed), size, "fuzz", NULL);
 
 	g_assert(back);
@@ -31,7 +31,7 @@
 #endif
 {
 	GError *error = NULL;
-	GBytes *bytes = aubi_unpack(data, size, LIMIT, "fuzz", &error);
+	GBytes *bytes = aubi_decompress(data, size, LIMIT, "fuzz", &error);
 
 	g_assert((bytes == NULL) == (error != NULL));
 	if (bytes) {
--- a/include/auburnstile/event.h
+++ b/include/auburnstile/event.h
@@ -14,8 +14,8 @@
 
 G_BEGIN_DECLS
 
-#define AUB_EVENT_TEXT 96 /* bytes of a detail kept, with its NUL */
-#define AUB_EVENT_NAME 24 /* bytes of an upstream or zone name kept */
+#define AUB_EVENT_TEXT_BYTES 96 /* bytes of a detail kept, with its NUL */
+#define AUB_EVENT_NAME_BYTES 24 /* bytes of an upstream or zone name kept */
 
 enum aub_event_type {
 	AUB_EVENT_STARTED,
@@ -49,10 +49,10 @@
 	enum aub_event_type type;
 	guint64 request; /* request id, 0 for none */
 	gint64 number; /* meaning depends on type */
-	char upstream[AUB_EVENT_NAME]; /* "" for none */
-	char zone[AUB_EVENT_NAME]; /* "" for none */
-	char peer[AUB_EVENT_NAME]; /* process spoken to, "" for none */
-	char text[AUB_EVENT_TEXT];
+	char upstream[AUB_EVENT_NAME_BYTES]; /* "" for none */
+	char zone[AUB_EVENT_NAME_BYTES]; /* "" for none */
+	char peer[AUB_EVENT_NAME_BYTES]; /* process spoken to, "" for none */
+	char text[AUB_EVENT_TEXT_BYTES];
 };
 
 struct aub_event_ring;
@@ -69,13 +69,13 @@
 		      const struct aub_event *event);
 
 /* Short form: type, request, number, upstream (may be NULL), text (same). */
-void aub_event_note(struct aub_event_ring *ring, enum aub_event_type type,
+void aub_event_record_simple(struct aub_event_ring *ring, enum aub_event_type type,
 		    guint64 request, gint64 number, const char *upstream,
 		    const char *text);
 
 /* Events ever recorded, and those that gave way to newer ones. */
 guint64 aub_event_ring_total(const struct aub_event_ring *ring);
-guint64 aub_event_ring_lost(const struct aub_event_ring *ring);
+guint64 aub_event_ring_overwritten(const struct aub_event_ring *ring);
 
 /*
  * Call `visit` for each kept event with sequence > `after`, oldest first.
--- a/include/auburnstile/internal/pack.h
+++ b/include/auburnstile/internal/compression.h
@@ -11,13 +11,13 @@
 G_BEGIN_DECLS
 
 /* Owned by the caller; never NULL. */
-GBytes *aubi_pack(const void *data, gsize length);
+GBytes *aubi_compress(const void *data, gsize length);
 
 /*
  * Owned by the caller. NULL with AUB_ERROR_INVALID for what isn't whole, with
  * AUB_ERROR_TOO_LARGE for more than `limit` bytes; `peer` goes into both.
  */
-GBytes *aubi_unpack(const void *data, gsize length, gsize limit,
+GBytes *aubi_decompress(const void *data, gsize length, gsize limit,
 		    const char *peer, GError **error);
 
 G_END_DECLS
--- a/include/auburnstile/internal/decision_log.h
+++ b/include/auburnstile/internal/decision_log.h
@@ -14,10 +14,10 @@
 G_BEGIN_DECLS
 
 enum aub_log_class {
-	AUB_LOG_CALM, /* a request that went well */
-	AUB_LOG_TROUBLE, /* one that did not */
+	AUB_LOG_SUCCESS, /* a request that went well */
+	AUB_LOG_FAILURE, /* one that did not */
 	AUB_LOG_STATE, /* what the process knows has changed */
-	AUB_LOG_CLASSES
+	AUB_LOG_CLASS_COUNT
 };
 
 /* Lines are written by `timers`; NULL: only by aub_decision_log_flush(). */
@@ -37,23 +37,23 @@
 	AUB_LOG_ZONE,
 	AUB_LOG_RECORD_REFUSED,
 	AUB_LOG_STORE_LOST,
-	AUB_LOG_STORE_REGAINED,
-	AUB_LOG_STORE_HISTORY_GONE,
-	AUB_LOG_PEER_HEARD,
+	AUB_LOG_STORE_RECOVERED,
+	AUB_LOG_STORE_HISTORY_LOST,
+	AUB_LOG_PEER_ALIVE,
 	AUB_LOG_PEER_LOST,
 	AUB_LOG_DATAGRAM_REFUSED,
-	AUB_LOG_PLACING,
+	AUB_LOG_PLACER_ACTIVE,
 	AUB_LOG_PLACER_SUSPECTED,
 	AUB_LOG_PLACEMENT,
 	AUB_LOG_HEALTH,
 	AUB_LOG_ROLLOUT,
 	AUB_LOG_ROLLOUT_STORED,
 	AUB_LOG_REQUEST,
-	AUB_LOG_REQUEST_TROUBLE,
+	AUB_LOG_REQUEST_FAILED,
 	AUB_LOG_NOT_PLACED,
 	AUB_LOG_ATTEMPT,
 	AUB_LOG_LOG_DROPPED,
-	AUB_LOG_EVENTS
+	AUB_LOG_EVENT_COUNT
 };
 
 struct aub_log_event_info {
--- a/include/auburnstile/internal/entry_parts.h
+++ b/include/auburnstile/internal/entry_parts.h
@@ -42,7 +42,7 @@
 	guint stop_timer;
 	gint64 stop_by_us;
 	gint64 phase_us; /* start of this phase */
-	guint64 heir;
+	guint64 successor;
 	aub_entry_stopped *stopped;
 	void *stopped_context;
 };
--- a/include/auburnstile/internal/entry_view.h
+++ b/include/auburnstile/internal/entry_view.h
@@ -61,7 +61,7 @@
 
 /* Told to the control with the next acknowledgement, which goes at once. */
 void aub_entry_view_set_stopping(struct aub_entry_view *view);
-void aub_entry_view_set_heir(struct aub_entry_view *view, guint64 heir);
+void aub_entry_view_set_heir(struct aub_entry_view *view, guint64 successor);
 void aub_entry_view_set_load(struct aub_entry_view *view, guint32 permille);
 
 /* True when nothing waits to be written to the control. */
--- a/include/auburnstile/internal/frame_check.h
+++ b/include/auburnstile/internal/frame_check.h
@@ -10,7 +10,7 @@
 G_BEGIN_DECLS
 
 /* Elements a frame may announce; the decoder spends 24 bytes on each. */
-#define AUBI_FRAME_ELEMENTS ((gsize)1 << 18)
+#define AUBI_FRAME_ELEMENTS_MAX ((gsize)1 << 18)
 
 /* False where a frame is cut short, not msgpack, or announces too much. */
 bool aubi_frame_check(const void *data, gsize length);
--- a/include/auburnstile/internal/front.h
+++ b/include/auburnstile/internal/front.h
@@ -45,7 +45,7 @@
 void aub_front_tell_states(struct aub_front *front);
 /* An entry told it; taken only from the service's owner. */
 void aub_front_learn_states(struct aub_front *front,
-			    const struct aub_states *states,
+			    const struct aub_upstream_states *states,
 			    guint64 incarnation);
 
 /* A planned stop began: callers are turned to other entries. */
--- a/include/auburnstile/internal/keeper.h
+++ b/include/auburnstile/internal/keeper.h
@@ -66,7 +66,7 @@
  * member could take them. No key may be running. From now on new keys are
  * kept by the heir.
  */
-typedef void aub_keeper_done(guint64 heir, void *context);
+typedef void aub_keeper_done(guint64 successor, void *context);
 void aub_keeper_hand_over(struct aub_keeper *keeper, struct aub_relay *relay,
 			  aub_keeper_done *done, void *context);
 void aub_keeper_acknowledged(struct aub_keeper *keeper,
--- a/include/auburnstile/internal/message_fields.h
+++ b/include/auburnstile/internal/message_fields.h
@@ -45,7 +45,7 @@
 extern const struct aubi_layout aubi_upstream_state_layout;
 extern const struct aubi_layout aubi_name_layout;
 extern const struct aubi_layout aubi_outstanding_layout;
-extern const struct aubi_layout aubi_probed_layout;
+extern const struct aubi_layout aubi_probe_result_layout;
 extern const struct aubi_layout aubi_place_health_row_layout;
 extern const struct aubi_layout aubi_place_evidence_layout;
 
--- a/include/auburnstile/internal/placement.h
+++ b/include/auburnstile/internal/placement.h
@@ -38,7 +38,7 @@
 	guint priority; /* 0 is the most urgent */
 	guint target_ms; /* within this an answer is on time */
 	guint on_time_ms; /* granted within this, it can still be on time */
-	guint patience_ms; /* longest wait for a slot that helps at all */
+	guint max_wait_ms; /* longest wait for a slot that helps at all */
 	bool retry; /* sent to an upstream before */
 	bool alone; /* asked here for want of a placer */
 	guint32 route; /* key of its route: versions are judged by route */
--- a/include/auburnstile/internal/placer_parts.h
+++ b/include/auburnstile/internal/placer_parts.h
@@ -33,7 +33,7 @@
 struct aub_active {
 	gint64 until_us; /* as its placer, all of them */
 	gint64 near_until_us; /* for its placer, those of the own zone */
-	struct aub_place_probed *probed; /* to tell the placer; or NULL */
+	struct aub_place_probe_results *probed; /* to tell the placer; or NULL */
 	guint64 refused; /* of the placement, as last logged */
 };
 
@@ -108,15 +108,15 @@
 /* This gateway is the prober of its zone for `service`. */
 void aub_placer_wake_near(struct aub_placer *placer, const char *service);
 void aub_placer_take_probed(struct aub_placer *placer,
-			    const struct aub_place_probed *message);
+			    const struct aub_place_probe_results *message);
 /* The placer of `service` as seen from here; NULL if it is this process. */
 struct aub_peer *aub_placer_of(struct aub_placer *placer, const char *service,
 			       gint64 now_us);
 void aub_placer_probes_stop(struct aub_placer *placer);
 
 /* Loads on their way between gateways: no figure there is negative. */
-struct aub_load_told aub_load_tell(const struct aub_load *load);
-struct aub_load aub_load_of(const struct aub_load_told *told);
+struct aub_reported_load aub_load_tell(const struct aub_load *load);
+struct aub_load aub_load_of(const struct aub_reported_load *told);
 
 /* Orders to move services to other versions. */
 void aub_placer_take_rollout(struct aub_placer *placer,
--- a/include/auburnstile/internal/relay.h
+++ b/include/auburnstile/internal/relay.h
@@ -34,7 +34,7 @@
 	void (*keys)(const struct aub_keys *keys, void *context);
 	void (*keys_ack)(const struct aub_keys_ack *ack, void *context);
 	/* An owner tells what it knows; `incarnation` is the sender's. */
-	void (*states)(const struct aub_states *states, guint64 incarnation,
+	void (*states)(const struct aub_upstream_states *states, guint64 incarnation,
 		       void *context);
 	/* A watched peer's link came up or went down. */
 	void (*changed)(void *context);
--- a/include/auburnstile/message.h
+++ b/include/auburnstile/message.h
@@ -19,7 +19,7 @@
 G_BEGIN_DECLS
 
 #define AUB_PROTOCOL_VERSION 1
-#define AUB_FRAME_LIMIT (9u << 20) /* bytes: an 8 MiB body and its headers */
+#define AUB_FRAME_BYTES_MAX (9u << 20) /* bytes: an 8 MiB body and its headers */
 
 enum aub_message_type {
 	AUB_MESSAGE_HELLO = 1,
@@ -35,19 +35,19 @@
 	AUB_MESSAGE_CANCEL, /* entry -> entry */
 	AUB_MESSAGE_KEYS, /* stopping entry -> heir: part of the key table */
 	AUB_MESSAGE_KEYS_ACK, /* heir -> stopping entry */
-	AUB_MESSAGE_STATES, /* owner -> its stand-by */
+	AUB_MESSAGE_UPSTREAM_STATES, /* owner -> its stand-by */
 	AUB_MESSAGE_HEARTBEAT, /* gateway -> gateway, several times a second */
 	AUB_MESSAGE_INTRODUCTION, /* gateway -> gateway that has appeared */
 	AUB_MESSAGE_CRASHES, /* gateway -> all: requests that upstreams died
 				under */
 	AUB_MESSAGE_STORE_CHANGES, /* gateway that watches -> its zone */
-	AUB_MESSAGE_PLACE_ASK, /* gateway -> a service's placer */
+	AUB_MESSAGE_PLACE_REQUEST, /* gateway -> a service's placer */
 	AUB_MESSAGE_PLACE_DECISION, /* its answer */
 	AUB_MESSAGE_PLACE_REPORT, /* gateway -> the placer that granted */
 	AUB_MESSAGE_PLACE_OUTSTANDING, /* gateway -> placer: grants in use */
 	AUB_MESSAGE_PLACE_HEALTH, /* placer -> all gateways */
 	AUB_MESSAGE_PLACE_ROLLOUT, /* the same: how far an order is */
-	AUB_MESSAGE_PLACE_PROBED, /* a zone's prober -> placer */
+	AUB_MESSAGE_PLACE_PROBE_RESULTS, /* a zone's prober -> placer */
 	AUB_MESSAGE_TYPE_COUNT
 };
 
@@ -99,7 +99,7 @@
 	char *control_address; /* of the control, for other controls */
 	char *entry_admin;
 	char *control_admin;
-	guint64 heir; /* entry incarnation that took its keys over, or 0 */
+	guint64 successor; /* entry incarnation that took its keys over, or 0 */
 	guint32 age_ms; /* since last heard of, directly or not */
 	guint64 config_version; /* in force at its entry, as last heard */
 	guint32 load_permille; /* busy share of its entry, for placement */
@@ -138,7 +138,7 @@
 	guint64 epoch;
 	guint32 load_permille;
 	bool stopping; /* the entry began a planned stop */
-	guint64 heir; /* that took its keys, 0 for none yet */
+	guint64 successor; /* that took its keys, 0 for none yet */
 	guint64 number; /* entry's clock, ms. serve_ms counts from this one:
 			   a view that waited in a buffer while the entry was
 			   paused then gives no permission */
@@ -154,7 +154,7 @@
 	guint64 number; /* sender's clock, to be echoed; 0: no answer wanted */
 	guint64 echo; /* number this one answers; 0: none */
 	guint64 roster; /* hash over the members known and their revisions */
-	guint32 known; /* how many those are */
+	guint32 member_count; /* how many those are */
 	struct aub_bytes ages; /* a row a member: see membership.h */
 };
 
@@ -179,7 +179,7 @@
 };
 
 enum aub_call_purpose {
-	AUB_CALL_KEEPER = 1, /* receiver keeps the key: run it at most once */
+	AUB_CALL_KEY_OWNER = 1, /* receiver keeps the key: run it at most once */
 	AUB_CALL_OWNER /* receiver owns the service's queue: dispatch it */
 };
 
@@ -227,7 +227,7 @@
 struct aub_key_record {
 	char *key;
 	struct aub_bytes fingerprint; /* of the request it is bound to */
-	guint32 keep_ms; /* left to be remembered */
+	guint32 ttl_ms; /* left to be remembered */
 	enum aub_outcome outcome; /* UNKNOWN while it ran */
 	guint32 status;
 	GPtrArray *headers; /* of struct aub_header */
@@ -267,14 +267,14 @@
 };
 
 /* So that a stand-by needn't begin in ignorance; see dispatch.h. */
-struct aub_states {
+struct aub_upstream_states {
 	struct aub_message base;
 	char *service;
 	GPtrArray *upstreams; /* of struct aub_upstream_state */
 	GPtrArray *crashes; /* of struct aub_crash_record */
 };
 
-#define AUB_HEARTBEAT_REVISIONS 4 /* kinds of object that gateways follow */
+#define AUB_HEARTBEAT_REVISION_COUNT 4 /* kinds of object that gateways follow */
 
 /* "I am here": membership among gateways. */
 struct aub_heartbeat {
@@ -289,11 +289,11 @@
 	bool stopping;
 	guint64 config_version;
 	guint32 peers; /* others that it hears, or was just told of */
-	bool reply; /* it has not heard the receiver yet */
+	bool reply_requested; /* it has not heard the receiver yet */
 	bool current; /* it has not been without the store for long */
 	bool hears; /* the store answers it at this moment */
 	/* The store's revisions of what it knows, by kind. */
-	guint64 revisions[AUB_HEARTBEAT_REVISIONS];
+	guint64 revisions[AUB_HEARTBEAT_REVISION_COUNT];
 };
 
 /* Where the other gateways are. */
@@ -317,7 +317,7 @@
 };
 
 /* See placement.h for what these ask, decide and report. */
-struct aub_place_ask {
+struct aub_place_request {
 	struct aub_message base;
 	guint64 holder;
 	guint64 ticket;
@@ -326,7 +326,7 @@
 	guint32 priority;
 	guint32 target_ms;
 	guint32 on_time_ms;
-	guint32 patience_ms;
+	guint32 max_wait_ms;
 	bool retry;
 	bool forward; /* the receiver may pass it on to a better placer */
 	char *address; /* of the holder's datagrams, where it was passed on */
@@ -345,7 +345,7 @@
 };
 
 /* What an upstream told of its load, each figure plus one; 0: not told. */
-struct aub_load_told {
+struct aub_reported_load {
 	guint32 running;
 	guint32 waiting;
 	guint32 slots;
@@ -359,7 +359,7 @@
 	char *service;
 	guint32 end;
 	guint64 elapsed_us;
-	struct aub_load_told load;
+	struct aub_reported_load load;
 };
 
 /* One grant in use. Lists of these are GPtrArray. */
@@ -423,16 +423,16 @@
 };
 
 /* How one probe ended. Lists of these are GPtrArray. */
-struct aub_probed {
+struct aub_probe_result {
 	char *upstream;
 	guint32 end;
-	struct aub_load_told load;
+	struct aub_reported_load load;
 };
 
-struct aub_place_probed {
+struct aub_place_probe_results {
 	struct aub_message base;
 	char *service;
-	GPtrArray *probed; /* of struct aub_probed */
+	GPtrArray *probed; /* of struct aub_probe_result */
 };
 
 struct aub_name {
@@ -465,13 +465,13 @@
 struct aub_crash_record *aub_crash_record_new(void);
 struct aub_name *aub_name_new(const char *name);
 struct aub_outstanding *aub_outstanding_new(void);
-struct aub_probed *aub_probed_new(void);
+struct aub_probe_result *aub_probe_result_new(void);
 struct aub_place_health_row *aub_place_health_row_new(void);
 struct aub_place_evidence *aub_place_evidence_new(void);
 
 /*
  * Frame payload (without the length prefix) of a message. Owned by caller;
- * NULL with AUB_ERROR_TOO_LARGE past AUB_FRAME_LIMIT.
+ * NULL with AUB_ERROR_TOO_LARGE past AUB_FRAME_BYTES_MAX.
  */
 GBytes *aub_message_encode(const struct aub_message *message, GError **error);
 
--- a/programs/auburnstilectl.c
+++ b/programs/auburnstilectl.c
@@ -110,7 +110,7 @@
 
 struct invocation {
 	struct ctl_options options;
-	GPtrArray *words; /* of char *, borrowed from argv */
+	GPtrArray *args; /* of char *, borrowed from argv */
 	bool limited;
 };
 
@@ -228,7 +228,7 @@
 		options->change_timeout_ms = options->timeout_ms;
 		return 0;
 	case ARGP_KEY_ARG:
-		g_ptr_array_add(invocation->words, value);
+		g_ptr_array_add(invocation->args, value);
 		return 0;
 	default:
 		return filter_parse(key, value, state, invocation);
@@ -260,16 +260,16 @@
 static int run(struct invocation *invocation)
 {
 	struct ctl_options *options = &invocation->options;
-	char **words = (char **)invocation->words->pdata;
-	guint count = invocation->words->len;
-	int code = CTL_WORDS;
+	char **args = (char **)invocation->args->pdata;
+	guint count = invocation->args->len;
+	int code = CTL_BAD_ARGUMENTS;
 
 	if (options->format == CTL_SVG && !invocation->limited)
 		options->limit = SVG_LIMIT;
 	for (guint i = 0; count && i < G_N_ELEMENTS(commands); i++)
-		if (strcmp(commands[i].name, words[0]) == 0)
-			code = commands[i].run(options, words + 1, count - 1);
-	if (code != CTL_WORDS)
+		if (strcmp(commands[i].name, args[0]) == 0)
+			code = commands[i].run(options, args + 1, count - 1);
+	if (code != CTL_BAD_ARGUMENTS)
 		return code;
 	g_printerr("usage: auburnstilectl [OPTION...] COMMAND [WORD...]; "
 		   "see --help\n");
@@ -285,7 +285,7 @@
 			     .base = -1,
 			     .timeout_ms = QUESTION_MS,
 			     .change_timeout_ms = CHANGE_MS },
-		.words = g_ptr_array_new(),
+		.args = g_ptr_array_new(),
 	};
 	char **controls;
 	int code;
@@ -302,6 +302,6 @@
 	g_free(invocation.options.token);
 	g_strfreev(controls);
 	g_ptr_array_unref(invocation.options.controls);
-	g_ptr_array_unref(invocation.words);
+	g_ptr_array_unref(invocation.args);
 	return code;
 }
--- a/programs/ctl/change.c
+++ b/programs/ctl/change.c
@@ -80,9 +80,9 @@
 			  const char *text)
 {
 	guint64 version = (guint64)aub_json_integer(answer, "current_version");
-	struct aub_config *base = ctl_config_of(answer, "base_config", 0);
-	struct aub_config *current = ctl_config_of(answer, "current_config", 0);
-	struct aub_config *yours = ctl_config_with(base ? base : current, text);
+	struct aub_config *base = ctl_config_parse(answer, "base_config", 0);
+	struct aub_config *current = ctl_config_parse(answer, "current_config", 0);
+	struct aub_config *yours = ctl_config_with_text(base ? base : current, text);
 	char *theirs = ctl_diff_text(base, current);
 	char *mine = ctl_diff_text(base ? base : current, yours);
 
@@ -121,7 +121,7 @@
 }
 
 /* The control itself lost the store's answer, and can't read back. */
-static bool is_ambiguous(const struct ctl_answer *answer)
+static bool is_ambiguous(const struct ctl_response *answer)
 {
 	JsonObject *error =
 		answer->body ? aub_json_object(answer->body, "error") : NULL;
@@ -140,7 +140,7 @@
  * itself among those accepted.
  */
 static bool change_send(struct ctl_options *options, const char *path,
-			const char *body, struct ctl_answer *answer, bool *lost,
+			const char *body, struct ctl_response *answer, bool *lost,
 			GError **error)
 {
 	*lost = false;
@@ -150,8 +150,8 @@
 		if (i)
 			g_usleep(CHANGE_PAUSE_US);
 		g_clear_error(error);
-		ctl_answer_clear(answer);
-		answered = ctl_ask(options, "POST", path, body,
+		ctl_response_clear(answer);
+		answered = ctl_request(options, "POST", path, body,
 				   options->change_timeout_ms, answer, error);
 		if (!answered && (*error)->code == AUB_ERROR_INVALID)
 			return false;
@@ -176,7 +176,7 @@
 }
 
 /* A refusal is final, unless an earlier try may have gone through. */
-static int print_refused(const struct ctl_answer *answer, bool lost)
+static int print_refused(const struct ctl_response *answer, bool lost)
 {
 	int code = ctl_print_refusal(answer);
 
@@ -201,7 +201,7 @@
 {
 	char *plain = aub_inventory_text_version(text, 0);
 	JsonObject *body = json_object_new();
-	struct ctl_answer answer = { 0 };
+	struct ctl_response answer = { 0 };
 	char *change = change_new();
 	GError *error = NULL;
 	bool lost = false;
@@ -221,14 +221,14 @@
 		code = print_conflict(options, answer.body, plain);
 	else
 		code = print_refused(&answer, lost);
-	ctl_answer_clear(&answer);
+	ctl_response_clear(&answer);
 	g_free(json);
 	g_free(change);
 	g_free(plain);
 	return code;
 }
 
-int ctl_apply(struct ctl_options *options, char **words, guint count)
+int ctl_apply(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_inventory *inventory = NULL;
 	guint64 base;
@@ -236,8 +236,8 @@
 	int code;
 
 	if (count != 1)
-		return CTL_WORDS;
-	text = ctl_file_checked(options, words[0], &inventory);
+		return CTL_BAD_ARGUMENTS;
+	text = ctl_read_inventory(options, args[0], &inventory);
 	if (!text)
 		return CTL_REFUSED;
 	base = options->base >= 0 ? (guint64)options->base :
@@ -252,7 +252,7 @@
 		     const char *what)
 {
 	JsonObject *body = json_object_new();
-	struct ctl_answer answer = { 0 };
+	struct ctl_response answer = { 0 };
 	char *change = change_new();
 	GError *error = NULL;
 	bool lost = false;
@@ -270,14 +270,14 @@
 	} else {
 		code = print_refused(&answer, lost);
 	}
-	ctl_answer_clear(&answer);
+	ctl_response_clear(&answer);
 	g_free(json);
 	g_free(change);
 	return code;
 }
 
 /* "zone out NAME" and its like: the word, the name, and the path. */
-static int change_item(struct ctl_options *options, char **words, guint count,
+static int change_item(struct ctl_options *options, char **args, guint count,
 		       const char *kind, const char *first, const char *second)
 {
 	char *name;
@@ -286,11 +286,11 @@
 	int code;
 
 	if (count != 2 ||
-	    (strcmp(words[0], first) != 0 && strcmp(words[0], second) != 0))
-		return CTL_WORDS;
-	name = g_uri_escape_string(words[1], NULL, FALSE);
-	path = g_strdup_printf("/v1/%ss/%s/%s", kind, name, words[0]);
-	what = g_strdup_printf("%s %s %s", kind, words[1], words[0]);
+	    (strcmp(args[0], first) != 0 && strcmp(args[0], second) != 0))
+		return CTL_BAD_ARGUMENTS;
+	name = g_uri_escape_string(args[1], NULL, FALSE);
+	path = g_strdup_printf("/v1/%ss/%s/%s", kind, name, args[0]);
+	what = g_strdup_printf("%s %s %s", kind, args[1], args[0]);
 	code = item_send(options, path, what);
 	g_free(what);
 	g_free(path);
@@ -298,18 +298,18 @@
 	return code;
 }
 
-int ctl_zone(struct ctl_options *options, char **words, guint count)
+int ctl_zone(struct ctl_options *options, char **args, guint count)
 {
-	return change_item(options, words, count, "zone", "out", "in");
+	return change_item(options, args, count, "zone", "out", "in");
 }
 
-int ctl_vm(struct ctl_options *options, char **words, guint count)
+int ctl_vm(struct ctl_options *options, char **args, guint count)
 {
-	return change_item(options, words, count, "vm", "leave", "return");
+	return change_item(options, args, count, "vm", "leave", "return");
 }
 
-int ctl_upstream(struct ctl_options *options, char **words, guint count)
+int ctl_upstream(struct ctl_options *options, char **args, guint count)
 {
-	return change_item(options, words, count, "upstream", "leave",
+	return change_item(options, args, count, "upstream", "leave",
 			   "return");
 }
--- a/programs/ctl/edit.c
+++ b/programs/ctl/edit.c
@@ -35,7 +35,7 @@
 	g_strfreev(lines);
 }
 
-char *ctl_file_checked(const struct ctl_options *options, const char *file,
+char *ctl_read_inventory(const struct ctl_options *options, const char *file,
 		       struct aub_inventory **inventory)
 {
 	GError *error = NULL;
@@ -53,14 +53,14 @@
 	return NULL;
 }
 
-int ctl_check(struct ctl_options *options, char **words, guint count)
+int ctl_check(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_inventory *inventory = NULL;
 	char *text;
 
 	if (count != 1)
-		return CTL_WORDS;
-	text = ctl_file_checked(options, words[0], &inventory);
+		return CTL_BAD_ARGUMENTS;
+	text = ctl_read_inventory(options, args[0], &inventory);
 	if (!text)
 		return CTL_REFUSED;
 	if (options->format == CTL_JSON)
@@ -71,14 +71,14 @@
 	else
 		g_print("%s: zones %u, VMs %u, services %u, upstreams %u; "
 			"no rule is broken\n",
-			words[0], inventory->zones->len, inventory->vms->len,
+			args[0], inventory->zones->len, inventory->vms->len,
 			inventory->services->len, inventory->upstreams->len);
 	aub_inventory_unref(inventory);
 	g_free(text);
 	return CTL_OK;
 }
 
-struct aub_config *ctl_config_of(JsonObject *object, const char *name,
+struct aub_config *ctl_config_parse(JsonObject *object, const char *name,
 				 guint64 version)
 {
 	JsonObject *member = aub_json_object(object, name);
@@ -93,7 +93,7 @@
 	return config;
 }
 
-struct aub_config *ctl_config_with(const struct aub_config *config,
+struct aub_config *ctl_config_with_text(const struct aub_config *config,
 				   const char *text)
 {
 	struct aub_config *edited =
@@ -136,7 +136,7 @@
 	return code;
 }
 
-int ctl_diff(struct ctl_options *options, char **words, guint count)
+int ctl_diff(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_inventory *inventory = NULL;
 	struct aub_config *from = NULL;
@@ -147,25 +147,25 @@
 	int code = CTL_REFUSED;
 
 	if (count < 1 || count > 2)
-		return CTL_WORDS;
-	text = ctl_file_checked(options, words[count - 1], &inventory);
+		return CTL_BAD_ARGUMENTS;
+	text = ctl_read_inventory(options, args[count - 1], &inventory);
 	aub_inventory_unref(inventory);
 	if (!text)
 		return CTL_REFUSED;
 	if (count == 2) {
 		inventory = NULL;
-		other = ctl_file_checked(options, words[0], &inventory);
+		other = ctl_read_inventory(options, args[0], &inventory);
 		aub_inventory_unref(inventory);
 		if (!other)
 			goto out;
-		from = ctl_config_with(NULL, other);
+		from = ctl_config_with_text(NULL, other);
 	} else {
 		answer = ctl_get(options, "/v1/config", &code);
 		if (!answer)
 			goto out;
-		from = ctl_config_of(answer, "config", 0);
+		from = ctl_config_parse(answer, "config", 0);
 	}
-	to = ctl_config_with(from, text);
+	to = ctl_config_with_text(from, text);
 	code = diff_print(options, from, to);
 out:
 	if (answer)
@@ -177,7 +177,7 @@
 	return code;
 }
 
-int ctl_show(struct ctl_options *options, char **words, guint count)
+int ctl_show(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_config *config;
 	JsonObject *answer;
@@ -186,12 +186,12 @@
 	int code = CTL_OK;
 
 	if (count != 0)
-		return CTL_WORDS;
+		return CTL_BAD_ARGUMENTS;
 	answer = ctl_get(options, "/v1/config", &code);
 	if (!answer)
 		return code;
 	version = (guint64)aub_json_integer(answer, "version");
-	config = ctl_config_of(answer, "config", version);
+	config = ctl_config_parse(answer, "config", version);
 	if (options->format == CTL_JSON) {
 		ctl_print_json(answer);
 	} else if (config) {
--- a/programs/ctl/events.c
+++ b/programs/ctl/events.c
@@ -79,17 +79,17 @@
 		char *path =
 			g_strdup_printf("/v1/events?after=%" G_GUINT64_FORMAT,
 					after);
-		struct ctl_answer answer = { 0 };
+		struct ctl_response answer = { 0 };
 		GError *error = NULL;
 		guint64 last = 0;
 
-		if (!ctl_ask_one(options, address, path, &answer, &error))
+		if (!ctl_request_one(options, address, path, &answer, &error))
 			ctl_print_error(error, 0);
 		else if (answer.status != SOUP_STATUS_OK || !answer.body)
 			ctl_print_refusal(&answer);
 		else
 			last = page_add(timeline, answer.body, zone);
-		ctl_answer_clear(&answer);
+		ctl_response_clear(&answer);
 		g_free(path);
 		if (last <= after)
 			return;
@@ -147,7 +147,7 @@
 	return ctl_print_error(error, CTL_REFUSED);
 }
 
-int ctl_timeline(struct ctl_options *options, char **words, guint count)
+int ctl_timeline(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_timeline *timeline;
 	GPtrArray *entries;
@@ -155,7 +155,7 @@
 	char *text;
 
 	if (count) {
-		timeline = ctl_timeline_of_logs(options, words, count);
+		timeline = ctl_timeline_from_logs(options, args, count);
 		code = timeline ? CTL_OK : CTL_REFUSED;
 	} else {
 		timeline = gather(options, &code);
@@ -194,7 +194,7 @@
 	return text;
 }
 
-int ctl_explain(struct ctl_options *options, char **words, guint count)
+int ctl_explain(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_timeline *timeline;
 	guint64 request;
@@ -202,12 +202,12 @@
 	char *text;
 
 	if (count > 1)
-		return ctl_explain_logs(options, words[0], words + 1,
+		return ctl_explain_logs(options, args[0], args + 1,
 					count - 1);
 	if (count != 1 ||
-	    !g_ascii_string_to_unsigned(words[0], 16, 1, G_MAXUINT64, &request,
+	    !g_ascii_string_to_unsigned(args[0], 16, 1, G_MAXUINT64, &request,
 					NULL))
-		return CTL_WORDS;
+		return CTL_BAD_ARGUMENTS;
 	timeline = gather(options, &code);
 	if (!timeline)
 		return code;
@@ -219,7 +219,7 @@
 	} else {
 		g_printerr("auburnstilectl: no process has an event of request "
 			   "%s; events are kept for a while only\n",
-			   words[0]);
+			   args[0]);
 		code = CTL_REFUSED;
 	}
 	g_free(text);
--- a/programs/ctl/http.c
+++ b/programs/ctl/http.c
@@ -9,7 +9,7 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-void ctl_answer_clear(struct ctl_answer *answer)
+void ctl_response_clear(struct ctl_response *answer)
 {
 	g_clear_pointer(&answer->body, json_object_unref);
 	answer->status = 0;
@@ -104,7 +104,7 @@
  */
 static bool exchange(struct ctl_options *options, const char *address,
 		     const char *method, const char *path, const char *body,
-		     guint timeout_ms, struct ctl_answer *answer, bool *sent,
+		     guint timeout_ms, struct ctl_response *answer, bool *sent,
 		     GError **error)
 {
 	SoupSession *session;
@@ -145,8 +145,8 @@
 	return bytes != NULL;
 }
 
-bool ctl_ask_one(struct ctl_options *options, const char *address,
-		 const char *path, struct ctl_answer *answer, GError **error)
+bool ctl_request_one(struct ctl_options *options, const char *address,
+		 const char *path, struct ctl_response *answer, GError **error)
 {
 	bool sent;
 
@@ -156,14 +156,14 @@
 }
 
 /* A control that can't take the request now; another one may. */
-static bool try_another(const struct ctl_answer *answer)
+static bool try_another(const struct ctl_response *answer)
 {
 	return answer->status == SOUP_STATUS_SERVICE_UNAVAILABLE ||
 	       answer->status == SOUP_STATUS_BAD_GATEWAY;
 }
 
-bool ctl_ask(struct ctl_options *options, const char *method, const char *path,
-	     const char *body, guint timeout_ms, struct ctl_answer *answer,
+bool ctl_request(struct ctl_options *options, const char *method, const char *path,
+	     const char *body, guint timeout_ms, struct ctl_response *answer,
 	     GError **error)
 {
 	GError *last = NULL;
@@ -182,7 +182,7 @@
 		const char *address = options->controls->pdata[i];
 
 		g_clear_error(&last);
-		ctl_answer_clear(answer);
+		ctl_response_clear(answer);
 		if (exchange(options, address, method, path, body, timeout_ms,
 			     answer, &sent, &last) &&
 		    !try_another(answer))
@@ -207,7 +207,7 @@
 	return code;
 }
 
-int ctl_print_refusal(const struct ctl_answer *answer)
+int ctl_print_refusal(const struct ctl_response *answer)
 {
 	JsonObject *error =
 		answer->body ? aub_json_object(answer->body, "error") : NULL;
@@ -220,10 +220,10 @@
 
 JsonObject *ctl_get(struct ctl_options *options, const char *path, int *code)
 {
-	struct ctl_answer answer = { 0 };
+	struct ctl_response answer = { 0 };
 	GError *error = NULL;
 
-	if (!ctl_ask(options, "GET", path, NULL, options->timeout_ms, &answer,
+	if (!ctl_request(options, "GET", path, NULL, options->timeout_ms, &answer,
 		     &error)) {
 		bool usage = error->code == AUB_ERROR_INVALID;
 
@@ -234,7 +234,7 @@
 	if (answer.status == SOUP_STATUS_OK && answer.body)
 		return answer.body;
 	*code = ctl_print_refusal(&answer);
-	ctl_answer_clear(&answer);
+	ctl_response_clear(&answer);
 	return NULL;
 }
 
--- a/programs/ctl/logs.c
+++ b/programs/ctl/logs.c
@@ -138,7 +138,7 @@
 	return aub_log_events_take(context, line);
 }
 
-struct aub_timeline *ctl_timeline_of_logs(const struct ctl_options *options,
+struct aub_timeline *ctl_timeline_from_logs(const struct ctl_options *options,
 					  char **files, guint count)
 {
 	struct aub_timeline *timeline = aub_timeline_new();
--- a/programs/ctl/status.c
+++ b/programs/ctl/status.c
@@ -83,7 +83,7 @@
 
 	if (!answer)
 		return;
-	config = ctl_config_of(answer, "config", 0);
+	config = ctl_config_parse(answer, "config", 0);
 	json_object_unref(answer);
 	if (!config)
 		return;
@@ -94,13 +94,13 @@
 	aub_config_free(config);
 }
 
-int ctl_status(struct ctl_options *options, char **words, guint count)
+int ctl_status(struct ctl_options *options, char **args, guint count)
 {
 	JsonObject *status;
 	int code = CTL_OK;
 
 	if (count != 0)
-		return CTL_WORDS;
+		return CTL_BAD_ARGUMENTS;
 	status = ctl_get(options, "/v1/status", &code);
 	if (!status)
 		return code;
@@ -201,7 +201,7 @@
 
 	if (!answer)
 		return;
-	config = ctl_config_of(answer, "config",
+	config = ctl_config_parse(answer, "config",
 			       (guint64)aub_json_integer(answer, "version"));
 	json_object_unref(answer);
 	if (!config)
@@ -225,14 +225,14 @@
 	*held = config;
 }
 
-int ctl_watch(struct ctl_options *options, char **words, guint count)
+int ctl_watch(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_config *config = NULL;
 	GPtrArray *before = NULL;
 	gint64 version = -1;
 
 	if (count != 0)
-		return CTL_WORDS;
+		return CTL_BAD_ARGUMENTS;
 	for (;;) {
 		int code = CTL_OK;
 		JsonObject *status = ctl_get(options, "/v1/status", &code);
--- a/src/coordination/control_book.c
+++ b/src/coordination/control_book.c
@@ -3,7 +3,7 @@
  * operator's edit began from. The last of them is the one held.
  */
 #include <auburnstile/internal/control.h>
-#include <auburnstile/internal/pack.h>
+#include <auburnstile/internal/compression.h>
 
 #define BOOK_PAGES 32 /* a full-size inventory is about 0.1 MB a page */
 
@@ -75,6 +75,6 @@
 GBytes *aubi_book_packed(struct aubi_book *book)
 {
 	if (!book->packed)
-		book->packed = aubi_pack(book->json, book->length);
+		book->packed = aubi_compress(book->json, book->length);
 	return book->packed;
 }
--- a/src/coordination/control_entry.c
+++ b/src/coordination/control_entry.c
@@ -25,7 +25,7 @@
 	gint64 acked_us; /* or since the link came up */
 	gint64 lost_us; /* link went down; 0 while it is up or long gone */
 	bool stopping;
-	guint64 heir;
+	guint64 successor;
 	guint64 bytes; /* over links that ended */
 };
 
@@ -125,14 +125,14 @@
 		aub_string_set(&self->callers_address, hello->callers_address);
 		aub_string_set(&self->entry_admin, hello->admin_address);
 		self->state = AUB_MEMBER_LIVE;
-	} else if (task->stopping && task->heir) {
+	} else if (task->stopping && task->successor) {
 		self->state = AUB_MEMBER_STOPPED;
 	} else {
 		self->incarnation = 0;
 	}
 	if (present && (task->stopping || control->leaving))
 		self->state = AUB_MEMBER_LEAVING;
-	self->heir = task->stopping ? task->heir : 0;
+	self->successor = task->stopping ? task->successor : 0;
 	self->config_version = present ? task->acked_version : 0;
 	aubi_membership_update_self(control->membership, self, now_of(task));
 	aub_member_free(self);
@@ -166,7 +166,7 @@
 	task->acked_version = 0;
 	task->ack_number = 0;
 	task->stopping = false;
-	task->heir = 0;
+	task->successor = 0;
 	return true;
 }
 
@@ -189,11 +189,11 @@
 	struct aub_member *copy;
 	bool news;
 
-	news = ack->stopping != task->stopping || ack->heir != task->heir;
+	news = ack->stopping != task->stopping || ack->successor != task->successor;
 	task->acked_us = now_of(task);
 	task->ack_number = ack->number;
 	task->stopping = ack->stopping;
-	task->heir = ack->heir;
+	task->successor = ack->successor;
 	self = aubi_membership_self(control->membership);
 	if (ack->config_version != task->acked_version)
 		aubi_control_note(control, AUB_EVENT_VIEW, ack->config_version,
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -5,7 +5,7 @@
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/control.h>
-#include <auburnstile/internal/pack.h>
+#include <auburnstile/internal/compression.h>
 #include <auburnstile/log.h>
 
 #include <string.h>
@@ -186,7 +186,7 @@
 	if (control->agreement.epoch > wanted->epoch) {
 		push->epoch = control->agreement.epoch;
 		text = aubi_assignments_serialize(control->assignments, "");
-		packed = aubi_pack(text, strlen(text));
+		packed = aubi_compress(text, strlen(text));
 		set_packed(&push->assignments, packed);
 		g_bytes_unref(packed);
 		g_free(text);
@@ -209,7 +209,7 @@
 	GBytes *bytes;
 	gsize length;
 
-	bytes = aubi_unpack(packed->data, packed->length, OBJECT_LIMIT, from,
+	bytes = aubi_decompress(packed->data, packed->length, OBJECT_LIMIT, from,
 			    &error);
 	if (!bytes) {
 		aub_log_warning("version %" G_GUINT64_FORMAT " refused: %s",
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -45,7 +45,7 @@
 	struct request *request;
 	guint32 number;
 	struct aub_attempt *handle;
-	char upstream[AUB_EVENT_NAME];
+	char upstream[AUB_EVENT_NAME_BYTES];
 };
 
 struct aub_dispatch_task {
@@ -261,7 +261,7 @@
 static void note(const struct attempt *attempt, enum aub_event_type type,
 		 gint64 number, const char *text)
 {
-	aub_event_note(attempt->request->service->task->options.events, type,
+	aub_event_record_simple(attempt->request->service->task->options.events, type,
 		       attempt->request->id, number, attempt->upstream, text);
 }
 
@@ -357,7 +357,7 @@
 
 	if (!service || service->inventory != report->inventory)
 		return;
-	aub_event_note(task->options.events, AUB_EVENT_PROBED, 0, report->busy,
+	aub_event_record_simple(task->options.events, AUB_EVENT_PROBED, 0, report->busy,
 		       report->upstream,
 		       report->answered ? "answered" : "failed");
 	upstream = aub_inventory_upstream(service->inventory, report->upstream);
@@ -400,7 +400,7 @@
 		send_attempt(service, request, action);
 		break;
 	case AUB_ACTION_REFUSE:
-		aub_event_note(service->task->options.events, AUB_EVENT_REFUSED,
+		aub_event_record_simple(service->task->options.events, AUB_EVENT_REFUSED,
 			       request->id, action->retry_after_ms, NULL,
 			       aub_refusal_name(action->refusal));
 		deliver(request, aub_answer_refusal(action->refusal,
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -87,7 +87,7 @@
 	aub_front_update_roles(entry->front);
 }
 
-static void on_states(const struct aub_states *states, guint64 incarnation,
+static void on_states(const struct aub_upstream_states *states, guint64 incarnation,
 		      void *context)
 {
 	struct aub_entry *entry = context;
@@ -384,7 +384,7 @@
 					      AUB_SECOND, on_second, entry);
 	entry->states_timer = aub_timer_every(entry->timers, "states",
 					      STATES_US, on_tell, entry);
-	aub_event_note(entry->events, AUB_EVENT_STARTED, 0,
+	aub_event_record_simple(entry->events, AUB_EVENT_STARTED, 0,
 		       (gint64)entry->hello->incarnation, NULL, NULL);
 	return entry;
 }
--- a/src/coordination/entry_stop.c
+++ b/src/coordination/entry_stop.c
@@ -27,16 +27,16 @@
 	entry->phase = phase;
 	entry->phase_us = now(entry);
 	aub_log_info("stop: %s", text);
-	aub_event_note(entry->events, AUB_EVENT_STOPPING, 0, phase, NULL, text);
+	aub_event_record_simple(entry->events, AUB_EVENT_STOPPING, 0, phase, NULL, text);
 }
 
-static void on_handed_over(guint64 heir, void *context)
+static void on_handed_over(guint64 successor, void *context)
 {
 	struct aub_entry *entry = context;
 
-	entry->heir = heir;
-	aub_entry_view_set_heir(entry->view, heir);
-	enter(entry, ENTRY_ANNOUNCING, heir ? "announce heir" : "no heir");
+	entry->successor = successor;
+	aub_entry_view_set_heir(entry->view, successor);
+	enter(entry, ENTRY_ANNOUNCING, successor ? "announce heir" : "no heir");
 }
 
 /* A share of the time that is left for the whole stop. */
--- a/src/coordination/entry_view.c
+++ b/src/coordination/entry_view.c
@@ -34,7 +34,7 @@
 	gint64 serve_until_us;
 	guint32 load_permille;
 	bool stopping;
-	guint64 heir;
+	guint64 successor;
 };
 
 static void assignment_free(void *data)
@@ -63,7 +63,7 @@
 	ack->epoch = view->epoch;
 	ack->load_permille = view->load_permille;
 	ack->stopping = view->stopping;
-	ack->heir = view->heir;
+	ack->successor = view->successor;
 	ack->number = (guint64)(now(view) / AUB_MS);
 	aub_link_send(view->link, &ack->base);
 	aub_message_free(&ack->base);
@@ -120,12 +120,12 @@
 {
 	guint64 *key;
 
-	if (!member->heir || !member->incarnation ||
+	if (!member->successor || !member->incarnation ||
 	    g_hash_table_contains(view->heirs, &member->incarnation))
 		return;
 	key = g_memdup2(&member->incarnation, sizeof(*key));
 	g_hash_table_insert(view->heirs, key,
-			    g_memdup2(&member->heir, sizeof(member->heir)));
+			    g_memdup2(&member->successor, sizeof(member->successor)));
 	g_queue_push_tail(&view->heirs_order, key);
 	if (g_queue_get_length(&view->heirs_order) > HEIRS_KEPT)
 		g_hash_table_remove(view->heirs,
@@ -159,7 +159,7 @@
 	view->lapse = 0;
 	if (aub_entry_view_serving(view))
 		return;
-	aub_event_note(view->options.events, AUB_EVENT_VIEW, 0,
+	aub_event_record_simple(view->options.events, AUB_EVENT_VIEW, 0,
 		       (gint64)view->config_version, NULL, "lapsed");
 	aub_log_warning("permission to serve lapsed");
 	view->options.changed(view->options.context);
@@ -218,10 +218,10 @@
 	take_members(view, message);
 	take_permission(view, message);
 	if (view->config_version != config_version)
-		aub_event_note(view->options.events, AUB_EVENT_VIEW, 0,
+		aub_event_record_simple(view->options.events, AUB_EVENT_VIEW, 0,
 			       (gint64)view->config_version, NULL, "in force");
 	if (view->epoch != epoch)
-		aub_event_note(view->options.events, AUB_EVENT_ASSIGNMENT, 0,
+		aub_event_record_simple(view->options.events, AUB_EVENT_ASSIGNMENT, 0,
 			       (gint64)view->epoch, NULL, NULL);
 	view->options.changed(view->options.context);
 	send_ack(view);
@@ -364,9 +364,9 @@
 guint64 aub_entry_view_heir(const struct aub_entry_view *view,
 			    guint64 incarnation)
 {
-	const guint64 *heir = g_hash_table_lookup(view->heirs, &incarnation);
+	const guint64 *successor = g_hash_table_lookup(view->heirs, &incarnation);
 
-	return heir ? *heir : 0;
+	return successor ? *successor : 0;
 }
 
 void aub_entry_view_assignments(const struct aub_entry_view *view,
@@ -407,9 +407,9 @@
 	send_ack(view);
 }
 
-void aub_entry_view_set_heir(struct aub_entry_view *view, guint64 heir)
+void aub_entry_view_set_heir(struct aub_entry_view *view, guint64 successor)
 {
-	view->heir = heir;
+	view->successor = successor;
 	send_ack(view);
 }
 
--- a/src/coordination/front.c
+++ b/src/coordination/front.c
@@ -96,7 +96,7 @@
 	gint64 took_us =
 		aub_timer_now(front->options.timers) - request->arrived_us;
 
-	aub_event_note(front->options.events, AUB_EVENT_FINISHED,
+	aub_event_record_simple(front->options.events, AUB_EVENT_FINISHED,
 		       request->call->id, answer->status, NULL,
 		       answer->reason && *answer->reason ?
 			       answer->reason :
@@ -150,7 +150,7 @@
 void front_refuse(struct front_request *request, guint status,
 		  const char *reason, guint32 retry_after_ms)
 {
-	aub_event_note(request->front->options.events, AUB_EVENT_REFUSED,
+	aub_event_record_simple(request->front->options.events, AUB_EVENT_REFUSED,
 		       request->call->id, retry_after_ms, NULL, reason);
 	front_finish(request,
 		     aub_answer_not_run(status, reason, retry_after_ms));
@@ -311,7 +311,7 @@
 	g_hash_table_add(front->requests, request);
 	front_figures_pending(front->figures,
 			      g_hash_table_size(front->requests));
-	aub_event_note(front->options.events, AUB_EVENT_ARRIVED, call->id, 0,
+	aub_event_record_simple(front->options.events, AUB_EVENT_ARRIVED, call->id, 0,
 		       NULL, call->path);
 	return request;
 }
@@ -355,7 +355,7 @@
 	if (!is_receiver(request))
 		front_refuse(request, 503, "another-incarnation",
 			     RETRY_SOON_MS);
-	else if (call->purpose == AUB_CALL_KEEPER)
+	else if (call->purpose == AUB_CALL_KEY_OWNER)
 		front_start_keyed(request);
 	else if (!aub_entry_view_serving(front->options.view))
 		front_refuse(request, 503, "not-serving", RETRY_LATER_MS);
@@ -375,7 +375,7 @@
 	request->inbound = NULL;
 	if (request->keeping)
 		return;
-	aub_event_note(front->options.events, AUB_EVENT_CANCELLED,
+	aub_event_record_simple(front->options.events, AUB_EVENT_CANCELLED,
 		       request->call->id, 0, NULL, "caller gone");
 	switch (request->place) {
 	case FRONT_WAITING:
@@ -460,7 +460,7 @@
 {
 	struct aub_front *front = context;
 	struct aub_dispatcher *dispatcher;
-	struct aub_states *states;
+	struct aub_upstream_states *states;
 
 	if (assignment->owner_incarnation !=
 		    front->options.hello->incarnation ||
@@ -483,7 +483,7 @@
 }
 
 void aub_front_learn_states(struct aub_front *front,
-			    const struct aub_states *states,
+			    const struct aub_upstream_states *states,
 			    guint64 incarnation)
 {
 	const struct aub_assignment *assignment =
--- a/src/coordination/front_route.c
+++ b/src/coordination/front_route.c
@@ -141,7 +141,7 @@
 		return;
 	}
 	call->retry_budget -= RETRY_ATTEMPT;
-	aub_event_note(request->front->options.events, AUB_EVENT_RETRIED,
+	aub_event_record_simple(request->front->options.events, AUB_EVENT_RETRIED,
 		       call->id, 0, NULL, "owner lost");
 	try_standby(request);
 }
@@ -245,7 +245,7 @@
 void front_route_to_keeper(struct front_request *request,
 			   const struct aub_member *member)
 {
-	relay_to(request, member, AUB_CALL_KEEPER, on_keeper_answer);
+	relay_to(request, member, AUB_CALL_KEY_OWNER, on_keeper_answer);
 }
 
 static void try_standby(struct front_request *request)
--- a/src/coordination/gateway_answer.c
+++ b/src/coordination/gateway_answer.c
@@ -178,7 +178,7 @@
 			  now - request->begun_us);
 	aub_log_begin(counter == AUB_COUNT_ANSWERED && status < 500 ?
 			      AUB_LOG_REQUEST :
-			      AUB_LOG_REQUEST_TROUBLE);
+			      AUB_LOG_REQUEST_FAILED);
 	aub_log_text("id", request->id);
 	aub_log_number("status", status);
 	aub_log_text("reason", reason);
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -140,7 +140,7 @@
 	return (guint)(MAX(left_us, 0) / AUB_MS);
 }
 
-static guint patience_ms(const struct aub_request *request, gint64 now_us)
+static guint max_wait_ms(const struct aub_request *request, gint64 now_us)
 {
 	gint64 late_ms = (gint64)(PATIENCE_LATE_SHARE *
 				  (double)(request->limit_us - now_us)) /
@@ -157,7 +157,7 @@
 		.priority = request->route->priority,
 		.target_ms = request->route->target_ms,
 		.on_time_ms = on_time_ms(request, now),
-		.patience_ms = patience_ms(request, now),
+		.max_wait_ms = max_wait_ms(request, now),
 		.retry = request->tried->len > request->unreachable,
 		.route = request->route->key,
 		.avoid = (const char *const *)request->tried->pdata,
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -27,7 +27,7 @@
 	gossip->number = (guint64)(now_us / 1000);
 	gossip->echo = 0;
 	gossip->roster = membership->roster;
-	gossip->known = membership->records->len;
+	gossip->member_count = membership->records->len;
 }
 
 gint64 aubi_gossip_delay_us(const struct aub_gossip *gossip, gint64 now_us)
@@ -135,12 +135,12 @@
 
 static bool is_compact(const struct aub_gossip *gossip)
 {
-	return gossip->ages.length == (gsize)gossip->known * COMPACT_ROW;
+	return gossip->ages.length == (gsize)gossip->member_count * COMPACT_ROW;
 }
 
 static bool is_tagged(const struct aub_gossip *gossip)
 {
-	return gossip->ages.length == (gsize)gossip->known * TAGGED_ROW;
+	return gossip->ages.length == (gsize)gossip->member_count * TAGGED_ROW;
 }
 
 static void hear_row(const struct aub_gossip *gossip,
@@ -176,7 +176,7 @@
 		return;
 	if (!compact && !is_tagged(gossip))
 		return;
-	for (i = 0; i < gossip->known; i++) {
+	for (i = 0; i < gossip->member_count; i++) {
 		const guint8 *row = gossip->ages.data + i * step;
 		struct aubi_member_record *record;
 
@@ -258,7 +258,7 @@
 	GHashTable *theirs = g_hash_table_new(NULL, NULL);
 	guint i;
 
-	for (i = 0; i < heard->known; i++) {
+	for (i = 0; i < heard->member_count; i++) {
 		guint32 tag;
 
 		memcpy(&tag, heard->ages.data + (gsize)i * TAGGED_ROW,
@@ -291,7 +291,7 @@
 	bool lists =
 		heard->ages.length && !is_compact(heard) && is_tagged(heard);
 	bool compact = heard->roster == membership->roster &&
-		       heard->known == membership->records->len;
+		       heard->member_count == membership->records->len;
 
 	if (lists)
 		write_missing(membership, heard, gossip, now_us);
--- a/src/coordination/keeper.c
+++ b/src/coordination/keeper.c
@@ -33,7 +33,7 @@
 	guint32 part; /* that awaits its acknowledgement */
 	bool sent; /* one is under way */
 	bool last; /* it was the last */
-	guint64 heir;
+	guint64 successor;
 	GHashTable *tried;
 	guint tries;
 	gint64 since_us;
@@ -89,13 +89,13 @@
 	const struct aub_member **member)
 {
 	const struct aub_entry_view *view = keeper->options.view;
-	guint64 heir;
+	guint64 successor;
 
 	for (guint i = 0; i < HEIR_CHAIN; i++) {
 		if (incarnation == keeper->options.incarnation) {
 			if (!keeper->handed_over)
 				return AUB_KEEPER_HERE;
-			incarnation = keeper->heir;
+			incarnation = keeper->successor;
 			continue;
 		}
 		if (g_hash_table_contains(keeper->adopted, &incarnation)) {
@@ -103,10 +103,10 @@
 			continue;
 		}
 		*member = aub_entry_view_member(view, incarnation);
-		heir = aub_entry_view_heir(view, incarnation);
-		if (!heir)
+		successor = aub_entry_view_heir(view, incarnation);
+		if (!successor)
 			break;
-		incarnation = heir;
+		incarnation = successor;
 		/* Named as heir, but the keys never came. */
 		if (incarnation == keeper->options.incarnation)
 			return AUB_KEEPER_GONE;
@@ -245,7 +245,7 @@
 
 static void note_keys(struct aub_keeper *keeper, guint count, const char *text)
 {
-	aub_event_note(keeper->options.events, AUB_EVENT_KEYS, 0, count, NULL,
+	aub_event_record_simple(keeper->options.events, AUB_EVENT_KEYS, 0, count, NULL,
 		       text);
 }
 
@@ -283,15 +283,15 @@
 		search->best = member;
 }
 
-static void end_hand_over(struct aub_keeper *keeper, guint64 heir)
+static void end_hand_over(struct aub_keeper *keeper, guint64 successor)
 {
 	aub_timer_cancel(keeper->options.timers, keeper->timer);
 	keeper->timer = 0;
-	keeper->heir = heir;
-	keeper->handed_over = heir != 0;
+	keeper->successor = successor;
+	keeper->handed_over = successor != 0;
 	note_keys(keeper, keeper->records->len,
-		  heir ? "handed over" : "no heir found");
-	keeper->done(heir, keeper->context);
+		  successor ? "handed over" : "no heir found");
+	keeper->done(successor, keeper->context);
 }
 
 /* Next of the members not tried yet; false when there is none. */
@@ -304,9 +304,9 @@
 	aub_entry_view_members(keeper->options.view, consider_heir, &search);
 	if (!search.best)
 		return false;
-	keeper->heir = search.best->incarnation;
+	keeper->successor = search.best->incarnation;
 	g_hash_table_add(keeper->tried,
-			 g_memdup2(&keeper->heir, sizeof(keeper->heir)));
+			 g_memdup2(&keeper->successor, sizeof(keeper->successor)));
 	keeper->next = 0;
 	keeper->part = 0;
 	keeper->sent = false;
@@ -336,7 +336,7 @@
 		g_ptr_array_add(keys->records, record);
 	}
 	keys->last = next == keeper->records->len;
-	sent = aub_relay_send_message(keeper->relay, keeper->heir, &keys->base);
+	sent = aub_relay_send_message(keeper->relay, keeper->successor, &keys->base);
 	if (sent) {
 		keeper->next = next;
 		keeper->last = keys->last;
@@ -353,7 +353,7 @@
 	struct aub_keeper *keeper = context;
 	enum aub_peer_state state;
 
-	state = aub_relay_peer_state(keeper->relay, keeper->heir);
+	state = aub_relay_peer_state(keeper->relay, keeper->successor);
 	if (state == AUB_PEER_UP && !keeper->sent && send_part(keeper))
 		return;
 	if (state != AUB_PEER_DOWN && now_us - keeper->since_us < HEIR_WAIT_US)
@@ -365,7 +365,7 @@
 	 * it is the only one, and if not, the answer is "unknown".
 	 */
 	if (keeper->last)
-		end_hand_over(keeper, keeper->heir);
+		end_hand_over(keeper, keeper->successor);
 	else if (!choose_heir(keeper))
 		end_hand_over(keeper, 0);
 }
@@ -380,7 +380,7 @@
 	keeper->sent = false;
 	keeper->part++;
 	if (keeper->last)
-		end_hand_over(keeper, keeper->heir);
+		end_hand_over(keeper, keeper->successor);
 	else
 		send_part(keeper);
 }
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -189,7 +189,7 @@
 	struct aubi_member_record *record;
 	char *key;
 
-	if (past->state != AUB_MEMBER_STOPPED || !past->heir)
+	if (past->state != AUB_MEMBER_STOPPED || !past->successor)
 		return false;
 	if ((gint64)past->age_ms * 1000 >= AUBI_MEMBER_STOPPED_US)
 		return false;
@@ -212,7 +212,7 @@
 static bool same_record(const struct aub_member *a, const struct aub_member *b)
 {
 	return a->state == b->state && a->incarnation == b->incarnation &&
-	       a->heir == b->heir && same_text(a->zone, b->zone) &&
+	       a->successor == b->successor && same_text(a->zone, b->zone) &&
 	       same_text(a->callers_address, b->callers_address) &&
 	       same_text(a->inner_address, b->inner_address) &&
 	       same_text(a->control_address, b->control_address) &&
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -269,13 +269,13 @@
 
 static void export_log(struct aub_node *node)
 {
-	static const char *const names[AUB_LOG_CLASSES] = {
-		[AUB_LOG_CALM] = "calm",
-		[AUB_LOG_TROUBLE] = "trouble",
+	static const char *const names[AUB_LOG_CLASS_COUNT] = {
+		[AUB_LOG_SUCCESS] = "calm",
+		[AUB_LOG_FAILURE] = "trouble",
 		[AUB_LOG_STATE] = "state",
 	};
 
-	for (guint i = 0; i < AUB_LOG_CLASSES; i++)
+	for (guint i = 0; i < AUB_LOG_CLASS_COUNT; i++)
 		set_series(node, true, "auburnstile_log_dropped_total",
 			   aub_metrics_labels("class", names[i], NULL),
 			   "lines that found no room",
--- a/src/coordination/node_store.c
+++ b/src/coordination/node_store.c
@@ -4,7 +4,7 @@
  */
 #include <auburnstile/internal/decision_log.h>
 #include <auburnstile/internal/node_parts.h>
-#include <auburnstile/internal/pack.h>
+#include <auburnstile/internal/compression.h>
 
 #define LONELY_US (300 * AUB_MS) /* a seed answers within some ms */
 
@@ -190,7 +190,7 @@
 
 	if (!aub_peers_self_watches(node->peers))
 		return;
-	packed = aubi_pack(body, length);
+	packed = aubi_compress(body, length);
 	data = g_bytes_get_data(packed, &size);
 	if (size <= SHARE_BYTES) {
 		message = (struct aub_store_changes *)aub_message_new(
@@ -214,7 +214,7 @@
 
 	if (!node->store || message->kind >= AUB_STORE_KINDS)
 		return;
-	body = aubi_unpack(message->body.data, message->body.length,
+	body = aubi_decompress(message->body.data, message->body.length,
 			   SHARED_LIMIT, "peer", NULL);
 	if (!body)
 		return;
--- a/src/coordination/peers.c
+++ b/src/coordination/peers.c
@@ -61,19 +61,19 @@
 /* Whoever is not known to be alive is asked to answer. */
 static void send_heartbeat(struct aub_peers *peers, const struct aub_peer *to)
 {
-	peers->heartbeat->reply = !to->alive;
+	peers->heartbeat->reply_requested = !to->alive;
 	aub_peers_send(peers, to, &peers->heartbeat->base);
 }
 
 /* Members alone are not followed: heartbeats themselves tell of them. */
-G_STATIC_ASSERT(AUB_HEARTBEAT_REVISIONS == AUB_STORE_MEMBERS);
+G_STATIC_ASSERT(AUB_HEARTBEAT_REVISION_COUNT == AUB_STORE_MEMBERS);
 
 static void announce_revisions(struct aub_peers *peers,
 			       const struct aub_heartbeat *heartbeat)
 {
 	const struct aub_peers_options *options = &peers->options;
 
-	for (guint i = 0; i < AUB_HEARTBEAT_REVISIONS; i++)
+	for (guint i = 0; i < AUB_HEARTBEAT_REVISION_COUNT; i++)
 		options->announced((enum aub_store_kind)i,
 				   (gint64)heartbeat->revisions[i],
 				   options->context);
@@ -122,7 +122,7 @@
 		peer->alive = true;
 		aub_peers_rank_again(peers);
 		if (appeared)
-			log_peer(AUB_LOG_PEER_HEARD, peer, 0);
+			log_peer(AUB_LOG_PEER_ALIVE, peer, 0);
 		if (appeared && !heartbeat->peers)
 			aub_peers_introduce(peers, peer);
 	}
@@ -131,7 +131,7 @@
 	 * does not know of this gateway until the next round between zones.
 	 * Enough: it asks each round until it has been answered.
 	 */
-	if (heartbeat->reply)
+	if (heartbeat->reply_requested)
 		send_heartbeat(peers, peer);
 }
 
@@ -290,7 +290,7 @@
 
 static GBytes *encode_heartbeat(struct aub_peers *peers, bool reply)
 {
-	peers->heartbeat->reply = reply;
+	peers->heartbeat->reply_requested = reply;
 	return aub_message_encode(&peers->heartbeat->base, NULL);
 }
 
@@ -446,7 +446,7 @@
 {
 	const GPtrArray *watchers = aub_peers_watchers(peers);
 
-	peers->heartbeat->reply = false;
+	peers->heartbeat->reply_requested = false;
 	aub_peers_send_zone(peers, &peers->heartbeat->base);
 	for (guint i = 0; i < watchers->len; i++) {
 		const struct aub_peer *peer = g_ptr_array_index(watchers, i);
@@ -462,7 +462,7 @@
 {
 	bool changed = false;
 
-	for (guint i = 0; i < AUB_HEARTBEAT_REVISIONS; i++) {
+	for (guint i = 0; i < AUB_HEARTBEAT_REVISION_COUNT; i++) {
 		guint64 revision = (guint64)state->revisions[i];
 
 		changed = changed || heartbeat->revisions[i] != revision;
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -4,9 +4,9 @@
  */
 #include <auburnstile/internal/placer_parts.h>
 
-struct aub_load_told aub_load_tell(const struct aub_load *load)
+struct aub_reported_load aub_load_tell(const struct aub_load *load)
 {
-	return (struct aub_load_told){
+	return (struct aub_reported_load){
 		.running = (guint32)(load->running + 1),
 		.waiting = (guint32)(load->waiting + 1),
 		.slots = (guint32)(load->slots + 1),
@@ -15,7 +15,7 @@
 	};
 }
 
-struct aub_load aub_load_of(const struct aub_load_told *told)
+struct aub_load aub_load_of(const struct aub_reported_load *told)
 {
 	return (struct aub_load){
 		.running = (gint)told->running - 1,
@@ -73,7 +73,7 @@
  */
 static bool forward_ask(struct aub_placer *placer,
 			const struct aub_peer *holder,
-			struct aub_place_ask *message)
+			struct aub_place_request *message)
 {
 	struct aub_peer *better = NULL;
 
@@ -89,7 +89,7 @@
 	return true;
 }
 
-static void take_ask(struct aub_placer *placer, struct aub_place_ask *message)
+static void take_ask(struct aub_placer *placer, struct aub_place_request *message)
 {
 	struct aub_placement *placement =
 		aub_placer_placement(placer, message->service);
@@ -101,7 +101,7 @@
 		.priority = message->priority,
 		.target_ms = message->target_ms,
 		.on_time_ms = message->on_time_ms,
-		.patience_ms = message->patience_ms,
+		.max_wait_ms = message->max_wait_ms,
 		.retry = message->retry,
 		.route = message->route,
 	};
@@ -196,7 +196,7 @@
 	if (decision.verdict == AUB_VERDICT_QUEUED) {
 		ticket->queued = true;
 		ticket->next_us = ticket->sent_us +
-				  ticket->ask.patience_ms * AUB_MS +
+				  ticket->ask.max_wait_ms * AUB_MS +
 				  AUB_QUEUED_SLACK_US;
 		return;
 	}
@@ -230,8 +230,8 @@
 void aub_placer_message(struct aub_placer *placer, struct aub_message *message)
 {
 	switch (message->type) {
-	case AUB_MESSAGE_PLACE_ASK:
-		take_ask(placer, (struct aub_place_ask *)message);
+	case AUB_MESSAGE_PLACE_REQUEST:
+		take_ask(placer, (struct aub_place_request *)message);
 		break;
 	case AUB_MESSAGE_PLACE_DECISION:
 		take_decision(placer, (struct aub_place_decision *)message);
@@ -243,9 +243,9 @@
 		aub_placer_take_outstanding(
 			placer, (struct aub_place_outstanding *)message);
 		break;
-	case AUB_MESSAGE_PLACE_PROBED:
+	case AUB_MESSAGE_PLACE_PROBE_RESULTS:
 		aub_placer_take_probed(placer,
-				       (struct aub_place_probed *)message);
+				       (struct aub_place_probe_results *)message);
 		break;
 	case AUB_MESSAGE_PLACE_HEALTH:
 		aub_placer_take_health(placer,
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -96,16 +96,16 @@
 	struct aub_active *active =
 		g_hash_table_lookup(placer->active, probe->service);
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_probed *probed;
+	struct aub_probe_result *probed;
 
 	if (!active || active->until_us >= now)
 		return;
 	if (!active->probed) {
-		active->probed = (struct aub_place_probed *)aub_message_new(
-			AUB_MESSAGE_PLACE_PROBED);
+		active->probed = (struct aub_place_probe_results *)aub_message_new(
+			AUB_MESSAGE_PLACE_PROBE_RESULTS);
 		aub_string_set(&active->probed->service, probe->service);
 	}
-	probed = aub_probed_new();
+	probed = aub_probe_result_new();
 	aub_string_set(&probed->upstream, probe->upstream);
 	probed->end = end;
 	probed->load = aub_load_tell(load);
@@ -117,14 +117,14 @@
 }
 
 void aub_placer_take_probed(struct aub_placer *placer,
-			    const struct aub_place_probed *message)
+			    const struct aub_place_probe_results *message)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_placement *placement =
 		aub_placer_placement(placer, message->service);
 
 	for (guint i = 0; i < message->probed->len; i++) {
-		const struct aub_probed *probed =
+		const struct aub_probe_result *probed =
 			g_ptr_array_index(message->probed, i);
 		const struct aub_load load = aub_load_of(&probed->load);
 
@@ -238,7 +238,7 @@
 	struct aub_active *active = wake(placer, service);
 
 	if (active->until_us < now) {
-		aub_log_begin(AUB_LOG_PLACING);
+		aub_log_begin(AUB_LOG_PLACER_ACTIVE);
 		aub_log_text("service", service);
 		aub_log_end();
 	}
--- a/src/coordination/placer_tickets.c
+++ b/src/coordination/placer_tickets.c
@@ -165,8 +165,8 @@
 static void send_ask(struct aub_placer *placer, struct aub_ticket *ticket,
 		     const struct aub_peer *peer)
 {
-	struct aub_place_ask *message =
-		(struct aub_place_ask *)aub_message_new(AUB_MESSAGE_PLACE_ASK);
+	struct aub_place_request *message =
+		(struct aub_place_request *)aub_message_new(AUB_MESSAGE_PLACE_REQUEST);
 
 	message->holder = placer->options.incarnation;
 	message->ticket = ticket->id;
@@ -175,7 +175,7 @@
 	message->priority = ticket->ask.priority;
 	message->target_ms = ticket->ask.target_ms;
 	message->on_time_ms = ticket->ask.on_time_ms;
-	message->patience_ms = ticket->ask.patience_ms;
+	message->max_wait_ms = ticket->ask.max_wait_ms;
 	message->retry = ticket->ask.retry;
 	message->route = ticket->ask.route;
 	message->forward = is_first_choice(placer, ticket->service, peer);
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -275,7 +275,7 @@
 	call->context = context;
 	message->receiver = member->incarnation;
 	g_hash_table_insert(peer->calls, &call->id, call);
-	aub_event_note(relay->options.events, AUB_EVENT_RELAYED, message->id,
+	aub_event_record_simple(relay->options.events, AUB_EVENT_RELAYED, message->id,
 		       message->purpose, NULL, member->name);
 	/*
 	 * Failure: an entry went silent, and each request meant for it waits
--- a/src/coordination/relay_guests.c
+++ b/src/coordination/relay_guests.c
@@ -116,8 +116,8 @@
 		if (inbound)
 			drop_inbound(inbound);
 		break;
-	case AUB_MESSAGE_STATES:
-		guest->guests->options->states((struct aub_states *)message,
+	case AUB_MESSAGE_UPSTREAM_STATES:
+		guest->guests->options->states((struct aub_upstream_states *)message,
 					       guest->incarnation,
 					       guest->guests->options->context);
 		break;
--- a/src/coordination/states.c
+++ b/src/coordination/states.c
@@ -7,7 +7,7 @@
 #define UPSTREAMS 1024 /* of one service; more are left out */
 #define CRASHES 256 /* likewise */
 
-static void add_upstreams(struct aub_states *states,
+static void add_upstreams(struct aub_upstream_states *states,
 			  const struct aub_dispatcher *dispatcher,
 			  gint64 now_us)
 {
@@ -35,7 +35,7 @@
  * upstreams down brings down two more under the next owner. Enough: the next
  * owner is the stand-by, and it is told within a moment.
  */
-static void add_crashes(struct aub_states *states,
+static void add_crashes(struct aub_upstream_states *states,
 			const struct aub_dispatcher *dispatcher, gint64 now_us)
 {
 	struct aub_crash_mark list[CRASHES];
@@ -52,7 +52,7 @@
 }
 
 static void learn_crashes(struct aub_dispatcher *dispatcher,
-			  const struct aub_states *states, gint64 now_us)
+			  const struct aub_upstream_states *states, gint64 now_us)
 {
 	for (guint i = 0; i < states->crashes->len; i++) {
 		const struct aub_crash_record *record =
@@ -67,11 +67,11 @@
 	}
 }
 
-struct aub_states *aub_states_make(const struct aub_dispatcher *dispatcher,
+struct aub_upstream_states *aub_states_make(const struct aub_dispatcher *dispatcher,
 				   const char *service, gint64 now_us)
 {
-	struct aub_states *states =
-		(struct aub_states *)aub_message_new(AUB_MESSAGE_STATES);
+	struct aub_upstream_states *states =
+		(struct aub_upstream_states *)aub_message_new(AUB_MESSAGE_UPSTREAM_STATES);
 
 	aub_string_set(&states->service, service);
 	add_upstreams(states, dispatcher, now_us);
@@ -80,7 +80,7 @@
 }
 
 void aub_states_learn(struct aub_dispatcher *dispatcher,
-		      const struct aub_states *states, gint64 now_us)
+		      const struct aub_upstream_states *states, gint64 now_us)
 {
 	for (guint i = 0; i < states->upstreams->len; i++) {
 		const struct aub_upstream_state *state =
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -138,7 +138,7 @@
 {
 	if (task->failing) {
 		task->back_us = now_us;
-		log_store(task, AUB_LOG_STORE_REGAINED, "",
+		log_store(task, AUB_LOG_STORE_RECOVERED, "",
 			  now_us - task->heard_us);
 		task->failing = false;
 		wake_failed(task->sync);
@@ -251,7 +251,7 @@
 		failed(task,
 		       end == AUB_EXCHANGE_TIMEOUT ? "timeout" : "connection");
 	} else if (result == AUB_STORE_NO_HISTORY) {
-		log_store(task, AUB_LOG_STORE_HISTORY_GONE, "", 0);
+		log_store(task, AUB_LOG_STORE_HISTORY_LOST, "", 0);
 		aub_store_relist(task);
 		task_run(task);
 	} else {
--- a/src/core/decision_log.c
+++ b/src/core/decision_log.c
@@ -13,13 +13,13 @@
 #define CALM_BYTES (64u << 10) /* room that lines about successes may fill */
 #define ALL_BYTES (256u << 10) /* room for the others */
 
-static const char *const class_names[AUB_LOG_CLASSES] = {
-	[AUB_LOG_CALM] = "calm",
-	[AUB_LOG_TROUBLE] = "trouble",
+static const char *const class_names[AUB_LOG_CLASS_COUNT] = {
+	[AUB_LOG_SUCCESS] = "calm",
+	[AUB_LOG_FAILURE] = "trouble",
 	[AUB_LOG_STATE] = "state",
 };
 
-static const struct aub_log_event_info events[AUB_LOG_EVENTS] = {
+static const struct aub_log_event_info events[AUB_LOG_EVENT_COUNT] = {
 	[AUB_LOG_START] = { "start", AUB_LOG_STATE, "the process runs" },
 	[AUB_LOG_STOPPING] = { "stopping", AUB_LOG_STATE,
 			       "a planned stop has begun" },
@@ -35,17 +35,17 @@
 				     "an object of the store could not be read" },
 	[AUB_LOG_STORE_LOST] = { "store-lost", AUB_LOG_STATE,
 				 "the store no longer answers" },
-	[AUB_LOG_STORE_REGAINED] = { "store-regained", AUB_LOG_STATE,
+	[AUB_LOG_STORE_RECOVERED] = { "store-regained", AUB_LOG_STATE,
 				     "it answers again" },
-	[AUB_LOG_STORE_HISTORY_GONE] = { "store-history-gone", AUB_LOG_STATE,
+	[AUB_LOG_STORE_HISTORY_LOST] = { "store-history-gone", AUB_LOG_STATE,
 					 "the watch has a gap: listing anew" },
-	[AUB_LOG_PEER_HEARD] = { "peer-heard", AUB_LOG_STATE,
+	[AUB_LOG_PEER_ALIVE] = { "peer-heard", AUB_LOG_STATE,
 				 "another gateway is alive" },
 	[AUB_LOG_PEER_LOST] = { "peer-lost", AUB_LOG_STATE,
 				"it was silent for too long, or restarted" },
 	[AUB_LOG_DATAGRAM_REFUSED] = { "datagram-refused", AUB_LOG_STATE,
 				       "a peer's message made no sense" },
-	[AUB_LOG_PLACING] = { "placing", AUB_LOG_STATE,
+	[AUB_LOG_PLACER_ACTIVE] = { "placing", AUB_LOG_STATE,
 			      "this gateway places for a service" },
 	[AUB_LOG_PLACER_SUSPECTED] = { "placer-suspected", AUB_LOG_STATE,
 				       "a placer did not answer in time" },
@@ -57,13 +57,13 @@
 			      "an order to change versions is another one, or further" },
 	[AUB_LOG_ROLLOUT_STORED] = { "rollout-stored", AUB_LOG_STATE,
 				     "a write of an order's state has ended" },
-	[AUB_LOG_REQUEST] = { "request", AUB_LOG_CALM,
+	[AUB_LOG_REQUEST] = { "request", AUB_LOG_SUCCESS,
 			      "an upstream's whole answer reached the caller" },
-	[AUB_LOG_REQUEST_TROUBLE] = { "request", AUB_LOG_TROUBLE,
+	[AUB_LOG_REQUEST_FAILED] = { "request", AUB_LOG_FAILURE,
 				      "a request ended in another way" },
-	[AUB_LOG_NOT_PLACED] = { "not-placed", AUB_LOG_TROUBLE,
+	[AUB_LOG_NOT_PLACED] = { "not-placed", AUB_LOG_FAILURE,
 				 "no upstream for a request, and why" },
-	[AUB_LOG_ATTEMPT] = { "attempt", AUB_LOG_TROUBLE,
+	[AUB_LOG_ATTEMPT] = { "attempt", AUB_LOG_FAILURE,
 			      "a try at an upstream that did not succeed" },
 	[AUB_LOG_LOG_DROPPED] = { "log-dropped", AUB_LOG_STATE,
 				  "lines that found no room" },
@@ -81,13 +81,13 @@
 	GString *lines;
 	bool open; /* a line is being written */
 	bool skip; /* and is dropped */
-	guint64 dropped[AUB_LOG_CLASSES];
-	guint64 told[AUB_LOG_CLASSES]; /* of the dropped ones, logged */
+	guint64 dropped[AUB_LOG_CLASS_COUNT];
+	guint64 told[AUB_LOG_CLASS_COUNT]; /* of the dropped ones, logged */
 } decisions;
 
 static void tell_dropped(void)
 {
-	for (guint i = 0; i < AUB_LOG_CLASSES; i++) {
+	for (guint i = 0; i < AUB_LOG_CLASS_COUNT; i++) {
 		guint64 count = decisions.dropped[i] - decisions.told[i];
 
 		if (!count)
@@ -200,7 +200,7 @@
 void aub_log_begin(enum aub_log_event event)
 {
 	enum aub_log_class kind = events[event].kind;
-	gsize limit = kind == AUB_LOG_CALM ? CALM_BYTES : ALL_BYTES;
+	gsize limit = kind == AUB_LOG_SUCCESS ? CALM_BYTES : ALL_BYTES;
 
 	g_assert(!decisions.open);
 	decisions.open = true;
--- a/src/core/event.c
+++ b/src/core/event.c
@@ -68,7 +68,7 @@
 	slot->wall_us = g_get_real_time();
 }
 
-void aub_event_note(struct aub_event_ring *ring, enum aub_event_type type,
+void aub_event_record_simple(struct aub_event_ring *ring, enum aub_event_type type,
 		    guint64 request, gint64 number, const char *upstream,
 		    const char *text)
 {
@@ -90,7 +90,7 @@
 	return ring->total;
 }
 
-guint64 aub_event_ring_lost(const struct aub_event_ring *ring)
+guint64 aub_event_ring_overwritten(const struct aub_event_ring *ring)
 {
 	if (ring->total <= ring->capacity)
 		return 0;
@@ -100,7 +100,7 @@
 void aub_event_ring_visit(const struct aub_event_ring *ring, guint64 after,
 			  aub_event_visitor *visit, void *context)
 {
-	guint64 sequence = MAX(after, aub_event_ring_lost(ring));
+	guint64 sequence = MAX(after, aub_event_ring_overwritten(ring));
 
 	for (; sequence < ring->total; sequence++)
 		visit(&ring->events[sequence % ring->capacity], context);
--- a/src/protocol/pack.c
+++ b/src/protocol/compression.c
@@ -3,7 +3,7 @@
  *
  * Unpacking stops at the limit, so that a small frame can't fill the memory.
  */
-#include <auburnstile/internal/pack.h>
+#include <auburnstile/internal/compression.h>
 
 #include <auburnstile/error.h>
 
@@ -37,7 +37,7 @@
 	return true;
 }
 
-GBytes *aubi_pack(const void *data, gsize length)
+GBytes *aubi_compress(const void *data, gsize length)
 {
 	GZlibCompressor *compressor =
 		g_zlib_compressor_new(G_ZLIB_COMPRESSOR_FORMAT_ZLIB, LEVEL);
@@ -48,7 +48,7 @@
 	return g_byte_array_free_to_bytes(out);
 }
 
-GBytes *aubi_unpack(const void *data, gsize length, gsize limit,
+GBytes *aubi_decompress(const void *data, gsize length, gsize limit,
 		    const char *peer, GError **error)
 {
 	GZlibDecompressor *decompressor =
--- a/src/protocol/frame_check.c
+++ b/src/protocol/frame_check.c
@@ -122,7 +122,7 @@
 static bool check(const void *data, gsize length, bool maps)
 {
 	struct frame_parser_context parser = {
-		.user.allowance = MIN(length, AUBI_FRAME_ELEMENTS),
+		.user.allowance = MIN(length, AUBI_FRAME_ELEMENTS_MAX),
 		.user.maps = maps,
 	};
 	size_t offset = 0;
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -176,9 +176,9 @@
 	return made;
 }
 
-struct aub_probed *aub_probed_new(void)
+struct aub_probe_result *aub_probe_result_new(void)
 {
-	return aubi_struct_new(&aubi_probed_layout);
+	return aubi_struct_new(&aubi_probe_result_layout);
 }
 
 struct aub_outstanding *aub_outstanding_new(void)
--- a/src/protocol/message_codec.c
+++ b/src/protocol/message_codec.c
@@ -88,12 +88,12 @@
 	msgpack_pack_uint32(&packer, AUB_PROTOCOL_VERSION);
 	msgpack_pack_uint32(&packer, message->type);
 	pack_struct(&packer, layout, message);
-	if (buffer.size <= AUB_FRAME_LIMIT)
+	if (buffer.size <= AUB_FRAME_BYTES_MAX)
 		bytes = g_bytes_new(buffer.data, buffer.size);
 	else
 		aub_error_set(error, AUB_ERROR_TOO_LARGE, STEP_ENCODE,
 			      layout->name, "%zu bytes, limit %u", buffer.size,
-			      AUB_FRAME_LIMIT);
+			      AUB_FRAME_BYTES_MAX);
 	msgpack_sbuffer_destroy(&buffer);
 	return bytes;
 }
--- a/src/protocol/message_fields.c
+++ b/src/protocol/message_fields.c
@@ -67,7 +67,7 @@
 	STRING(aub_member, control_address, ADDRESS_LIMIT),
 	STRING(aub_member, entry_admin, ADDRESS_LIMIT),
 	STRING(aub_member, control_admin, ADDRESS_LIMIT),
-	NUMBER(aub_member, heir),
+	NUMBER(aub_member, successor),
 	NUMBER32(aub_member, age_ms),
 	NUMBER(aub_member, config_version),
 	NUMBER32(aub_member, load_permille),
@@ -94,7 +94,7 @@
 static const struct aubi_field key_record_fields[] = {
 	STRING(aub_key_record, key, HEADER_LIMIT),
 	BYTES(aub_key_record, fingerprint, NAME_LIMIT),
-	NUMBER32(aub_key_record, keep_ms),
+	NUMBER32(aub_key_record, ttl_ms),
 	CHOICE(aub_key_record, outcome, AUB_OUTCOME_UNKNOWN),
 	NUMBER32(aub_key_record, status),
 	LIST(aub_key_record, headers, HEADERS_LIMIT, &aubi_header_layout),
@@ -152,7 +152,7 @@
 	NUMBER(aub_view_ack, epoch),
 	NUMBER32(aub_view_ack, load_permille),
 	FLAG(aub_view_ack, stopping),
-	NUMBER(aub_view_ack, heir),
+	NUMBER(aub_view_ack, successor),
 	NUMBER(aub_view_ack, number),
 	END,
 };
@@ -166,7 +166,7 @@
 	NUMBER(aub_gossip, number),
 	NUMBER(aub_gossip, echo),
 	NUMBER(aub_gossip, roster),
-	NUMBER32(aub_gossip, known),
+	NUMBER32(aub_gossip, member_count),
 	BYTES(aub_gossip, ages, AGES_LIMIT),
 	END,
 };
@@ -242,10 +242,10 @@
 	LAYOUT("crash record", aub_crash_record, crash_record_fields);
 
 static const struct aubi_field states_fields[] = {
-	STRING(aub_states, service, NAME_LIMIT),
-	LIST(aub_states, upstreams, UPSTREAMS_LIMIT,
+	STRING(aub_upstream_states, service, NAME_LIMIT),
+	LIST(aub_upstream_states, upstreams, UPSTREAMS_LIMIT,
 	     &aubi_upstream_state_layout),
-	LIST(aub_states, crashes, CRASHES_LIMIT, &aubi_crash_record_layout),
+	LIST(aub_upstream_states, crashes, CRASHES_LIMIT, &aubi_crash_record_layout),
 	END,
 };
 
@@ -268,22 +268,22 @@
 	LAYOUT("outstanding grant", aub_outstanding, outstanding_fields);
 
 static const struct aubi_field probed_fields[] = {
-	STRING(aub_probed, upstream, NAME_LIMIT),
-	NUMBER32(aub_probed, end),
-	NUMBER32(aub_probed, load.running),
-	NUMBER32(aub_probed, load.waiting),
-	NUMBER32(aub_probed, load.slots),
-	NUMBER32(aub_probed, load.slowdown),
-	NUMBER32(aub_probed, load.warmup_ms),
+	STRING(aub_probe_result, upstream, NAME_LIMIT),
+	NUMBER32(aub_probe_result, end),
+	NUMBER32(aub_probe_result, load.running),
+	NUMBER32(aub_probe_result, load.waiting),
+	NUMBER32(aub_probe_result, load.slots),
+	NUMBER32(aub_probe_result, load.slowdown),
+	NUMBER32(aub_probe_result, load.warmup_ms),
 	END,
 };
 
-const struct aubi_layout aubi_probed_layout =
-	LAYOUT("probed upstream", aub_probed, probed_fields);
+const struct aubi_layout aubi_probe_result_layout =
+	LAYOUT("probed upstream", aub_probe_result, probed_fields);
 
 static const struct aubi_field place_probed_fields[] = {
-	STRING(aub_place_probed, service, NAME_LIMIT),
-	LIST(aub_place_probed, probed, UPSTREAMS_LIMIT, &aubi_probed_layout),
+	STRING(aub_place_probe_results, service, NAME_LIMIT),
+	LIST(aub_place_probe_results, probed, UPSTREAMS_LIMIT, &aubi_probe_result_layout),
 	END,
 };
 
@@ -331,7 +331,7 @@
 	FLAG(aub_heartbeat, stopping),
 	NUMBER(aub_heartbeat, config_version),
 	NUMBER32(aub_heartbeat, peers),
-	FLAG(aub_heartbeat, reply),
+	FLAG(aub_heartbeat, reply_requested),
 	FLAG(aub_heartbeat, current),
 	FLAG(aub_heartbeat, hears),
 	NUMBER(aub_heartbeat, revisions[0]),
@@ -360,19 +360,19 @@
 };
 
 static const struct aubi_field place_ask_fields[] = {
-	NUMBER(aub_place_ask, holder),
-	NUMBER(aub_place_ask, ticket),
-	STRING(aub_place_ask, service, NAME_LIMIT),
-	STRING(aub_place_ask, zone, NAME_LIMIT),
-	NUMBER32(aub_place_ask, priority),
-	NUMBER32(aub_place_ask, target_ms),
-	NUMBER32(aub_place_ask, on_time_ms),
-	NUMBER32(aub_place_ask, patience_ms),
-	FLAG(aub_place_ask, retry),
-	FLAG(aub_place_ask, forward),
-	STRING(aub_place_ask, address, ADDRESS_LIMIT),
-	LIST(aub_place_ask, avoid, ATTEMPTS_LIMIT, &aubi_name_layout),
-	NUMBER32(aub_place_ask, route),
+	NUMBER(aub_place_request, holder),
+	NUMBER(aub_place_request, ticket),
+	STRING(aub_place_request, service, NAME_LIMIT),
+	STRING(aub_place_request, zone, NAME_LIMIT),
+	NUMBER32(aub_place_request, priority),
+	NUMBER32(aub_place_request, target_ms),
+	NUMBER32(aub_place_request, on_time_ms),
+	NUMBER32(aub_place_request, max_wait_ms),
+	FLAG(aub_place_request, retry),
+	FLAG(aub_place_request, forward),
+	STRING(aub_place_request, address, ADDRESS_LIMIT),
+	LIST(aub_place_request, avoid, ATTEMPTS_LIMIT, &aubi_name_layout),
+	NUMBER32(aub_place_request, route),
 	END,
 };
 
@@ -449,7 +449,7 @@
 	[AUB_MESSAGE_KEYS] = LAYOUT("keys", aub_keys, keys_fields),
 	[AUB_MESSAGE_KEYS_ACK] =
 		LAYOUT("keys acknowledgement", aub_keys_ack, keys_ack_fields),
-	[AUB_MESSAGE_STATES] = LAYOUT("states", aub_states, states_fields),
+	[AUB_MESSAGE_UPSTREAM_STATES] = LAYOUT("states", aub_upstream_states, states_fields),
 	[AUB_MESSAGE_HEARTBEAT] =
 		LAYOUT("heartbeat", aub_heartbeat, heartbeat_fields),
 	[AUB_MESSAGE_INTRODUCTION] =
@@ -457,8 +457,8 @@
 	[AUB_MESSAGE_CRASHES] = LAYOUT("crashes", aub_crashes, crashes_fields),
 	[AUB_MESSAGE_STORE_CHANGES] = LAYOUT("store changes", aub_store_changes,
 					     store_changes_fields),
-	[AUB_MESSAGE_PLACE_ASK] =
-		LAYOUT("place ask", aub_place_ask, place_ask_fields),
+	[AUB_MESSAGE_PLACE_REQUEST] =
+		LAYOUT("place ask", aub_place_request, place_ask_fields),
 	[AUB_MESSAGE_PLACE_DECISION] =
 		LAYOUT("place decision", aub_place_decision,
 		       place_decision_fields),
@@ -467,8 +467,8 @@
 	[AUB_MESSAGE_PLACE_OUTSTANDING] =
 		LAYOUT("place outstanding", aub_place_outstanding,
 		       place_outstanding_fields),
-	[AUB_MESSAGE_PLACE_PROBED] =
-		LAYOUT("place probed", aub_place_probed, place_probed_fields),
+	[AUB_MESSAGE_PLACE_PROBE_RESULTS] =
+		LAYOUT("place probed", aub_place_probe_results, place_probed_fields),
 	[AUB_MESSAGE_PLACE_HEALTH] =
 		LAYOUT("place health", aub_place_health, place_health_fields),
 	[AUB_MESSAGE_PLACE_ROLLOUT] = LAYOUT("place rollout", aub_place_rollout,
--- a/src/state/inventory_fields.c
+++ b/src/state/inventory_fields.c
@@ -8,7 +8,7 @@
 #include <stdarg.h>
 #include <string.h>
 
-/* Kept whole in events, logs and metrics: one less than AUB_EVENT_NAME. */
+/* Kept whole in events, logs and metrics: one less than AUB_EVENT_NAME_BYTES. */
 #define NAME_LIMIT 23
 
 /* Handles are 16 bits, and AUB_NO_HANDLE is none. */
--- a/src/state/key_table.c
+++ b/src/state/key_table.c
@@ -295,7 +295,7 @@
 		if (left_us <= 0)
 			continue;
 		record = record_copy(entry->record);
-		record->keep_ms = (guint32)MIN((left_us + AUB_MS - 1) / AUB_MS,
+		record->ttl_ms = (guint32)MIN((left_us + AUB_MS - 1) / AUB_MS,
 					       G_MAXUINT32);
 		copy_headers(record->headers, entry->record->headers);
 		aub_bytes_set(&record->body, entry->record->body.data,
@@ -311,11 +311,11 @@
 	struct key_entry *entry;
 
 	expire(table, now_us);
-	if (!record->keep_ms ||
+	if (!record->ttl_ms ||
 	    g_hash_table_contains(table->entries, record->key))
 		return;
 	entry = entry_add(table, record_copy(record));
-	entry_end(table, entry, now_us + (gint64)record->keep_ms * AUB_MS);
+	entry_end(table, entry, now_us + (gint64)record->ttl_ms * AUB_MS);
 	if (!record->stripped)
 		keep_answer(table, entry, record->headers, &record->body);
 }
--- a/src/state/placement_queue.c
+++ b/src/state/placement_queue.c
@@ -58,7 +58,7 @@
 	waiting->alone = ask->alone;
 	waiting->since_us = now_us;
 	waiting->on_time_us = now_us + ask->on_time_ms * AUB_PLACE_MS;
-	waiting->until_us = now_us + ask->patience_ms * AUB_PLACE_MS;
+	waiting->until_us = now_us + ask->max_wait_ms * AUB_PLACE_MS;
 	waiting->avoid = g_ptr_array_new_with_free_func(g_free);
 	for (guint i = 0; i < ask->avoid_count; i++)
 		g_ptr_array_add(waiting->avoid, g_strdup(ask->avoid[i]));
@@ -269,7 +269,7 @@
 		return;
 	}
 	/* Refused on arrival, not after a wait that would have been in vain. */
-	if (slots && wait_ms(placement, ahead, slots) > ask->patience_ms) {
+	if (slots && wait_ms(placement, ahead, slots) > ask->max_wait_ms) {
 		refuse(placement, decision, AUB_VERDICT_OVERLOAD,
 		       wait_ms(placement, ahead, slots));
 		return;
--- a/src/transport/events_json.c
+++ b/src/transport/events_json.c
@@ -62,7 +62,7 @@
 			       ",\"lost\":%" G_GUINT64_FORMAT ",\"events\":[",
 			       incarnation, g_get_monotonic_time(),
 			       g_get_real_time(),
-			       ring ? aub_event_ring_lost(ring) : 0);
+			       ring ? aub_event_ring_overwritten(ring) : 0);
 	if (ring)
 		aub_event_ring_visit(ring, after, event_write, &writer);
 	g_string_append(writer.out, "]}");
--- a/src/transport/link.c
+++ b/src/transport/link.c
@@ -263,7 +263,7 @@
 		return NULL;
 	memcpy(&length, buffer_data(&link->in), PREFIX_BYTES);
 	length = GUINT32_FROM_BE(length);
-	if (length > AUB_FRAME_LIMIT) {
+	if (length > AUB_FRAME_BYTES_MAX) {
 		link_fail_text(link, AUB_ERROR_TOO_LARGE, "read frame",
 			       "frame is past the limit");
 		return NULL;
--- a/tests/placement_load.h
+++ b/tests/placement_load.h
@@ -170,7 +170,7 @@
 				spec.per_s / 1000)(random);
 			ask.target_ms = spec.target_ms;
 			ask.on_time_ms = spec.target_ms * 6 / 10;
-			ask.patience_ms = spec.target_ms;
+			ask.max_wait_ms = spec.target_ms;
 			asked[ask.ticket] = ms;
 			result.asked++;
 			decided(placement.ask(ask), ms);
--- a/tests/placement_rig.h
+++ b/tests/placement_rig.h
@@ -86,7 +86,7 @@
 		ask.priority = priority;
 		ask.target_ms = 600;
 		ask.on_time_ms = 300;
-		ask.patience_ms = 300;
+		ask.max_wait_ms = 300;
 		return ask;
 	}
 	struct aub_decision ask(const struct aub_ask &ask)
--- a/tests/placer_rig.h
+++ b/tests/placer_rig.h
@@ -231,13 +231,13 @@
 		result->upstream = placed->upstream ? placed->upstream : "";
 		result->retry_after_ms = placed->retry_after_ms;
 	}
-	void ask(Gate &gate, Placed *result, guint patience_ms = 500)
+	void ask(Gate &gate, Placed *result, guint max_wait_ms = 500)
 	{
 		struct aub_ask ask = {};
 
 		ask.target_ms = 600;
-		ask.on_time_ms = patience_ms;
-		ask.patience_ms = patience_ms;
+		ask.on_time_ms = max_wait_ms;
+		ask.max_wait_ms = max_wait_ms;
 		*result = Placed();
 		result->ticket = aub_placer_ticket(gate.placer);
 		aub_placer_ask(gate.placer, "svc", &ask, result->ticket,
--- a/tests/test_admin.cc
+++ b/tests/test_admin.cc
@@ -222,7 +222,7 @@
 TEST_F(Admin, EventsComeInOrderAfterASequence)
 {
 	for (int i = 1; i <= 10; i++)
-		aub_event_note(events, AUB_EVENT_ARRIVED, (guint64)i << 60, i,
+		aub_event_record_simple(events, AUB_EVENT_ARRIVED, (guint64)i << 60, i,
 			       "cal-1", "a\"b\n");
 	std::string answer = ask("GET /v1/events?after=8", good);
 
--- a/tests/test_pack.cc
+++ b/tests/test_compression.cc
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include <auburnstile/error.h>
-#include <auburnstile/internal/pack.h>
+#include <auburnstile/internal/compression.h>
 
 #include <string>
 
@@ -10,7 +10,7 @@
 {
 	GError *error = nullptr;
 	GBytes *bytes =
-		aubi_unpack(packed.data(), packed.size(), limit, "p", &error);
+		aubi_decompress(packed.data(), packed.size(), limit, "p", &error);
 	std::string text;
 
 	*code = error ? error->code : -1;
@@ -27,7 +27,7 @@
 
 static std::string pack(const std::string &text)
 {
-	GBytes *bytes = aubi_pack(text.data(), text.size());
+	GBytes *bytes = aubi_compress(text.data(), text.size());
 	gsize length;
 	auto *data = (const char *)g_bytes_get_data(bytes, &length);
 	std::string packed(data, length);
--- a/tests/test_control.cc
+++ b/tests/test_control.cc
@@ -25,7 +25,7 @@
 	bool serve = false;
 	bool paused = false;
 	bool stopping = false;
-	guint64 heir = 0;
+	guint64 successor = 0;
 	std::vector<std::pair<guint64, guint64>> heirs; /* incarnation, heir */
 	std::vector<std::string> owners;
 	bool down = false;
@@ -92,7 +92,7 @@
 		for (guint i = 0; i < view->members->len; i++) {
 			auto *it = (struct aub_member *)view->members->pdata[i];
 
-			heirs.push_back({ it->incarnation, it->heir });
+			heirs.push_back({ it->incarnation, it->successor });
 		}
 		acknowledge();
 	}
@@ -105,7 +105,7 @@
 		ack->config_version = config_version;
 		ack->epoch = epoch;
 		ack->stopping = stopping;
-		ack->heir = heir;
+		ack->successor = successor;
 		ack->number = (guint64)(g_get_monotonic_time() / 1000);
 		aub_link_send(link, &ack->base);
 		aub_message_free(&ack->base);
@@ -574,7 +574,7 @@
 	entries[3]->stopping = true;
 	entries[3]->acknowledge();
 	EXPECT_TRUE(soon([&] { return !entries[0]->owns(at(3)->name); }, 8));
-	entries[3]->heir = 1001;
+	entries[3]->successor = 1001;
 	entries[3]->acknowledge();
 	fleet_run_ms(200);
 	entries[3].reset();
--- a/tests/test_core.cc
+++ b/tests/test_core.cc
@@ -61,14 +61,14 @@
 	std::vector<struct aub_event> seen;
 
 	for (int i = 1; i <= 6; i++)
-		aub_event_note(ring, AUB_EVENT_ARRIVED, (guint64)i, 0,
+		aub_event_record_simple(ring, AUB_EVENT_ARRIVED, (guint64)i, 0,
 			       "a-name-longer-than-the-bound-allows", NULL);
 	aub_event_ring_visit(ring, 0, collect, &seen);
 	ASSERT_EQ(seen.size(), 4u);
 	EXPECT_EQ(seen[0].request, 3u);
 	EXPECT_EQ(seen[3].sequence, 6u);
-	EXPECT_EQ(strlen(seen[0].upstream), (size_t)AUB_EVENT_NAME - 1);
-	EXPECT_EQ(aub_event_ring_lost(ring), 2u);
+	EXPECT_EQ(strlen(seen[0].upstream), (size_t)AUB_EVENT_NAME_BYTES - 1);
+	EXPECT_EQ(aub_event_ring_overwritten(ring), 2u);
 	seen.clear();
 	aub_event_ring_visit(ring, 5, collect, &seen);
 	EXPECT_EQ(seen.size(), 1u);
--- a/tests/test_decision_log.cc
+++ b/tests/test_decision_log.cc
@@ -79,10 +79,10 @@
 		line(AUB_LOG_REQUEST, long_id.c_str());
 		aub_decision_log_flush();
 	}
-	guint64 calm = aub_decision_log_dropped(AUB_LOG_CALM);
+	guint64 calm = aub_decision_log_dropped(AUB_LOG_SUCCESS);
 	EXPECT_GT(calm, 3000u);
-	line(AUB_LOG_REQUEST_TROUBLE, "the-failure");
-	EXPECT_EQ(aub_decision_log_dropped(AUB_LOG_TROUBLE), 0u);
+	line(AUB_LOG_REQUEST_FAILED, "the-failure");
+	EXPECT_EQ(aub_decision_log_dropped(AUB_LOG_FAILURE), 0u);
 	std::string text;
 	for (int i = 0; i < 20; i++) {
 		text += drain();
@@ -151,7 +151,7 @@
 	char *page = NULL;
 
 	ASSERT_TRUE(g_file_get_contents("docs/LOGGING.md", &page, NULL, NULL));
-	for (int i = 0; i < AUB_LOG_EVENTS; i++) {
+	for (int i = 0; i < AUB_LOG_EVENT_COUNT; i++) {
 		const struct aub_log_event_info *info =
 			aub_log_event_info((enum aub_log_event)i);
 		std::string heading = "| `" + std::string(info->name) + "` |";
--- a/tests/test_front.cc
+++ b/tests/test_front.cc
@@ -180,7 +180,7 @@
 			aub_string_set(&member->callers_address,
 				       hello->callers_address);
 			member->incarnation = hello->incarnation;
-			member->heir = heirs[i];
+			member->successor = heirs[i];
 			member->state =
 				heirs[i] ? AUB_MEMBER_STOPPED : AUB_MEMBER_LIVE;
 			g_ptr_array_add(view->members, member);
@@ -468,8 +468,8 @@
 	EXPECT_NE(ask(2, "GET /pay/x", "").find("Addresses-Stale: 1"),
 		  std::string::npos);
 	until([&] { return stopped; });
-	EXPECT_NE(nodes[2]->entry->heir, 0u);
-	heirs[2] = nodes[2]->entry->heir;
+	EXPECT_NE(nodes[2]->entry->successor, 0u);
+	heirs[2] = nodes[2]->entry->successor;
 	std::string unseen = key(2, "unseen");
 	std::string seen = key(2);
 	views();
--- a/tests/test_keeper.cc
+++ b/tests/test_keeper.cc
@@ -148,11 +148,11 @@
 	{
 	}
 
-	static void on_done(guint64 heir, void *context)
+	static void on_done(guint64 successor, void *context)
 	{
 		Keeper *test = (Keeper *)context;
 
-		test->heir = heir;
+		test->successor = successor;
 		test->done = true;
 	}
 
@@ -163,7 +163,7 @@
 	struct aub_entry_view *view;
 	struct aub_relay *relay;
 	struct aub_keeper *keeper;
-	guint64 heir = 0;
+	guint64 successor = 0;
 	bool done = false;
 };
 
@@ -181,5 +181,5 @@
 	while (!done)
 		g_main_context_iteration(NULL, TRUE);
 	EXPECT_EQ(first.parts + second.parts, 1);
-	EXPECT_EQ(heir, first.parts ? 201u : 202u);
+	EXPECT_EQ(successor, first.parts ? 201u : 202u);
 }
--- a/tests/test_key_table.cc
+++ b/tests/test_key_table.cc
@@ -163,7 +163,7 @@
  */
 TEST_F(KeyTable, HandOverKeepsAnswersAndTimes)
 {
-	struct aub_key_table *heir = aub_key_table_new(64 << 10, KEEP_US);
+	struct aub_key_table *successor = aub_key_table_new(64 << 10, KEEP_US);
 
 	begin("ran", 0);
 	finish("ran", AUB_OUTCOME_RUN, 7, 0);
@@ -171,20 +171,20 @@
 	GPtrArray *list = aub_key_table_export(table, KEEP_US / 2);
 	ASSERT_EQ(list->len, 2u);
 	for (guint i = 0; i < list->len; i++)
-		aub_key_table_import(heir,
+		aub_key_table_import(successor,
 				     (struct aub_key_record *)list->pdata[i],
 				     1000);
-	ASSERT_EQ(aub_key_table_begin(heir, "ran", mine, 0, 1001, &record),
+	ASSERT_EQ(aub_key_table_begin(successor, "ran", mine, 0, 1001, &record),
 		  AUB_KEY_KEPT);
 	EXPECT_EQ(record->body.length, 7u);
-	ASSERT_EQ(aub_key_table_begin(heir, "runs", mine, 0, 1001, &record),
+	ASSERT_EQ(aub_key_table_begin(successor, "runs", mine, 0, 1001, &record),
 		  AUB_KEY_KEPT);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_UNKNOWN);
-	EXPECT_EQ(aub_key_table_begin(heir, "ran", mine, 0, 1000 + KEEP_US / 2,
+	EXPECT_EQ(aub_key_table_begin(successor, "ran", mine, 0, 1000 + KEEP_US / 2,
 				      &record),
 		  AUB_KEY_NEW);
 	g_ptr_array_unref(list);
-	aub_key_table_free(heir);
+	aub_key_table_free(successor);
 }
 
 TEST_F(KeyTable, MemoryOfEndedKeysIsGivenBack)
--- a/tests/test_log_events.cc
+++ b/tests/test_log_events.cc
@@ -93,7 +93,7 @@
 
 TEST_F(LogEventsTest, KnowsEveryKindOfLine)
 {
-	for (int i = 0; i < AUB_LOG_EVENTS; i++) {
+	for (int i = 0; i < AUB_LOG_EVENT_COUNT; i++) {
 		const char *name =
 			aub_log_event_info((enum aub_log_event)i)->name;
 
--- a/tests/test_membership.cc
+++ b/tests/test_membership.cc
@@ -99,7 +99,7 @@
 	fleet.run(4);
 	self = aub_member_copy(aubi_membership_self(fleet.nodes[2].membership));
 	self->state = AUB_MEMBER_STOPPED;
-	self->heir = 104;
+	self->successor = 104;
 	aubi_membership_update_self(fleet.nodes[2].membership, self,
 				    fleet.now_us);
 	aub_member_free(self);
@@ -114,18 +114,18 @@
 	for (auto &node : fleet.nodes) {
 		GPtrArray *list =
 			aubi_membership_list(node.membership, fleet.now_us);
-		guint64 heir = 0;
+		guint64 successor = 0;
 		guint64 now = 0;
 
 		for (guint i = 0; i < list->len; i++) {
 			auto *member = (struct aub_member *)list->pdata[i];
 
 			if (member->incarnation == 102)
-				heir = member->heir;
+				successor = member->successor;
 			if (member->incarnation == 500)
 				now = member->incarnation;
 		}
-		EXPECT_EQ(heir, 104u) << node.name;
+		EXPECT_EQ(successor, 104u) << node.name;
 		EXPECT_EQ(now, 500u) << node.name;
 		g_ptr_array_unref(list);
 	}
--- a/tests/test_peers.cc
+++ b/tests/test_peers.cc
@@ -299,7 +299,7 @@
 	ASSERT_TRUE(aub_socket_address(gate->address.c_str(), &to));
 	aub_string_set(&heartbeat->address, address.c_str());
 	heartbeat->incarnation = 7;
-	heartbeat->reply = true;
+	heartbeat->reply_requested = true;
 	heartbeat->peers = 1;
 	GBytes *bytes = aub_message_encode(&heartbeat->base, NULL);
 	gsize length;
--- a/tests/test_placement.cc
+++ b/tests/test_placement.cc
@@ -103,7 +103,7 @@
 	struct aub_ask late = brief.ask_of();
 
 	late.on_time_ms = 0;
-	late.patience_ms = 5000;
+	late.max_wait_ms = 5000;
 	brief.add("slow");
 	brief.probed("slow", -1, 400);
 	EXPECT_EQ(brief.ask(late).verdict, AUB_VERDICT_QUEUED);
@@ -203,7 +203,7 @@
 			struct aub_ask ask = p->ask_of();
 			struct aub_decision decision;
 
-			ask.patience_ms = 5000;
+			ask.max_wait_ms = 5000;
 			decision = p->ask(ask);
 			do {
 				if (decision.verdict != AUB_VERDICT_GRANTED)
--- a/tests/test_placement_queue.cc
+++ b/tests/test_placement_queue.cc
@@ -59,12 +59,12 @@
 	struct aub_ask patient = p.ask_of();
 	patient.target_ms = 1000;
 	patient.on_time_ms = 600;
-	patient.patience_ms = 600;
+	patient.max_wait_ms = 600;
 	p.ask(patient);
 	p.now += 20 * MS;
 	struct aub_ask hasty = p.ask_of();
 	hasty.on_time_ms = 240;
-	hasty.patience_ms = 3000;
+	hasty.max_wait_ms = 3000;
 	p.ask(hasty);
 	p.now += 70 * MS;
 	p.report(held);
@@ -86,7 +86,7 @@
 	for (int i = 0; i < 5; i++) {
 		struct aub_ask ask = p.ask_of();
 
-		ask.patience_ms = 5000;
+		ask.max_wait_ms = 5000;
 		EXPECT_EQ(p.ask(ask).verdict, AUB_VERDICT_QUEUED);
 	}
 	p.now += 200 * MS;
--- a/tests/test_placer.cc
+++ b/tests/test_placer.cc
@@ -139,11 +139,11 @@
 
 	start_all({ "a", "b" });
 	Gate *stranger = start("stranger");
-	struct aub_place_ask *ask =
-		(struct aub_place_ask *)aub_message_new(AUB_MESSAGE_PLACE_ASK);
+	struct aub_place_request *ask =
+		(struct aub_place_request *)aub_message_new(AUB_MESSAGE_PLACE_REQUEST);
 	ask->holder = stranger->incarnation;
 	ask->ticket = 1;
-	ask->patience_ms = 500;
+	ask->max_wait_ms = 500;
 	aub_string_set(&ask->service, "svc");
 	aub_string_set(&ask->address, stranger->address.c_str());
 	aub_placer_message(gates[0]->placer, &ask->base);
--- a/tools/rollout/rollout_model.c
+++ b/tools/rollout/rollout_model.c
@@ -361,7 +361,7 @@
 		.priority = 1,
 		.target_ms = kind->target_ms,
 		.on_time_ms = kind->target_ms / 2,
-		.patience_ms = kind->target_ms,
+		.max_wait_ms = kind->target_ms,
 		.route = kind->route,
 	};
 
