--- a/include/auburnstile/incarnation.h
+++ b/include/auburnstile/incarnation.h
@@ -1,5 +1,5 @@
 /*
- * Incarnations: numbers that tell one start of a process from all others.
+ * Incarnation numbers, which identify one start of a process.
  */
 #ifndef AUBURNSTILE_INCARNATION_H
 #define AUBURNSTILE_INCARNATION_H
@@ -9,12 +9,13 @@
 G_BEGIN_DECLS
 
 /*
- * A number for this start: milliseconds since 1970 above 20 random bits, so
- * that a later start has a higher one.
+ * Returns a new incarnation: milliseconds since the Unix epoch, shifted left
+ * by 20 random bits, so that a later start has a higher number.
  *
- * Failure: a whole zone starts in the same moment, two entries get the same
- * number, and one runs requests under keys that the other keeps. Enough: a
- * pair that starts in one millisecond is alike once in a million.
+ * The random bits are needed when a whole zone starts at the same moment: two
+ * entries with equal incarnations would both own the same idempotency keys
+ * and could execute a request twice. Two processes that start in the same
+ * millisecond collide with a probability of one in a million.
  */
 guint64 aub_incarnation_new(void);
 
--- a/include/auburnstile/internal/compression.h
+++ b/include/auburnstile/internal/compression.h
@@ -1,24 +1,25 @@
 /*
- * Compressed byte strings (zlib's format, by GIO): an inventory's text takes
- * about a tenth of its size on the wire.
+ * Compression of byte strings in zlib format, with GIO. Inventory text shrinks
+ * to about a tenth of its size.
  */
-#ifndef AUBURNSTILE_INTERNAL_PACK_H
-#define AUBURNSTILE_INTERNAL_PACK_H
+#ifndef AUBURNSTILE_INTERNAL_COMPRESSION_H
+#define AUBURNSTILE_INTERNAL_COMPRESSION_H
 
 #include <gio/gio.h>
 #include <stdbool.h>
 
 G_BEGIN_DECLS
 
-/* Owned by the caller; never NULL. */
+/* Returns the compressed data, owned by the caller; never NULL. */
 GBytes *aubi_compress(const void *data, gsize length);
 
 /*
- * Owned by the caller. NULL with AUB_ERROR_INVALID for what isn't whole, with
- * AUB_ERROR_TOO_LARGE for more than `limit` bytes; `peer` goes into both.
+ * Returns the decompressed data, owned by the caller. Returns NULL and sets
+ * AUB_ERROR_INVALID if the data is truncated or corrupt, AUB_ERROR_TOO_LARGE
+ * if the result has more than `limit` bytes. `peer` is used in errors.
  */
 GBytes *aubi_decompress(const void *data, gsize length, gsize limit,
-		    const char *peer, GError **error);
+			const char *peer, GError **error);
 
 G_END_DECLS
 
--- a/include/auburnstile/internal/decision_log.h
+++ b/include/auburnstile/internal/decision_log.h
@@ -1,10 +1,10 @@
 /*
- * Decisions as JSON lines on standard output, a line each.
+ * Decision log: one JSON object per line on standard output.
  *
- * Bounded and never blocking: lines are collected, written when the pipe
- * takes them, and dropped past a limit; how many were dropped is said when
- * there is room again. Lines about failures may use room that lines about
- * successes may not. One log a process.
+ * The log is bounded and never blocks. Lines are buffered, written when the
+ * pipe accepts them, and dropped when the buffer is full; the number of
+ * dropped lines is logged once there is room again. Part of the buffer is
+ * reserved for lines that don't report successes. A process has one log.
  */
 #ifndef AUBURNSTILE_INTERNAL_DECISION_LOG_H
 #define AUBURNSTILE_INTERNAL_DECISION_LOG_H
@@ -14,19 +14,22 @@
 G_BEGIN_DECLS
 
 enum aub_log_class {
-	AUB_LOG_SUCCESS, /* a request that went well */
-	AUB_LOG_FAILURE, /* one that did not */
-	AUB_LOG_STATE, /* what the process knows has changed */
+	AUB_LOG_SUCCESS, /* a successful request */
+	AUB_LOG_FAILURE, /* a failed request or attempt */
+	AUB_LOG_STATE, /* a change of the process's state */
 	AUB_LOG_CLASS_COUNT
 };
 
-/* Lines are written by `timers`; NULL: only by aub_decision_log_flush(). */
+/*
+ * Starts the log. Buffered lines are written by a timer of `timers`; if it is
+ * NULL, by aub_decision_log_flush() only.
+ */
 void aub_decision_log_start(const char *process,
 			    struct aub_timer_service *timers);
 void aub_decision_log_flush(void);
 void aub_decision_log_stop(void);
 
-/* Every kind of line; docs/LOGGING.md tells their fields. */
+/* Types of line; docs/LOGGING.md documents their fields. */
 enum aub_log_event {
 	AUB_LOG_START,
 	AUB_LOG_STOPPING,
@@ -59,20 +62,20 @@
 struct aub_log_event_info {
 	const char *name;
 	enum aub_log_class kind;
-	const char *help; /* what has happened, in one line */
+	const char *help; /* one-line description, as in docs/LOGGING.md */
 };
 const struct aub_log_event_info *aub_log_event_info(enum aub_log_event event);
 
 /*
- * One line: begin, fields, end. Fields of a line that is dropped cost
- * nothing.
+ * A line is written by aub_log_begin(), one call per field, and aub_log_end().
+ * Fields of a dropped line are not formatted.
  */
 void aub_log_begin(enum aub_log_event event);
 void aub_log_text(const char *field, const char *value);
 void aub_log_number(const char *field, gint64 value);
 void aub_log_end(void);
 
-/* Lines of a class dropped so far. */
+/* Returns how many lines of a class have been dropped since the start. */
 guint64 aub_decision_log_dropped(enum aub_log_class kind);
 
 G_END_DECLS
--- a/include/auburnstile/internal/message_fields.h
+++ b/include/auburnstile/internal/message_fields.h
@@ -1,5 +1,6 @@
 /*
- * Layouts of the message structs, shared by their life cycle and codec.
+ * Field tables (layouts) of the message structs, used to allocate, free, copy,
+ * encode and decode them.
  */
 #ifndef AUBURNSTILE_INTERNAL_MESSAGE_FIELDS_H
 #define AUBURNSTILE_INTERNAL_MESSAGE_FIELDS_H
@@ -15,10 +16,10 @@
 	AUBI_FIELD_U64,
 	AUBI_FIELD_U32,
 	AUBI_FIELD_BOOL,
-	AUBI_FIELD_ENUM, /* 1 to `limit` */
-	AUBI_FIELD_STRING, /* without NUL, `limit` bytes at most */
-	AUBI_FIELD_BYTES, /* `limit` bytes at most */
-	AUBI_FIELD_LIST /* `limit` elements at most */
+	AUBI_FIELD_ENUM, /* value from 1 to `limit` */
+	AUBI_FIELD_STRING, /* up to `limit` bytes, no NUL */
+	AUBI_FIELD_BYTES, /* up to `limit` bytes */
+	AUBI_FIELD_LIST /* up to `limit` elements */
 };
 
 struct aubi_layout;
@@ -28,7 +29,8 @@
 	size_t offset;
 	const char *name;
 	gsize limit;
-	const struct aubi_layout *element; /* of a list */
+	const struct aubi_layout
+		*element; /* layout of a list's elements, else NULL */
 };
 
 struct aubi_layout {
@@ -49,11 +51,15 @@
 extern const struct aubi_layout aubi_place_health_row_layout;
 extern const struct aubi_layout aubi_place_evidence_layout;
 
-/* NULL for a type that does not exist. */
+/* Returns the layout of a message type; NULL if the type is unknown. */
 const struct aubi_layout *aubi_message_layout(guint64 type);
+/* Returns the number of fields. */
 guint aubi_layout_count(const struct aubi_layout *layout);
 
-/* Empty struct of a layout, and its end. */
+/*
+ * Allocate an empty struct (numbers 0, enumerations 1, strings "", lists empty)
+ * and free one with all that it owns; NULL is ignored.
+ */
 void *aubi_struct_new(const struct aubi_layout *layout);
 void aubi_struct_free(const struct aubi_layout *layout, void *data);
 
--- a/include/auburnstile/internal/problems.h
+++ b/include/auburnstile/internal/problems.h
@@ -1,6 +1,6 @@
 /*
- * Problems found in a file that a person wrote, reported all at once and in
- * the order of the file's lines.
+ * Validation problems of a hand-written file, collected and reported together
+ * in the order of the file's lines.
  */
 #ifndef AUBURNSTILE_INTERNAL_PROBLEMS_H
 #define AUBURNSTILE_INTERNAL_PROBLEMS_H
@@ -12,13 +12,17 @@
 
 struct aub_problems;
 
-/* `source` names the file in each line; borrowed. Owned by the caller. */
+/*
+ * Returns an empty list, owned by the caller. `source` is the file name shown
+ * in each problem; it is borrowed and must outlive the list.
+ */
 struct aub_problems *aub_problems_new(const char *source);
 void aub_problems_free(struct aub_problems *problems);
 
 /*
- * Add "source:LINE: FIELD: text (rule RULE)"; `rule` NULL leaves the last
- * part out. Line 0 means the file as a whole.
+ * Adds "source:LINE: FIELD: text (rule RULE)". The field or the rule is
+ * omitted if it is NULL, the line if it is 0 (the problem is one of the file
+ * as a whole).
  */
 void aub_problems_add(struct aub_problems *problems, guint line,
 		      const char *field, const char *rule, const char *format,
@@ -27,15 +31,17 @@
 guint aub_problems_count(const struct aub_problems *problems);
 
 /*
- * True when there are none; else false with AUB_ERROR_INVALID, whose message
- * has "step: source: N problems" and then a line each.
+ * Returns true if there are no problems. Otherwise returns false and sets
+ * AUB_ERROR_INVALID, whose message is "step: source: N problems" followed by
+ * one line per problem.
  */
 bool aub_problems_finish(struct aub_problems *problems, const char *step,
 			 GError **error);
 
 /*
- * "ip:port" with an IP number: no names, which would need a resolver.
- * `*host` (owned by the caller) and `*port` may be NULL. IPv6 in brackets.
+ * Parses "ip:port"; IPv6 addresses stand in brackets. Host names are rejected
+ * since they would need a resolver. Returns false if `text` is no such
+ * address. `host` (`*host` is then owned by the caller) and `port` may be NULL.
  */
 bool aub_address_parse(const char *text, char **host, guint16 *port);
 
--- a/include/auburnstile/internal/toml_reader.h
+++ b/include/auburnstile/internal/toml_reader.h
@@ -1,8 +1,8 @@
 /*
- * TOML documents, read by toml++ behind a C interface.
+ * C interface to the TOML parser toml++.
  *
- * A document owns its nodes; every pointer handed out is borrowed from it.
- * Each node knows the line and column (from 1) at which its value begins.
+ * A document owns its nodes; every returned pointer is borrowed from it. Each
+ * node has the line and column (from 1) at which its value begins.
  */
 #ifndef AUBURNSTILE_INTERNAL_TOML_READER_H
 #define AUBURNSTILE_INTERNAL_TOML_READER_H
@@ -25,8 +25,9 @@
 };
 
 /*
- * Parse `length` bytes. Owned by the caller. NULL with AUB_ERROR_INVALID,
- * whose message holds one line "source:LINE: syntax: text".
+ * Parses `length` bytes. Returns the document, owned by the caller, or NULL
+ * with AUB_ERROR_INVALID set, whose message has one line
+ * "source:LINE: syntax: text".
  */
 struct aub_toml *aub_toml_parse(const char *text, gsize length,
 				const char *source, GError **error);
@@ -38,30 +39,32 @@
 guint aub_toml_line(const struct aub_toml_node *node);
 guint aub_toml_column(const struct aub_toml_node *node);
 
-/* Members of a table or an array; 0 for every other node. */
+/* Returns the number of members of a table or array; 0 for other nodes. */
 guint aub_toml_size(const struct aub_toml_node *node);
+/* Returns an element of an array; `index` must be in range. */
 const struct aub_toml_node *aub_toml_item(const struct aub_toml_node *array,
 					  guint index);
+/* Returns a member of a table; NULL if there is none. */
 const struct aub_toml_node *aub_toml_member(const struct aub_toml_node *table,
 					    const char *key);
 
-/* Visit the members of a table in the order of their keys. */
+/* Calls `visit` for each member of a table, in the order of the keys. */
 typedef void aub_toml_visitor(const char *key, const struct aub_toml_node *node,
 			      void *context);
 void aub_toml_visit(const struct aub_toml_node *table, aub_toml_visitor *visit,
 		    void *context);
 
 /*
- * The value of a node; false where it has another type. A string that holds
- * a NUL byte is no string here.
+ * Store the value of a node in `*value`; return false if it has another type.
+ * A string that contains a NUL byte is rejected as well.
  */
 bool aub_toml_string(const struct aub_toml_node *node, const char **value);
 bool aub_toml_integer(const struct aub_toml_node *node, gint64 *value);
-/* An integer is read as a real number, too. */
+/* Also accepts an integer. */
 bool aub_toml_real(const struct aub_toml_node *node, double *value);
 bool aub_toml_boolean(const struct aub_toml_node *node, bool *value);
 
-/* "a table", "an integer": for error messages. */
+/* Returns a noun with its article for error messages ("a table"). */
 const char *aub_toml_type_name(enum aub_toml_type type);
 
 G_END_DECLS
--- a/include/auburnstile/log.h
+++ b/include/auburnstile/log.h
@@ -1,6 +1,7 @@
 /*
- * Structured logs over GLib's: one line a record on standard error, with
- * wall time, level, process name and key=value fields (or JSON lines).
+ * Structured logging through GLib: one line per record on standard error,
+ * either text (wall time, level, process name, message, key=value fields) or
+ * JSON.
  */
 #ifndef AUBURNSTILE_LOG_H
 #define AUBURNSTILE_LOG_H
@@ -11,8 +12,9 @@
 G_BEGIN_DECLS
 
 /*
- * Install the log writer. `level` is "error", "warning", "message", "info"
- * or "debug". Returns false for another word. Strings are copied.
+ * Installs the log writer. `level` is the least severe level to be written:
+ * "error", "critical", "warning", "message", "info" or "debug". Returns false
+ * if it is none of these. Strings are copied.
  */
 bool aub_log_setup(const char *process, const char *level, bool json);
 
--- a/include/auburnstile/metrics.h
+++ b/include/auburnstile/metrics.h
@@ -1,8 +1,9 @@
 /*
- * Counters, gauges and histograms of one process, and their text form.
+ * Metrics registry of one process (counters, gauges, histograms) and its text
+ * exposition format.
  *
- * A registry and everything in it belongs to one thread. Handles are small
- * integers; adding to a counter is an array access.
+ * A registry must be used by one thread only. Handles are small integers, so
+ * that updating a series is an array access.
  */
 #ifndef AUBURNSTILE_METRICS_H
 #define AUBURNSTILE_METRICS_H
@@ -17,16 +18,20 @@
 void aub_metrics_free(struct aub_metrics *metrics);
 
 /*
- * Register a series. `name` is "auburnstile_requests_total"; `labels` is
- * NULL or `service="calendar",outcome="run"` (values already escaped).
- * Registering the same pair again returns the same handle. Strings copied.
+ * Register a series and return its handle. `name` is for example
+ * "auburnstile_requests_total"; `labels` is NULL or for example
+ * `service="calendar",outcome="run"`, with escaped values. Registering the
+ * same name and labels again returns the same handle. Strings are copied.
  */
 guint aub_metrics_counter(struct aub_metrics *metrics, const char *name,
 			  const char *labels, const char *help);
 guint aub_metrics_gauge(struct aub_metrics *metrics, const char *name,
 			const char *labels, const char *help);
 
-/* Log-linear histogram of microseconds; about 3% relative error. */
+/*
+ * Registers a log-linear histogram of durations in microseconds. Quantiles
+ * have a relative error of about 3%.
+ */
 guint aub_metrics_histogram(struct aub_metrics *metrics, const char *name,
 			    const char *labels, const char *help);
 
@@ -37,16 +42,23 @@
 
 gint64 aub_metrics_value(const struct aub_metrics *metrics, guint handle);
 
-/* Value below which the share `quantile` (0..1) of observations lies. */
+/*
+ * Returns the estimated quantile (`quantile` is 0 to 1) of the observations,
+ * in microseconds; 0 if there are none.
+ */
 gint64 aub_metrics_quantile(const struct aub_metrics *metrics, guint handle,
 			    double quantile);
 
-/* The common text exposition format; owned by the caller (g_free). */
+/*
+ * Returns all series in the Prometheus text exposition format; the caller
+ * frees it with g_free().
+ */
 char *aub_metrics_text(const struct aub_metrics *metrics);
 
 /*
- * Labels for a series: pairs of name and value, ended by NULL; values are
- * escaped as the text format wants it. A NULL value is "". g_free().
+ * Returns the labels of a series, given as pairs of name and value and
+ * terminated by NULL. Values are escaped for the text format; a NULL value
+ * becomes "". The caller frees the result with g_free().
  */
 char *aub_metrics_labels(const char *name, ...) G_GNUC_NULL_TERMINATED;
 
--- a/include/auburnstile/timer.h
+++ b/include/auburnstile/timer.h
@@ -1,10 +1,9 @@
 /*
- * The timer service: parts of a task subscribe to moments, and the task has
- * one source of time.
+ * Timer service: one-shot and periodic timers on a GMainContext.
  *
- * A service belongs to one thread, the one whose GMainContext it was made
- * for. Decisions (src/state, src/coordination) never ask for the time: it is
- * handed to them.
+ * A service belongs to the thread that runs its GMainContext. Decision code
+ * (src/state, src/coordination) doesn't read the clock; the time is passed in
+ * as a parameter.
  */
 #ifndef AUBURNSTILE_TIMER_H
 #define AUBURNSTILE_TIMER_H
@@ -19,19 +18,23 @@
 
 struct aub_timer_service;
 
-/* Called at or after the moment asked for; `now_us` is aub_timer_now(). */
+/* Called when the timer expires; `now_us` is aub_timer_now(). */
 typedef void aub_timer_callback(void *context, gint64 now_us);
 
-/* `context` NULL means the thread's default main context. Owned by caller. */
+/*
+ * Returns a timer service, owned by the caller. A `context` of NULL stands
+ * for the global default main context.
+ */
 struct aub_timer_service *aub_timer_service_new(GMainContext *context);
 void aub_timer_service_free(struct aub_timer_service *service);
 
-/* Monotonic time in microseconds. */
+/* Returns the monotonic time in microseconds. */
 gint64 aub_timer_now(const struct aub_timer_service *service);
 
 /*
- * Subscribe to one moment, or to every `period_us`. Returns a handle, never
- * 0. `name` is borrowed and must outlive the subscription.
+ * Start a timer that expires once at `at_us` (monotonic time), or every
+ * `period_us`. Return its handle, which is never 0. `name` is borrowed and
+ * must outlive the timer.
  */
 guint aub_timer_at(struct aub_timer_service *service, const char *name,
 		   gint64 at_us, aub_timer_callback *callback, void *context);
@@ -39,7 +42,7 @@
 		      gint64 period_us, aub_timer_callback *callback,
 		      void *context);
 
-/* End a subscription. 0 and handles already spent are ignored. */
+/* Cancels a timer. Ignores 0 and the handles of expired timers. */
 void aub_timer_cancel(struct aub_timer_service *service, guint handle);
 
 G_END_DECLS
