--- a/src/core/decision_log.c
+++ b/src/core/decision_log.c
@@ -1,5 +1,5 @@
 /*
- * The decision log: one buffer, emptied when standard output is writable.
+ * Decision log: one buffer, written to standard output without blocking.
  */
 #include <auburnstile/internal/decision_log.h>
 
@@ -9,9 +9,11 @@
 #include <string.h>
 #include <unistd.h>
 
-#define FLUSH_US (100 * AUB_MS) /* ten writes a second at most */
-#define CALM_BYTES (64u << 10) /* room that lines about successes may fill */
-#define ALL_BYTES (256u << 10) /* room for the others */
+#define FLUSH_INTERVAL_US (100 * AUB_MS) /* at most 10 flushes per second */
+
+/* Buffer limit for lines about successes, and for all other lines. */
+#define SUCCESS_BYTES_MAX (64u << 10)
+#define BUFFER_BYTES_MAX (256u << 10)
 
 static const char *const class_names[AUB_LOG_CLASS_COUNT] = {
 	[AUB_LOG_SUCCESS] = "calm",
@@ -36,7 +38,7 @@
 	[AUB_LOG_STORE_LOST] = { "store-lost", AUB_LOG_STATE,
 				 "the store no longer answers" },
 	[AUB_LOG_STORE_RECOVERED] = { "store-regained", AUB_LOG_STATE,
-				     "it answers again" },
+				      "it answers again" },
 	[AUB_LOG_STORE_HISTORY_LOST] = { "store-history-gone", AUB_LOG_STATE,
 					 "the watch has a gap: listing anew" },
 	[AUB_LOG_PEER_ALIVE] = { "peer-heard", AUB_LOG_STATE,
@@ -46,7 +48,7 @@
 	[AUB_LOG_DATAGRAM_REFUSED] = { "datagram-refused", AUB_LOG_STATE,
 				       "a peer's message made no sense" },
 	[AUB_LOG_PLACER_ACTIVE] = { "placing", AUB_LOG_STATE,
-			      "this gateway places for a service" },
+				    "this gateway places for a service" },
 	[AUB_LOG_PLACER_SUSPECTED] = { "placer-suspected", AUB_LOG_STATE,
 				       "a placer did not answer in time" },
 	[AUB_LOG_PLACEMENT] = { "placement", AUB_LOG_STATE,
@@ -60,7 +62,7 @@
 	[AUB_LOG_REQUEST] = { "request", AUB_LOG_SUCCESS,
 			      "an upstream's whole answer reached the caller" },
 	[AUB_LOG_REQUEST_FAILED] = { "request", AUB_LOG_FAILURE,
-				      "a request ended in another way" },
+				     "a request ended in another way" },
 	[AUB_LOG_NOT_PLACED] = { "not-placed", AUB_LOG_FAILURE,
 				 "no upstream for a request, and why" },
 	[AUB_LOG_ATTEMPT] = { "attempt", AUB_LOG_FAILURE,
@@ -79,20 +81,21 @@
 	struct aub_timer_service *timers;
 	guint timer;
 	GString *lines;
-	bool open; /* a line is being written */
-	bool skip; /* and is dropped */
+	bool open; /* between aub_log_begin() and aub_log_end() */
+	bool dropping; /* the current line is dropped */
 	guint64 dropped[AUB_LOG_CLASS_COUNT];
-	guint64 told[AUB_LOG_CLASS_COUNT]; /* of the dropped ones, logged */
-} decisions;
+	guint64 reported[AUB_LOG_CLASS_COUNT]; /* logged part of `dropped` */
+} decision_log;
 
-static void tell_dropped(void)
+static void log_dropped_counts(void)
 {
 	for (guint i = 0; i < AUB_LOG_CLASS_COUNT; i++) {
-		guint64 count = decisions.dropped[i] - decisions.told[i];
+		guint64 count =
+			decision_log.dropped[i] - decision_log.reported[i];
 
 		if (!count)
 			continue;
-		decisions.told[i] = decisions.dropped[i];
+		decision_log.reported[i] = decision_log.dropped[i];
 		aub_log_begin(AUB_LOG_LOG_DROPPED);
 		aub_log_text("class", class_names[i]);
 		aub_log_number("lines", (gint64)count);
@@ -100,8 +103,11 @@
 	}
 }
 
-/* Bytes of whole lines that a pipe takes at once, or one line longer. */
-static gsize piece_length(const char *text, gsize length)
+/*
+ * Returns the length of the complete lines that fit into PIPE_BUF bytes, or of
+ * the first line if it is longer.
+ */
+static gsize write_length(const char *text, gsize length)
 {
 	const char *end;
 
@@ -114,44 +120,45 @@
 }
 
 /*
- * Failure: a pipe that is nearly full takes a part of what is written.
- * Symptom: a line ends in the middle, and another process's stands in it.
- * Enough: a pipe takes up to PIPE_BUF bytes whole or not at all, so that each
- * write is that long at most and ends with a line.
+ * A pipe that is nearly full accepts a part of a large write, and a line of
+ * another process could then end up inside one of ours. Writes of up to
+ * PIPE_BUF bytes are atomic, so each write is at most that long and ends with
+ * a complete line.
  */
 void aub_decision_log_flush(void)
 {
 	gsize done = 0;
-	ssize_t put = 0;
+	ssize_t written = 0;
 
-	if (!decisions.lines || !decisions.lines->len)
+	if (!decision_log.lines || !decision_log.lines->len)
 		return;
-	while (done < decisions.lines->len) {
-		const char *text = decisions.lines->str + done;
+	while (done < decision_log.lines->len) {
+		const char *text = decision_log.lines->str + done;
 
-		put = write(STDOUT_FILENO, text,
-			    piece_length(text, decisions.lines->len - done));
-		if (put <= 0)
+		written = write(STDOUT_FILENO, text,
+				write_length(text,
+					     decision_log.lines->len - done));
+		if (written <= 0)
 			break;
-		done += (gsize)put;
+		done += (gsize)written;
 	}
-	g_string_erase(decisions.lines, 0, (gssize)done);
-	if (put < 0 && errno != EAGAIN && errno != EINTR) {
-		/* Nobody reads any more: the lines have no other place. */
-		g_string_truncate(decisions.lines, 0);
+	g_string_erase(decision_log.lines, 0, (gssize)done);
+	if (written < 0 && errno != EAGAIN && errno != EINTR) {
+		/* The reader is gone; the lines can't be delivered. */
+		g_string_truncate(decision_log.lines, 0);
 	}
-	if (decisions.lines->len < CALM_BYTES)
-		tell_dropped();
+	if (decision_log.lines->len < SUCCESS_BYTES_MAX)
+		log_dropped_counts();
 }
 
 static void on_flush(void *context, gint64 now_us)
 {
-	decisions.timer = 0;
+	decision_log.timer = 0;
 	aub_decision_log_flush();
-	if (decisions.lines->len)
-		decisions.timer =
-			aub_timer_at(decisions.timers, "log", now_us + FLUSH_US,
-				     on_flush, NULL);
+	if (decision_log.lines->len)
+		decision_log.timer = aub_timer_at(decision_log.timers, "log",
+						  now_us + FLUSH_INTERVAL_US,
+						  on_flush, NULL);
 }
 
 void aub_decision_log_start(const char *process,
@@ -161,27 +168,27 @@
 
 	if (flags >= 0)
 		fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
-	decisions.process = g_strdup(process);
-	decisions.timers = timers;
-	decisions.lines = g_string_new(NULL);
+	decision_log.process = g_strdup(process);
+	decision_log.timers = timers;
+	decision_log.lines = g_string_new(NULL);
 }
 
 void aub_decision_log_stop(void)
 {
-	if (!decisions.lines)
+	if (!decision_log.lines)
 		return;
 	aub_decision_log_flush();
-	if (decisions.timers)
-		aub_timer_cancel(decisions.timers, decisions.timer);
-	g_string_free(decisions.lines, TRUE);
-	g_free(decisions.process);
-	memset(&decisions, 0, sizeof(decisions));
+	if (decision_log.timers)
+		aub_timer_cancel(decision_log.timers, decision_log.timer);
+	g_string_free(decision_log.lines, TRUE);
+	g_free(decision_log.process);
+	memset(&decision_log, 0, sizeof(decision_log));
 }
 
-/* Quoted; control characters and what is no ASCII become escapes. */
+/* Appends a quoted string; control and non-ASCII bytes are escaped. */
 static void append_quoted(const char *text)
 {
-	GString *out = decisions.lines;
+	GString *out = decision_log.lines;
 
 	g_string_append_c(out, '"');
 	for (; *text; text++) {
@@ -200,51 +207,54 @@
 void aub_log_begin(enum aub_log_event event)
 {
 	enum aub_log_class kind = events[event].kind;
-	gsize limit = kind == AUB_LOG_SUCCESS ? CALM_BYTES : ALL_BYTES;
+	gsize limit =
+		kind == AUB_LOG_SUCCESS ? SUCCESS_BYTES_MAX : BUFFER_BYTES_MAX;
 
-	g_assert(!decisions.open);
-	decisions.open = true;
-	decisions.skip = !decisions.lines || decisions.lines->len >= limit;
-	if (decisions.skip) {
-		decisions.dropped[kind]++;
+	g_assert(!decision_log.open);
+	decision_log.open = true;
+	decision_log.dropping =
+		!decision_log.lines || decision_log.lines->len >= limit;
+	if (decision_log.dropping) {
+		decision_log.dropped[kind]++;
 		return;
 	}
-	g_string_append_printf(decisions.lines,
+	g_string_append_printf(decision_log.lines,
 			       "{\"t\":%" G_GINT64_FORMAT ",\"node\":\"%s\"",
-			       g_get_real_time() / 1000, decisions.process);
+			       g_get_real_time() / 1000, decision_log.process);
 	aub_log_text("event", events[event].name);
 }
 
 void aub_log_text(const char *field, const char *value)
 {
-	if (decisions.skip)
+	if (decision_log.dropping)
 		return;
-	g_string_append_printf(decisions.lines, ",\"%s\":", field);
+	g_string_append_printf(decision_log.lines, ",\"%s\":", field);
 	append_quoted(value ? value : "");
 }
 
 void aub_log_number(const char *field, gint64 value)
 {
-	if (decisions.skip)
+	if (decision_log.dropping)
 		return;
-	g_string_append_printf(decisions.lines, ",\"%s\":%" G_GINT64_FORMAT,
+	g_string_append_printf(decision_log.lines, ",\"%s\":%" G_GINT64_FORMAT,
 			       field, value);
 }
 
 void aub_log_end(void)
 {
-	decisions.open = false;
-	if (decisions.skip)
+	decision_log.open = false;
+	if (decision_log.dropping)
 		return;
-	g_string_append(decisions.lines, "}\n");
-	if (decisions.timers && !decisions.timer)
-		decisions.timer =
-			aub_timer_at(decisions.timers, "log",
-				     aub_timer_now(decisions.timers) + FLUSH_US,
+	g_string_append(decision_log.lines, "}\n");
+	if (decision_log.timers && !decision_log.timer)
+		decision_log.timer =
+			aub_timer_at(decision_log.timers, "log",
+				     aub_timer_now(decision_log.timers) +
+					     FLUSH_INTERVAL_US,
 				     on_flush, NULL);
 }
 
 guint64 aub_decision_log_dropped(enum aub_log_class kind)
 {
-	return decisions.dropped[kind];
+	return decision_log.dropped[kind];
 }
--- a/src/core/error.c
+++ b/src/core/error.c
@@ -1,5 +1,5 @@
 /*
- * Errors: a GError domain whose private part carries step and peer.
+ * GError domain whose private data holds the step and the peer.
  */
 #include <auburnstile/error.h>
 
@@ -10,7 +10,7 @@
 	char *peer;
 };
 
-/* GLib's macro pastes this name together and wants a single word. */
+/* G_DEFINE_EXTENDED_ERROR() expects a type name of a single word. */
 #define AubErrorPrivate struct error_private
 
 static void aub_error_private_init(struct error_private *private)
--- a/src/core/event.c
+++ b/src/core/event.c
@@ -1,5 +1,5 @@
 /*
- * The time line's ring: a fixed array, overwritten from its oldest end.
+ * Event ring: a fixed array in which the oldest events are overwritten.
  */
 #include <auburnstile/event.h>
 
@@ -68,9 +68,10 @@
 	slot->wall_us = g_get_real_time();
 }
 
-void aub_event_record_simple(struct aub_event_ring *ring, enum aub_event_type type,
-		    guint64 request, gint64 number, const char *upstream,
-		    const char *text)
+void aub_event_record_simple(struct aub_event_ring *ring,
+			     enum aub_event_type type, guint64 request,
+			     gint64 number, const char *upstream,
+			     const char *text)
 {
 	struct aub_event event = {
 		.type = type,
--- a/src/core/incarnation.c
+++ b/src/core/incarnation.c
@@ -1,5 +1,5 @@
 /*
- * Incarnations from the wall clock and the system's random source.
+ * Incarnations from the wall clock and random bits.
  */
 #include <auburnstile/incarnation.h>
 
--- a/src/core/log.c
+++ b/src/core/log.c
@@ -1,9 +1,9 @@
 /*
- * The log writer: one line a record on standard error.
+ * Log writer: one line per record on standard error.
  *
  * Text:  2026-01-31T12:00:00.123456Z warning entry-a1: message key=value
  * JSON:  {"time": ..., "level": ..., "process": ..., "message": ...}
- * Fields of g_log_structured() other than GLib's own are shown as they are.
+ * Fields of g_log_structured() other than GLib's standard ones are included.
  */
 #include <auburnstile/log.h>
 
@@ -13,7 +13,7 @@
 
 static struct {
 	char *process;
-	GLogLevelFlags most; /* least severe level that is shown */
+	GLogLevelFlags max_level; /* least severe level that is written */
 	bool json;
 } writer;
 
@@ -46,7 +46,7 @@
 	return g_strndup(field->value, (gsize)field->length);
 }
 
-static bool is_own_field(const char *key)
+static bool is_standard_field(const char *key)
 {
 	return !strcmp(key, "MESSAGE") || !strcmp(key, "PRIORITY") ||
 	       !strcmp(key, "GLIB_DOMAIN") ||
@@ -62,7 +62,7 @@
 	return g_strdup("");
 }
 
-static char *now_text(void)
+static char *format_time_now(void)
 {
 	GDateTime *now = g_date_time_new_now_utc();
 	char *text = g_date_time_format(now, "%Y-%m-%dT%H:%M:%S.%fZ");
@@ -80,7 +80,7 @@
 	for (gsize i = 0; i < count; i++) {
 		char *value;
 
-		if (is_own_field(fields[i].key))
+		if (is_standard_field(fields[i].key))
 			continue;
 		value = field_text(&fields[i]);
 		g_string_append_printf(line, " %s=%s", fields[i].key, value);
@@ -105,7 +105,7 @@
 	for (gsize i = 0; i < count; i++) {
 		char *value;
 
-		if (is_own_field(fields[i].key))
+		if (is_standard_field(fields[i].key))
 			continue;
 		value = field_text(&fields[i]);
 		json_object_set_string_member(object, fields[i].key, value);
@@ -127,18 +127,18 @@
 	char *time;
 	ssize_t written;
 
-	if ((level & G_LOG_LEVEL_MASK) > writer.most)
+	if ((level & G_LOG_LEVEL_MASK) > writer.max_level)
 		return G_LOG_WRITER_HANDLED;
 	line = g_string_new(NULL);
 	message = find_message(fields, count);
-	time = now_text();
+	time = format_time_now();
 	if (writer.json)
 		append_json(line, time, level_name(level), message, fields,
 			    count);
 	else
 		append_text(line, time, level_name(level), message, fields,
 			    count);
-	/* A log line that can't be written is given up, not retried. */
+	/* A line that can't be written is dropped; logging must not block. */
 	written = write(STDERR_FILENO, line->str, line->len);
 	(void)written;
 	g_free(time);
@@ -154,7 +154,7 @@
 			continue;
 		g_free(writer.process);
 		writer.process = g_strdup(process);
-		writer.most = level_names[i].level;
+		writer.max_level = level_names[i].level;
 		writer.json = json;
 		g_log_set_writer_func(write_record, NULL, NULL);
 		return true;
--- a/src/core/metrics.c
+++ b/src/core/metrics.c
@@ -1,19 +1,21 @@
 /*
- * Counters, gauges and histograms.
+ * Metrics registry.
  *
- * A histogram is log-linear: each power of two of microseconds is cut into
- * 32 equal buckets, so a value is known to about 3%. Text output sums them
- * into a fixed set of bounds, since a scraper wants few series.
+ * A histogram is log-linear: each power of two of microseconds is divided into
+ * 32 equal buckets, which gives a relative error of about 3%. The text output
+ * aggregates them into a fixed set of bounds to keep the number of series
+ * small.
  */
 #include <auburnstile/metrics.h>
 
 #include <stdarg.h>
 #include <string.h>
 
-#define SUB_BITS 5 /* buckets a power of two: 1 << SUB_BITS */
-#define SUB_COUNT (1 << SUB_BITS)
-#define TOP_BIT 36 /* values from 2^36 us (19 h) share the last bucket */
-#define BUCKETS ((gsize)(TOP_BIT - SUB_BITS + 1) * SUB_COUNT)
+#define SUBBUCKET_BITS 5 /* 1 << 5 buckets per power of two */
+#define SUBBUCKET_COUNT (1 << SUBBUCKET_BITS)
+#define MAX_VALUE_BITS 36 /* values from 2^36 us (19 h) share a bucket */
+#define BUCKET_COUNT \
+	((gsize)(MAX_VALUE_BITS - SUBBUCKET_BITS + 1) * SUBBUCKET_COUNT)
 
 enum series_kind { KIND_COUNTER, KIND_GAUGE, KIND_HISTOGRAM };
 
@@ -32,8 +34,8 @@
 	GHashTable *handles; /* "name{labels}" -> handle + 1 */
 };
 
-/* Upper bounds shown in the text form, in microseconds. */
-static const gint64 shown_bounds_us[] = {
+/* Upper bounds of the buckets in the text format, in microseconds. */
+static const gint64 exposed_bounds_us[] = {
 	100,	250,	 500,	  1000,	   1700,     2500,
 	5000,	10000,	 25000,	  50000,   100000,   250000,
 	500000, 1000000, 2500000, 5000000, 10000000,
@@ -75,12 +77,12 @@
 {
 	struct series *series;
 	char *key = g_strdup_printf("%s{%s}", name, labels ? labels : "");
-	guint found =
+	guint existing =
 		GPOINTER_TO_UINT(g_hash_table_lookup(metrics->handles, key));
 
-	if (found) {
+	if (existing) {
 		g_free(key);
-		return found - 1;
+		return existing - 1;
 	}
 	series = g_new0(struct series, 1);
 	series->kind = kind;
@@ -88,7 +90,7 @@
 	series->labels = g_strdup(labels ? labels : "");
 	series->help = g_strdup(help);
 	if (kind == KIND_HISTOGRAM)
-		series->buckets = g_new0(guint64, BUCKETS);
+		series->buckets = g_new0(guint64, BUCKET_COUNT);
 	g_ptr_array_add(metrics->series, series);
 	g_hash_table_insert(metrics->handles, key,
 			    GUINT_TO_POINTER(metrics->series->len));
@@ -166,24 +168,24 @@
 	guint64 value = value_us > 0 ? (guint64)value_us : 0;
 	int shift;
 
-	if (value < SUB_COUNT)
+	if (value < SUBBUCKET_COUNT)
 		return (guint)value;
-	shift = 63 - __builtin_clzll(value) - SUB_BITS;
-	if (shift > TOP_BIT - SUB_BITS - 1)
-		return BUCKETS - 1;
-	return (guint)((shift + 1) * SUB_COUNT +
-		       (int)((value >> shift) - SUB_COUNT));
+	shift = 63 - __builtin_clzll(value) - SUBBUCKET_BITS;
+	if (shift > MAX_VALUE_BITS - SUBBUCKET_BITS - 1)
+		return BUCKET_COUNT - 1;
+	return (guint)((shift + 1) * SUBBUCKET_COUNT +
+		       (int)((value >> shift) - SUBBUCKET_COUNT));
 }
 
-/* Largest value that falls into a bucket. */
-static gint64 bucket_top(guint bucket)
+/* Returns the largest value of a bucket. */
+static gint64 bucket_max(guint bucket)
 {
-	guint row = bucket / SUB_COUNT;
-	gint64 column = bucket % SUB_COUNT;
+	guint octave = bucket / SUBBUCKET_COUNT;
+	gint64 column = bucket % SUBBUCKET_COUNT;
 
-	if (row == 0)
+	if (octave == 0)
 		return column;
-	return ((column + SUB_COUNT + 1) << (row - 1)) - 1;
+	return ((column + SUBBUCKET_COUNT + 1) << (octave - 1)) - 1;
 }
 
 void aub_metrics_observe(struct aub_metrics *metrics, guint handle,
@@ -193,7 +195,7 @@
 
 	g_assert(series->kind == KIND_HISTOGRAM);
 	series->value++;
-	series->sum += CLAMP(value_us, 0, (gint64)1 << TOP_BIT);
+	series->sum += CLAMP(value_us, 0, (gint64)1 << MAX_VALUE_BITS);
 	series->buckets[bucket_of(value_us)]++;
 }
 
@@ -207,12 +209,12 @@
 {
 	const struct series *series = series_at(metrics, handle);
 	double rank = quantile * (double)series->value;
-	guint64 seen = 0;
+	guint64 cumulative = 0;
 
-	for (guint i = 0; i < BUCKETS; i++) {
-		seen += series->buckets[i];
-		if (seen && (double)seen >= rank)
-			return bucket_top(i);
+	for (guint i = 0; i < BUCKET_COUNT; i++) {
+		cumulative += series->buckets[i];
+		if (cumulative && (double)cumulative >= rank)
+			return bucket_max(i);
 	}
 	return 0;
 }
@@ -232,16 +234,16 @@
 static void append_histogram(GString *text, const struct series *series)
 {
 	guint bucket = 0;
-	gint64 below = 0;
+	gint64 cumulative = 0;
 	char bound[48];
 
-	for (guint i = 0; i < G_N_ELEMENTS(shown_bounds_us); i++) {
-		while (bucket < BUCKETS &&
-		       bucket_top(bucket) <= shown_bounds_us[i])
-			below += (gint64)series->buckets[bucket++];
+	for (guint i = 0; i < G_N_ELEMENTS(exposed_bounds_us); i++) {
+		while (bucket < BUCKET_COUNT &&
+		       bucket_max(bucket) <= exposed_bounds_us[i])
+			cumulative += (gint64)series->buckets[bucket++];
 		g_snprintf(bound, sizeof(bound), "le=\"%" G_GINT64_FORMAT "\"",
-			   shown_bounds_us[i]);
-		append_sample(text, series, "_bucket", bound, below);
+			   exposed_bounds_us[i]);
+		append_sample(text, series, "_bucket", bound, cumulative);
 	}
 	append_sample(text, series, "_bucket", "le=\"+Inf\"", series->value);
 	append_sample(text, series, "_sum", "", series->sum);
@@ -275,14 +277,14 @@
 char *aub_metrics_text(const struct aub_metrics *metrics)
 {
 	GString *text = g_string_new(NULL);
-	GHashTable *done = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *families = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (guint i = 0; i < metrics->series->len; i++) {
 		const struct series *series = series_at(metrics, i);
 
-		if (g_hash_table_add(done, series->name))
+		if (g_hash_table_add(families, series->name))
 			append_family(text, metrics, series);
 	}
-	g_hash_table_unref(done);
+	g_hash_table_unref(families);
 	return g_string_free(text, FALSE);
 }
--- a/src/core/program.c
+++ b/src/core/program.c
@@ -1,5 +1,5 @@
 /*
- * The start of the long-running programs.
+ * Start-up code shared by the long-running programs.
  */
 #include <auburnstile/internal/program.h>
 #include <auburnstile/log.h>
@@ -26,7 +26,7 @@
 		return 0;
 	case ARGP_KEY_END:
 		if (!*file)
-			argp_error(state, "--settings FILE is needed");
+			argp_error(state, "--settings FILE is required");
 		return 0;
 	default:
 		return ARGP_ERR_UNKNOWN;
@@ -51,14 +51,14 @@
 {
 	if (aub_log_setup(name, level, json))
 		return true;
-	g_printerr("%s: log_level: \"%s\" is not a level\n", file, level);
+	g_printerr("%s: log_level: \"%s\" is not a log level\n", file, level);
 	return false;
 }
 
 static gboolean on_hangup(void *context)
 {
-	aub_log_message("settings are read at the start only: restart to "
-			"take a change in");
+	aub_log_message("settings are read at start only; restart to apply "
+			"changes");
 	return G_SOURCE_CONTINUE;
 }
 
--- a/src/core/timer.c
+++ b/src/core/timer.c
@@ -1,33 +1,33 @@
 /*
- * The timer service over GMainContext sources.
+ * Timer service on top of GMainContext sources.
  *
- * Subscriptions are rows of a hash table from handle to source; a spent
- * one-shot removes its own row, so cancelling it later does nothing.
+ * A hash table maps handles to timers. An expired one-shot timer removes
+ * itself, so that cancelling it later has no effect.
  */
 #include <auburnstile/timer.h>
 
 struct aub_timer_service {
-	GMainContext *context; /* owned reference, or NULL */
-	GHashTable *subscriptions; /* handle -> struct subscription */
-	guint next;
+	GMainContext *context; /* owned reference; NULL: the default context */
+	GHashTable *timers; /* handle -> struct timer */
+	guint last_handle;
 };
 
-struct subscription {
+struct timer {
 	struct aub_timer_service *service; /* borrowed */
 	aub_timer_callback *callback;
 	void *context;
 	guint handle;
-	gint64 period_us; /* 0: once */
+	gint64 period_us; /* 0: one-shot */
 	GSource *source; /* owned reference */
 };
 
-static void subscription_free(void *data)
+static void timer_free(void *data)
 {
-	struct subscription *subscription = data;
+	struct timer *timer = data;
 
-	g_source_destroy(subscription->source);
-	g_source_unref(subscription->source);
-	g_free(subscription);
+	g_source_destroy(timer->source);
+	g_source_unref(timer->source);
+	g_free(timer);
 }
 
 struct aub_timer_service *aub_timer_service_new(GMainContext *context)
@@ -37,8 +37,7 @@
 	service = g_new0(struct aub_timer_service, 1);
 	if (context)
 		service->context = g_main_context_ref(context);
-	service->subscriptions =
-		g_hash_table_new_full(NULL, NULL, NULL, subscription_free);
+	service->timers = g_hash_table_new_full(NULL, NULL, NULL, timer_free);
 	return service;
 }
 
@@ -46,7 +45,7 @@
 {
 	if (!service)
 		return;
-	g_hash_table_destroy(service->subscriptions);
+	g_hash_table_destroy(service->timers);
 	if (service->context)
 		g_main_context_unref(service->context);
 	g_free(service);
@@ -57,19 +56,18 @@
 	return g_get_monotonic_time();
 }
 
-static gboolean on_due(void *data)
+static gboolean on_expired(void *data)
 {
-	struct subscription *subscription = data;
-	aub_timer_callback *callback = subscription->callback;
-	void *context = subscription->context;
-	gint64 now = aub_timer_now(subscription->service);
-
-	if (subscription->period_us)
-		g_source_set_ready_time(subscription->source,
-					now + subscription->period_us);
+	struct timer *timer = data;
+	aub_timer_callback *callback = timer->callback;
+	void *context = timer->context;
+	gint64 now = aub_timer_now(timer->service);
+
+	if (timer->period_us)
+		g_source_set_ready_time(timer->source, now + timer->period_us);
 	else
-		g_hash_table_remove(subscription->service->subscriptions,
-				    GUINT_TO_POINTER(subscription->handle));
+		g_hash_table_remove(timer->service->timers,
+				    GUINT_TO_POINTER(timer->handle));
 	callback(context, now);
 	return G_SOURCE_CONTINUE;
 }
@@ -85,35 +83,34 @@
 	.dispatch = dispatch_source,
 };
 
-static guint subscribe(struct aub_timer_service *service, const char *name,
+static guint timer_new(struct aub_timer_service *service, const char *name,
 		       gint64 at_us, gint64 period_us,
 		       aub_timer_callback *callback, void *context)
 {
-	struct subscription *subscription;
-
-	subscription = g_new0(struct subscription, 1);
-	subscription->service = service;
-	subscription->callback = callback;
-	subscription->context = context;
-	subscription->period_us = period_us;
-	subscription->handle = ++service->next;
-	if (!subscription->handle)
-		subscription->handle = ++service->next;
-	subscription->source = g_source_new(&source_functions, sizeof(GSource));
-	g_source_set_static_name(subscription->source, name);
-	g_source_set_callback(subscription->source, on_due, subscription, NULL);
-	g_source_set_ready_time(subscription->source, at_us);
-	g_hash_table_insert(service->subscriptions,
-			    GUINT_TO_POINTER(subscription->handle),
-			    subscription);
-	g_source_attach(subscription->source, service->context);
-	return subscription->handle;
+	struct timer *timer;
+
+	timer = g_new0(struct timer, 1);
+	timer->service = service;
+	timer->callback = callback;
+	timer->context = context;
+	timer->period_us = period_us;
+	timer->handle = ++service->last_handle;
+	if (!timer->handle)
+		timer->handle = ++service->last_handle;
+	timer->source = g_source_new(&source_functions, sizeof(GSource));
+	g_source_set_static_name(timer->source, name);
+	g_source_set_callback(timer->source, on_expired, timer, NULL);
+	g_source_set_ready_time(timer->source, at_us);
+	g_hash_table_insert(service->timers, GUINT_TO_POINTER(timer->handle),
+			    timer);
+	g_source_attach(timer->source, service->context);
+	return timer->handle;
 }
 
 guint aub_timer_at(struct aub_timer_service *service, const char *name,
 		   gint64 at_us, aub_timer_callback *callback, void *context)
 {
-	return subscribe(service, name, at_us, 0, callback, context);
+	return timer_new(service, name, at_us, 0, callback, context);
 }
 
 guint aub_timer_every(struct aub_timer_service *service, const char *name,
@@ -121,11 +118,11 @@
 		      void *context)
 {
 	g_assert(period_us > 0);
-	return subscribe(service, name, aub_timer_now(service) + period_us,
+	return timer_new(service, name, aub_timer_now(service) + period_us,
 			 period_us, callback, context);
 }
 
 void aub_timer_cancel(struct aub_timer_service *service, guint handle)
 {
-	g_hash_table_remove(service->subscriptions, GUINT_TO_POINTER(handle));
+	g_hash_table_remove(service->timers, GUINT_TO_POINTER(handle));
 }
