--- a/src/protocol/document.c
+++ b/src/protocol/document.c
@@ -1,5 +1,6 @@
 /*
- * Documents in msgpack: counted first, then decoded by msgpack-c.
+ * Msgpack documents: the number of elements is checked before msgpack-c
+ * decodes them.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/document.h>
@@ -20,7 +21,7 @@
 
 	if (!aubi_document_check(data, length)) {
 		aub_error_set(error, AUB_ERROR_INVALID, step, peer,
-			      "not msgpack, or cut short");
+			      "not msgpack, or truncated");
 		return NULL;
 	}
 	document = g_new0(struct aub_document, 1);
--- a/src/protocol/frame_check.c
+++ b/src/protocol/frame_check.c
@@ -1,57 +1,58 @@
 /*
- * A pass over a frame before it is decoded.
+ * Validates a msgpack frame before it is decoded.
  *
- * The failure: msgpack's decoder allocates a list's room when it reads the
- * list's length, so five bytes can ask for 100 GB. The symptom: one damaged
- * or hostile frame ends the process. Counting first is enough, since each
- * element takes at least a byte: a frame that announces more elements than
- * it has bytes is malformed, and is refused before anything is allocated.
+ * msgpack's decoder allocates memory for a list as soon as it has read the
+ * list's length, so that five bytes can request 100 GB and one damaged or
+ * hostile frame could terminate the process. Therefore the elements are
+ * counted first: each one takes at least one byte, so a frame that announces
+ * more elements than it has bytes is malformed and is rejected before anything
+ * is allocated.
  *
- * The pass is msgpack's own parser, made from its template with callbacks
- * that only count. Maps are not part of the protocol, though of documents;
- * extension types are part of neither.
+ * The check instantiates msgpack's own parser template with callbacks that
+ * only count. Maps occur in documents but not in the protocol; extension types
+ * occur in neither.
  */
 #include <auburnstile/internal/frame_check.h>
 
 #include <msgpack/unpack.h>
 #include <msgpack/unpack_define.h>
 
-/* What the parser calls an object: its values are of no interest here. */
-struct frame_user {
-	gsize allowance; /* elements that may still be announced */
-	bool maps; /* may there be any? */
+/* State of the callbacks. The parser's objects carry no value here. */
+struct frame_counter {
+	gsize elements_left; /* elements that may still be announced */
+	bool allow_maps; /* maps are allowed */
 };
 
-#define REFUSED (-1)
+#define CALLBACK_ERROR (-1)
 
 #define msgpack_unpack_struct(name) struct frame_parser##name
 #define msgpack_unpack_func(ret, name) \
 	G_GNUC_UNUSED static ret frame_parser##name
 #define msgpack_unpack_callback(name) frame_callback##name
 #define msgpack_unpack_object int
-#define msgpack_unpack_user struct frame_user
-
-/* One callback a kind of number: nothing to check. */
-#define ACCEPT(name, type)                                              \
-	static inline int frame_callback##name(struct frame_user *user, \
-					       type value, int *object) \
-	{                                                               \
-		return 0;                                               \
+#define msgpack_unpack_user struct frame_counter
+
+/* Callbacks for types that need no check. */
+#define ACCEPT(name, type)                                                 \
+	static inline int frame_callback##name(struct frame_counter *user, \
+					       type value, int *object)    \
+	{                                                                  \
+		return 0;                                                  \
 	}
-#define ACCEPT_EMPTY(name)                                              \
-	static inline int frame_callback##name(struct frame_user *user, \
-					       int *object)             \
-	{                                                               \
-		return 0;                                               \
+#define ACCEPT_EMPTY(name)                                                 \
+	static inline int frame_callback##name(struct frame_counter *user, \
+					       int *object)                \
+	{                                                                  \
+		return 0;                                                  \
 	}
-#define ACCEPT_BYTES(name)                                              \
-	static inline int frame_callback##name(struct frame_user *user, \
-					       const char *base,        \
-					       const char *position,    \
-					       unsigned int length,     \
-					       int *object)             \
-	{                                                               \
-		return 0;                                               \
+#define ACCEPT_BYTES(name)                                                 \
+	static inline int frame_callback##name(struct frame_counter *user, \
+					       const char *base,           \
+					       const char *position,       \
+					       unsigned int length,        \
+					       int *object)                \
+	{                                                                  \
+		return 0;                                                  \
 	}
 
 ACCEPT(_uint8, uint8_t)
@@ -70,60 +71,60 @@
 ACCEPT_BYTES(_str)
 ACCEPT_BYTES(_bin)
 
-static inline int frame_callback_root(struct frame_user *user)
+static inline int frame_callback_root(struct frame_counter *user)
 {
 	return 0;
 }
 
-static inline int frame_callback_array(struct frame_user *user,
+static inline int frame_callback_array(struct frame_counter *user,
 				       unsigned int count, int *object)
 {
-	if (count > user->allowance)
-		return REFUSED;
-	user->allowance -= count;
+	if (count > user->elements_left)
+		return CALLBACK_ERROR;
+	user->elements_left -= count;
 	return 0;
 }
 
-static inline int frame_callback_array_item(struct frame_user *user, int *list,
-					    int object)
+static inline int frame_callback_array_item(struct frame_counter *user,
+					    int *list, int object)
 {
 	return 0;
 }
 
-static inline int frame_callback_map(struct frame_user *user,
+static inline int frame_callback_map(struct frame_counter *user,
 				     unsigned int count, int *object)
 {
-	if (!user->maps || count > user->allowance / 2)
-		return REFUSED;
-	user->allowance -= 2 * (gsize)count;
+	if (!user->allow_maps || count > user->elements_left / 2)
+		return CALLBACK_ERROR;
+	user->elements_left -= 2 * (gsize)count;
 	return 0;
 }
 
-static inline int frame_callback_map_item(struct frame_user *user, int *map,
+static inline int frame_callback_map_item(struct frame_counter *user, int *map,
 					  int key, int value)
 {
 	return 0;
 }
 
-static inline int frame_callback_ext(struct frame_user *user, const char *base,
-				     const char *position, unsigned int length,
-				     int *object)
+static inline int frame_callback_ext(struct frame_counter *user,
+				     const char *base, const char *position,
+				     unsigned int length, int *object)
 {
-	return REFUSED;
+	return CALLBACK_ERROR;
 }
 
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wsign-compare"
-/* The template keeps a key for maps that may never come. */
+/* The template has a variable for map keys that may remain unset. */
 #pragma GCC diagnostic ignored "-Wmaybe-uninitialized"
 #include <msgpack/unpack_template.h>
 #pragma GCC diagnostic pop
 
-static bool check(const void *data, gsize length, bool maps)
+static bool check_elements(const void *data, gsize length, bool allow_maps)
 {
 	struct frame_parser_context parser = {
-		.user.allowance = MIN(length, AUBI_FRAME_ELEMENTS_MAX),
-		.user.maps = maps,
+		.user.elements_left = MIN(length, AUBI_FRAME_ELEMENTS_MAX),
+		.user.allow_maps = allow_maps,
 	};
 	size_t offset = 0;
 
@@ -133,10 +134,10 @@
 
 bool aubi_frame_check(const void *data, gsize length)
 {
-	return check(data, length, false);
+	return check_elements(data, length, false);
 }
 
 bool aubi_document_check(const void *data, gsize length)
 {
-	return check(data, length, true);
+	return check_elements(data, length, true);
 }
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -1,5 +1,5 @@
 /*
- * JSON from outside: bounded and checked before json-glib sees it.
+ * JSON from external sources, validated before it is passed to json-glib.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/json.h>
@@ -7,24 +7,25 @@
 #include <string.h>
 
 /*
- * json-glib descends by recursion. A body of "[[[[..." would overflow the
- * stack and end the process for every caller. Our documents nest five deep.
+ * json-glib is a recursive-descent parser. A body of "[[[[..." would overflow
+ * the stack and terminate the process. Valid documents have a nesting depth of
+ * at most 5.
  */
-#define JSON_DEPTH 32
+#define JSON_DEPTH_MAX 32
 
 /*
- * What JSON has between its strings. json-glib also skips comments, and a
- * quote in one would hide brackets from the count.
+ * Characters that JSON allows outside of strings. json-glib also accepts
+ * comments; a quote inside a comment would hide brackets from the depth check.
  */
-#define OUTSIDE_STRINGS " \t\r\n{}[]:,+-.0123456789Etruefalsn"
+#define CHARS_OUTSIDE_STRINGS " \t\r\n{}[]:,+-.0123456789Etruefalsn"
 
-/* An escape that JSON knows; json-glib would take octal bytes, too. */
-static bool escape_is_good(const char *text, gsize length, gsize at)
+/* Checks for a JSON escape; json-glib would also accept octal escapes. */
+static bool is_valid_escape(const char *text, gsize length, gsize at)
 {
 	return at < length && text[at] && strchr("\"\\/bfnrtu", text[at]);
 }
 
-static bool text_is_good(const char *text, gsize length)
+static bool is_strict_json(const char *text, gsize length)
 {
 	guint depth = 0;
 	bool quoted = false;
@@ -34,14 +35,15 @@
 			if (text[i] == '"')
 				quoted = false;
 			else if (text[i] == '\\' &&
-				 !escape_is_good(text, length, ++i))
+				 !is_valid_escape(text, length, ++i))
 				return false;
 		} else if (text[i] == '"') {
 			quoted = true;
-		} else if (!text[i] || !strchr(OUTSIDE_STRINGS, text[i])) {
+		} else if (!text[i] ||
+			   !strchr(CHARS_OUTSIDE_STRINGS, text[i])) {
 			return false;
 		} else if (text[i] == '[' || text[i] == '{') {
-			if (++depth > JSON_DEPTH)
+			if (++depth > JSON_DEPTH_MAX)
 				return false;
 		} else if ((text[i] == ']' || text[i] == '}') && depth) {
 			depth--;
@@ -59,11 +61,11 @@
 	JsonNode *root;
 
 	if (!g_utf8_validate(text, (gssize)length, NULL) ||
-	    !text_is_good(text, length)) {
+	    !is_strict_json(text, length)) {
 		aub_error_set(error, AUB_ERROR_INVALID, step, peer,
-			      "not UTF-8, no plain JSON, or nested deeper "
+			      "not UTF-8, not strict JSON, or nested deeper "
 			      "than %d",
-			      JSON_DEPTH);
+			      JSON_DEPTH_MAX);
 		return NULL;
 	}
 	parser = json_parser_new();
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -1,5 +1,6 @@
 /*
- * Life cycle of the message structs, driven by their layouts.
+ * Allocation, copying and freeing of the message structs, driven by their
+ * layouts.
  */
 #include <auburnstile/internal/message_fields.h>
 
@@ -11,14 +12,14 @@
 	const struct aubi_field *field;
 
 	for (field = layout->fields; field->kind != AUBI_FIELD_END; field++) {
-		void *place = data + field->offset;
+		void *target = data + field->offset;
 
 		if (field->kind == AUBI_FIELD_STRING)
-			*(char **)place = g_strdup("");
+			*(char **)target = g_strdup("");
 		else if (field->kind == AUBI_FIELD_LIST)
-			*(GPtrArray **)place = g_ptr_array_new();
+			*(GPtrArray **)target = g_ptr_array_new();
 		else if (field->kind == AUBI_FIELD_ENUM)
-			*(guint *)place = 1;
+			*(guint *)target = 1;
 	}
 	return data;
 }
@@ -40,31 +41,31 @@
 	if (!data)
 		return;
 	for (field = layout->fields; field->kind != AUBI_FIELD_END; field++) {
-		void *place = (char *)data + field->offset;
+		void *target = (char *)data + field->offset;
 
 		if (field->kind == AUBI_FIELD_STRING)
-			g_free(*(char **)place);
+			g_free(*(char **)target);
 		else if (field->kind == AUBI_FIELD_BYTES)
-			g_free(((struct aub_bytes *)place)->data);
+			g_free(((struct aub_bytes *)target)->data);
 		else if (field->kind == AUBI_FIELD_LIST)
-			free_list(field->element, *(GPtrArray **)place);
+			free_list(field->element, *(GPtrArray **)target);
 	}
 	g_free(data);
 }
 
-/* Only for structs that hold strings and numbers. */
+/* Copies a struct that has no byte strings and no lists. */
 static void *struct_copy(const struct aubi_layout *layout, const void *from)
 {
 	char *to = g_memdup2(from, layout->size);
 	const struct aubi_field *field;
 
 	for (field = layout->fields; field->kind != AUBI_FIELD_END; field++) {
-		char **place = (char **)(void *)(to + field->offset);
+		char **target = (char **)(void *)(to + field->offset);
 
 		g_assert(field->kind != AUBI_FIELD_LIST);
 		g_assert(field->kind != AUBI_FIELD_BYTES);
 		if (field->kind == AUBI_FIELD_STRING)
-			*place = g_strdup(*place);
+			*target = g_strdup(*target);
 	}
 	return to;
 }
@@ -170,10 +171,10 @@
 
 struct aub_name *aub_name_new(const char *name)
 {
-	struct aub_name *made = aubi_struct_new(&aubi_name_layout);
+	struct aub_name *part = aubi_struct_new(&aubi_name_layout);
 
-	aub_string_set(&made->name, name);
-	return made;
+	aub_string_set(&part->name, name);
+	return part;
 }
 
 struct aub_probe_result *aub_probe_result_new(void)
--- a/src/protocol/message_codec.c
+++ b/src/protocol/message_codec.c
@@ -1,9 +1,9 @@
 /*
- * Messages to msgpack and back, by the layouts' tables.
+ * Msgpack encoder and decoder of the messages, driven by their layouts.
  *
- * Decoding trusts nothing: each value's type, length and range is checked
- * against its field, and a struct with too few or too many fields is
- * refused.
+ * The decoder treats its input as untrusted: the type, length and range of
+ * each value are checked against its field, and a struct with too few or too
+ * many fields is rejected.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/frame_check.h>
@@ -29,36 +29,36 @@
 }
 
 static void pack_field(msgpack_packer *packer, const struct aubi_field *field,
-		       const void *place)
+		       const void *target)
 {
-	const struct aub_bytes *bytes = place;
+	const struct aub_bytes *bytes = target;
 	const char *string;
 
 	switch (field->kind) {
 	case AUBI_FIELD_U64:
-		msgpack_pack_uint64(packer, *(const guint64 *)place);
+		msgpack_pack_uint64(packer, *(const guint64 *)target);
 		break;
 	case AUBI_FIELD_U32:
-		msgpack_pack_uint32(packer, *(const guint32 *)place);
+		msgpack_pack_uint32(packer, *(const guint32 *)target);
 		break;
 	case AUBI_FIELD_ENUM:
-		msgpack_pack_uint32(packer, *(const guint *)place);
+		msgpack_pack_uint32(packer, *(const guint *)target);
 		break;
 	case AUBI_FIELD_BOOL:
-		if (*(const bool *)place)
+		if (*(const bool *)target)
 			msgpack_pack_true(packer);
 		else
 			msgpack_pack_false(packer);
 		break;
 	case AUBI_FIELD_STRING:
-		string = *(const char *const *)place;
+		string = *(const char *const *)target;
 		msgpack_pack_str_with_body(packer, string, strlen(string));
 		break;
 	case AUBI_FIELD_BYTES:
 		msgpack_pack_bin_with_body(packer, bytes->data, bytes->length);
 		break;
 	case AUBI_FIELD_LIST:
-		pack_list(packer, field->element, *(GPtrArray *const *)place);
+		pack_list(packer, field->element, *(GPtrArray *const *)target);
 		break;
 	case AUBI_FIELD_END:
 		break;
@@ -98,14 +98,14 @@
 	return bytes;
 }
 
-/* What a decoding error names: the message, the field and the peer. */
+/* Context for decoding errors. */
 struct decoding {
 	const char *peer;
 	const char *message;
 	GError **error;
 };
 
-static bool refuse(const struct decoding *decoding, const char *field,
+static bool reject(const struct decoding *decoding, const char *field,
 		   const char *problem)
 {
 	aub_error_set(decoding->error, AUB_ERROR_INVALID, STEP_DECODE,
@@ -116,43 +116,43 @@
 
 static bool read_number(const struct decoding *decoding,
 			const struct aubi_field *field,
-			const msgpack_object *object, guint64 least,
-			guint64 most, guint64 *number)
+			const msgpack_object *object, guint64 min, guint64 max,
+			guint64 *number)
 {
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
-		return refuse(decoding, field->name, "not a number");
-	if (object->via.u64 < least || object->via.u64 > most)
-		return refuse(decoding, field->name, "out of range");
+		return reject(decoding, field->name, "not a number");
+	if (object->via.u64 < min || object->via.u64 > max)
+		return reject(decoding, field->name, "out of range");
 	*number = object->via.u64;
 	return true;
 }
 
 static bool read_string(const struct decoding *decoding,
 			const struct aubi_field *field,
-			const msgpack_object *object, char **place)
+			const msgpack_object *object, char **target)
 {
 	const msgpack_object_str *string = &object->via.str;
 
 	if (object->type != MSGPACK_OBJECT_STR)
-		return refuse(decoding, field->name, "not a string");
+		return reject(decoding, field->name, "not a string");
 	if (string->size > field->limit)
-		return refuse(decoding, field->name, "too long");
+		return reject(decoding, field->name, "too long");
 	if (string->size && memchr(string->ptr, '\0', string->size))
-		return refuse(decoding, field->name, "holds a NUL");
-	g_free(*place);
-	*place = g_strndup(string->size ? string->ptr : "", string->size);
+		return reject(decoding, field->name, "contains a NUL");
+	g_free(*target);
+	*target = g_strndup(string->size ? string->ptr : "", string->size);
 	return true;
 }
 
 static bool read_bytes(const struct decoding *decoding,
 		       const struct aubi_field *field,
-		       const msgpack_object *object, struct aub_bytes *place)
+		       const msgpack_object *object, struct aub_bytes *target)
 {
 	if (object->type != MSGPACK_OBJECT_BIN)
-		return refuse(decoding, field->name, "not a byte string");
+		return reject(decoding, field->name, "not a byte string");
 	if (object->via.bin.size > field->limit)
-		return refuse(decoding, field->name, "too long");
-	aub_bytes_set(place, object->via.bin.ptr, object->via.bin.size);
+		return reject(decoding, field->name, "too long");
+	aub_bytes_set(target, object->via.bin.ptr, object->via.bin.size);
 	return true;
 }
 
@@ -167,15 +167,15 @@
 	const msgpack_object_array *array = &object->via.array;
 
 	if (object->type != MSGPACK_OBJECT_ARRAY)
-		return refuse(decoding, field->name, "not a list");
+		return reject(decoding, field->name, "not a list");
 	if (array->size > field->limit)
-		return refuse(decoding, field->name, "too many elements");
+		return reject(decoding, field->name, "too many elements");
 	for (guint i = 0; i < array->size; i++) {
 		const msgpack_object *element = &array->ptr[i];
 		void *data;
 
 		if (element->type != MSGPACK_OBJECT_ARRAY)
-			return refuse(decoding, field->name,
+			return reject(decoding, field->name,
 				      "element is not a list of fields");
 		data = aubi_struct_new(field->element);
 		g_ptr_array_add(list, data);
@@ -189,37 +189,38 @@
 
 static bool read_field(const struct decoding *decoding,
 		       const struct aubi_field *field,
-		       const msgpack_object *object, void *place)
+		       const msgpack_object *object, void *target)
 {
 	guint64 number = 0;
 
 	switch (field->kind) {
 	case AUBI_FIELD_U64:
 		return read_number(decoding, field, object, 0, G_MAXUINT64,
-				   place);
+				   target);
 	case AUBI_FIELD_U32:
 		if (!read_number(decoding, field, object, 0, G_MAXUINT32,
 				 &number))
 			return false;
-		*(guint32 *)place = (guint32)number;
+		*(guint32 *)target = (guint32)number;
 		return true;
 	case AUBI_FIELD_ENUM:
 		if (!read_number(decoding, field, object, 1, field->limit,
 				 &number))
 			return false;
-		*(guint *)place = (guint)number;
+		*(guint *)target = (guint)number;
 		return true;
 	case AUBI_FIELD_BOOL:
 		if (object->type != MSGPACK_OBJECT_BOOLEAN)
-			return refuse(decoding, field->name, "not a boolean");
-		*(bool *)place = object->via.boolean;
+			return reject(decoding, field->name, "not a boolean");
+		*(bool *)target = object->via.boolean;
 		return true;
 	case AUBI_FIELD_STRING:
-		return read_string(decoding, field, object, place);
+		return read_string(decoding, field, object, target);
 	case AUBI_FIELD_BYTES:
-		return read_bytes(decoding, field, object, place);
+		return read_bytes(decoding, field, object, target);
 	case AUBI_FIELD_LIST:
-		return read_list(decoding, field, object, *(GPtrArray **)place);
+		return read_list(decoding, field, object,
+				 *(GPtrArray **)target);
 	case AUBI_FIELD_END:
 		break;
 	}
@@ -231,7 +232,7 @@
 			const msgpack_object *objects, guint count, void *data)
 {
 	if (count != aubi_layout_count(layout))
-		return refuse(decoding, layout->name, "wrong number of fields");
+		return reject(decoding, layout->name, "wrong number of fields");
 	for (guint i = 0; i < count; i++) {
 		const struct aubi_field *field = &layout->fields[i];
 
@@ -250,18 +251,18 @@
 	struct aub_message *message;
 
 	if (root->type != MSGPACK_OBJECT_ARRAY || root->via.array.size < 2) {
-		refuse(decoding, "frame", "not a list of version and type");
+		reject(decoding, "frame", "not a list of version and type");
 		return NULL;
 	}
 	if (objects[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    objects[0].via.u64 != AUB_PROTOCOL_VERSION) {
-		refuse(decoding, "version", "not spoken here");
+		reject(decoding, "version", "unsupported");
 		return NULL;
 	}
 	if (objects[1].type == MSGPACK_OBJECT_POSITIVE_INTEGER)
 		layout = aubi_message_layout(objects[1].via.u64);
 	if (!layout) {
-		refuse(decoding, "type", "no such message");
+		reject(decoding, "type", "unknown message type");
 		return NULL;
 	}
 	decoding->message = layout->name;
@@ -288,15 +289,15 @@
 	size_t offset = 0;
 
 	if (!aubi_frame_check(data, length)) {
-		refuse(&decoding, "frame", "not msgpack of this protocol");
+		reject(&decoding, "frame", "not a valid msgpack frame");
 		return NULL;
 	}
 	msgpack_unpacked_init(&unpacked);
 	if (msgpack_unpack_next(&unpacked, data, length, &offset) !=
 	    MSGPACK_UNPACK_SUCCESS)
-		refuse(&decoding, "frame", "not msgpack");
+		reject(&decoding, "frame", "not msgpack");
 	else if (offset != length)
-		refuse(&decoding, "frame", "surplus bytes at the end");
+		reject(&decoding, "frame", "surplus bytes at the end");
 	else
 		message = read_message(&decoding, &unpacked.data);
 	msgpack_unpacked_destroy(&unpacked);
--- a/src/protocol/message_fields.c
+++ b/src/protocol/message_fields.c
@@ -1,28 +1,29 @@
 /*
- * The messages' fields, one table a type.
+ * Field tables of the messages, one per type.
  *
- * Encoder, decoder, free and copy all walk these tables, so that a field
- * added to a struct needs one row here and nothing else. Rows are positional
- * on the wire: a new field goes to the end and raises AUB_PROTOCOL_VERSION.
+ * Encoding, decoding, freeing and copying are driven by these tables, so that
+ * a new struct field needs one entry here and no other code. Fields are
+ * positional on the wire: a new field is appended, and AUB_PROTOCOL_VERSION
+ * is incremented.
  */
 #include <auburnstile/internal/message_fields.h>
 
-#define NAME_LIMIT 64
-#define ADDRESS_LIMIT 64
-#define PATH_LIMIT 8192
-#define HEADER_LIMIT 16384
-#define HEADERS_LIMIT 256 /* headers a message */
-#define AGES_LIMIT ((gsize)6 * MEMBERS_LIMIT) /* bytes */
-#define MEMBERS_LIMIT 1024
-#define SERVICES_LIMIT 4096
-#define UPSTREAMS_LIMIT 4096 /* of one service */
-#define KEYS_LIMIT 4096 /* keys a part */
-#define CRASHES_LIMIT 1024
-#define ATTEMPTS_LIMIT 64 /* upstreams one request was sent to */
-#define OUTSTANDING_LIMIT 4096 /* requests of one service at one gateway */
-#define OBJECT_LIMIT (1u << 20) /* the store's megabyte */
-#define ROUTES_LIMIT 64 /* of one service, in what is told of an order */
-#define BODY_LIMIT (8u << 20)
+#define NAME_BYTES_MAX 64
+#define ADDRESS_BYTES_MAX 64
+#define PATH_BYTES_MAX 8192
+#define HEADER_BYTES_MAX 16384
+#define HEADERS_MAX 256 /* per message */
+#define AGES_BYTES_MAX ((gsize)6 * MEMBERS_MAX) /* 6 per member */
+#define MEMBERS_MAX 1024
+#define SERVICES_MAX 4096
+#define UPSTREAMS_MAX 4096 /* per service */
+#define KEYS_PER_PART_MAX 4096 /* see struct aub_keys */
+#define CRASHES_MAX 1024
+#define ATTEMPTS_MAX 64 /* upstreams tried for one request */
+#define OUTSTANDING_MAX 4096 /* requests per service and gateway */
+#define OBJECT_BYTES_MAX (1u << 20) /* the store's limit of 1 MiB */
+#define ROUTES_MAX 64 /* per service, in rollout evidence */
+#define BODY_BYTES_MAX (8u << 20)
 
 #define FIELD(kind_, struct_, member_, limit_, element_)                      \
 	{                                                                     \
@@ -33,23 +34,23 @@
 	{                              \
 		.kind = AUBI_FIELD_END \
 	}
-#define NUMBER(s, m) FIELD(AUBI_FIELD_U64, s, m, 0, NULL)
-#define NUMBER32(s, m) FIELD(AUBI_FIELD_U32, s, m, 0, NULL)
-#define FLAG(s, m) FIELD(AUBI_FIELD_BOOL, s, m, 0, NULL)
-#define CHOICE(s, m, most) FIELD(AUBI_FIELD_ENUM, s, m, most, NULL)
-#define STRING(s, m, most) FIELD(AUBI_FIELD_STRING, s, m, most, NULL)
-#define BYTES(s, m, most) FIELD(AUBI_FIELD_BYTES, s, m, most, NULL)
-#define LIST(s, m, most, of) FIELD(AUBI_FIELD_LIST, s, m, most, of)
-
-#define LAYOUT(text, struct_, fields_)                          \
-	{                                                       \
-		.name = (text), .size = sizeof(struct struct_), \
-		.fields = (fields_)                             \
+#define U64(s, m) FIELD(AUBI_FIELD_U64, s, m, 0, NULL)
+#define U32(s, m) FIELD(AUBI_FIELD_U32, s, m, 0, NULL)
+#define BOOL(s, m) FIELD(AUBI_FIELD_BOOL, s, m, 0, NULL)
+#define ENUM(s, m, limit) FIELD(AUBI_FIELD_ENUM, s, m, limit, NULL)
+#define STRING(s, m, limit) FIELD(AUBI_FIELD_STRING, s, m, limit, NULL)
+#define BYTES(s, m, limit) FIELD(AUBI_FIELD_BYTES, s, m, limit, NULL)
+#define LIST(s, m, limit, of) FIELD(AUBI_FIELD_LIST, s, m, limit, of)
+
+#define LAYOUT(name_, struct_, fields_)                          \
+	{                                                        \
+		.name = (name_), .size = sizeof(struct struct_), \
+		.fields = (fields_)                              \
 	}
 
 static const struct aubi_field header_fields[] = {
-	STRING(aub_header, name, HEADER_LIMIT),
-	STRING(aub_header, value, HEADER_LIMIT),
+	STRING(aub_header, name, HEADER_BYTES_MAX),
+	STRING(aub_header, value, HEADER_BYTES_MAX),
 	END,
 };
 
@@ -57,21 +58,21 @@
 	LAYOUT("header", aub_header, header_fields);
 
 static const struct aubi_field member_fields[] = {
-	STRING(aub_member, name, NAME_LIMIT),
-	STRING(aub_member, zone, NAME_LIMIT),
-	CHOICE(aub_member, state, AUB_MEMBER_STOPPED),
-	NUMBER(aub_member, incarnation),
-	NUMBER(aub_member, control_incarnation),
-	STRING(aub_member, callers_address, ADDRESS_LIMIT),
-	STRING(aub_member, inner_address, ADDRESS_LIMIT),
-	STRING(aub_member, control_address, ADDRESS_LIMIT),
-	STRING(aub_member, entry_admin, ADDRESS_LIMIT),
-	STRING(aub_member, control_admin, ADDRESS_LIMIT),
-	NUMBER(aub_member, successor),
-	NUMBER32(aub_member, age_ms),
-	NUMBER(aub_member, config_version),
-	NUMBER32(aub_member, load_permille),
-	NUMBER(aub_member, revision),
+	STRING(aub_member, name, NAME_BYTES_MAX),
+	STRING(aub_member, zone, NAME_BYTES_MAX),
+	ENUM(aub_member, state, AUB_MEMBER_STOPPED),
+	U64(aub_member, incarnation),
+	U64(aub_member, control_incarnation),
+	STRING(aub_member, callers_address, ADDRESS_BYTES_MAX),
+	STRING(aub_member, inner_address, ADDRESS_BYTES_MAX),
+	STRING(aub_member, control_address, ADDRESS_BYTES_MAX),
+	STRING(aub_member, entry_admin, ADDRESS_BYTES_MAX),
+	STRING(aub_member, control_admin, ADDRESS_BYTES_MAX),
+	U64(aub_member, successor),
+	U32(aub_member, age_ms),
+	U64(aub_member, config_version),
+	U32(aub_member, load_permille),
+	U64(aub_member, revision),
 	END,
 };
 
@@ -79,12 +80,12 @@
 	LAYOUT("member", aub_member, member_fields);
 
 static const struct aubi_field assignment_fields[] = {
-	STRING(aub_assignment, service, NAME_LIMIT),
-	STRING(aub_assignment, owner, NAME_LIMIT),
-	NUMBER(aub_assignment, owner_incarnation),
-	STRING(aub_assignment, standby, NAME_LIMIT),
-	NUMBER(aub_assignment, standby_incarnation),
-	NUMBER(aub_assignment, epoch),
+	STRING(aub_assignment, service, NAME_BYTES_MAX),
+	STRING(aub_assignment, owner, NAME_BYTES_MAX),
+	U64(aub_assignment, owner_incarnation),
+	STRING(aub_assignment, standby, NAME_BYTES_MAX),
+	U64(aub_assignment, standby_incarnation),
+	U64(aub_assignment, epoch),
 	END,
 };
 
@@ -92,14 +93,14 @@
 	LAYOUT("assignment", aub_assignment, assignment_fields);
 
 static const struct aubi_field key_record_fields[] = {
-	STRING(aub_key_record, key, HEADER_LIMIT),
-	BYTES(aub_key_record, fingerprint, NAME_LIMIT),
-	NUMBER32(aub_key_record, ttl_ms),
-	CHOICE(aub_key_record, outcome, AUB_OUTCOME_UNKNOWN),
-	NUMBER32(aub_key_record, status),
-	LIST(aub_key_record, headers, HEADERS_LIMIT, &aubi_header_layout),
-	BYTES(aub_key_record, body, BODY_LIMIT),
-	FLAG(aub_key_record, stripped),
+	STRING(aub_key_record, key, HEADER_BYTES_MAX),
+	BYTES(aub_key_record, fingerprint, NAME_BYTES_MAX),
+	U32(aub_key_record, ttl_ms),
+	ENUM(aub_key_record, outcome, AUB_OUTCOME_UNKNOWN),
+	U32(aub_key_record, status),
+	LIST(aub_key_record, headers, HEADERS_MAX, &aubi_header_layout),
+	BYTES(aub_key_record, body, BODY_BYTES_MAX),
+	BOOL(aub_key_record, stripped),
 	END,
 };
 
@@ -107,12 +108,12 @@
 	LAYOUT("key record", aub_key_record, key_record_fields);
 
 static const struct aubi_field upstream_state_fields[] = {
-	STRING(aub_upstream_state, name, NAME_LIMIT),
-	NUMBER(aub_upstream_state, boot_id),
-	FLAG(aub_upstream_state, cold),
-	FLAG(aub_upstream_state, draining),
-	NUMBER32(aub_upstream_state, age_ms),
-	NUMBER32(aub_upstream_state, mean_us),
+	STRING(aub_upstream_state, name, NAME_BYTES_MAX),
+	U64(aub_upstream_state, boot_id),
+	BOOL(aub_upstream_state, cold),
+	BOOL(aub_upstream_state, draining),
+	U32(aub_upstream_state, age_ms),
+	U32(aub_upstream_state, mean_us),
 	END,
 };
 
@@ -120,137 +121,138 @@
 	LAYOUT("upstream state", aub_upstream_state, upstream_state_fields);
 
 static const struct aubi_field hello_fields[] = {
-	CHOICE(aub_hello, role, AUB_ROLE_CONTROL),
-	STRING(aub_hello, name, NAME_LIMIT),
-	STRING(aub_hello, zone, NAME_LIMIT),
-	NUMBER(aub_hello, incarnation),
-	STRING(aub_hello, address, ADDRESS_LIMIT),
-	STRING(aub_hello, callers_address, ADDRESS_LIMIT),
-	STRING(aub_hello, admin_address, ADDRESS_LIMIT),
+	ENUM(aub_hello, role, AUB_ROLE_CONTROL),
+	STRING(aub_hello, name, NAME_BYTES_MAX),
+	STRING(aub_hello, zone, NAME_BYTES_MAX),
+	U64(aub_hello, incarnation),
+	STRING(aub_hello, address, ADDRESS_BYTES_MAX),
+	STRING(aub_hello, callers_address, ADDRESS_BYTES_MAX),
+	STRING(aub_hello, admin_address, ADDRESS_BYTES_MAX),
 	END,
 };
 
 static const struct aubi_field ping_fields[] = {
-	NUMBER(aub_ping, number),
+	U64(aub_ping, number),
 	END,
 };
 
 static const struct aubi_field view_fields[] = {
-	NUMBER(aub_view, config_version),
-	BYTES(aub_view, config, OBJECT_LIMIT),
-	NUMBER(aub_view, epoch),
-	LIST(aub_view, assignments, SERVICES_LIMIT, &aubi_assignment_layout),
-	LIST(aub_view, members, MEMBERS_LIMIT, &aubi_member_layout),
-	FLAG(aub_view, serve),
-	NUMBER32(aub_view, serve_ms),
-	NUMBER(aub_view, echo),
+	U64(aub_view, config_version),
+	BYTES(aub_view, config, OBJECT_BYTES_MAX),
+	U64(aub_view, epoch),
+	LIST(aub_view, assignments, SERVICES_MAX, &aubi_assignment_layout),
+	LIST(aub_view, members, MEMBERS_MAX, &aubi_member_layout),
+	BOOL(aub_view, serve),
+	U32(aub_view, serve_ms),
+	U64(aub_view, echo),
 	END,
 };
 
 static const struct aubi_field view_ack_fields[] = {
-	NUMBER(aub_view_ack, config_version),
-	NUMBER(aub_view_ack, epoch),
-	NUMBER32(aub_view_ack, load_permille),
-	FLAG(aub_view_ack, stopping),
-	NUMBER(aub_view_ack, successor),
-	NUMBER(aub_view_ack, number),
+	U64(aub_view_ack, config_version),
+	U64(aub_view_ack, epoch),
+	U32(aub_view_ack, load_permille),
+	BOOL(aub_view_ack, stopping),
+	U64(aub_view_ack, successor),
+	U64(aub_view_ack, number),
 	END,
 };
 
 static const struct aubi_field gossip_fields[] = {
-	NUMBER(aub_gossip, config_version),
-	NUMBER(aub_gossip, epoch),
-	FLAG(aub_gossip, store_reachable),
-	NUMBER32(aub_gossip, fresh_ms),
-	LIST(aub_gossip, members, MEMBERS_LIMIT, &aubi_member_layout),
-	NUMBER(aub_gossip, number),
-	NUMBER(aub_gossip, echo),
-	NUMBER(aub_gossip, roster),
-	NUMBER32(aub_gossip, member_count),
-	BYTES(aub_gossip, ages, AGES_LIMIT),
+	U64(aub_gossip, config_version),
+	U64(aub_gossip, epoch),
+	BOOL(aub_gossip, store_reachable),
+	U32(aub_gossip, fresh_ms),
+	LIST(aub_gossip, members, MEMBERS_MAX, &aubi_member_layout),
+	U64(aub_gossip, number),
+	U64(aub_gossip, echo),
+	U64(aub_gossip, roster),
+	U32(aub_gossip, member_count),
+	BYTES(aub_gossip, ages, AGES_BYTES_MAX),
 	END,
 };
 
 static const struct aubi_field config_pull_fields[] = {
-	NUMBER(aub_config_pull, config_version),
-	NUMBER(aub_config_pull, epoch),
+	U64(aub_config_pull, config_version),
+	U64(aub_config_pull, epoch),
 	END,
 };
 
 static const struct aubi_field config_push_fields[] = {
-	NUMBER(aub_config_push, config_version),
-	BYTES(aub_config_push, config, OBJECT_LIMIT),
-	NUMBER(aub_config_push, epoch),
-	BYTES(aub_config_push, assignments, OBJECT_LIMIT),
+	U64(aub_config_push, config_version),
+	BYTES(aub_config_push, config, OBJECT_BYTES_MAX),
+	U64(aub_config_push, epoch),
+	BYTES(aub_config_push, assignments, OBJECT_BYTES_MAX),
 	END,
 };
 
 static const struct aubi_field call_fields[] = {
-	NUMBER(aub_call, id),
-	CHOICE(aub_call, purpose, AUB_CALL_OWNER),
-	NUMBER(aub_call, receiver),
-	STRING(aub_call, service, NAME_LIMIT),
-	FLAG(aub_call, once),
-	STRING(aub_call, key, HEADER_LIMIT),
-	NUMBER32(aub_call, deadline_ms),
-	NUMBER32(aub_call, retry_budget),
-	STRING(aub_call, method, NAME_LIMIT),
-	STRING(aub_call, path, PATH_LIMIT),
-	LIST(aub_call, headers, HEADERS_LIMIT, &aubi_header_layout),
-	BYTES(aub_call, body, BODY_LIMIT),
+	U64(aub_call, id),
+	ENUM(aub_call, purpose, AUB_CALL_OWNER),
+	U64(aub_call, receiver),
+	STRING(aub_call, service, NAME_BYTES_MAX),
+	BOOL(aub_call, once),
+	STRING(aub_call, key, HEADER_BYTES_MAX),
+	U32(aub_call, deadline_ms),
+	U32(aub_call, retry_budget),
+	STRING(aub_call, method, NAME_BYTES_MAX),
+	STRING(aub_call, path, PATH_BYTES_MAX),
+	LIST(aub_call, headers, HEADERS_MAX, &aubi_header_layout),
+	BYTES(aub_call, body, BODY_BYTES_MAX),
 	END,
 };
 
 static const struct aubi_field answer_fields[] = {
-	NUMBER(aub_answer, id),
-	CHOICE(aub_answer, outcome, AUB_OUTCOME_UNKNOWN),
-	NUMBER32(aub_answer, status),
-	NUMBER32(aub_answer, retry_after_ms),
-	STRING(aub_answer, reason, HEADER_LIMIT),
-	LIST(aub_answer, headers, HEADERS_LIMIT, &aubi_header_layout),
-	BYTES(aub_answer, body, BODY_LIMIT),
+	U64(aub_answer, id),
+	ENUM(aub_answer, outcome, AUB_OUTCOME_UNKNOWN),
+	U32(aub_answer, status),
+	U32(aub_answer, retry_after_ms),
+	STRING(aub_answer, reason, HEADER_BYTES_MAX),
+	LIST(aub_answer, headers, HEADERS_MAX, &aubi_header_layout),
+	BYTES(aub_answer, body, BODY_BYTES_MAX),
 	END,
 };
 
 static const struct aubi_field cancel_fields[] = {
-	NUMBER(aub_cancel, id),
+	U64(aub_cancel, id),
 	END,
 };
 
 static const struct aubi_field keys_fields[] = {
-	NUMBER(aub_keys, incarnation),
-	NUMBER32(aub_keys, part),
-	FLAG(aub_keys, last),
-	LIST(aub_keys, records, KEYS_LIMIT, &aubi_key_record_layout),
+	U64(aub_keys, incarnation),
+	U32(aub_keys, part),
+	BOOL(aub_keys, last),
+	LIST(aub_keys, records, KEYS_PER_PART_MAX, &aubi_key_record_layout),
 	END,
 };
 
 static const struct aubi_field keys_ack_fields[] = {
-	NUMBER(aub_keys_ack, incarnation),
-	NUMBER32(aub_keys_ack, part),
+	U64(aub_keys_ack, incarnation),
+	U32(aub_keys_ack, part),
 	END,
 };
 
 static const struct aubi_field crash_record_fields[] = {
-	NUMBER(aub_crash_record, fingerprint),
-	NUMBER32(aub_crash_record, deaths),
-	NUMBER32(aub_crash_record, age_ms),
+	U64(aub_crash_record, fingerprint),
+	U32(aub_crash_record, deaths),
+	U32(aub_crash_record, age_ms),
 	END,
 };
 
 const struct aubi_layout aubi_crash_record_layout =
 	LAYOUT("crash record", aub_crash_record, crash_record_fields);
 
-static const struct aubi_field states_fields[] = {
-	STRING(aub_upstream_states, service, NAME_LIMIT),
-	LIST(aub_upstream_states, upstreams, UPSTREAMS_LIMIT,
+static const struct aubi_field upstream_states_fields[] = {
+	STRING(aub_upstream_states, service, NAME_BYTES_MAX),
+	LIST(aub_upstream_states, upstreams, UPSTREAMS_MAX,
 	     &aubi_upstream_state_layout),
-	LIST(aub_upstream_states, crashes, CRASHES_LIMIT, &aubi_crash_record_layout),
+	LIST(aub_upstream_states, crashes, CRASHES_MAX,
+	     &aubi_crash_record_layout),
 	END,
 };
 
 static const struct aubi_field name_fields[] = {
-	STRING(aub_name, name, NAME_LIMIT),
+	STRING(aub_name, name, NAME_BYTES_MAX),
 	END,
 };
 
@@ -258,41 +260,42 @@
 	LAYOUT("name", aub_name, name_fields);
 
 static const struct aubi_field outstanding_fields[] = {
-	NUMBER(aub_outstanding, ticket),
-	STRING(aub_outstanding, upstream, NAME_LIMIT),
-	NUMBER32(aub_outstanding, target_ms),
+	U64(aub_outstanding, ticket),
+	STRING(aub_outstanding, upstream, NAME_BYTES_MAX),
+	U32(aub_outstanding, target_ms),
 	END,
 };
 
 const struct aubi_layout aubi_outstanding_layout =
 	LAYOUT("outstanding grant", aub_outstanding, outstanding_fields);
 
-static const struct aubi_field probed_fields[] = {
-	STRING(aub_probe_result, upstream, NAME_LIMIT),
-	NUMBER32(aub_probe_result, end),
-	NUMBER32(aub_probe_result, load.running),
-	NUMBER32(aub_probe_result, load.waiting),
-	NUMBER32(aub_probe_result, load.slots),
-	NUMBER32(aub_probe_result, load.slowdown),
-	NUMBER32(aub_probe_result, load.warmup_ms),
+static const struct aubi_field probe_result_fields[] = {
+	STRING(aub_probe_result, upstream, NAME_BYTES_MAX),
+	U32(aub_probe_result, end),
+	U32(aub_probe_result, load.running),
+	U32(aub_probe_result, load.waiting),
+	U32(aub_probe_result, load.slots),
+	U32(aub_probe_result, load.slowdown),
+	U32(aub_probe_result, load.warmup_ms),
 	END,
 };
 
 const struct aubi_layout aubi_probe_result_layout =
-	LAYOUT("probed upstream", aub_probe_result, probed_fields);
+	LAYOUT("probed upstream", aub_probe_result, probe_result_fields);
 
-static const struct aubi_field place_probed_fields[] = {
-	STRING(aub_place_probe_results, service, NAME_LIMIT),
-	LIST(aub_place_probe_results, probed, UPSTREAMS_LIMIT, &aubi_probe_result_layout),
+static const struct aubi_field place_probe_results_fields[] = {
+	STRING(aub_place_probe_results, service, NAME_BYTES_MAX),
+	LIST(aub_place_probe_results, probed, UPSTREAMS_MAX,
+	     &aubi_probe_result_layout),
 	END,
 };
 
 static const struct aubi_field place_health_row_fields[] = {
-	STRING(aub_place_health_row, upstream, NAME_LIMIT),
-	FLAG(aub_place_health_row, down),
-	FLAG(aub_place_health_row, unknown),
-	NUMBER32(aub_place_health_row, cold_ms),
-	NUMBER32(aub_place_health_row, slowdown),
+	STRING(aub_place_health_row, upstream, NAME_BYTES_MAX),
+	BOOL(aub_place_health_row, down),
+	BOOL(aub_place_health_row, unknown),
+	U32(aub_place_health_row, cold_ms),
+	U32(aub_place_health_row, slowdown),
 	END,
 };
 
@@ -300,20 +303,20 @@
 	LAYOUT("health", aub_place_health_row, place_health_row_fields);
 
 static const struct aubi_field place_evidence_fields[] = {
-	NUMBER32(aub_place_evidence, route),
-	NUMBER32(aub_place_evidence, answers),
-	NUMBER32(aub_place_evidence, timed),
-	NUMBER32(aub_place_evidence, failures),
-	NUMBER32(aub_place_evidence, slow),
-	NUMBER32(aub_place_evidence, slow_ms),
-	NUMBER32(aub_place_evidence, strength[0]),
-	NUMBER32(aub_place_evidence, strength[1]),
-	NUMBER32(aub_place_evidence, strength[2]),
-	NUMBER32(aub_place_evidence, strength[3]),
-	NUMBER32(aub_place_evidence, rate[0]),
-	NUMBER32(aub_place_evidence, rate[1]),
-	NUMBER32(aub_place_evidence, rate[2]),
-	NUMBER32(aub_place_evidence, rate[3]),
+	U32(aub_place_evidence, route),
+	U32(aub_place_evidence, answers),
+	U32(aub_place_evidence, timed),
+	U32(aub_place_evidence, failures),
+	U32(aub_place_evidence, slow),
+	U32(aub_place_evidence, slow_ms),
+	U32(aub_place_evidence, strength[0]),
+	U32(aub_place_evidence, strength[1]),
+	U32(aub_place_evidence, strength[2]),
+	U32(aub_place_evidence, strength[3]),
+	U32(aub_place_evidence, rate[0]),
+	U32(aub_place_evidence, rate[1]),
+	U32(aub_place_evidence, rate[2]),
+	U32(aub_place_evidence, rate[3]),
 	END,
 };
 
@@ -321,112 +324,112 @@
 	LAYOUT("evidence", aub_place_evidence, place_evidence_fields);
 
 static const struct aubi_field heartbeat_fields[] = {
-	NUMBER(aub_heartbeat, incarnation),
-	STRING(aub_heartbeat, name, NAME_LIMIT),
-	STRING(aub_heartbeat, zone, NAME_LIMIT),
-	STRING(aub_heartbeat, address, ADDRESS_LIMIT),
-	STRING(aub_heartbeat, callers_address, ADDRESS_LIMIT),
-	NUMBER32(aub_heartbeat, capacity),
-	FLAG(aub_heartbeat, ready),
-	FLAG(aub_heartbeat, stopping),
-	NUMBER(aub_heartbeat, config_version),
-	NUMBER32(aub_heartbeat, peers),
-	FLAG(aub_heartbeat, reply_requested),
-	FLAG(aub_heartbeat, current),
-	FLAG(aub_heartbeat, hears),
-	NUMBER(aub_heartbeat, revisions[0]),
-	NUMBER(aub_heartbeat, revisions[1]),
-	NUMBER(aub_heartbeat, revisions[2]),
-	NUMBER(aub_heartbeat, revisions[3]),
+	U64(aub_heartbeat, incarnation),
+	STRING(aub_heartbeat, name, NAME_BYTES_MAX),
+	STRING(aub_heartbeat, zone, NAME_BYTES_MAX),
+	STRING(aub_heartbeat, address, ADDRESS_BYTES_MAX),
+	STRING(aub_heartbeat, callers_address, ADDRESS_BYTES_MAX),
+	U32(aub_heartbeat, capacity),
+	BOOL(aub_heartbeat, ready),
+	BOOL(aub_heartbeat, stopping),
+	U64(aub_heartbeat, config_version),
+	U32(aub_heartbeat, peers),
+	BOOL(aub_heartbeat, reply_requested),
+	BOOL(aub_heartbeat, current),
+	BOOL(aub_heartbeat, hears),
+	U64(aub_heartbeat, revisions[0]),
+	U64(aub_heartbeat, revisions[1]),
+	U64(aub_heartbeat, revisions[2]),
+	U64(aub_heartbeat, revisions[3]),
 	END,
 };
 
 static const struct aubi_field crashes_fields[] = {
-	LIST(aub_crashes, crashes, CRASHES_LIMIT, &aubi_crash_record_layout),
+	LIST(aub_crashes, crashes, CRASHES_MAX, &aubi_crash_record_layout),
 	END,
 };
 
 static const struct aubi_field introduction_fields[] = {
-	BYTES(aub_introduction, addresses, OBJECT_LIMIT),
+	BYTES(aub_introduction, addresses, OBJECT_BYTES_MAX),
 	END,
 };
 
 static const struct aubi_field store_changes_fields[] = {
-	NUMBER32(aub_store_changes, kind),
-	NUMBER(aub_store_changes, after),
-	NUMBER(aub_store_changes, until),
-	BYTES(aub_store_changes, body, OBJECT_LIMIT),
+	U32(aub_store_changes, kind),
+	U64(aub_store_changes, after),
+	U64(aub_store_changes, until),
+	BYTES(aub_store_changes, body, OBJECT_BYTES_MAX),
 	END,
 };
 
-static const struct aubi_field place_ask_fields[] = {
-	NUMBER(aub_place_request, holder),
-	NUMBER(aub_place_request, ticket),
-	STRING(aub_place_request, service, NAME_LIMIT),
-	STRING(aub_place_request, zone, NAME_LIMIT),
-	NUMBER32(aub_place_request, priority),
-	NUMBER32(aub_place_request, target_ms),
-	NUMBER32(aub_place_request, on_time_ms),
-	NUMBER32(aub_place_request, max_wait_ms),
-	FLAG(aub_place_request, retry),
-	FLAG(aub_place_request, forward),
-	STRING(aub_place_request, address, ADDRESS_LIMIT),
-	LIST(aub_place_request, avoid, ATTEMPTS_LIMIT, &aubi_name_layout),
-	NUMBER32(aub_place_request, route),
+static const struct aubi_field place_request_fields[] = {
+	U64(aub_place_request, holder),
+	U64(aub_place_request, ticket),
+	STRING(aub_place_request, service, NAME_BYTES_MAX),
+	STRING(aub_place_request, zone, NAME_BYTES_MAX),
+	U32(aub_place_request, priority),
+	U32(aub_place_request, target_ms),
+	U32(aub_place_request, on_time_ms),
+	U32(aub_place_request, max_wait_ms),
+	BOOL(aub_place_request, retry),
+	BOOL(aub_place_request, forward),
+	STRING(aub_place_request, address, ADDRESS_BYTES_MAX),
+	LIST(aub_place_request, avoid, ATTEMPTS_MAX, &aubi_name_layout),
+	U32(aub_place_request, route),
 	END,
 };
 
 static const struct aubi_field place_decision_fields[] = {
-	NUMBER(aub_place_decision, ticket),
-	NUMBER(aub_place_decision, placer),
-	NUMBER32(aub_place_decision, verdict),
-	STRING(aub_place_decision, upstream, NAME_LIMIT),
-	STRING(aub_place_decision, address, ADDRESS_LIMIT),
-	NUMBER32(aub_place_decision, retry_after_ms),
+	U64(aub_place_decision, ticket),
+	U64(aub_place_decision, placer),
+	U32(aub_place_decision, verdict),
+	STRING(aub_place_decision, upstream, NAME_BYTES_MAX),
+	STRING(aub_place_decision, address, ADDRESS_BYTES_MAX),
+	U32(aub_place_decision, retry_after_ms),
 	END,
 };
 
 static const struct aubi_field place_report_fields[] = {
-	NUMBER(aub_place_report, ticket),
-	STRING(aub_place_report, service, NAME_LIMIT),
-	NUMBER32(aub_place_report, end),
-	NUMBER(aub_place_report, elapsed_us),
-	NUMBER32(aub_place_report, load.running),
-	NUMBER32(aub_place_report, load.waiting),
-	NUMBER32(aub_place_report, load.slots),
-	NUMBER32(aub_place_report, load.slowdown),
-	NUMBER32(aub_place_report, load.warmup_ms),
+	U64(aub_place_report, ticket),
+	STRING(aub_place_report, service, NAME_BYTES_MAX),
+	U32(aub_place_report, end),
+	U64(aub_place_report, elapsed_us),
+	U32(aub_place_report, load.running),
+	U32(aub_place_report, load.waiting),
+	U32(aub_place_report, load.slots),
+	U32(aub_place_report, load.slowdown),
+	U32(aub_place_report, load.warmup_ms),
 	END,
 };
 
 static const struct aubi_field place_outstanding_fields[] = {
-	NUMBER(aub_place_outstanding, holder),
-	STRING(aub_place_outstanding, service, NAME_LIMIT),
-	LIST(aub_place_outstanding, grants, OUTSTANDING_LIMIT,
+	U64(aub_place_outstanding, holder),
+	STRING(aub_place_outstanding, service, NAME_BYTES_MAX),
+	LIST(aub_place_outstanding, grants, OUTSTANDING_MAX,
 	     &aubi_outstanding_layout),
 	END,
 };
 
 static const struct aubi_field place_health_fields[] = {
-	STRING(aub_place_health, service, NAME_LIMIT),
-	FLAG(aub_place_health, relay),
-	LIST(aub_place_health, rows, UPSTREAMS_LIMIT,
+	STRING(aub_place_health, service, NAME_BYTES_MAX),
+	BOOL(aub_place_health, relay),
+	LIST(aub_place_health, rows, UPSTREAMS_MAX,
 	     &aubi_place_health_row_layout),
 	END,
 };
 
 static const struct aubi_field place_rollout_fields[] = {
-	STRING(aub_place_rollout, service, NAME_LIMIT),
-	FLAG(aub_place_rollout, relay),
-	STRING(aub_place_rollout, version, NAME_LIMIT),
-	NUMBER32(aub_place_rollout, duration_ms),
-	NUMBER(aub_place_rollout, created),
-	NUMBER32(aub_place_rollout, age_ms),
-	NUMBER32(aub_place_rollout, state),
-	NUMBER(aub_place_rollout, reached),
-	NUMBER(aub_place_rollout, exposed),
-	NUMBER32(aub_place_rollout, allowance),
-	LIST(aub_place_rollout, evidence, ROUTES_LIMIT,
+	STRING(aub_place_rollout, service, NAME_BYTES_MAX),
+	BOOL(aub_place_rollout, relay),
+	STRING(aub_place_rollout, version, NAME_BYTES_MAX),
+	U32(aub_place_rollout, duration_ms),
+	U64(aub_place_rollout, created),
+	U32(aub_place_rollout, age_ms),
+	U32(aub_place_rollout, state),
+	U64(aub_place_rollout, reached),
+	U64(aub_place_rollout, exposed),
+	U32(aub_place_rollout, allowance),
+	LIST(aub_place_rollout, evidence, ROUTES_MAX,
 	     &aubi_place_evidence_layout),
 	END,
 };
@@ -449,7 +452,8 @@
 	[AUB_MESSAGE_KEYS] = LAYOUT("keys", aub_keys, keys_fields),
 	[AUB_MESSAGE_KEYS_ACK] =
 		LAYOUT("keys acknowledgement", aub_keys_ack, keys_ack_fields),
-	[AUB_MESSAGE_UPSTREAM_STATES] = LAYOUT("states", aub_upstream_states, states_fields),
+	[AUB_MESSAGE_UPSTREAM_STATES] =
+		LAYOUT("states", aub_upstream_states, upstream_states_fields),
 	[AUB_MESSAGE_HEARTBEAT] =
 		LAYOUT("heartbeat", aub_heartbeat, heartbeat_fields),
 	[AUB_MESSAGE_INTRODUCTION] =
@@ -458,7 +462,7 @@
 	[AUB_MESSAGE_STORE_CHANGES] = LAYOUT("store changes", aub_store_changes,
 					     store_changes_fields),
 	[AUB_MESSAGE_PLACE_REQUEST] =
-		LAYOUT("place ask", aub_place_request, place_ask_fields),
+		LAYOUT("place ask", aub_place_request, place_request_fields),
 	[AUB_MESSAGE_PLACE_DECISION] =
 		LAYOUT("place decision", aub_place_decision,
 		       place_decision_fields),
@@ -468,7 +472,8 @@
 		LAYOUT("place outstanding", aub_place_outstanding,
 		       place_outstanding_fields),
 	[AUB_MESSAGE_PLACE_PROBE_RESULTS] =
-		LAYOUT("place probed", aub_place_probe_results, place_probed_fields),
+		LAYOUT("place probed", aub_place_probe_results,
+		       place_probe_results_fields),
 	[AUB_MESSAGE_PLACE_HEALTH] =
 		LAYOUT("place health", aub_place_health, place_health_fields),
 	[AUB_MESSAGE_PLACE_ROLLOUT] = LAYOUT("place rollout", aub_place_rollout,
--- a/src/protocol/problems.c
+++ b/src/protocol/problems.c
@@ -1,5 +1,5 @@
 /*
- * Problems found in a file, and the check of an address written in one.
+ * Validation problems of a file, and parsing of addresses.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/problems.h>
@@ -8,8 +8,8 @@
 #include <stdarg.h>
 #include <string.h>
 
-/* More lines than this help nobody; the rest is counted. */
-#define PROBLEM_LINES 100
+/* Problems that are listed; further ones are only counted. */
+#define PROBLEM_LINES_MAX 100
 
 struct problem {
 	guint line;
@@ -72,7 +72,7 @@
 	return problems->list->len;
 }
 
-static gint by_line(gconstpointer left, gconstpointer right)
+static gint compare_by_line(gconstpointer left, gconstpointer right)
 {
 	const struct problem *a = left;
 	const struct problem *b = right;
@@ -90,16 +90,16 @@
 
 	if (!count)
 		return true;
-	g_array_sort(problems->list, by_line);
+	g_array_sort(problems->list, compare_by_line);
 	text = g_string_new(NULL);
 	g_string_printf(text, "%u problem%s", count, count == 1 ? "" : "s");
-	for (guint i = 0; i < MIN(count, PROBLEM_LINES); i++)
+	for (guint i = 0; i < MIN(count, PROBLEM_LINES_MAX); i++)
 		g_string_append_printf(
 			text, "\n%s",
 			g_array_index(problems->list, struct problem, i).text);
-	if (count > PROBLEM_LINES)
+	if (count > PROBLEM_LINES_MAX)
 		g_string_append_printf(text, "\n... and %u more",
-				       count - PROBLEM_LINES);
+				       count - PROBLEM_LINES_MAX);
 	aub_error_set(error, AUB_ERROR_INVALID, step, problems->source, "%s",
 		      text->str);
 	g_string_free(text, TRUE);
@@ -110,22 +110,22 @@
 {
 	const char *colon = strrchr(text, ':');
 	guint64 number;
-	char *name;
-	bool good;
+	char *host_text;
+	bool valid;
 
 	if (!colon || !g_ascii_string_to_unsigned(colon + 1, 10, 0, G_MAXUINT16,
 						  &number, NULL))
 		return false;
 	if (text[0] == '[' && colon > text + 1 && colon[-1] == ']')
-		name = g_strndup(text + 1, (gsize)(colon - text) - 2);
+		host_text = g_strndup(text + 1, (gsize)(colon - text) - 2);
 	else
-		name = g_strndup(text, (gsize)(colon - text));
-	good = g_hostname_is_ip_address(name) &&
-	       (text[0] == '[') == (strchr(name, ':') != NULL);
-	if (good && host)
-		*host = g_strdup(name);
-	if (good && port)
+		host_text = g_strndup(text, (gsize)(colon - text));
+	valid = g_hostname_is_ip_address(host_text) &&
+		(text[0] == '[') == (strchr(host_text, ':') != NULL);
+	if (valid && host)
+		*host = g_strdup(host_text);
+	if (valid && port)
 		*port = (guint16)number;
-	g_free(name);
-	return good;
+	g_free(host_text);
+	return valid;
 }
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -1,8 +1,8 @@
 /*
- * Settings of a process: one TOML file against the program's table of keys.
+ * Reads settings from a TOML file according to the program's table of keys.
  *
- * All keys are looked at before anything is reported, and a file with any
- * problem fills nothing: a process starts whole or not at all.
+ * All keys are validated before problems are reported. If there is any
+ * problem, no setting is returned.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/problems.h>
@@ -11,15 +11,15 @@
 
 #include <string.h>
 
-/* A settings file is a page of text; a larger one is another file. */
-#define SETTINGS_LIMIT (256u << 10)
+/* Settings files are small; a larger file must be something else. */
+#define SETTINGS_BYTES_MAX (256u << 10)
 
 struct reader {
 	const struct aub_setting *table;
 	struct aub_problems *problems;
-	const char *section; /* "" at the top, else "section." */
+	const char *section; /* "" at top level, else "section." */
 	guint8 *settings;
-	bool *found; /* a flag for each line of the table */
+	bool *found; /* by index in `table` */
 };
 
 static const char *const type_names[] = {
@@ -31,22 +31,25 @@
 	[AUB_SETTING_STRINGS] = "a list of strings",
 };
 
-static void *field_of(void *settings, const struct aub_setting *setting)
+static void *setting_field(void *settings, const struct aub_setting *setting)
 {
 	return (guint8 *)settings + setting->offset;
 }
 
-static void string_put(void *settings, const struct aub_setting *setting,
+static void set_string(void *settings, const struct aub_setting *setting,
 		       const char *value)
 {
-	char **field = field_of(settings, setting);
+	char **field = setting_field(settings, setting);
 
 	g_free(*field);
 	*field = g_strdup(value);
 }
 
-/* True when the value is of the right type; a bad range is added here. */
-static bool integer_read(struct reader *reader,
+/*
+ * Reads an integer. Returns false if the node has another type; a value out of
+ * range is added to the problems here.
+ */
+static bool read_integer(struct reader *reader,
 			 const struct aub_setting *setting,
 			 const struct aub_toml_node *node)
 {
@@ -61,12 +64,12 @@
 				 " is out of range: %" G_GINT64_FORMAT
 				 " to %" G_GINT64_FORMAT,
 				 value, setting->minimum, setting->maximum);
-	*(gint64 *)field_of(reader->settings, setting) = value;
+	*(gint64 *)setting_field(reader->settings, setting) = value;
 	return true;
 }
 
-/* NaN is in no range. */
-static bool real_read(struct reader *reader, const struct aub_setting *setting,
+/* The comparison is written so that NaN is out of range. */
+static bool read_real(struct reader *reader, const struct aub_setting *setting,
 		      const struct aub_toml_node *node)
 {
 	double value;
@@ -80,18 +83,18 @@
 				 "%g is out of range: %" G_GINT64_FORMAT
 				 " to %" G_GINT64_FORMAT,
 				 value, setting->minimum, setting->maximum);
-	*(double *)field_of(reader->settings, setting) = value;
+	*(double *)setting_field(reader->settings, setting) = value;
 	return true;
 }
 
-static bool strings_read(struct reader *reader,
+static bool read_strings(struct reader *reader,
 			 const struct aub_setting *setting,
 			 const struct aub_toml_node *node)
 {
-	char ***field = field_of(reader->settings, setting);
+	char ***field = setting_field(reader->settings, setting);
 	GPtrArray *list;
 	const char *value;
-	bool good = true;
+	bool valid = true;
 
 	if (aub_toml_type(node) != AUB_TOML_ARRAY)
 		return false;
@@ -100,15 +103,15 @@
 		if (aub_toml_string(aub_toml_item(node, i), &value))
 			g_ptr_array_add(list, g_strdup(value));
 		else
-			good = false;
+			valid = false;
 	}
 	g_ptr_array_add(list, NULL);
 	g_strfreev(*field);
 	*field = (char **)g_ptr_array_free(list, FALSE);
-	return good;
+	return valid;
 }
 
-static bool value_read(struct reader *reader, const struct aub_setting *setting,
+static bool read_value(struct reader *reader, const struct aub_setting *setting,
 		       const struct aub_toml_node *node)
 {
 	const char *text;
@@ -121,17 +124,17 @@
 		if (setting->type == AUB_SETTING_ADDRESS &&
 		    !aub_address_parse(text, NULL, NULL))
 			return false;
-		string_put(reader->settings, setting, text);
+		set_string(reader->settings, setting, text);
 		return true;
 	case AUB_SETTING_INTEGER:
-		return integer_read(reader, setting, node);
+		return read_integer(reader, setting, node);
 	case AUB_SETTING_REAL:
-		return real_read(reader, setting, node);
+		return read_real(reader, setting, node);
 	case AUB_SETTING_BOOLEAN:
-		return aub_toml_boolean(node,
-					field_of(reader->settings, setting));
+		return aub_toml_boolean(node, setting_field(reader->settings,
+							    setting));
 	case AUB_SETTING_STRINGS:
-		return strings_read(reader, setting, node);
+		return read_strings(reader, setting, node);
 	}
 	return false;
 }
@@ -147,7 +150,7 @@
 	return known;
 }
 
-static void member_read(const char *key, const struct aub_toml_node *node,
+static void read_member(const char *key, const struct aub_toml_node *node,
 			void *context)
 {
 	struct reader *reader = context;
@@ -158,7 +161,7 @@
 		i++;
 	if (reader->table[i].key) {
 		reader->found[i] = true;
-		if (!value_read(reader, &reader->table[i], node))
+		if (!read_value(reader, &reader->table[i], node))
 			aub_problems_add(reader->problems, aub_toml_line(node),
 					 name, NULL, "must be %s, not %s",
 					 type_names[reader->table[i].type],
@@ -169,7 +172,7 @@
 		char *section = g_strconcat(key, ".", NULL);
 
 		reader->section = section;
-		aub_toml_visit(node, member_read, reader);
+		aub_toml_visit(node, read_member, reader);
 		reader->section = "";
 		g_free(section);
 	} else {
@@ -179,35 +182,35 @@
 	g_free(name);
 }
 
-/* The default of a key, given as text in the program's table. */
-static void fallback_put(void *settings, const struct aub_setting *setting)
+/* Sets a key to its default, which the table has as text. */
+static void set_default(void *settings, const struct aub_setting *setting)
 {
 	switch (setting->type) {
 	case AUB_SETTING_STRING:
 	case AUB_SETTING_ADDRESS:
-		string_put(settings, setting, setting->fallback);
+		set_string(settings, setting, setting->fallback);
 		break;
 	case AUB_SETTING_INTEGER:
-		*(gint64 *)field_of(settings, setting) =
+		*(gint64 *)setting_field(settings, setting) =
 			g_ascii_strtoll(setting->fallback, NULL, 10);
 		break;
 	case AUB_SETTING_REAL:
-		*(double *)field_of(settings, setting) =
+		*(double *)setting_field(settings, setting) =
 			g_ascii_strtod(setting->fallback, NULL);
 		break;
 	case AUB_SETTING_BOOLEAN:
-		*(bool *)field_of(settings, setting) =
+		*(bool *)setting_field(settings, setting) =
 			strcmp(setting->fallback, "true") == 0;
 		break;
 	case AUB_SETTING_STRINGS:
-		*(char ***)field_of(settings, setting) =
+		*(char ***)setting_field(settings, setting) =
 			g_strsplit(setting->fallback, ",",
 				   *setting->fallback ? -1 : 0);
 		break;
 	}
 }
 
-static void absent_fill(struct reader *reader)
+static void set_missing_keys(struct reader *reader)
 {
 	for (guint i = 0; reader->table[i].key; i++) {
 		const struct aub_setting *setting = &reader->table[i];
@@ -220,7 +223,7 @@
 					 type_names[setting->type],
 					 setting->help ? setting->help : "");
 		else if (setting->fallback)
-			fallback_put(reader->settings, setting);
+			set_default(reader->settings, setting);
 	}
 }
 
@@ -235,7 +238,7 @@
 	};
 	struct aub_toml *document = aub_toml_parse(text, length, source, error);
 	guint count = 0;
-	bool good;
+	bool valid;
 
 	if (!document)
 		return false;
@@ -243,15 +246,15 @@
 		count++;
 	reader.found = g_new0(bool, count + 1);
 	reader.problems = aub_problems_new(source);
-	aub_toml_visit(aub_toml_root(document), member_read, &reader);
-	absent_fill(&reader);
-	good = aub_problems_finish(reader.problems, "read settings", error);
-	if (!good)
+	aub_toml_visit(aub_toml_root(document), read_member, &reader);
+	set_missing_keys(&reader);
+	valid = aub_problems_finish(reader.problems, "read settings", error);
+	if (!valid)
 		aub_settings_clear(table, settings);
 	aub_problems_free(reader.problems);
 	g_free(reader.found);
 	aub_toml_free(document);
-	return good;
+	return valid;
 }
 
 bool aub_settings_load(const char *file, const struct aub_setting *table,
@@ -260,7 +263,7 @@
 	GError *problem = NULL;
 	char *text = NULL;
 	gsize length = 0;
-	bool good;
+	bool valid;
 
 	if (!g_file_get_contents(file, &text, &length, &problem)) {
 		aub_error_set(error, AUB_ERROR_INVALID, "read settings", file,
@@ -268,23 +271,23 @@
 		g_error_free(problem);
 		return false;
 	}
-	if (length > SETTINGS_LIMIT) {
+	if (length > SETTINGS_BYTES_MAX) {
 		aub_error_set(error, AUB_ERROR_TOO_LARGE, "read settings", file,
 			      "%" G_GSIZE_FORMAT " bytes, at most %u", length,
-			      SETTINGS_LIMIT);
-		good = false;
+			      SETTINGS_BYTES_MAX);
+		valid = false;
 	} else {
-		good = aub_settings_parse(text, length, file, table, settings,
-					  error);
+		valid = aub_settings_parse(text, length, file, table, settings,
+					   error);
 	}
 	g_free(text);
-	return good;
+	return valid;
 }
 
 void aub_settings_clear(const struct aub_setting *table, void *settings)
 {
 	for (; table->key; table++) {
-		void *field = field_of(settings, table);
+		void *field = setting_field(settings, table);
 
 		switch (table->type) {
 		case AUB_SETTING_STRING:
--- a/src/protocol/toml_reader.cc
+++ b/src/protocol/toml_reader.cc
@@ -1,9 +1,10 @@
 /*
- * The only file that knows toml++: no C library for TOML is packaged.
+ * C wrapper around toml++, used since no C library for TOML is packaged.
  *
- * toml++ asserts on some malformed texts ("[", then a character that begins
- * no key): the process would abort on what an operator sent. Here a failed
- * assertion is thrown like a syntax error, and no exception leaves this file.
+ * toml++ has assertions that some malformed input violates ("[" followed by a
+ * character that can't begin a key), so that an operator's input would abort
+ * the process. Here a failed assertion throws an exception, which is reported
+ * as a syntax error. No exception leaves this file.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/toml_reader.h>
@@ -24,9 +25,9 @@
 #define TOML_ENABLE_WINDOWS_COMPAT 0
 
 /*
- * toml++ 3 tells the compiler that some characters can't come where it asks
- * whether they are blanks, and U+00A1 to U+0499 do: a key with an accent
- * would be undefined behaviour. Where it says so, "no blank" is the answer.
+ * toml++ 3 marks some code paths of its whitespace test as unreachable, but the
+ * characters U+00A1 to U+0499 reach them: a key with an accented letter would
+ * cause undefined behaviour. Here these paths return false (no whitespace).
  */
 #include <cstdint>
 #include <toml++/impl/preprocessor.h>
