--- a/programs/auburnstile-control.c
+++ b/programs/auburnstile-control.c
@@ -1,6 +1,10 @@
 /*
- * auburnstile-control: reads the configuration, agrees with the other
- * controls, and hands the local entry what it works by.
+ * auburnstile-control: control plane process of an entry VM. It reads the
+ * configuration, agrees with the other controls on members and assignments,
+ * and sends the resulting state to the local entry.
+ *
+ * SIGTERM and SIGINT start a planned stop; SIGHUP logs that settings are read
+ * at start only.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/control.h>
@@ -11,7 +15,7 @@
 #include <stdlib.h>
 
 #define FIELD(member) offsetof(struct aubi_control_settings, member)
-#define FINISHED_MS 50 /* between looks at the planned stop */
+#define STOP_POLL_MS 50 /* interval of checks for the end of a stop */
 
 const char *argp_program_version = "auburnstile-control 0.1";
 
@@ -21,16 +25,16 @@
 	  .type = AUB_SETTING_ADDRESS,
 	  .offset = FIELD(inner),
 	  .required = true,
-	  .help = "listens here for peers and the local entry" },
+	  .help = "listen address for peers and the local entry" },
 	{ .key = "admin",
 	  .type = AUB_SETTING_ADDRESS,
 	  .offset = FIELD(admin),
 	  .required = true,
-	  .help = "listens here for operators" },
+	  .help = "listen address for operators" },
 	{ .key = "peers",
 	  .type = AUB_SETTING_STRINGS,
 	  .offset = FIELD(peers),
-	  .help = "inner addresses of some other controls" },
+	  .help = "`inner` addresses of some of the other controls" },
 	{ .key = "store",
 	  .type = AUB_SETTING_STRING,
 	  .offset = FIELD(store),
@@ -45,40 +49,40 @@
 	return G_SOURCE_CONTINUE;
 }
 
-struct run {
+struct process {
 	struct aubi_control *control;
 	GMainLoop *loop;
 };
 
-static gboolean on_look(void *context)
+static gboolean on_stop_poll(void *context)
 {
-	struct run *run = context;
+	struct process *process = context;
 
-	if (run->control->finished)
-		g_main_loop_quit(run->loop);
+	if (process->control->finished)
+		g_main_loop_quit(process->loop);
 	return G_SOURCE_CONTINUE;
 }
 
 static int run_control(const struct aubi_control_settings *settings)
 {
-	struct run run = { 0 };
+	struct process process = { 0 };
 	GError *error = NULL;
 
-	run.control = aubi_control_new(settings, &error);
-	if (!run.control) {
-		aub_log_warning("not started: %s", error->message);
+	process.control = aubi_control_new(settings, &error);
+	if (!process.control) {
+		aub_log_warning("failed to start: %s", error->message);
 		g_error_free(error);
 		return EXIT_FAILURE;
 	}
-	run.loop = g_main_loop_new(NULL, FALSE);
-	aubi_program_signals(on_terminate, run.control);
-	g_timeout_add(FINISHED_MS, on_look, &run);
+	process.loop = g_main_loop_new(NULL, FALSE);
+	aubi_program_signals(on_terminate, process.control);
+	g_timeout_add(STOP_POLL_MS, on_stop_poll, &process);
 	aub_log_message("control %s in zone %s on %s", settings->name,
 			settings->zone, settings->inner);
-	g_main_loop_run(run.loop);
+	g_main_loop_run(process.loop);
 	aub_log_message("stopped");
-	aubi_control_free(run.control);
-	g_main_loop_unref(run.loop);
+	aubi_control_free(process.control);
+	g_main_loop_unref(process.loop);
 	return EXIT_SUCCESS;
 }
 
@@ -86,8 +90,8 @@
 {
 	const char *file = aubi_program_settings_file(
 		argc, argv,
-		"Agrees with the other controls of the fleet and tells the "
-		"local entry what it works by.");
+		"Agrees with the other controls of the fleet on its state "
+		"and sends it to the local entry.");
 	struct aubi_control_settings settings = { 0 };
 	GError *error = NULL;
 	int status = EXIT_FAILURE;
--- a/programs/auburnstile-entry.c
+++ b/programs/auburnstile-entry.c
@@ -1,8 +1,8 @@
 /*
- * auburnstile-entry: takes callers' requests on one entry VM.
+ * auburnstile-entry: serves callers' requests on one entry VM.
  *
- * SIGTERM and SIGINT begin a planned stop; SIGHUP only says that settings
- * are read at the start.
+ * SIGTERM and SIGINT start a planned stop; SIGHUP logs that settings are read
+ * at start only.
  */
 #include <auburnstile/internal/entry.h>
 #include <auburnstile/internal/program.h>
@@ -36,7 +36,7 @@
 	struct process process = { 0 };
 	const char *file = aubi_program_settings_file(
 		argc, argv,
-		"Takes callers' requests and sends them to upstreams.");
+		"Accepts callers' requests and sends them to upstreams.");
 	GError *error = NULL;
 	int status = 1;
 
--- a/programs/auburnstile-gateway.c
+++ b/programs/auburnstile-gateway.c
@@ -1,9 +1,10 @@
 /*
- * auburnstile-gateway: the whole of auburnstile on one VM of a platform that
- * keeps the configuration: callers' requests, placing, and the directory.
+ * auburnstile-gateway: all of auburnstile in one process per VM, for a platform
+ * that stores the configuration. It serves callers' requests, places them on
+ * upstreams, and follows the platform's directory.
  *
- * SIGTERM and SIGINT begin a planned stop. Settings are read again on SIGHUP
- * and when the file has changed.
+ * SIGTERM and SIGINT start a planned stop. Settings are reloaded on SIGHUP and
+ * when the file has changed.
  */
 #include <auburnstile/internal/decision_log.h>
 #include <auburnstile/internal/node.h>
@@ -17,14 +18,14 @@
 
 const char *argp_program_version = "auburnstile-gateway 0.1";
 
-#define SETTINGS_CHECK_S 1 /* how late a change without a signal is seen */
+#define SETTINGS_POLL_S 1 /* how often the file is checked for changes */
 
-/* Freed memory above this goes back to the system: VMs are small. */
-#define TRIM_BYTES (1 << 20)
+/* Free heap memory beyond this is returned to the system: VMs are small. */
+#define MALLOC_TRIM_BYTES (1 << 20)
 
 struct process {
 	const char *file;
-	struct timespec changed; /* when the file was written */
+	struct timespec mtime; /* modification time of the file */
 	struct aub_timer_service *timers;
 	struct aub_node *node;
 	GMainLoop *loop;
@@ -45,7 +46,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* A file that is no good changes nothing. */
+/* An invalid file is reported and the current settings stay active. */
 static void reload(struct process *process)
 {
 	struct aub_node_settings settings = { 0 };
@@ -55,7 +56,7 @@
 			      &error)) {
 		aub_node_reload(process->node, &settings);
 	} else {
-		g_warning("settings kept as they were: %s", error->message);
+		g_warning("settings not reloaded: %s", error->message);
 		g_error_free(error);
 	}
 	aub_settings_clear(aub_node_setting_table, &settings);
@@ -67,10 +68,10 @@
 
 	if (stat(process->file, &now) < 0)
 		return false;
-	if (now.st_mtim.tv_sec == process->changed.tv_sec &&
-	    now.st_mtim.tv_nsec == process->changed.tv_nsec)
+	if (now.st_mtim.tv_sec == process->mtime.tv_sec &&
+	    now.st_mtim.tv_nsec == process->mtime.tv_nsec)
 		return false;
-	process->changed = now.st_mtim;
+	process->mtime = now.st_mtim;
 	return true;
 }
 
@@ -99,7 +100,7 @@
 	GError *error = NULL;
 	int status = 1;
 
-	mallopt(M_TRIM_THRESHOLD, TRIM_BYTES);
+	mallopt(M_TRIM_THRESHOLD, MALLOC_TRIM_BYTES);
 	process.file = aubi_program_settings_file(
 		argc, argv, "Serves callers on one VM of a platform.");
 	if (!aub_settings_load(process.file, aub_node_setting_table, &settings,
@@ -119,7 +120,7 @@
 	g_unix_signal_add(SIGTERM, on_terminate, &process);
 	g_unix_signal_add(SIGINT, on_terminate, &process);
 	g_unix_signal_add(SIGHUP, on_hangup, &process);
-	g_timeout_add_seconds(SETTINGS_CHECK_S, on_settings_check, &process);
+	g_timeout_add_seconds(SETTINGS_POLL_S, on_settings_check, &process);
 	g_main_loop_run(process.loop);
 	aub_node_free(process.node);
 	g_main_loop_unref(process.loop);
--- a/programs/auburnstilectl.c
+++ b/programs/auburnstilectl.c
@@ -1,7 +1,7 @@
 /*
- * auburnstilectl: the operators' command line.
+ * auburnstilectl: command-line tool for operators.
  *
- * Options are read by argp; the first word chooses a command of the table.
+ * Options are parsed by argp; the first argument selects a command.
  */
 #include "ctl/ctl.h"
 
@@ -14,26 +14,27 @@
 static const char doc[] =
 	"Operate an auburnstile fleet.\v"
 	"Commands (FILE may be - for standard input):\n"
-	"  check FILE              check an inventory, naming broken rules\n"
-	"  diff FILE               what applying FILE would change\n"
+	"  check FILE              validate an inventory\n"
+	"  diff FILE               show what applying FILE would change\n"
 	"  diff OLD NEW            compare two files\n"
-	"  apply FILE              bring an inventory into force\n"
-	"  show                    print the inventory in force, with version\n"
+	"  apply FILE              make an inventory the active configuration\n"
+	"  show                    print the active inventory and its version\n"
 	"  zone out|in NAME        take an availability zone out or back\n"
-	"  vm leave|return NAME    the same for the upstreams of a VM\n"
+	"  vm leave|return NAME    take the upstreams of a VM out or back\n"
 	"  upstream leave|return NAME\n"
-	"  status                  members, zones, owners of services\n"
-	"  watch                   print changes of these as they come\n"
-	"  timeline                events of all processes in one order\n"
-	"  timeline FILE...        the same from log files (- for standard\n"
-	"                          input) of auburnstile-gateway\n"
-	"  explain REQUEST         what became of a request (its hex id)\n"
-	"  explain REQUEST FILE... the same from such files\n"
+	"                          take an upstream out or back\n"
+	"  status                  show members, zones and owners of services\n"
+	"  watch                   print changes of the status as they occur\n"
+	"  timeline                print the merged events of all processes\n"
+	"  timeline FILE...        the same from log files of\n"
+	"                          auburnstile-gateway (- for standard input)\n"
+	"  explain REQUEST         show what happened to a request (hex id)\n"
+	"  explain REQUEST FILE... the same from log files\n"
 	"\n"
 	"Exit codes:\n"
-	"  0 done; 1 invalid or refused; 2 wrong usage; 3 conflict with a\n"
-	"  newer version; 4 accepted, not yet in force everywhere; 5 no control\n"
-	"  answered, nothing changed; 6 sent, and the outcome is unknown;\n"
+	"  0 success; 1 invalid input or rejected; 2 usage error; 3 conflict\n"
+	"  with a newer version; 4 accepted, not yet active everywhere; 5 no\n"
+	"  control responded, nothing changed; 6 sent, outcome unknown;\n"
 	"  7 diff found differences\n"
 	"\n"
 	"Environment: AUBURNSTILE_CONTROL (addresses, separated by commas), "
@@ -56,37 +57,41 @@
 
 static const struct argp_option option_table[] = {
 	{ "control", 'c', "IP:PORT", 0,
-	  "Admin address of a control; may be repeated, the next is tried "
-	  "when one doesn't answer",
+	  "Admin address of a control; may be repeated; the next one is tried "
+	  "if one doesn't respond",
 	  1 },
 	{ "token-file", 't', "FILE", 0, "File with the operators' token", 1 },
 	{ "timeout", OPTION_TIMEOUT, "MS", 0,
-	  "Longest wait for an answer (5000; for a change 20000: a control "
-	  "waits up to 9 s until it is in force)",
+	  "Timeout of a request (default 5000; for changes 20000, since a "
+	  "control waits up to 9 s until a change is active)",
 	  1 },
 	{ "json", OPTION_JSON, NULL, 0, "Print JSON", 1 },
 	{ "base", OPTION_BASE, "VERSION", 0,
-	  "apply: the version the file was edited from; without it, the "
-	  "file's own `version`, or 0",
+	  "apply: version that the edit is based on (default: the `version` "
+	  "in the file, or 0)",
 	  2 },
-	{ "author", OPTION_AUTHOR, "NAME", 0, "Who makes a change ($USER)", 2 },
+	{ "author", OPTION_AUTHOR, "NAME", 0,
+	  "Author of the change (default: $USER)", 2 },
 	{ "override-majority", OPTION_OVERRIDE, NULL, 0,
-	  "Accept a change although most members aren't heard", 2 },
-	{ "format", 'f', "text|json|svg", 0, "timeline: form of the output",
-	  3 },
+	  "Accept a change although most members are unreachable", 2 },
+	{ "format", 'f', "text|json|svg", 0, "timeline: output format", 3 },
 	{ "output", 'o', "FILE", 0, "timeline, explain: write to FILE", 3 },
-	{ "request", OPTION_REQUEST, "HEX", 0, "timeline: of one request", 3 },
-	{ "upstream", OPTION_UPSTREAM, "NAME", 0, "timeline: of one upstream",
+	{ "request", OPTION_REQUEST, "HEX", 0, "timeline: only this request",
+	  3 },
+	{ "upstream", OPTION_UPSTREAM, "NAME", 0,
+	  "timeline: only this upstream", 3 },
+	{ "zone", OPTION_ZONE, "NAME", 0, "timeline: only this zone", 3 },
+	{ "process", OPTION_PROCESS, "NAME", 0, "timeline: only this process",
 	  3 },
-	{ "zone", OPTION_ZONE, "NAME", 0, "timeline: of one zone", 3 },
-	{ "process", OPTION_PROCESS, "NAME", 0, "timeline: of one process", 3 },
 	{ "since", OPTION_SINCE, "TIME", 0,
-	  "timeline: from then on; ISO 8601 (2026-05-04T10:00:00Z), or -30 for "
+	  "timeline: start time; ISO 8601 (2026-05-04T10:00:00Z), or -30 for "
 	  "30 s ago",
 	  3 },
-	{ "until", OPTION_UNTIL, "TIME", 0, "timeline: until then", 3 },
+	{ "until", OPTION_UNTIL, "TIME", 0, "timeline: end time", 3 },
 	{ "limit", OPTION_LIMIT, "N", 0,
-	  "timeline: the newest N events at most (0: all; 400 for svg)", 3 },
+	  "timeline: at most the newest N events (0: all, the default; for svg "
+	  "the default is 400)",
+	  3 },
 	{ 0 }
 };
 
@@ -104,21 +109,21 @@
 	{ "explain", ctl_explain },
 };
 
-#define SVG_LIMIT 400
-#define QUESTION_MS 5000
-#define CHANGE_MS 20000
+#define SVG_EVENTS_MAX 400
+#define REQUEST_TIMEOUT_MS 5000
+#define CHANGE_TIMEOUT_MS 20000
 
-struct invocation {
+struct command_line {
 	struct ctl_options options;
 	GPtrArray *args; /* of char *, borrowed from argv */
-	bool limited;
+	bool limit_given;
 };
 
-/* Wall time in us; argp's usage error where the text is none. */
-static gint64 moment_of(struct argp_state *state, const char *text)
+/* Returns wall clock time in us; exits with a usage error if invalid. */
+static gint64 parse_time(struct argp_state *state, const char *text)
 {
 	GTimeZone *utc;
-	GDateTime *moment;
+	GDateTime *time;
 	guint64 seconds;
 	gint64 result;
 
@@ -127,45 +132,47 @@
 				       NULL))
 		return g_get_real_time() - (gint64)seconds * G_TIME_SPAN_SECOND;
 	utc = g_time_zone_new_utc();
-	moment = g_date_time_new_from_iso8601(text, utc);
+	time = g_date_time_new_from_iso8601(text, utc);
 	g_time_zone_unref(utc);
-	if (!moment)
-		argp_error(state, "\"%s\" is no time", text);
-	result = g_date_time_to_unix(moment) * G_TIME_SPAN_SECOND +
-		 g_date_time_get_microsecond(moment);
-	g_date_time_unref(moment);
+	if (!time)
+		argp_error(state, "invalid time: \"%s\"", text);
+	result = g_date_time_to_unix(time) * G_TIME_SPAN_SECOND +
+		 g_date_time_get_microsecond(time);
+	g_date_time_unref(time);
 	return result;
 }
 
-static guint64 number_of(struct argp_state *state, const char *text, guint base,
-			 guint64 maximum)
+static guint64 parse_number(struct argp_state *state, const char *text,
+			    guint base, guint64 maximum)
 {
 	guint64 value = 0;
 
 	if (!g_ascii_string_to_unsigned(text, base, 0, maximum, &value, NULL))
-		argp_error(state, "\"%s\" is no number in range", text);
+		argp_error(state, "not a number, or out of range: \"%s\"",
+			   text);
 	return value;
 }
 
-static enum ctl_format format_of(struct argp_state *state, const char *text)
+static enum ctl_format parse_format(struct argp_state *state, const char *text)
 {
 	if (strcmp(text, "json") == 0)
 		return CTL_JSON;
 	if (strcmp(text, "svg") == 0)
 		return CTL_SVG;
 	if (strcmp(text, "text") != 0)
-		argp_error(state, "no such format: %s", text);
+		argp_error(state, "unknown format: %s", text);
 	return CTL_TEXT;
 }
 
-static error_t filter_parse(int key, char *value, struct argp_state *state,
-			    struct invocation *invocation)
+static error_t parse_filter_option(int key, char *value,
+				   struct argp_state *state,
+				   struct command_line *command_line)
 {
-	struct aub_timeline_filter *filter = &invocation->options.filter;
+	struct aub_timeline_filter *filter = &command_line->options.filter;
 
 	switch (key) {
 	case OPTION_REQUEST:
-		filter->request = number_of(state, value, 16, G_MAXUINT64);
+		filter->request = parse_number(state, value, 16, G_MAXUINT64);
 		return 0;
 	case OPTION_UPSTREAM:
 		filter->upstream = value;
@@ -177,25 +184,25 @@
 		filter->process = value;
 		return 0;
 	case OPTION_SINCE:
-		filter->since_us = moment_of(state, value);
+		filter->since_us = parse_time(state, value);
 		return 0;
 	case OPTION_UNTIL:
-		filter->until_us = moment_of(state, value);
+		filter->until_us = parse_time(state, value);
 		return 0;
 	case OPTION_LIMIT:
-		invocation->options.limit =
-			(guint)number_of(state, value, 10, G_MAXUINT32);
-		invocation->limited = true;
+		command_line->options.limit =
+			(guint)parse_number(state, value, 10, G_MAXUINT32);
+		command_line->limit_given = true;
 		return 0;
 	default:
 		return ARGP_ERR_UNKNOWN;
 	}
 }
 
-static error_t parse(int key, char *value, struct argp_state *state)
+static error_t parse_option(int key, char *value, struct argp_state *state)
 {
-	struct invocation *invocation = state->input;
-	struct ctl_options *options = &invocation->options;
+	struct command_line *command_line = state->input;
+	struct ctl_options *options = &command_line->options;
 
 	switch (key) {
 	case 'c':
@@ -205,7 +212,7 @@
 		options->token_file = value;
 		return 0;
 	case 'f':
-		options->format = format_of(state, value);
+		options->format = parse_format(state, value);
 		return 0;
 	case 'o':
 		options->output = value;
@@ -214,7 +221,8 @@
 		options->format = CTL_JSON;
 		return 0;
 	case OPTION_BASE:
-		options->base = (gint64)number_of(state, value, 10, G_MAXINT64);
+		options->base =
+			(gint64)parse_number(state, value, 10, G_MAXINT64);
 		return 0;
 	case OPTION_AUTHOR:
 		options->author = value;
@@ -224,25 +232,28 @@
 		return 0;
 	case OPTION_TIMEOUT:
 		options->timeout_ms =
-			(guint)number_of(state, value, 10, 600000);
+			(guint)parse_number(state, value, 10, 600000);
 		options->change_timeout_ms = options->timeout_ms;
 		return 0;
 	case ARGP_KEY_ARG:
-		g_ptr_array_add(invocation->args, value);
+		g_ptr_array_add(command_line->args, value);
 		return 0;
 	default:
-		return filter_parse(key, value, state, invocation);
+		return parse_filter_option(key, value, state, command_line);
 	}
 }
 
 static const struct argp argp = {
 	.options = option_table,
-	.parser = parse,
+	.parser = parse_option,
 	.args_doc = "COMMAND [WORD...]",
 	.doc = doc,
 };
 
-/* Addresses from the environment, where the command line names none. */
+/*
+ * Adds the addresses of AUBURNSTILE_CONTROL if the command line has none.
+ * Returns the list that owns their strings, or NULL.
+ */
 static char **environment_controls(struct ctl_options *options)
 {
 	const char *text = g_getenv("AUBURNSTILE_CONTROL");
@@ -257,15 +268,15 @@
 	return list;
 }
 
-static int run(struct invocation *invocation)
+static int run_command(struct command_line *command_line)
 {
-	struct ctl_options *options = &invocation->options;
-	char **args = (char **)invocation->args->pdata;
-	guint count = invocation->args->len;
+	struct ctl_options *options = &command_line->options;
+	char **args = (char **)command_line->args->pdata;
+	guint count = command_line->args->len;
 	int code = CTL_BAD_ARGUMENTS;
 
-	if (options->format == CTL_SVG && !invocation->limited)
-		options->limit = SVG_LIMIT;
+	if (options->format == CTL_SVG && !command_line->limit_given)
+		options->limit = SVG_EVENTS_MAX;
 	for (guint i = 0; count && i < G_N_ELEMENTS(commands); i++)
 		if (strcmp(commands[i].name, args[0]) == 0)
 			code = commands[i].run(options, args + 1, count - 1);
@@ -278,30 +289,30 @@
 
 int main(int argc, char **argv)
 {
-	struct invocation invocation = {
+	struct command_line command_line = {
 		.options = { .controls = g_ptr_array_new(),
 			     .token_file = g_getenv("AUBURNSTILE_TOKEN_FILE"),
 			     .author = g_get_user_name(),
 			     .base = -1,
-			     .timeout_ms = QUESTION_MS,
-			     .change_timeout_ms = CHANGE_MS },
+			     .timeout_ms = REQUEST_TIMEOUT_MS,
+			     .change_timeout_ms = CHANGE_TIMEOUT_MS },
 		.args = g_ptr_array_new(),
 	};
 	char **controls;
 	int code;
 
-	/* `watch` into a pipe has to be seen as it comes. */
+	/* Line-buffered, so that `watch` can be piped. */
 	setvbuf(stdout, NULL, _IOLBF, 0);
 	argp_err_exit_status = CTL_USAGE;
-	argp_parse(&argp, argc, argv, 0, NULL, &invocation);
-	controls = environment_controls(&invocation.options);
-	code = run(&invocation);
-	if (invocation.options.token)
-		memset(invocation.options.token, 0,
-		       strlen(invocation.options.token));
-	g_free(invocation.options.token);
+	argp_parse(&argp, argc, argv, 0, NULL, &command_line);
+	controls = environment_controls(&command_line.options);
+	code = run_command(&command_line);
+	if (command_line.options.token)
+		memset(command_line.options.token, 0,
+		       strlen(command_line.options.token));
+	g_free(command_line.options.token);
 	g_strfreev(controls);
-	g_ptr_array_unref(invocation.options.controls);
-	g_ptr_array_unref(invocation.args);
+	g_ptr_array_unref(command_line.options.controls);
+	g_ptr_array_unref(command_line.args);
 	return code;
 }
--- a/programs/ctl/change.c
+++ b/programs/ctl/change.c
@@ -1,15 +1,14 @@
 /*
- * Commands that change the configuration: apply, and taking a zone, VM or
- * upstream out and back.
+ * Commands that change the configuration: apply, zone, vm and upstream.
  */
 #include "ctl.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
 
-/* A change whose answer was lost is sent again, with the same id. */
-#define CHANGE_TRIES 3
-#define CHANGE_PAUSE_US 200000
+/* A change whose response was lost is resent with the same id. */
+#define CHANGE_ATTEMPTS_MAX 3
+#define CHANGE_RETRY_DELAY_US 200000
 
 static void print_lines(const char *title, const char *lines)
 {
@@ -24,86 +23,96 @@
 	g_strfreev(list);
 }
 
-/* Members that a change isn't in force at; true when there are none. */
-static bool print_members(JsonObject *answer, const char *list, guint64 version)
+/*
+ * Prints the members at which a change is not active yet, and a summary.
+ * Returns true if no live member is behind.
+ */
+static bool print_members(JsonObject *response, const char *list,
+			  guint64 version)
 {
-	JsonArray *members = aub_json_array(answer, list);
+	JsonArray *members = aub_json_array(response, list);
 	guint behind = 0;
-	guint whole = 0;
+	guint up_to_date = 0;
 
 	for (guint i = 0; members && i < json_array_get_length(members); i++) {
-		JsonObject *it = aub_json_element(members, i);
-		const char *name = it ? aub_json_string(it, "member") : NULL;
-		const char *state = it ? aub_json_string(it, "state") : NULL;
-		guint64 held;
+		JsonObject *member = aub_json_element(members, i);
+		const char *name =
+			member ? aub_json_string(member, "member") : NULL;
+		const char *state =
+			member ? aub_json_string(member, "state") : NULL;
+		guint64 member_version;
 
 		if (!name || !state)
 			continue;
-		held = (guint64)aub_json_integer(it, "version");
-		if (held >= version) {
-			whole++;
+		member_version = (guint64)aub_json_integer(member, "version");
+		if (member_version >= version) {
+			up_to_date++;
 			continue;
 		}
 		if (strcmp(state, "live") == 0 || strcmp(state, "leaving") == 0)
 			behind++;
 		g_print("  %s: %s, at version %" G_GUINT64_FORMAT "\n", name,
-			state, held);
+			state, member_version);
 	}
-	g_print("in force at %u member%s, %u behind\n", whole,
-		whole == 1 ? "" : "s", behind);
+	g_print("active at %u member%s, %u behind\n", up_to_date,
+		up_to_date == 1 ? "" : "s", behind);
 	return behind == 0;
 }
 
-static int print_accepted(struct ctl_options *options, JsonObject *answer,
+static int print_accepted(struct ctl_options *options, JsonObject *response,
 			  const char *list)
 {
-	guint64 version = (guint64)aub_json_integer(answer, "version");
-	bool everywhere = aub_json_boolean(answer, "everywhere");
+	guint64 version = (guint64)aub_json_integer(response, "version");
+	bool everywhere = aub_json_boolean(response, "everywhere");
 
 	if (options->format == CTL_JSON) {
-		ctl_print_json(answer);
+		ctl_print_json(response);
 	} else {
 		g_print("accepted: version %" G_GUINT64_FORMAT "\n", version);
-		everywhere = print_members(answer, list, version) && everywhere;
+		everywhere =
+			print_members(response, list, version) && everywhere;
 		if (!everywhere)
-			g_print("not yet in force everywhere; a member that "
-				"stays cut off takes no new work\n");
+			g_print("not yet active everywhere; a member that "
+				"stays partitioned accepts no new requests\n");
 	}
 	return everywhere ? CTL_OK : CTL_NOT_EVERYWHERE;
 }
 
 /*
- * Both operators' edits, each against the version this one began from, so
- * that neither is lost by guessing.
+ * Prints the edits of both operators, each relative to the version that this
+ * edit is based on, so that they can be merged.
  */
-static int print_conflict(struct ctl_options *options, JsonObject *answer,
+static int print_conflict(struct ctl_options *options, JsonObject *response,
 			  const char *text)
 {
-	guint64 version = (guint64)aub_json_integer(answer, "current_version");
-	struct aub_config *base = ctl_config_parse(answer, "base_config", 0);
-	struct aub_config *current = ctl_config_parse(answer, "current_config", 0);
-	struct aub_config *yours = ctl_config_with_text(base ? base : current, text);
+	guint64 version =
+		(guint64)aub_json_integer(response, "current_version");
+	struct aub_config *base = ctl_config_parse(response, "base_config", 0);
+	struct aub_config *current =
+		ctl_config_parse(response, "current_config", 0);
+	struct aub_config *yours =
+		ctl_config_with_text(base ? base : current, text);
 	char *theirs = ctl_diff_text(base, current);
 	char *mine = ctl_diff_text(base ? base : current, yours);
 
 	if (options->format == CTL_JSON) {
-		json_object_set_string_member(answer, "base_to_current",
+		json_object_set_string_member(response, "base_to_current",
 					      theirs);
-		json_object_set_string_member(answer, "base_to_yours", mine);
-		ctl_print_json(answer);
+		json_object_set_string_member(response, "base_to_yours", mine);
+		ctl_print_json(response);
 	} else {
 		g_print("conflict: the configuration is at version "
-			"%" G_GUINT64_FORMAT ", your edit began from an older "
+			"%" G_GUINT64_FORMAT ", your edit is based on an older "
 			"one; nothing was changed\n",
 			version);
 		print_lines(
 			base ? "changed since by others (base -> current):" :
-			       "current (the base is no longer known):",
+			       "current (the base version is no longer available):",
 			theirs);
 		print_lines(base ? "changed by you (base -> yours):" :
 				   "changed by you (current -> yours):",
 			    mine);
-		g_print("take the current one (auburnstilectl show), edit it, "
+		g_print("edit the current configuration (auburnstilectl show) "
 			"and apply that\n");
 	}
 	aub_config_free(base);
@@ -114,17 +123,21 @@
 	return CTL_CONFLICT;
 }
 
-static char *change_new(void)
+static char *new_change_id(void)
 {
 	return g_strdup_printf("ctl-%08x%08x%08x", g_random_int(),
 			       g_random_int(), g_random_int());
 }
 
-/* The control itself lost the store's answer, and can't read back. */
-static bool is_ambiguous(const struct ctl_response *answer)
+/*
+ * Returns true if the control can't tell whether the store accepted the write:
+ * the store's response was lost and the object can't be read.
+ */
+static bool is_ambiguous(const struct ctl_response *response)
 {
-	JsonObject *error =
-		answer->body ? aub_json_object(answer->body, "error") : NULL;
+	JsonObject *error = response->body ?
+				    aub_json_object(response->body, "error") :
+				    NULL;
 	const char *code = error ? aub_json_string(error, "code") : NULL;
 
 	return code &&
@@ -132,66 +145,70 @@
 }
 
 /*
- * Send a change until it is known what became of it.
+ * Sends a change until its outcome is known. Returns false if no control
+ * responded. `*maybe_applied` is set if the response to an attempt was lost.
  *
- * The operator repeats a change whose answer was lost, and overwrites what a
- * colleague did in between. The id is chosen here and kept by the
- * configuration: sent again, the change is either written now, or finds
- * itself among those accepted.
+ * If an operator repeated a change after a lost response, a change made by a
+ * colleague in between could be overwritten. Therefore the change has an id,
+ * which is stored with the configuration: a resent change is either applied
+ * now or recognised as already applied.
  */
-static bool change_send(struct ctl_options *options, const char *path,
-			const char *body, struct ctl_response *answer, bool *lost,
-			GError **error)
+static bool send_change(struct ctl_options *options, const char *path,
+			const char *body, struct ctl_response *response,
+			bool *maybe_applied, GError **error)
 {
-	*lost = false;
-	for (guint i = 0; i < CHANGE_TRIES; i++) {
-		bool answered;
+	*maybe_applied = false;
+	for (guint i = 0; i < CHANGE_ATTEMPTS_MAX; i++) {
+		bool responded;
 
 		if (i)
-			g_usleep(CHANGE_PAUSE_US);
+			g_usleep(CHANGE_RETRY_DELAY_US);
 		g_clear_error(error);
-		ctl_response_clear(answer);
-		answered = ctl_request(options, "POST", path, body,
-				   options->change_timeout_ms, answer, error);
-		if (!answered && (*error)->code == AUB_ERROR_INVALID)
+		ctl_response_clear(response);
+		responded = ctl_request(options, "POST", path, body,
+					options->change_timeout_ms, response,
+					error);
+		if (!responded && (*error)->code == AUB_ERROR_INVALID)
 			return false;
-		if (answered && !is_ambiguous(answer))
+		if (responded && !is_ambiguous(response))
 			return true;
-		*lost = *lost || answered || answer->lost;
+		*maybe_applied =
+			*maybe_applied || responded || response->maybe_received;
 	}
-	return answer->status != 0;
+	return response->status != 0;
 }
 
-/* No answer came at all: what can be said of the change? */
-static int print_unsettled(GError *error, bool lost)
+/* Prints what is known about a change to which no control responded. */
+static int print_no_response(GError *error, bool maybe_applied)
 {
 	if (error->code == AUB_ERROR_INVALID)
 		return ctl_print_error(error, CTL_USAGE);
-	if (!lost)
+	if (!maybe_applied)
 		return ctl_print_error(error, CTL_UNREACHABLE);
-	g_printerr("auburnstilectl: the change was sent, and no control can "
-		   "say what became of it: look at `auburnstilectl show` "
+	g_printerr("auburnstilectl: the change was sent, but its outcome is "
+		   "unknown: check `auburnstilectl show` "
 		   "before you repeat it\n");
 	return ctl_print_error(error, CTL_UNKNOWN);
 }
 
-/* A refusal is final, unless an earlier try may have gone through. */
-static int print_refused(const struct ctl_response *answer, bool lost)
+/* A rejection is final unless an earlier attempt may have been applied. */
+static int print_rejected(const struct ctl_response *response,
+			  bool maybe_applied)
 {
-	int code = ctl_print_refusal(answer);
+	int code = ctl_print_refusal(response);
 
-	if (!lost)
+	if (!maybe_applied)
 		return code;
-	g_printerr("auburnstilectl: an earlier answer was lost: look at "
+	g_printerr("auburnstilectl: an earlier response was lost: check "
 		   "`auburnstilectl show` before you repeat this\n");
 	return CTL_UNKNOWN;
 }
 
-static void author_set(struct ctl_options *options, JsonObject *body,
-		       const char *change)
+static void set_author(struct ctl_options *options, JsonObject *body,
+		       const char *change_id)
 {
 	json_object_set_string_member(body, "author", options->author);
-	json_object_set_string_member(body, "change", change);
+	json_object_set_string_member(body, "change", change_id);
 	if (options->override_majority)
 		json_object_set_boolean_member(body, "override", TRUE);
 }
@@ -199,32 +216,32 @@
 static int apply_text(struct ctl_options *options, const char *text,
 		      guint64 base)
 {
-	char *plain = aub_inventory_text_version(text, 0);
+	char *unversioned = aub_inventory_text_version(text, 0);
 	JsonObject *body = json_object_new();
-	struct ctl_response answer = { 0 };
-	char *change = change_new();
+	struct ctl_response response = { 0 };
+	char *change_id = new_change_id();
 	GError *error = NULL;
-	bool lost = false;
+	bool maybe_applied = false;
 	char *json;
 	int code;
 
 	json_object_set_int_member(body, "base", (gint64)base);
-	json_object_set_string_member(body, "inventory", plain);
-	author_set(options, body, change);
+	json_object_set_string_member(body, "inventory", unversioned);
+	set_author(options, body, change_id);
 	json = aub_json_print(body);
-	if (!change_send(options, "/v1/config/apply", json, &answer, &lost,
-			 &error))
-		code = print_unsettled(error, lost);
-	else if (answer.status == SOUP_STATUS_OK && answer.body)
-		code = print_accepted(options, answer.body, "in_force");
-	else if (answer.status == SOUP_STATUS_CONFLICT && answer.body)
-		code = print_conflict(options, answer.body, plain);
+	if (!send_change(options, "/v1/config/apply", json, &response,
+			 &maybe_applied, &error))
+		code = print_no_response(error, maybe_applied);
+	else if (response.status == SOUP_STATUS_OK && response.body)
+		code = print_accepted(options, response.body, "in_force");
+	else if (response.status == SOUP_STATUS_CONFLICT && response.body)
+		code = print_conflict(options, response.body, unversioned);
 	else
-		code = print_refused(&answer, lost);
-	ctl_response_clear(&answer);
+		code = print_rejected(&response, maybe_applied);
+	ctl_response_clear(&response);
 	g_free(json);
-	g_free(change);
-	g_free(plain);
+	g_free(change_id);
+	g_free(unversioned);
 	return code;
 }
 
@@ -248,35 +265,36 @@
 	return code;
 }
 
-static int item_send(struct ctl_options *options, const char *path,
-		     const char *what)
+static int send_item_change(struct ctl_options *options, const char *path,
+			    const char *what)
 {
 	JsonObject *body = json_object_new();
-	struct ctl_response answer = { 0 };
-	char *change = change_new();
+	struct ctl_response response = { 0 };
+	char *change_id = new_change_id();
 	GError *error = NULL;
-	bool lost = false;
+	bool maybe_applied = false;
 	char *json;
 	int code;
 
-	author_set(options, body, change);
+	set_author(options, body, change_id);
 	json = aub_json_print(body);
-	if (!change_send(options, path, json, &answer, &lost, &error)) {
-		code = print_unsettled(error, lost);
-	} else if (answer.status == SOUP_STATUS_OK && answer.body) {
+	if (!send_change(options, path, json, &response, &maybe_applied,
+			 &error)) {
+		code = print_no_response(error, maybe_applied);
+	} else if (response.status == SOUP_STATUS_OK && response.body) {
 		if (options->format != CTL_JSON)
 			g_print("%s: ", what);
-		code = print_accepted(options, answer.body, "in_force");
+		code = print_accepted(options, response.body, "in_force");
 	} else {
-		code = print_refused(&answer, lost);
+		code = print_rejected(&response, maybe_applied);
 	}
-	ctl_response_clear(&answer);
+	ctl_response_clear(&response);
 	g_free(json);
-	g_free(change);
+	g_free(change_id);
 	return code;
 }
 
-/* "zone out NAME" and its like: the word, the name, and the path. */
+/* Runs "zone out NAME" and the like, with one of two possible actions. */
 static int change_item(struct ctl_options *options, char **args, guint count,
 		       const char *kind, const char *first, const char *second)
 {
@@ -291,7 +309,7 @@
 	name = g_uri_escape_string(args[1], NULL, FALSE);
 	path = g_strdup_printf("/v1/%ss/%s/%s", kind, name, args[0]);
 	what = g_strdup_printf("%s %s %s", kind, args[1], args[0]);
-	code = item_send(options, path, what);
+	code = send_item_change(options, path, what);
 	g_free(what);
 	g_free(path);
 	g_free(name);
@@ -310,6 +328,5 @@
 
 int ctl_upstream(struct ctl_options *options, char **args, guint count)
 {
-	return change_item(options, args, count, "upstream", "leave",
-			   "return");
+	return change_item(options, args, count, "upstream", "leave", "return");
 }
--- a/programs/ctl/ctl.h
+++ b/programs/ctl/ctl.h
@@ -1,8 +1,8 @@
 /*
- * auburnstilectl: what its commands share.
+ * auburnstilectl: declarations shared by its commands.
  *
- * A command gets the options and its own words, prints its result on
- * standard output and faults on standard error, and returns an exit code.
+ * A command receives the options and its own arguments, prints its result on
+ * standard output and errors on standard error, and returns an exit code.
  */
 #ifndef CTL_H
 #define CTL_H
@@ -13,16 +13,16 @@
 #include <auburnstile/internal/timeline.h>
 #include <stdbool.h>
 
-/* Exit codes that scripts can rely on; listed in --help. */
+/* Exit codes; scripts rely on them, and --help lists them. */
 enum ctl_exit {
-	CTL_BAD_ARGUMENTS = -1, /* wrong words: CTL_USAGE, with the usage shown */
+	CTL_BAD_ARGUMENTS = -1, /* prints the usage and exits with CTL_USAGE */
 	CTL_OK = 0,
-	CTL_REFUSED = 1, /* invalid input, or the control said no */
-	CTL_USAGE = 2, /* the command line is wrong */
-	CTL_CONFLICT = 3, /* edited from an older version */
-	CTL_NOT_EVERYWHERE = 4, /* accepted, not yet in force everywhere */
-	CTL_UNREACHABLE = 5, /* no control answered; nothing was changed */
-	CTL_UNKNOWN = 6, /* sent, and can't find out whether it happened */
+	CTL_REFUSED = 1, /* invalid input, or rejected by the control */
+	CTL_USAGE = 2, /* usage error */
+	CTL_CONFLICT = 3, /* the edit is based on an older version */
+	CTL_NOT_EVERYWHERE = 4, /* accepted, not yet active everywhere */
+	CTL_UNREACHABLE = 5, /* no control responded; nothing was changed */
+	CTL_UNKNOWN = 6, /* sent, but the outcome is unknown */
 	CTL_DIFFERENT = 7 /* diff found differences */
 };
 
@@ -32,49 +32,57 @@
 	GPtrArray *controls; /* of char *, "ip:port" of an admin listener */
 	const char *token_file;
 	const char *author;
-	const char *output; /* file for the result, NULL: standard output */
+	const char *output; /* output file; NULL: standard output */
 	enum ctl_format format;
-	gint64 base; /* -1: the file's own `version` */
+	gint64 base; /* version edited from; -1: the file's `version` */
 	bool override_majority;
-	guint timeout_ms; /* of one question */
-	guint change_timeout_ms; /* of a change, which waits until in force */
-	guint limit; /* of events, 0: all */
+	guint timeout_ms; /* of a request that changes nothing */
+	guint change_timeout_ms; /* of a change, which waits for activation */
+	guint limit; /* number of events; 0: all */
 	struct aub_timeline_filter filter;
-	char *token; /* read once needed */
+	char *token; /* read from `token_file` on first use; owned */
 };
 
-/* An answer of a control. */
+/* Response of a control. */
 struct ctl_response {
 	guint status; /* HTTP */
-	JsonObject *body; /* owned; NULL where it was no JSON object */
-	bool lost; /* an earlier control may have got the request, too */
+	JsonObject *body; /* owned; NULL if it is no JSON object */
+	bool maybe_received; /* an earlier control may have received the change
+				as well */
 };
 
-void ctl_response_clear(struct ctl_response *answer);
+void ctl_response_clear(struct ctl_response *response);
 
 /*
- * Ask the controls in turn, until one answers. A change carries an id of its
- * own, so that it may reach several of them. False with AUB_ERROR_INVALID
- * when the token or an address is missing, AUB_ERROR_AMBIGUOUS when a change
- * was sent and its answer lost, else AUB_ERROR_UNAVAILABLE.
+ * Sends a request to the controls in turn until one of them responds. A change
+ * (a request with a body) carries an id, so it is safe if several controls
+ * receive it. Returns false and sets AUB_ERROR_INVALID if the token or an
+ * address is missing, AUB_ERROR_AMBIGUOUS if a change was sent and the response
+ * was lost, AUB_ERROR_UNAVAILABLE otherwise.
  */
-bool ctl_request(struct ctl_options *options, const char *method, const char *path,
-	     const char *body, guint timeout_ms, struct ctl_response *answer,
-	     GError **error);
+bool ctl_request(struct ctl_options *options, const char *method,
+		 const char *path, const char *body, guint timeout_ms,
+		 struct ctl_response *response, GError **error);
 
-/* Ask one listener ("ip:port") a question that changes nothing. */
+/* Sends a GET request to one listener ("ip:port"). */
 bool ctl_request_one(struct ctl_options *options, const char *address,
-		 const char *path, struct ctl_response *answer, GError **error);
+		     const char *path, struct ctl_response *response,
+		     GError **error);
 
-/* GET from the controls; the body of a 200, else NULL and `*code` set. */
+/*
+ * Sends a GET request to the controls. Returns the body of a response with
+ * status 200, owned by the caller; otherwise prints the error, sets `*code` to
+ * an exit code and returns NULL.
+ */
 JsonObject *ctl_get(struct ctl_options *options, const char *path, int *code);
 
-/* Print an answer that is no success; returns CTL_REFUSED. */
-int ctl_print_refusal(const struct ctl_response *answer);
-int ctl_print_error(GError *error, int code); /* frees `error` */
+/* Prints the reason of an error response; returns CTL_REFUSED. */
+int ctl_print_refusal(const struct ctl_response *response);
+/* Prints and frees `error`; returns `code`. */
+int ctl_print_error(GError *error, int code);
 void ctl_print_json(JsonObject *object);
 
-/* Commands: `words` are those after the command's own. */
+/* A command. `args` are the arguments that follow its name. */
 typedef int ctl_command(struct ctl_options *options, char **args, guint count);
 
 ctl_command ctl_check, ctl_diff, ctl_apply, ctl_show;
@@ -82,30 +90,39 @@
 ctl_command ctl_status, ctl_watch;
 ctl_command ctl_timeline, ctl_explain;
 
-/* The story of request `id` (as the caller sent it) from log files. */
+/*
+ * Prints the trace of request `id` (as given by the caller) from log files;
+ * returns an exit code.
+ */
 int ctl_explain_logs(const struct ctl_options *options, const char *id,
 		     char **files, guint count);
 
 /*
- * The time line from log files, merged; NULL with the error printed where one
- * can't be read. Owned by the caller.
+ * Returns the merged time line of log files, owned by the caller. Prints an
+ * error and returns NULL if a file can't be read.
  */
 struct aub_timeline *ctl_timeline_from_logs(const struct ctl_options *options,
-					  char **files, guint count);
+					    char **files, guint count);
 
-/* A configuration in an answer; NULL where it is null or broken. */
+/* Parses a member of a response; NULL if it is null or invalid. */
 struct aub_config *ctl_config_parse(JsonObject *object, const char *name,
-				 guint64 version);
+				    guint64 version);
 /*
- * Read ("-": standard input) and check a file; its text (owned) or NULL with
- * the error printed.
+ * Reads ("-": standard input) and validates an inventory file. Returns its
+ * text, owned by the caller, or prints the error and returns NULL.
  */
 char *ctl_read_inventory(const struct ctl_options *options, const char *file,
-		       struct aub_inventory **inventory);
-/* What a file would make of a configuration; marks stay as they are. */
+			 struct aub_inventory **inventory);
+/*
+ * Returns a copy of `config` (NULL: an empty one) with the inventory replaced
+ * by `text`. Zones, VMs and upstreams that are taken out stay so.
+ */
 struct aub_config *ctl_config_with_text(const struct aub_config *config,
-				   const char *text);
-/* The differences, or why there is no telling; owned by the caller. */
+					const char *text);
+/*
+ * Returns the differences, or the reason why they can't be determined; owned by
+ * the caller.
+ */
 char *ctl_diff_text(const struct aub_config *from, const struct aub_config *to);
 
 #endif
--- a/programs/ctl/edit.c
+++ b/programs/ctl/edit.c
@@ -1,11 +1,12 @@
 /*
- * Commands that read configurations: check, diff and show.
+ * Commands that read configurations without changing them: check, diff and
+ * show.
  */
 #include "ctl.h"
 
 #include <string.h>
 
-static char *file_read(const char *file, gsize *length, GError **error)
+static char *read_file(const char *file, gsize *length, GError **error)
 {
 	const char *path = strcmp(file, "-") == 0 ? "/dev/stdin" : file;
 	GError *problem = NULL;
@@ -19,7 +20,7 @@
 	return NULL;
 }
 
-/* The problems of a file for scripts: all but the message's first line. */
+/* Prints problems as JSON. The first line of the message is their count. */
 static void print_problems(const GError *error)
 {
 	char **lines = g_strsplit(error->message, "\n", -1);
@@ -36,11 +37,11 @@
 }
 
 char *ctl_read_inventory(const struct ctl_options *options, const char *file,
-		       struct aub_inventory **inventory)
+			 struct aub_inventory **inventory)
 {
 	GError *error = NULL;
 	gsize length = 0;
-	char *text = file_read(file, &length, &error);
+	char *text = read_file(file, &length, &error);
 
 	if (text)
 		*inventory = aub_inventory_parse(text, length, file, &error);
@@ -70,7 +71,7 @@
 			inventory->services->len, inventory->upstreams->len);
 	else
 		g_print("%s: zones %u, VMs %u, services %u, upstreams %u; "
-			"no rule is broken\n",
+			"no problems\n",
 			args[0], inventory->zones->len, inventory->vms->len,
 			inventory->services->len, inventory->upstreams->len);
 	aub_inventory_unref(inventory);
@@ -79,7 +80,7 @@
 }
 
 struct aub_config *ctl_config_parse(JsonObject *object, const char *name,
-				 guint64 version)
+				    guint64 version)
 {
 	JsonObject *member = aub_json_object(object, name);
 	struct aub_config *config;
@@ -94,7 +95,7 @@
 }
 
 struct aub_config *ctl_config_with_text(const struct aub_config *config,
-				   const char *text)
+					const char *text)
 {
 	struct aub_config *edited =
 		config ? aub_config_copy(config) : aub_config_new();
@@ -111,12 +112,12 @@
 
 	if (text)
 		return text;
-	text = g_strdup_printf("can't be compared: %s\n", error->message);
+	text = g_strdup_printf("can't compare: %s\n", error->message);
 	g_error_free(error);
 	return text;
 }
 
-static int diff_print(struct ctl_options *options,
+static int print_diff(struct ctl_options *options,
 		      const struct aub_config *from,
 		      const struct aub_config *to)
 {
@@ -141,7 +142,7 @@
 	struct aub_inventory *inventory = NULL;
 	struct aub_config *from = NULL;
 	struct aub_config *to = NULL;
-	JsonObject *answer = NULL;
+	JsonObject *response = NULL;
 	char *text = NULL;
 	char *other = NULL;
 	int code = CTL_REFUSED;
@@ -160,16 +161,16 @@
 			goto out;
 		from = ctl_config_with_text(NULL, other);
 	} else {
-		answer = ctl_get(options, "/v1/config", &code);
-		if (!answer)
+		response = ctl_get(options, "/v1/config", &code);
+		if (!response)
 			goto out;
-		from = ctl_config_parse(answer, "config", 0);
+		from = ctl_config_parse(response, "config", 0);
 	}
 	to = ctl_config_with_text(from, text);
-	code = diff_print(options, from, to);
+	code = print_diff(options, from, to);
 out:
-	if (answer)
-		json_object_unref(answer);
+	if (response)
+		json_object_unref(response);
 	aub_config_free(from);
 	aub_config_free(to);
 	g_free(text);
@@ -180,28 +181,28 @@
 int ctl_show(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_config *config;
-	JsonObject *answer;
+	JsonObject *response;
 	guint64 version;
 	char *text;
 	int code = CTL_OK;
 
 	if (count != 0)
 		return CTL_BAD_ARGUMENTS;
-	answer = ctl_get(options, "/v1/config", &code);
-	if (!answer)
+	response = ctl_get(options, "/v1/config", &code);
+	if (!response)
 		return code;
-	version = (guint64)aub_json_integer(answer, "version");
-	config = ctl_config_parse(answer, "config", version);
+	version = (guint64)aub_json_integer(response, "version");
+	config = ctl_config_parse(response, "config", version);
 	if (options->format == CTL_JSON) {
-		ctl_print_json(answer);
+		ctl_print_json(response);
 	} else if (config) {
 		text = aub_inventory_text_version(config->text, version);
 		g_print("%s", text);
 		g_free(text);
 	} else {
-		g_print("# nothing was applied yet\n");
+		g_print("# no configuration has been applied yet\n");
 	}
 	aub_config_free(config);
-	json_object_unref(answer);
+	json_object_unref(response);
 	return code;
 }
--- a/programs/ctl/events.c
+++ b/programs/ctl/events.c
@@ -1,16 +1,16 @@
 /*
- * Commands on events: gather them from all processes, then show the time
- * line or explain one request.
+ * Commands on events: collect them from all processes, then print the time line
+ * or the trace of one request.
  */
 #include "ctl.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
 
-/* A process that answers page after page without end is left. */
-#define PAGES 8192
+/* Stops at a process that returns pages of events without end. */
+#define EVENT_PAGES_MAX 8192
 
-static void text_take(JsonObject *object, const char *name, char *field,
+static void copy_text(JsonObject *object, const char *name, char *field,
 		      gsize size)
 {
 	const char *text = aub_json_string(object, name);
@@ -19,77 +19,77 @@
 		g_strlcpy(field, text, size);
 }
 
-/* One event from JSON; false where it has no known type. */
-static bool event_read(JsonObject *object, struct aub_event *event)
+/* Parses an event. Returns false if its type is unknown. */
+static bool parse_event(JsonObject *object, struct aub_event *event)
 {
 	const char *type = aub_json_string(object, "type");
 	const char *request = aub_json_string(object, "request");
-	int known = type ? aub_event_type_parse(type) : -1;
+	int parsed_type = type ? aub_event_type_parse(type) : -1;
 
-	if (known < 0)
+	if (parsed_type < 0)
 		return false;
-	event->type = (enum aub_event_type)known;
+	event->type = (enum aub_event_type)parsed_type;
 	event->sequence = (guint64)aub_json_integer(object, "sequence");
 	event->monotonic_us = aub_json_integer(object, "monotonic_us");
 	event->wall_us = aub_json_integer(object, "wall_us");
 	event->number = aub_json_integer(object, "number");
 	if (request)
 		event->request = g_ascii_strtoull(request, NULL, 16);
-	text_take(object, "upstream", event->upstream, sizeof(event->upstream));
-	text_take(object, "zone", event->zone, sizeof(event->zone));
-	text_take(object, "peer", event->peer, sizeof(event->peer));
-	text_take(object, "text", event->text, sizeof(event->text));
+	copy_text(object, "upstream", event->upstream, sizeof(event->upstream));
+	copy_text(object, "zone", event->zone, sizeof(event->zone));
+	copy_text(object, "peer", event->peer, sizeof(event->peer));
+	copy_text(object, "text", event->text, sizeof(event->text));
 	return true;
 }
 
-/* Add a page of events; the sequence of the last, 0 if it was empty. */
-static guint64 page_add(struct aub_timeline *timeline, JsonObject *page,
+/* Adds a page of events; returns the sequence of the last one, 0 if none. */
+static guint64 add_page(struct aub_timeline *timeline, JsonObject *page,
 			const char *zone)
 {
 	const char *process = aub_json_string(page, "process");
-	JsonArray *list = aub_json_array(page, "events");
+	JsonArray *events = aub_json_array(page, "events");
 	guint64 last = 0;
 	guint handle;
 
-	if (!process || !list)
+	if (!process || !events)
 		return 0;
 	handle = aub_timeline_process(timeline, process, zone,
 				      (guint64)aub_json_integer(page,
 								"incarnation"));
-	for (guint i = 0; i < json_array_get_length(list); i++) {
-		JsonObject *object = aub_json_element(list, i);
+	for (guint i = 0; i < json_array_get_length(events); i++) {
+		JsonObject *object = aub_json_element(events, i);
 		struct aub_event event = { 0 };
 
 		if (!object)
 			continue;
 		last = (guint64)aub_json_integer(object, "sequence");
-		if (event_read(object, &event))
+		if (parse_event(object, &event))
 			aub_timeline_add(timeline, handle, &event);
 	}
 	return last;
 }
 
-static void gather_from(struct ctl_options *options,
-			struct aub_timeline *timeline, const char *address,
-			const char *zone)
+static void collect_from(struct ctl_options *options,
+			 struct aub_timeline *timeline, const char *address,
+			 const char *zone)
 {
 	guint64 after = 0;
 
-	for (guint i = 0; i < PAGES; i++) {
+	for (guint i = 0; i < EVENT_PAGES_MAX; i++) {
 		char *path =
 			g_strdup_printf("/v1/events?after=%" G_GUINT64_FORMAT,
 					after);
-		struct ctl_response answer = { 0 };
+		struct ctl_response response = { 0 };
 		GError *error = NULL;
 		guint64 last = 0;
 
-		if (!ctl_request_one(options, address, path, &answer, &error))
+		if (!ctl_request_one(options, address, path, &response, &error))
 			ctl_print_error(error, 0);
-		else if (answer.status != SOUP_STATUS_OK || !answer.body)
-			ctl_print_refusal(&answer);
+		else if (response.status != SOUP_STATUS_OK || !response.body)
+			ctl_print_refusal(&response);
 		else
-			last = page_add(timeline, answer.body, zone);
-		ctl_response_clear(&answer);
+			last = add_page(timeline, response.body, zone);
+		ctl_response_clear(&response);
 		g_free(path);
 		if (last <= after)
 			return;
@@ -97,8 +97,12 @@
 	}
 }
 
-/* All events there are, merged; NULL with `*code` set. */
-static struct aub_timeline *gather(struct ctl_options *options, int *code)
+/*
+ * Returns the merged events of all processes, or NULL with `*code` set to an
+ * exit code. Processes that can't be reached are reported and skipped.
+ */
+static struct aub_timeline *collect_events(struct ctl_options *options,
+					   int *code)
 {
 	JsonObject *status = ctl_get(options, "/v1/status", code);
 	struct aub_timeline *timeline;
@@ -109,24 +113,26 @@
 	timeline = aub_timeline_new();
 	members = aub_json_array(status, "members");
 	for (guint i = 0; members && i < json_array_get_length(members); i++) {
-		JsonObject *it = aub_json_element(members, i);
+		JsonObject *member = aub_json_element(members, i);
 		const char *const fields[] = { "entry_admin", "control_admin" };
-		const char *state = it ? aub_json_string(it, "state") : NULL;
+		const char *state =
+			member ? aub_json_string(member, "state") : NULL;
 
 		if (!state || strcmp(state, "stopped") == 0)
 			continue;
 		if (strcmp(state, "dead") == 0) {
 			g_printerr("auburnstilectl: %s is dead: its events "
 				   "are missing\n",
-				   aub_json_string(it, "name"));
+				   aub_json_string(member, "name"));
 			continue;
 		}
 		for (guint f = 0; f < G_N_ELEMENTS(fields); f++) {
-			const char *address = aub_json_string(it, fields[f]);
+			const char *address =
+				aub_json_string(member, fields[f]);
 
 			if (address && *address)
-				gather_from(options, timeline, address,
-					    aub_json_string(it, "zone"));
+				collect_from(options, timeline, address,
+					     aub_json_string(member, "zone"));
 		}
 	}
 	json_object_unref(status);
@@ -134,7 +140,7 @@
 	return timeline;
 }
 
-static int write_out(struct ctl_options *options, const char *text)
+static int write_output(struct ctl_options *options, const char *text)
 {
 	GError *error = NULL;
 
@@ -158,14 +164,14 @@
 		timeline = ctl_timeline_from_logs(options, args, count);
 		code = timeline ? CTL_OK : CTL_REFUSED;
 	} else {
-		timeline = gather(options, &code);
+		timeline = collect_events(options, &code);
 	}
 	if (!timeline)
 		return code;
 	entries = aub_timeline_select(timeline, &options->filter);
 	if (options->limit && entries->len > options->limit) {
-		g_printerr("auburnstilectl: the newest %u of %u events "
-			   "(--limit)\n",
+		g_printerr("auburnstilectl: showing the newest %u of %u "
+			   "events (--limit)\n",
 			   options->limit, entries->len);
 		g_ptr_array_remove_range(entries, 0,
 					 entries->len - options->limit);
@@ -176,7 +182,7 @@
 		text = aub_timeline_json(timeline, entries);
 	else
 		text = aub_timeline_text(timeline, entries);
-	code = write_out(options, text);
+	code = write_output(options, text);
 	g_free(text);
 	g_ptr_array_unref(entries);
 	aub_timeline_free(timeline);
@@ -202,23 +208,22 @@
 	char *text;
 
 	if (count > 1)
-		return ctl_explain_logs(options, args[0], args + 1,
-					count - 1);
+		return ctl_explain_logs(options, args[0], args + 1, count - 1);
 	if (count != 1 ||
 	    !g_ascii_string_to_unsigned(args[0], 16, 1, G_MAXUINT64, &request,
 					NULL))
 		return CTL_BAD_ARGUMENTS;
-	timeline = gather(options, &code);
+	timeline = collect_events(options, &code);
 	if (!timeline)
 		return code;
 	text = options->format == CTL_JSON ?
 		       explain_json(timeline, request) :
 		       aub_timeline_narrate(timeline, request);
 	if (*text) {
-		code = write_out(options, text);
+		code = write_output(options, text);
 	} else {
 		g_printerr("auburnstilectl: no process has an event of request "
-			   "%s; events are kept for a while only\n",
+			   "%s; events are retained for a limited time\n",
 			   args[0]);
 		code = CTL_REFUSED;
 	}
--- a/programs/ctl/http.c
+++ b/programs/ctl/http.c
@@ -1,5 +1,5 @@
 /*
- * Questions to controls over HTTP, one after the other.
+ * HTTP requests to controls, with failover to the next control.
  */
 #include "ctl.h"
 
@@ -9,13 +9,13 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-void ctl_response_clear(struct ctl_response *answer)
+void ctl_response_clear(struct ctl_response *response)
 {
-	g_clear_pointer(&answer->body, json_object_unref);
-	answer->status = 0;
+	g_clear_pointer(&response->body, json_object_unref);
+	response->status = 0;
 }
 
-static bool token_ready(struct ctl_options *options, GError **error)
+static bool load_token(struct ctl_options *options, GError **error)
 {
 	if (options->token)
 		return true;
@@ -55,20 +55,21 @@
 	return message;
 }
 
-/* A control that doesn't take a connection for so long is passed over. */
-#define CONNECT_S 2
+/* A control that doesn't accept a connection in this time is skipped. */
+#define CONNECT_TIMEOUT_S 2
 
 /*
- * A host that has gone silent takes the whole timeout of a change, and then
- * nobody knows whether it got it. One that took no connection has got
- * nothing, so this is found out first.
+ * Checks whether a control accepts connections before a request is sent. An
+ * unresponsive host would use up the whole timeout of a change, and its outcome
+ * would be unknown; if the connection fails, the host can't have received
+ * anything.
  */
-static bool connects(const char *address, GError **error)
+static bool can_connect(const char *address, GError **error)
 {
 	GSocketClient *client = g_socket_client_new();
 	GSocketConnection *connection;
 
-	g_socket_client_set_timeout(client, CONNECT_S);
+	g_socket_client_set_timeout(client, CONNECT_TIMEOUT_S);
 	g_socket_client_set_enable_proxy(client, FALSE);
 	connection = g_socket_client_connect_to_host(client, address, 0, NULL,
 						     error);
@@ -80,7 +81,7 @@
 	return true;
 }
 
-/* Nothing of the request can have reached the other end. */
+/* Returns true if no part of the request can have reached the peer. */
 static bool was_not_sent(const GError *error)
 {
 	return g_error_matches(error, G_IO_ERROR,
@@ -91,25 +92,25 @@
 			       G_IO_ERROR_NETWORK_UNREACHABLE);
 }
 
-static void ask_failed(GError **error, const char *address, GError *problem)
+static void set_unavailable(GError **error, const char *address, GError *cause)
 {
 	aub_error_set(error, AUB_ERROR_UNAVAILABLE, "ask control", address,
-		      "%s", problem->message);
-	g_error_free(problem);
+		      "%s", cause->message);
+	g_error_free(cause);
 }
 
 /*
- * One question to one listener. On failure `*sent` says whether the request
- * may have got there.
+ * Sends a request to one listener and waits for the response. On failure,
+ * `*sent` is set to whether the listener may have received the request.
  */
-static bool exchange(struct ctl_options *options, const char *address,
-		     const char *method, const char *path, const char *body,
-		     guint timeout_ms, struct ctl_response *answer, bool *sent,
-		     GError **error)
+static bool send_request(struct ctl_options *options, const char *address,
+			 const char *method, const char *path, const char *body,
+			 guint timeout_ms, struct ctl_response *response,
+			 bool *sent, GError **error)
 {
 	SoupSession *session;
 	SoupMessage *message;
-	GError *problem = NULL;
+	GError *cause = NULL;
 	GBytes *bytes;
 	const char *text;
 	gsize length;
@@ -117,11 +118,11 @@
 	*sent = false;
 	if (!aub_address_parse(address, NULL, NULL)) {
 		aub_error_set(error, AUB_ERROR_INVALID, "ask control", address,
-			      "this is no address \"ip:port\"");
+			      "not an address \"ip:port\"");
 		return false;
 	}
-	if (!connects(address, &problem)) {
-		ask_failed(error, address, problem);
+	if (!can_connect(address, &cause)) {
+		set_unavailable(error, address, cause);
 		return false;
 	}
 	session =
@@ -129,16 +130,16 @@
 					      MAX(1, (timeout_ms + 999) / 1000),
 					      NULL);
 	message = message_new(options, address, method, path, body);
-	bytes = soup_session_send_and_read(session, message, NULL, &problem);
+	bytes = soup_session_send_and_read(session, message, NULL, &cause);
 	if (bytes) {
 		text = g_bytes_get_data(bytes, &length);
-		answer->status = soup_message_get_status(message);
-		answer->body = aub_json_parse(text ? text : "", length,
-					      "read answer", address, NULL);
+		response->status = soup_message_get_status(message);
+		response->body = aub_json_parse(text ? text : "", length,
+						"read answer", address, NULL);
 		g_bytes_unref(bytes);
 	} else {
-		*sent = !was_not_sent(problem);
-		ask_failed(error, address, problem);
+		*sent = !was_not_sent(cause);
+		set_unavailable(error, address, cause);
 	}
 	g_object_unref(message);
 	g_object_unref(session);
@@ -146,31 +147,32 @@
 }
 
 bool ctl_request_one(struct ctl_options *options, const char *address,
-		 const char *path, struct ctl_response *answer, GError **error)
+		     const char *path, struct ctl_response *response,
+		     GError **error)
 {
 	bool sent;
 
-	return token_ready(options, error) &&
-	       exchange(options, address, "GET", path, NULL,
-			options->timeout_ms, answer, &sent, error);
+	return load_token(options, error) &&
+	       send_request(options, address, "GET", path, NULL,
+			    options->timeout_ms, response, &sent, error);
 }
 
-/* A control that can't take the request now; another one may. */
-static bool try_another(const struct ctl_response *answer)
+/* Another control may be able to process the request. */
+static bool is_unavailable(const struct ctl_response *response)
 {
-	return answer->status == SOUP_STATUS_SERVICE_UNAVAILABLE ||
-	       answer->status == SOUP_STATUS_BAD_GATEWAY;
+	return response->status == SOUP_STATUS_SERVICE_UNAVAILABLE ||
+	       response->status == SOUP_STATUS_BAD_GATEWAY;
 }
 
-bool ctl_request(struct ctl_options *options, const char *method, const char *path,
-	     const char *body, guint timeout_ms, struct ctl_response *answer,
-	     GError **error)
+bool ctl_request(struct ctl_options *options, const char *method,
+		 const char *path, const char *body, guint timeout_ms,
+		 struct ctl_response *response, GError **error)
 {
 	GError *last = NULL;
 	bool sent;
 
-	answer->lost = false;
-	if (!token_ready(options, error))
+	response->maybe_received = false;
+	if (!load_token(options, error))
 		return false;
 	if (!options->controls->len) {
 		aub_error_set(error, AUB_ERROR_INVALID, "ask control", NULL,
@@ -182,18 +184,19 @@
 		const char *address = options->controls->pdata[i];
 
 		g_clear_error(&last);
-		ctl_response_clear(answer);
-		if (exchange(options, address, method, path, body, timeout_ms,
-			     answer, &sent, &last) &&
-		    !try_another(answer))
+		ctl_response_clear(response);
+		if (send_request(options, address, method, path, body,
+				 timeout_ms, response, &sent, &last) &&
+		    !is_unavailable(response))
 			return true;
-		answer->lost = answer->lost || (sent && body);
+		response->maybe_received =
+			response->maybe_received || (sent && body);
 	}
-	if (answer->status)
+	if (response->status)
 		return true;
-	if (answer->lost)
+	if (response->maybe_received)
 		aub_error_set(error, AUB_ERROR_AMBIGUOUS, "ask control", NULL,
-			      "the answer was lost (%s)", last->message);
+			      "the response was lost (%s)", last->message);
 	else
 		g_propagate_error(error, g_error_copy(last));
 	g_error_free(last);
@@ -207,34 +210,35 @@
 	return code;
 }
 
-int ctl_print_refusal(const struct ctl_response *answer)
+int ctl_print_refusal(const struct ctl_response *response)
 {
-	JsonObject *error =
-		answer->body ? aub_json_object(answer->body, "error") : NULL;
+	JsonObject *error = response->body ?
+				    aub_json_object(response->body, "error") :
+				    NULL;
 	const char *text = error ? aub_json_string(error, "message") : NULL;
 
-	g_printerr("auburnstilectl: refused (%u): %s\n", answer->status,
-		   text ? text : "the answer gave no reason");
+	g_printerr("auburnstilectl: rejected (%u): %s\n", response->status,
+		   text ? text : "the response has no reason");
 	return CTL_REFUSED;
 }
 
 JsonObject *ctl_get(struct ctl_options *options, const char *path, int *code)
 {
-	struct ctl_response answer = { 0 };
+	struct ctl_response response = { 0 };
 	GError *error = NULL;
 
-	if (!ctl_request(options, "GET", path, NULL, options->timeout_ms, &answer,
-		     &error)) {
+	if (!ctl_request(options, "GET", path, NULL, options->timeout_ms,
+			 &response, &error)) {
 		bool usage = error->code == AUB_ERROR_INVALID;
 
 		*code = ctl_print_error(error,
 					usage ? CTL_USAGE : CTL_UNREACHABLE);
 		return NULL;
 	}
-	if (answer.status == SOUP_STATUS_OK && answer.body)
-		return answer.body;
-	*code = ctl_print_refusal(&answer);
-	ctl_response_clear(&answer);
+	if (response.status == SOUP_STATUS_OK && response.body)
+		return response.body;
+	*code = ctl_print_refusal(&response);
+	ctl_response_clear(&response);
 	return NULL;
 }
 
--- a/programs/ctl/logs.c
+++ b/programs/ctl/logs.c
@@ -1,9 +1,10 @@
 /*
- * Commands on log files: a request's story, and the time line.
+ * Commands on log files: the trace of a request, and the time line.
  *
- * Files are read line by line; a gigabyte takes no more memory than a page and
- * what is shown. A story reads them twice; standard input ("-") can be read
- * once only, so that it then lacks what happened around the request.
+ * Files are read line by line, so that even a gigabyte needs no more memory
+ * than the lines that are printed. A request trace needs two passes. Standard
+ * input ("-") can be read only once, so the trace then lacks the events around
+ * the request.
  */
 #include "ctl.h"
 
@@ -15,53 +16,54 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PROGRESS_BYTES (256u << 20) /* read between two words of progress */
+/* Input between two progress messages. */
+#define PROGRESS_INTERVAL_BYTES (256u << 20)
 
-/* One pass over all files. */
-struct reading {
-	/* False where the line is no line of a log. */
-	bool (*take)(const char *line, void *context);
+/* A pass over all files. */
+struct scan {
+	/* Returns false if the line is not a log line. */
+	bool (*handle)(const char *line, void *context);
 	void *context;
-	bool again; /* the second pass: not over standard input */
+	bool second_pass; /* second pass, which skips standard input */
 	guint64 lines;
 	guint64 skipped;
 	guint64 bytes;
 	char *first_skipped; /* "FILE:LINE" */
 };
 
-static void take_line(struct reading *reading, const char *file, guint64 number,
-		      const char *line)
+static void handle_line(struct scan *scan, const char *file, guint64 number,
+			const char *line)
 {
-	reading->lines++;
-	if (reading->take(line, reading->context))
+	scan->lines++;
+	if (scan->handle(line, scan->context))
 		return;
-	reading->skipped++;
-	if (!reading->first_skipped)
-		reading->first_skipped =
+	scan->skipped++;
+	if (!scan->first_skipped)
+		scan->first_skipped =
 			g_strdup_printf("%s:%" G_GUINT64_FORMAT, file, number);
 }
 
-static bool read_file(struct reading *reading, const char *file)
+static bool read_file(struct scan *scan, const char *file)
 {
 	FILE *stream = strcmp(file, "-") ? fopen(file, "r") : stdin;
 	char *line = NULL;
 	size_t size = 0;
 	guint64 number = 0;
-	ssize_t got;
+	ssize_t length;
 
 	if (!stream) {
 		g_printerr("auburnstilectl: %s: %s\n", file, strerror(errno));
 		return false;
 	}
-	while ((got = getline(&line, &size, stream)) >= 0) {
-		guint64 before = reading->bytes / PROGRESS_BYTES;
+	while ((length = getline(&line, &size, stream)) >= 0) {
+		guint64 before = scan->bytes / PROGRESS_INTERVAL_BYTES;
 
-		take_line(reading, file, ++number, line);
-		reading->bytes += (guint64)got;
-		if (reading->bytes / PROGRESS_BYTES != before)
+		handle_line(scan, file, ++number, line);
+		scan->bytes += (guint64)length;
+		if (scan->bytes / PROGRESS_INTERVAL_BYTES != before)
 			g_printerr("auburnstilectl: %s: %" G_GUINT64_FORMAT
 				   " MB read\n",
-				   file, reading->bytes >> 20);
+				   file, scan->bytes >> 20);
 	}
 	free(line);
 	if (stream != stdin)
@@ -69,35 +71,34 @@
 	return true;
 }
 
-static bool read_all(struct reading *reading, char **files, guint count)
+static bool read_all(struct scan *scan, char **files, guint count)
 {
 	for (guint i = 0; i < count; i++) {
-		if (reading->again && !strcmp(files[i], "-"))
+		if (scan->second_pass && !strcmp(files[i], "-"))
 			continue;
-		if (!read_file(reading, files[i]))
+		if (!read_file(scan, files[i]))
 			return false;
 	}
 	return true;
 }
 
-/* Say what was skipped, and let go of the reading. */
-static void reading_end(struct reading *reading)
+/* Reports the skipped lines and frees the scan's data. */
+static void scan_finish(struct scan *scan)
 {
-	if (reading->skipped && !reading->again)
+	if (scan->skipped && !scan->second_pass)
 		g_printerr("auburnstilectl: %" G_GUINT64_FORMAT
 			   " of %" G_GUINT64_FORMAT
-			   " lines are no log lines, the first at %s\n",
-			   reading->skipped, reading->lines,
-			   reading->first_skipped);
-	g_free(reading->first_skipped);
+			   " lines are not log lines, the first at %s\n",
+			   scan->skipped, scan->lines, scan->first_skipped);
+	g_free(scan->first_skipped);
 }
 
-static bool take_own(const char *line, void *context)
+static bool add_request_line(const char *line, void *context)
 {
 	return aub_log_story_take(context, line);
 }
 
-static bool take_context(const char *line, void *context)
+static bool add_context_line(const char *line, void *context)
 {
 	aub_log_story_take_context(context, line);
 	return true;
@@ -106,58 +107,59 @@
 int ctl_explain_logs(const struct ctl_options *options, const char *id,
 		     char **files, guint count)
 {
-	struct aub_log_story *story = aub_log_story_new(id);
-	struct reading own = { .take = take_own, .context = story };
-	struct reading around = { .take = take_context,
-				  .context = story,
-				  .again = true };
+	struct aub_log_story *trace = aub_log_story_new(id);
+	struct scan request_scan = { .handle = add_request_line,
+				     .context = trace };
+	struct scan context_scan = { .handle = add_context_line,
+				     .context = trace,
+				     .second_pass = true };
 	int code = CTL_REFUSED;
 	char *text;
 
-	if (!read_all(&own, files, count))
+	if (!read_all(&request_scan, files, count))
 		goto out;
-	if (!aub_log_story_size(story)) {
-		g_printerr("auburnstilectl: no line of request %s\n", id);
+	if (!aub_log_story_size(trace)) {
+		g_printerr("auburnstilectl: no log line of request %s\n", id);
 		goto out;
 	}
-	if (!read_all(&around, files, count))
+	if (!read_all(&context_scan, files, count))
 		goto out;
-	text = aub_log_story_text(story);
+	text = aub_log_story_text(trace);
 	g_print("%s", text);
 	g_free(text);
 	code = CTL_OK;
 out:
-	reading_end(&own);
-	reading_end(&around);
-	aub_log_story_free(story);
+	scan_finish(&request_scan);
+	scan_finish(&context_scan);
+	aub_log_story_free(trace);
 	return code;
 }
 
-static bool take_event(const char *line, void *context)
+static bool add_event_line(const char *line, void *context)
 {
 	return aub_log_events_take(context, line);
 }
 
 struct aub_timeline *ctl_timeline_from_logs(const struct ctl_options *options,
-					  char **files, guint count)
+					    char **files, guint count)
 {
 	struct aub_timeline *timeline = aub_timeline_new();
 	struct aub_log_events *events =
 		aub_log_events_new(timeline, &options->filter);
-	struct reading reading = { .take = take_event, .context = events };
+	struct scan scan = { .handle = add_event_line, .context = events };
 
-	if (read_all(&reading, files, count)) {
+	if (read_all(&scan, files, count)) {
 		aub_timeline_merge(timeline);
 		if (aub_log_events_left_out(events))
 			g_printerr("auburnstilectl: %" G_GUINT64_FORMAT
-				   " further events left out; narrow by "
+				   " further events omitted; narrow down with "
 				   "--since, --until or --process\n",
 				   aub_log_events_left_out(events));
 	} else {
 		aub_timeline_free(timeline);
 		timeline = NULL;
 	}
-	reading_end(&reading);
+	scan_finish(&scan);
 	aub_log_events_free(events);
 	return timeline;
 }
--- a/programs/ctl/status.c
+++ b/programs/ctl/status.c
@@ -1,5 +1,5 @@
 /*
- * Commands that look at the fleet: status and watch.
+ * Commands that show the state of the fleet: status and watch.
  */
 #include "ctl.h"
 
@@ -7,7 +7,7 @@
 
 #define WATCH_PERIOD_US 1000000
 
-static const char *text_of(JsonObject *object, const char *name)
+static const char *text_or_dash(JsonObject *object, const char *name)
 {
 	const char *text = aub_json_string(object, name);
 
@@ -21,18 +21,18 @@
 	g_print("\n%-16s %-16s %-8s %8s %8s %6s  %s\n", "MEMBER", "ZONE",
 		"STATE", "VERSION", "AGE MS", "LOAD", "CALLERS");
 	for (guint i = 0; list && i < json_array_get_length(list); i++) {
-		JsonObject *it = aub_json_element(list, i);
+		JsonObject *item = aub_json_element(list, i);
 
-		if (!it)
+		if (!item)
 			continue;
 		g_print("%-16s %-16s %-8s %8" G_GINT64_FORMAT
 			" %8" G_GINT64_FORMAT " %5.1f%%  %s\n",
-			text_of(it, "name"), text_of(it, "zone"),
-			text_of(it, "state"),
-			aub_json_integer(it, "config_version"),
-			aub_json_integer(it, "age_ms"),
-			(double)aub_json_integer(it, "load_permille") / 10,
-			text_of(it, "callers"));
+			text_or_dash(item, "name"), text_or_dash(item, "zone"),
+			text_or_dash(item, "state"),
+			aub_json_integer(item, "config_version"),
+			aub_json_integer(item, "age_ms"),
+			(double)aub_json_integer(item, "load_permille") / 10,
+			text_or_dash(item, "callers"));
 	}
 }
 
@@ -43,13 +43,14 @@
 	g_print("\n%-24s %-16s %-16s %8s\n", "SERVICE", "OWNER", "STANDBY",
 		"EPOCH");
 	for (guint i = 0; list && i < json_array_get_length(list); i++) {
-		JsonObject *it = aub_json_element(list, i);
+		JsonObject *item = aub_json_element(list, i);
 
-		if (it)
+		if (item)
 			g_print("%-24s %-16s %-16s %8" G_GINT64_FORMAT "\n",
-				text_of(it, "service"), text_of(it, "owner"),
-				text_of(it, "standby"),
-				aub_json_integer(it, "epoch"));
+				text_or_dash(item, "service"),
+				text_or_dash(item, "owner"),
+				text_or_dash(item, "standby"),
+				aub_json_integer(item, "epoch"));
 	}
 }
 
@@ -59,12 +60,12 @@
 
 	g_print("\n%-16s %-16s %s\n", "ZONE", "REGION", "STATE");
 	for (guint i = 0; list && i < json_array_get_length(list); i++) {
-		JsonObject *it = aub_json_element(list, i);
+		JsonObject *item = aub_json_element(list, i);
 
-		if (it)
-			g_print("%-16s %-16s %s\n", text_of(it, "name"),
-				text_of(it, "region"),
-				aub_json_boolean(it, "out") ? "out" : "in");
+		if (item)
+			g_print("%-16s %-16s %s\n", text_or_dash(item, "name"),
+				text_or_dash(item, "region"),
+				aub_json_boolean(item, "out") ? "out" : "in");
 	}
 }
 
@@ -74,17 +75,17 @@
 		g_print("%s %s is leaving\n", kind, (char *)names->pdata[i]);
 }
 
-/* What operators have told to leave; zones are in their own table. */
+/* Prints VMs and upstreams taken out by operators; zones have a table. */
 static void print_leaving(struct ctl_options *options)
 {
 	int code = CTL_OK;
-	JsonObject *answer = ctl_get(options, "/v1/config", &code);
+	JsonObject *response = ctl_get(options, "/v1/config", &code);
 	struct aub_config *config;
 
-	if (!answer)
+	if (!response)
 		return;
-	config = ctl_config_parse(answer, "config", 0);
-	json_object_unref(answer);
+	config = ctl_config_parse(response, "config", 0);
+	json_object_unref(response);
 	if (!config)
 		return;
 	if (config->vms_leaving->len || config->upstreams_leaving->len)
@@ -109,14 +110,14 @@
 	} else {
 		g_print("configuration %" G_GINT64_FORMAT
 			", assignments %" G_GINT64_FORMAT
-			", store %s, takes work: %s (as %s sees it)\n",
+			", store %s, accepts requests: %s (as seen by %s)\n",
 			aub_json_integer(status, "config_version"),
 			aub_json_integer(status, "epoch"),
 			aub_json_boolean(status, "store_reachable") ?
 				"reachable" :
 				"not reachable",
 			aub_json_boolean(status, "serve") ? "yes" : "no",
-			text_of(status, "member"));
+			text_or_dash(status, "member"));
 		print_zones(status);
 		print_leaving(options);
 		print_members(status);
@@ -126,8 +127,8 @@
 	return CTL_OK;
 }
 
-/* What `watch` compares from one look to the next, a line each. */
-static GPtrArray *watch_lines(JsonObject *status)
+/* Returns the state that `watch` compares with the previous one, as lines. */
+static GPtrArray *status_lines(JsonObject *status)
 {
 	GPtrArray *lines = g_ptr_array_new_with_free_func(g_free);
 	JsonArray *list = aub_json_array(status, "members");
@@ -139,36 +140,37 @@
 						"reachable" :
 						"not reachable"));
 	g_ptr_array_add(lines,
-			g_strdup_printf("takes work: %s",
+			g_strdup_printf("accepts requests: %s",
 					aub_json_boolean(status, "serve") ?
 						"yes" :
 						"no"));
 	for (guint i = 0; list && i < json_array_get_length(list); i++) {
-		JsonObject *it = aub_json_element(list, i);
+		JsonObject *item = aub_json_element(list, i);
 
-		if (it)
+		if (item)
 			g_ptr_array_add(
 				lines,
-				g_strdup_printf("member %s: %s, "
-						"configuration "
-						"%" G_GINT64_FORMAT,
-						text_of(it, "name"),
-						text_of(it, "state"),
-						aub_json_integer(
-							it, "config_version")));
+				g_strdup_printf(
+					"member %s: %s, "
+					"configuration "
+					"%" G_GINT64_FORMAT,
+					text_or_dash(item, "name"),
+					text_or_dash(item, "state"),
+					aub_json_integer(item,
+							 "config_version")));
 	}
 	list = aub_json_array(status, "assignments");
 	for (guint i = 0; list && i < json_array_get_length(list); i++) {
-		JsonObject *it = aub_json_element(list, i);
+		JsonObject *item = aub_json_element(list, i);
 
-		if (it)
-			g_ptr_array_add(lines,
-					g_strdup_printf("service %s: owner %s, "
-							"stand-by %s",
-							text_of(it, "service"),
-							text_of(it, "owner"),
-							text_of(it,
-								"standby")));
+		if (item)
+			g_ptr_array_add(
+				lines,
+				g_strdup_printf("service %s: owner %s, "
+						"standby %s",
+						text_or_dash(item, "service"),
+						text_or_dash(item, "owner"),
+						text_or_dash(item, "standby")));
 	}
 	return lines;
 }
@@ -181,7 +183,7 @@
 	return false;
 }
 
-static void print_moment(void)
+static void print_time(void)
 {
 	GDateTime *now = g_date_time_new_now_utc();
 	char *text = g_date_time_format(now, "%T");
@@ -191,29 +193,34 @@
 	g_date_time_unref(now);
 }
 
-/* Print the differences that a newer configuration brought. */
-static void watch_config(struct ctl_options *options, struct aub_config **held)
+/*
+ * Prints the differences between `*previous`, if not NULL, and the current
+ * configuration, which replaces it.
+ */
+static void print_config_changes(struct ctl_options *options,
+				 struct aub_config **previous)
 {
 	int code = CTL_OK;
-	JsonObject *answer = ctl_get(options, "/v1/config", &code);
+	JsonObject *response = ctl_get(options, "/v1/config", &code);
 	struct aub_config *config;
 	char *text;
 
-	if (!answer)
+	if (!response)
 		return;
-	config = ctl_config_parse(answer, "config",
-			       (guint64)aub_json_integer(answer, "version"));
-	json_object_unref(answer);
+	config = ctl_config_parse(response, "config",
+				  (guint64)aub_json_integer(response,
+							    "version"));
+	json_object_unref(response);
 	if (!config)
 		return;
-	text = ctl_diff_text(*held, config);
-	if (*held) {
+	text = ctl_diff_text(*previous, config);
+	if (*previous) {
 		char **lines = g_strsplit(text, "\n", -1);
 
 		for (guint i = 0; lines[i]; i++) {
 			if (!*lines[i])
 				continue;
-			print_moment();
+			print_time();
 			g_print("configuration %" G_GUINT64_FORMAT
 				" by %s: %s\n",
 				config->version, config->author, lines[i]);
@@ -221,14 +228,14 @@
 		g_strfreev(lines);
 	}
 	g_free(text);
-	aub_config_free(*held);
-	*held = config;
+	aub_config_free(*previous);
+	*previous = config;
 }
 
 int ctl_watch(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_config *config = NULL;
-	GPtrArray *before = NULL;
+	GPtrArray *previous_lines = NULL;
 	gint64 version = -1;
 
 	if (count != 0)
@@ -238,24 +245,24 @@
 		JsonObject *status = ctl_get(options, "/v1/status", &code);
 		GPtrArray *lines;
 
-		if (!status && !before)
+		if (!status && !previous_lines)
 			return code;
 		if (!status) {
 			g_usleep(WATCH_PERIOD_US);
 			continue;
 		}
 		if (aub_json_integer(status, "config_version") != version)
-			watch_config(options, &config);
+			print_config_changes(options, &config);
 		version = aub_json_integer(status, "config_version");
-		lines = watch_lines(status);
+		lines = status_lines(status);
 		for (guint i = 0; i < lines->len; i++) {
-			if (has_line(before, lines->pdata[i]))
+			if (has_line(previous_lines, lines->pdata[i]))
 				continue;
-			print_moment();
+			print_time();
 			g_print("%s\n", (char *)lines->pdata[i]);
 		}
-		g_clear_pointer(&before, g_ptr_array_unref);
-		before = lines;
+		g_clear_pointer(&previous_lines, g_ptr_array_unref);
+		previous_lines = lines;
 		json_object_unref(status);
 		g_usleep(WATCH_PERIOD_US);
 	}
