--- a/tests/test_compression.cc
+++ b/tests/test_compression.cc
@@ -1,4 +1,4 @@
-/* Compressed byte strings: whole, or refused. */
+/* Tests of compression: data round-trips, or is rejected. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/error.h>
@@ -6,11 +6,12 @@
 
 #include <string>
 
-static std::string unpack(const std::string &packed, gsize limit, int *code)
+static std::string decompress(const std::string &compressed, gsize limit,
+			      int *code)
 {
 	GError *error = nullptr;
-	GBytes *bytes =
-		aubi_decompress(packed.data(), packed.size(), limit, "p", &error);
+	GBytes *bytes = aubi_decompress(compressed.data(), compressed.size(),
+					limit, "p", &error);
 	std::string text;
 
 	*code = error ? error->code : -1;
@@ -25,48 +26,48 @@
 	return text;
 }
 
-static std::string pack(const std::string &text)
+static std::string compress(const std::string &text)
 {
 	GBytes *bytes = aubi_compress(text.data(), text.size());
 	gsize length;
 	auto *data = (const char *)g_bytes_get_data(bytes, &length);
-	std::string packed(data, length);
+	std::string compressed(data, length);
 
 	g_bytes_unref(bytes);
-	return packed;
+	return compressed;
 }
 
-TEST(Pack, ComesBackWhole)
+TEST(Compression, RoundTrips)
 {
 	std::string text;
 	int code;
 
 	for (int i = 0; i < 5000; i++)
 		text += "[[upstream]]\nname = \"u" + std::to_string(i) + "\"\n";
-	EXPECT_LT(pack(text).size(), text.size() / 5);
-	EXPECT_EQ(unpack(pack(text), 1 << 20, &code), text);
-	EXPECT_EQ(unpack(pack(""), 1 << 20, &code), "");
+	EXPECT_LT(compress(text).size(), text.size() / 5);
+	EXPECT_EQ(decompress(compress(text), 1 << 20, &code), text);
+	EXPECT_EQ(decompress(compress(""), 1 << 20, &code), "");
 	EXPECT_EQ(code, -1);
 }
 
-TEST(Pack, CutShortOrDamagedIsRefused)
+TEST(Compression, RejectsTruncatedOrCorruptData)
 {
-	std::string packed = pack(std::string(3000, 'x') + "end");
+	std::string compressed = compress(std::string(3000, 'x') + "end");
 	int code;
 
-	unpack(packed.substr(0, packed.size() - 3), 1 << 20, &code);
+	decompress(compressed.substr(0, compressed.size() - 3), 1 << 20, &code);
 	EXPECT_EQ(code, AUB_ERROR_INVALID);
-	unpack("not packed", 1 << 20, &code);
+	decompress("not packed", 1 << 20, &code);
 	EXPECT_EQ(code, AUB_ERROR_INVALID);
-	unpack("", 1 << 20, &code);
+	decompress("", 1 << 20, &code);
 	EXPECT_EQ(code, AUB_ERROR_INVALID);
 }
 
-/* A few kilobytes can unpack to gigabytes: stopped at the limit. */
-TEST(Pack, MoreThanTheLimitIsRefused)
+/* A few kilobytes can expand to gigabytes; decompression must stop. */
+TEST(Compression, RejectsResultLargerThanLimit)
 {
 	int code;
 
-	unpack(pack(std::string(64 << 20, '\0')), 1 << 20, &code);
+	decompress(compress(std::string(64 << 20, '\0')), 1 << 20, &code);
 	EXPECT_EQ(code, AUB_ERROR_TOO_LARGE);
 }
--- a/tests/test_core.cc
+++ b/tests/test_core.cc
@@ -1,4 +1,4 @@
-/* The core layer: errors, timers, the event ring and metrics. */
+/* Tests of src/core: errors, timers, the event ring and metrics. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/error.h>
@@ -8,7 +8,7 @@
 
 #include <vector>
 
-TEST(Error, CarriesStepAndPeerThroughCopies)
+TEST(Error, KeepsStepAndPeerWhenCopied)
 {
 	GError *error = NULL;
 
@@ -25,28 +25,29 @@
 	g_error_free(copy);
 }
 
-static void count(void *context, gint64 now_us)
+static void increment(void *context, gint64 now_us)
 {
 	++*(int *)context;
 }
 
-TEST(Timer, OnceFiresOnceAndSpentHandlesAreIgnored)
+TEST(Timer, OneShotExpiresOnceAndCancelIgnoresExpiredHandles)
 {
 	struct aub_timer_service *service = aub_timer_service_new(NULL);
-	int once = 0;
-	int every = 0;
-	int never = 0;
-	guint handle = aub_timer_at(service, "once", 0, count, &once);
-	guint periodic = aub_timer_every(service, "every", 1, count, &every);
-
-	aub_timer_cancel(service,
-			 aub_timer_at(service, "never", 0, count, &never));
-	while (every < 5)
+	int one_shot = 0;
+	int periodic_count = 0;
+	int cancelled = 0;
+	guint handle = aub_timer_at(service, "once", 0, increment, &one_shot);
+	guint periodic = aub_timer_every(service, "every", 1, increment,
+					 &periodic_count);
+
+	aub_timer_cancel(service, aub_timer_at(service, "never", 0, increment,
+					       &cancelled));
+	while (periodic_count < 5)
 		g_main_context_iteration(NULL, TRUE);
 	aub_timer_cancel(service, handle);
 	aub_timer_cancel(service, periodic);
-	EXPECT_EQ(once, 1);
-	EXPECT_EQ(never, 0);
+	EXPECT_EQ(one_shot, 1);
+	EXPECT_EQ(cancelled, 0);
 	aub_timer_service_free(service);
 }
 
@@ -55,27 +56,29 @@
 	((std::vector<struct aub_event> *)context)->push_back(*event);
 }
 
-TEST(EventRing, KeepsTheNewestAndCountsTheRest)
+TEST(EventRing, KeepsNewestEventsAndCountsOverwrittenOnes)
 {
 	struct aub_event_ring *ring = aub_event_ring_new(4);
-	std::vector<struct aub_event> seen;
+	std::vector<struct aub_event> visited;
 
 	for (int i = 1; i <= 6; i++)
 		aub_event_record_simple(ring, AUB_EVENT_ARRIVED, (guint64)i, 0,
-			       "a-name-longer-than-the-bound-allows", NULL);
-	aub_event_ring_visit(ring, 0, collect, &seen);
-	ASSERT_EQ(seen.size(), 4u);
-	EXPECT_EQ(seen[0].request, 3u);
-	EXPECT_EQ(seen[3].sequence, 6u);
-	EXPECT_EQ(strlen(seen[0].upstream), (size_t)AUB_EVENT_NAME_BYTES - 1);
+					"a-name-longer-than-the-bound-allows",
+					NULL);
+	aub_event_ring_visit(ring, 0, collect, &visited);
+	ASSERT_EQ(visited.size(), 4u);
+	EXPECT_EQ(visited[0].request, 3u);
+	EXPECT_EQ(visited[3].sequence, 6u);
+	EXPECT_EQ(strlen(visited[0].upstream),
+		  (size_t)AUB_EVENT_NAME_BYTES - 1);
 	EXPECT_EQ(aub_event_ring_overwritten(ring), 2u);
-	seen.clear();
-	aub_event_ring_visit(ring, 5, collect, &seen);
-	EXPECT_EQ(seen.size(), 1u);
+	visited.clear();
+	aub_event_ring_visit(ring, 5, collect, &visited);
+	EXPECT_EQ(visited.size(), 1u);
 	aub_event_ring_free(ring);
 }
 
-TEST(EventType, NamesParseBack)
+TEST(EventType, NamesRoundTrip)
 {
 	for (int i = 0; i < AUB_EVENT_TYPE_COUNT; i++)
 		EXPECT_EQ(aub_event_type_parse(
@@ -93,18 +96,19 @@
 		aub_metrics_observe(metrics, handle, value);
 	for (double q : { 0.01, 0.5, 0.9, 0.99, 0.999 }) {
 		double exact = q * 100000;
-		double got = (double)aub_metrics_quantile(metrics, handle, q);
+		double estimate =
+			(double)aub_metrics_quantile(metrics, handle, q);
 
-		EXPECT_NEAR(got / exact, 1.0, 0.033) << q;
+		EXPECT_NEAR(estimate / exact, 1.0, 0.033) << q;
 	}
 	aub_metrics_observe(metrics, handle, G_MAXINT64);
 	aub_metrics_observe(metrics, handle, -5);
 	aub_metrics_free(metrics);
 }
 
-TEST(Metrics, LabelsAreEscaped)
+TEST(Metrics, EscapesLabelValues)
 {
-	/* A service's name comes from the operators and may hold anything. */
+	/* Service names come from operators and may contain any character. */
 	char *labels = aub_metrics_labels("service", "a\"b\\c\nd", "state",
 					  (const char *)NULL, NULL);
 
--- a/tests/test_ctl.cc
+++ b/tests/test_ctl.cc
@@ -1,6 +1,6 @@
 /*
- * auburnstilectl against real controls, entries and the stand-in store: what
- * an operator reads and which exit code a script gets.
+ * Tests of auburnstilectl against real controls and entries and a stand-in
+ * store: its output and its exit codes.
  */
 #include <gtest/gtest.h>
 
@@ -27,7 +27,7 @@
 	std::string err;
 };
 
-static bool has(const std::string &text, const std::string &part)
+static bool contains(const std::string &text, const std::string &part)
 {
 	return text.find(part) != std::string::npos;
 }
@@ -63,8 +63,8 @@
 		g_free(inventory);
 	}
 
-	/* Run it against these addresses, members' controls if none. */
-	outcome ctl(std::vector<std::string> words,
+	/* Runs auburnstilectl; `controls` defaults to those of all members. */
+	outcome ctl(std::vector<std::string> arguments,
 		    std::vector<std::string> controls = {})
 	{
 		char *program = child_program_path("auburnstilectl");
@@ -81,7 +81,7 @@
 				      fleet_member(fleet, i)->control_admin);
 		for (const std::string &control : controls)
 			all.push_back("--control=" + control);
-		all.insert(all.end(), words.begin(), words.end());
+		all.insert(all.end(), arguments.begin(), arguments.end());
 		std::vector<char *> argv;
 
 		for (std::string &word : all)
@@ -97,13 +97,13 @@
 		return result;
 	}
 
-	/* Controls take changes once they hear each other. */
-	outcome ctl_accepted(std::vector<std::string> words)
+	/* Retries until accepted: controls must have discovered each other. */
+	outcome ctl_accepted(std::vector<std::string> arguments)
 	{
 		outcome result = { -1, "", "" };
 
 		for (int i = 0; i < 100; i++) {
-			result = ctl(words);
+			result = ctl(arguments);
 			if (result.code == 0)
 				break;
 			g_usleep(200000);
@@ -117,13 +117,13 @@
 						nullptr));
 	}
 
-	void apply_first()
+	void apply_inventory()
 	{
 		write_file(inventory);
 		outcome result = ctl_accepted({ "apply", file });
 
 		ASSERT_EQ(result.code, 0) << result.out << result.err;
-		EXPECT_TRUE(has(result.out, "accepted: version "));
+		EXPECT_TRUE(contains(result.out, "accepted: version "));
 	}
 
 	static std::string edited(const std::string &text,
@@ -142,24 +142,24 @@
 	std::string file;
 };
 
-TEST_F(Ctl, AppliesShowsAndRefusesWithLines)
+TEST_F(Ctl, AppliesShowsAndRejectsInventoriesWithLineNumbers)
 {
-	apply_first();
+	apply_inventory();
 	outcome shown = ctl({ "show" });
 
 	EXPECT_EQ(shown.code, 0);
 	EXPECT_EQ(shown.out.substr(0, 10), "version = ");
-	EXPECT_TRUE(has(shown.out, inventory));
+	EXPECT_TRUE(contains(shown.out, inventory));
 	write_file(shown.out);
 	EXPECT_EQ(ctl({ "diff", file }).code, 0);
 	write_file(edited(shown.out, "\"/calendar\"", "\"calendar\""));
-	outcome broken = ctl({ "apply", file });
+	outcome invalid = ctl({ "apply", file });
 
-	EXPECT_EQ(broken.code, 1);
-	EXPECT_TRUE(has(broken.err, "(rule path)")) << broken.err;
-	EXPECT_TRUE(has(broken.err, file + ":")) << broken.err;
-	EXPECT_TRUE(has(ctl({ "check", "--json", file }).out,
-			"{\"valid\":false,\"problems\":[\"" + file + ":"));
+	EXPECT_EQ(invalid.code, 1);
+	EXPECT_TRUE(contains(invalid.err, "(rule path)")) << invalid.err;
+	EXPECT_TRUE(contains(invalid.err, file + ":")) << invalid.err;
+	EXPECT_TRUE(contains(ctl({ "check", "--json", file }).out,
+			     "{\"valid\":false,\"problems\":[\"" + file + ":"));
 	EXPECT_EQ(ctl({ "zone", "out", "nowhere" }).code, 1);
 	EXPECT_EQ(ctl({ "zone", "away", "z1" }).code, 2);
 	EXPECT_EQ(ctl({ "explain", "xyz" }).code, 2);
@@ -167,29 +167,31 @@
 	EXPECT_EQ(ctl({ "status" }, { "127.0.0.1:1" }).code, 5);
 }
 
-TEST_F(Ctl, VmsAndUpstreamsLeaveAndReturn)
+TEST_F(Ctl, TakesVmsAndUpstreamsOutAndBack)
 {
-	apply_first();
+	apply_inventory();
 	EXPECT_EQ(ctl({ "vm", "leave", "vm-1" }).code, 0);
 	EXPECT_EQ(ctl({ "upstream", "leave", "calendar-2" }).code, 0);
 	std::string status = ctl({ "status" }).out;
 
-	EXPECT_TRUE(has(status, "vm vm-1 is leaving")) << status;
-	EXPECT_TRUE(has(status, "upstream calendar-2 is leaving")) << status;
+	EXPECT_TRUE(contains(status, "vm vm-1 is leaving")) << status;
+	EXPECT_TRUE(contains(status, "upstream calendar-2 is leaving"))
+		<< status;
 	EXPECT_EQ(ctl({ "vm", "return", "vm-1" }).code, 0);
 	EXPECT_EQ(ctl({ "upstream", "return", "calendar-2" }).code, 0);
-	EXPECT_FALSE(has(ctl({ "status" }).out, "is leaving"));
+	EXPECT_FALSE(contains(ctl({ "status" }).out, "is leaving"));
 	EXPECT_EQ(ctl({ "upstream", "leave", "calendar-9" }).code, 1);
 }
 
 /*
- * Two operators begin from one version. The first takes a zone out, the
- * second applies an older file, in which the zone is in. Written over the
- * first, it would send requests into the zone. It has to see both edits.
+ * Two operators start from the same version. The first takes a zone out, the
+ * second applies a file edited earlier, in which the zone is in. If that
+ * overwrote the first change, requests would be sent to the zone. The second
+ * operator must get a conflict that shows both edits.
  */
-TEST_F(Ctl, ASecondOperatorsOlderEditIsAConflict)
+TEST_F(Ctl, RejectsEditOfOlderVersionAsConflict)
 {
-	apply_first();
+	apply_inventory();
 	std::string old = ctl({ "show" }).out;
 	outcome out = ctl({ "zone", "out", "z1" });
 
@@ -198,9 +200,9 @@
 	outcome conflict = ctl({ "apply", file });
 
 	EXPECT_EQ(conflict.code, 3) << conflict.out << conflict.err;
-	EXPECT_TRUE(has(conflict.out, "zone z1: state in -> out"))
+	EXPECT_TRUE(contains(conflict.out, "zone z1: state in -> out"))
 		<< conflict.out;
-	EXPECT_TRUE(has(conflict.out, "-> 4321")) << conflict.out;
+	EXPECT_TRUE(contains(conflict.out, "-> 4321")) << conflict.out;
 	write_file(edited(ctl({ "show" }).out, "queue_limit = 200",
 			  "queue_limit = 4321"));
 	EXPECT_EQ(ctl({ "diff", file }).code, 7);
@@ -209,12 +211,13 @@
 }
 
 /*
- * The connection to a control is cut when its answer comes. The operator
- * can't see whether the change happened, repeats it, and is told of a
- * conflict with the own edit. The command asks the next control under the
- * same id and learns that the change was accepted.
+ * The connection to a control is closed before its response arrives. If the
+ * operator had to repeat the change, it would conflict with its own first
+ * attempt. The command resends it with the same id to the next control, which
+ * reports that it was accepted. Without another control, the outcome is
+ * unknown.
  */
-TEST_F(Ctl, ALostAnswerIsFoundOutAtTheNextControl)
+TEST_F(Ctl, ResolvesLostResponseThroughNextControl)
 {
 	std::string port = std::to_string(child_free_port());
 	std::string listen = "127.0.0.1:" + port;
@@ -225,7 +228,7 @@
 	GError *error = nullptr;
 	guint status = 0;
 
-	apply_first();
+	apply_inventory();
 	struct child *proxy =
 		child_start("fault-proxy", arguments, true, nullptr, &error);
 	ASSERT_NE(proxy, nullptr) << error->message;
@@ -239,61 +242,61 @@
 	outcome applied = ctl({ "apply", file }, { listen, second });
 
 	EXPECT_EQ(applied.code, 0) << applied.out << applied.err;
-	EXPECT_TRUE(has(ctl({ "show" }).out, "queue_limit = 4321"));
+	EXPECT_TRUE(contains(ctl({ "show" }).out, "queue_limit = 4321"));
 	outcome unknown = ctl({ "zone", "out", "z2" }, { listen });
 
 	EXPECT_EQ(unknown.code, 6) << unknown.out << unknown.err;
-	EXPECT_TRUE(has(unknown.err, "before you repeat it"));
+	EXPECT_TRUE(contains(unknown.err, "before you repeat it"));
 	child_free(proxy);
 }
 
 /*
- * A member's processes are stopped dead; its entry doesn't get the change.
- * The operator must not read "in force everywhere" while it may still be
- * serving: it is named, as behind (exit 4) or, once it has not been heard for
- * so long that its permission to serve has run out, as dead.
+ * The processes of a member are paused, so that its entry doesn't receive the
+ * change. The change must not be reported as active everywhere while that entry
+ * may still be serving. The member is listed as behind (exit code 4) or, once
+ * its permission to serve has expired, as dead.
  */
-TEST_F(Ctl, AMemberThatIsBehindIsNamed)
+TEST_F(Ctl, ListsMemberThatIsBehind)
 {
-	apply_first();
+	apply_inventory();
 	fleet_signal(fleet_member(fleet, 2), FLEET_BOTH, SIGSTOP);
 	outcome out = ctl({ "zone", "out", "z1" },
 			  { fleet_member(fleet, 0)->control_admin });
 
 	EXPECT_TRUE(out.code == 4 || out.code == 0) << out.out << out.err;
-	EXPECT_TRUE(
-		has(out.out, std::string(fleet_member(fleet, 2)->name) + ": "))
+	EXPECT_TRUE(contains(out.out,
+			     std::string(fleet_member(fleet, 2)->name) + ": "))
 		<< out.out;
 	fleet_signal(fleet_member(fleet, 2), FLEET_BOTH, SIGCONT);
 }
 
 /*
- * The store takes the write and its answer is lost, once on the way to the
- * control. The operator reads "accepted": the control found its own write.
+ * The store applies a write, but its response to the control is lost. The
+ * control must find its own write and report the change as accepted.
  */
-TEST_F(Ctl, ALostAnswerOfTheStoreIsFoundOutByTheControl)
+TEST_F(Ctl, AcceptsChangeWhenStoreResponseIsLost)
 {
-	apply_first();
+	apply_inventory();
 	write_file(edited(ctl({ "show" }).out, "queue_limit = 200",
 			  "queue_limit = 4321"));
 	ASSERT_TRUE(fleet_store_fault(fleet, "{\"lose_answers\":1}"));
 	outcome applied = ctl({ "apply", file });
 
 	EXPECT_EQ(applied.code, 0) << applied.out << applied.err;
-	EXPECT_TRUE(has(ctl({ "show" }).out, "queue_limit = 4321"));
+	EXPECT_TRUE(contains(ctl({ "show" }).out, "queue_limit = 4321"));
 }
 
 /*
- * The store is down, once refusing and once silent, when a zone is to leave.
- * The write went out, so nobody can say "not done": the operator is told that
- * it is unknown, no control takes it as accepted meanwhile, and the command
- * given again after the store's return settles it.
+ * The store is down (refusing connections, then unresponsive) when a zone is
+ * taken out. The write was sent, so its outcome must be reported as unknown. No
+ * control may treat it as accepted meanwhile, and repeating the command after
+ * the store has recovered must succeed.
  */
-TEST_F(Ctl, WithTheStoreDownAChangeIsUnknownAndNowhereInForce)
+TEST_F(Ctl, ReportsUnknownOutcomeAndAppliesNothingWhileStoreIsDown)
 {
 	const char *first = fleet_member(fleet, 0)->control_admin;
 
-	apply_first();
+	apply_inventory();
 	std::string before = ctl({ "show" }).out;
 
 	for (const char *fault :
@@ -302,40 +305,44 @@
 		outcome out = ctl({ "zone", "out", "z1" }, { first });
 
 		EXPECT_EQ(out.code, 6) << out.out << out.err;
-		EXPECT_TRUE(has(out.err, "before you repeat this")) << out.err;
+		EXPECT_TRUE(contains(out.err, "before you repeat this"))
+			<< out.err;
 		for (guint i = 0; i < 3; i++) {
 			std::string control =
 				fleet_member(fleet, i)->control_admin;
 
 			EXPECT_EQ(ctl({ "show" }, { control }).out, before);
-			EXPECT_FALSE(has(ctl({ "status" }, { control }).out,
+			EXPECT_FALSE(
+				contains(ctl({ "status" }, { control }).out,
 					 "out\n"));
 		}
 	}
 	ASSERT_TRUE(fleet_store_fault(fleet, "{\"clear\":1}"));
 	EXPECT_EQ(ctl_accepted({ "zone", "out", "z1" }).code, 0);
-	EXPECT_TRUE(has(ctl({ "status" }).out, "out\n"));
+	EXPECT_TRUE(contains(ctl({ "status" }).out, "out\n"));
 }
 
 /*
- * Two operators press return at the same moment, each with a file from the
- * same version, through different controls. One is accepted, the other sees
- * a conflict; never both, never none.
+ * Two operators apply files based on the same version at the same time, through
+ * different controls. Exactly one must be accepted; the other must get a
+ * conflict.
  */
-TEST_F(Ctl, OfTwoEditsAtOnceOneIsAccepted)
+TEST_F(Ctl, AcceptsExactlyOneOfTwoConcurrentEdits)
 {
-	apply_first();
+	apply_inventory();
 	for (int round = 0; round < 4; round++) {
 		std::string old = ctl({ "show" }).out;
 		std::string files[2] = { file, file + "2" };
 		outcome results[2];
 		std::vector<std::thread> operators;
-		std::string was = old.substr(old.find("queue_limit = "));
+		std::string previous_limit =
+			old.substr(old.find("queue_limit = "));
 
-		was = was.substr(0, was.find('\n'));
+		previous_limit =
+			previous_limit.substr(0, previous_limit.find('\n'));
 		for (int i = 0; i < 2; i++) {
 			std::string text =
-				edited(old, was,
+				edited(old, previous_limit,
 				       "queue_limit = " +
 					       std::to_string(1000 +
 							      10 * round + i));
@@ -358,69 +365,69 @@
 			<< results[winner].out << results[winner].err;
 		EXPECT_EQ(results[1 - winner].code, 3)
 			<< results[1 - winner].out << results[1 - winner].err;
-		EXPECT_TRUE(has(ctl({ "show" }).out,
-				"queue_limit = " +
-					std::to_string(1000 + 10 * round +
-						       winner)));
+		EXPECT_TRUE(contains(ctl({ "show" }).out,
+				     "queue_limit = " +
+					     std::to_string(1000 + 10 * round +
+							    winner)));
 	}
 }
 
 /*
- * A control is paused while a "zone out" waits at it. The command gives up
- * on it, and the next control takes the change. Later the zone is brought
- * back in. Then the first control wakes up and finds the old command: if it
- * carried that out, the zone would leave again with nobody asking for it.
+ * A control is paused while it has a "zone out" request pending. The command
+ * times out and the next control accepts the change; later the zone is brought
+ * back in. When the first control resumes, it must not apply the old request:
+ * that would take the zone out again.
  */
-TEST_F(Ctl, ACommandThatWaitedAtAPausedControlUndoesNothing)
+TEST_F(Ctl, DiscardsStaleCommandWhenPausedControlResumes)
 {
 	std::string paused = fleet_member(fleet, 0)->control_admin;
-	std::string awake = fleet_member(fleet, 1)->control_admin;
+	std::string running = fleet_member(fleet, 1)->control_admin;
 
-	apply_first();
+	apply_inventory();
 	fleet_signal(fleet_member(fleet, 0), FLEET_CONTROL, SIGSTOP);
 	outcome out = ctl({ "--timeout", "4000", "zone", "out", "z2" },
-			  { paused, awake });
+			  { paused, running });
 	EXPECT_TRUE(out.code == 0 || out.code == 4 || out.code == 6)
 		<< out.out << out.err;
-	outcome status = ctl({ "status" }, { awake });
-	EXPECT_TRUE(has(status.out, "out\n")) << status.out;
-	outcome in = ctl({ "zone", "in", "z2" }, { awake });
+	outcome status = ctl({ "status" }, { running });
+	EXPECT_TRUE(contains(status.out, "out\n")) << status.out;
+	outcome in = ctl({ "zone", "in", "z2" }, { running });
 	EXPECT_TRUE(in.code == 0 || in.code == 4) << in.out << in.err;
-	std::string before = ctl({ "show" }, { awake }).out;
+	std::string before = ctl({ "show" }, { running }).out;
 	fleet_signal(fleet_member(fleet, 0), FLEET_CONTROL, SIGCONT);
 	g_usleep(3000000);
-	EXPECT_EQ(ctl({ "show" }, { awake }).out, before);
+	EXPECT_EQ(ctl({ "show" }, { running }).out, before);
 	EXPECT_EQ(ctl({ "show" }, { paused }).out, before);
-	EXPECT_FALSE(has(ctl({ "status" }, { paused }).out, "out\n"));
+	EXPECT_FALSE(contains(ctl({ "status" }, { paused }).out, "out\n"));
 }
 
-TEST_F(Ctl, WatchPrintsChangesAsTheyCome)
+TEST_F(Ctl, WatchPrintsChangesAsTheyOccur)
 {
 	char *program = child_program_path("auburnstilectl");
 	std::string control = std::string("--control=") +
 			      fleet_member(fleet, 0)->control_admin;
 	std::string token = std::string("--token-file=") + fleet->token_file;
 	GSubprocess *watch = nullptr;
-	std::string seen;
+	std::string output;
 
-	apply_first();
+	apply_inventory();
 	watch = g_subprocess_new(G_SUBPROCESS_FLAGS_STDOUT_PIPE, nullptr,
 				 program, control.c_str(), token.c_str(),
 				 "watch", nullptr);
 	ASSERT_NE(watch, nullptr);
 	GDataInputStream *lines =
 		g_data_input_stream_new(g_subprocess_get_stdout_pipe(watch));
-	bool asked = false;
+	bool changed = false;
 
-	while (!has(seen, "zone z3: state in -> out")) {
+	while (!contains(output, "zone z3: state in -> out")) {
 		char *line = g_data_input_stream_read_line(lines, nullptr,
 							   nullptr, nullptr);
 
-		ASSERT_NE(line, nullptr) << seen;
-		seen += std::string(line) + "\n";
+		ASSERT_NE(line, nullptr) << output;
+		output += std::string(line) + "\n";
 		g_free(line);
-		if (!asked && has(seen, "service calendar: owner ")) {
-			asked = true;
+		if (!changed && contains(output, "service calendar: owner ")) {
+			changed = true;
 			EXPECT_EQ(ctl({ "zone", "out", "z3" }).code, 0);
 		}
 	}
@@ -431,14 +438,14 @@
 	g_free(program);
 }
 
-TEST_F(Ctl, TellsTheStoryOfARequest)
+TEST_F(Ctl, ExplainsRequestAndPrintsTimeline)
 {
 	const char *address = fleet_member(fleet, 0)->callers;
 	std::string url = std::string("http://") + address + "/calendar/x";
 	GError *error = nullptr;
 	guint status = 0;
 
-	apply_first();
+	apply_inventory();
 	ASSERT_TRUE(fleet_wait_ready(fleet, READY_MS, &error))
 		<< error->message;
 	for (int i = 0; i < 50 && status != 200; i++) {
@@ -454,15 +461,16 @@
 	ASSERT_NE(at, std::string::npos) << line.out;
 	std::string id = line.out.substr(
 		line.out.find_first_of("0123456789abcdef", at + 12), 16);
-	outcome story = ctl({ "explain", id });
+	outcome trace = ctl({ "explain", id });
 
-	EXPECT_EQ(story.code, 0) << story.err;
-	EXPECT_TRUE(has(story.out, "goes to upstream calendar-")) << story.out;
-	EXPECT_TRUE(has(story.out, "outcome: run.")) << story.out;
-	outcome picture = ctl({ "timeline", "-f", "svg" });
+	EXPECT_EQ(trace.code, 0) << trace.err;
+	EXPECT_TRUE(contains(trace.out, "goes to upstream calendar-"))
+		<< trace.out;
+	EXPECT_TRUE(contains(trace.out, "outcome: run.")) << trace.out;
+	outcome svg = ctl({ "timeline", "-f", "svg" });
 
-	EXPECT_TRUE(has(picture.out, "</svg>"));
+	EXPECT_TRUE(contains(svg.out, "</svg>"));
 	outcome json = ctl({ "timeline", "--json", "--request", id });
 
-	EXPECT_TRUE(has(json.out, "\"type\":\"dispatched\"")) << json.out;
+	EXPECT_TRUE(contains(json.out, "\"type\":\"dispatched\"")) << json.out;
 }
--- a/tests/test_decision_log.cc
+++ b/tests/test_decision_log.cc
@@ -1,4 +1,4 @@
-/* The decision log: bounded, never blocking, valid JSON. */
+/* Tests of the decision log: it is bounded, never blocks and is valid JSON. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/internal/decision_log.h>
@@ -11,14 +11,14 @@
 class DecisionLogTest : public ::testing::Test
 {
       protected:
-	int saved;
+	int saved_stdout;
 	int pipe_[2];
 
 	void SetUp() override
 	{
 		fflush(stdout);
 		ASSERT_EQ(pipe(pipe_), 0);
-		saved = dup(STDOUT_FILENO);
+		saved_stdout = dup(STDOUT_FILENO);
 		dup2(pipe_[1], STDOUT_FILENO);
 		fcntl(pipe_[0], F_SETFL, O_NONBLOCK);
 		aub_decision_log_start("g1", NULL);
@@ -26,8 +26,8 @@
 	void TearDown() override
 	{
 		aub_decision_log_stop();
-		dup2(saved, STDOUT_FILENO);
-		close(saved);
+		dup2(saved_stdout, STDOUT_FILENO);
+		close(saved_stdout);
 		close(pipe_[0]);
 		close(pipe_[1]);
 	}
@@ -50,7 +50,7 @@
 	}
 };
 
-TEST_F(DecisionLogTest, WritesOneObjectALine)
+TEST_F(DecisionLogTest, WritesOneObjectPerLine)
 {
 	line(AUB_LOG_REQUEST, "a\"b\\c\n\xc3\xa9");
 	aub_decision_log_flush();
@@ -66,12 +66,12 @@
 	json_object_unref(object);
 }
 
-TEST_F(DecisionLogTest, DropsCalmLinesFirstWhenNobodyReads)
+TEST_F(DecisionLogTest, DropsSuccessLinesFirstWhenPipeIsFull)
 {
 	/*
-	 * Callers never wait for a reader of logs. Standard output is a full
-	 * pipe: lines about successes are dropped first, those about failures
-	 * later, and once there is room again the log says how many.
+	 * Logging must not block request processing. When standard output is
+	 * a full pipe, lines about successes are dropped first and those about
+	 * failures later; once there is room, the number is logged.
 	 */
 	std::string long_id(200, 'x');
 
@@ -79,8 +79,8 @@
 		line(AUB_LOG_REQUEST, long_id.c_str());
 		aub_decision_log_flush();
 	}
-	guint64 calm = aub_decision_log_dropped(AUB_LOG_SUCCESS);
-	EXPECT_GT(calm, 3000u);
+	guint64 dropped_successes = aub_decision_log_dropped(AUB_LOG_SUCCESS);
+	EXPECT_GT(dropped_successes, 3000u);
 	line(AUB_LOG_REQUEST_FAILED, "the-failure");
 	EXPECT_EQ(aub_decision_log_dropped(AUB_LOG_FAILURE), 0u);
 	std::string text;
@@ -92,12 +92,12 @@
 	EXPECT_NE(text.find("the-failure"), std::string::npos);
 	EXPECT_NE(text.find("\"event\":\"log-dropped\",\"class\":\"calm\","
 			    "\"lines\":" +
-			    std::to_string(calm)),
+			    std::to_string(dropped_successes)),
 		  std::string::npos);
 }
 
-/* Guards against lines of two processes that stand inside each other. */
-TEST_F(DecisionLogTest, WritesWholeLinesIntoAPipeThatIsNearlyFull)
+/* Guards against interleaved lines of two processes that share a pipe. */
+TEST_F(DecisionLogTest, WritesCompleteLinesIntoNearlyFullPipe)
 {
 	std::string long_id(300, 'x');
 	std::string text;
@@ -111,7 +111,7 @@
 		ssize_t got = read(pipe_[0], data, sizeof(data));
 		if (got > 0)
 			text.append(data, (size_t)got);
-		/* Another process writes whenever there is room. */
+		/* Another process writes when there is room. */
 		if (write(pipe_[1], "other\n", 6) != 6)
 			continue;
 	}
@@ -119,14 +119,14 @@
 	for (gsize at = 0, end; at < text.size(); at = end + 1) {
 		end = text.find('\n', at);
 		ASSERT_NE(end, std::string::npos);
-		std::string one = text.substr(at, end - at);
-		EXPECT_TRUE(one == "other" ||
-			    (one.front() == '{' && one.back() == '}'))
-			<< one;
+		std::string line_text = text.substr(at, end - at);
+		EXPECT_TRUE(line_text == "other" || (line_text.front() == '{' &&
+						     line_text.back() == '}'))
+			<< line_text;
 	}
 }
 
-TEST_F(DecisionLogTest, StaysBoundedWhateverIsLogged)
+TEST_F(DecisionLogTest, StaysBoundedForStateLines)
 {
 	std::string long_id(1000, 'x');
 
@@ -135,7 +135,7 @@
 	EXPECT_GT(aub_decision_log_dropped(AUB_LOG_STATE), 1500u);
 }
 
-TEST_F(DecisionLogTest, GoesOnWhenTheReaderIsGone)
+TEST_F(DecisionLogTest, ContinuesAfterReaderHasClosedPipe)
 {
 	signal(SIGPIPE, SIG_IGN);
 	close(pipe_[0]);
@@ -146,7 +146,7 @@
 	aub_decision_log_flush();
 }
 
-TEST(LoggingPage, NamesEveryKindOfLine)
+TEST(LoggingPage, DocumentsEveryEventType)
 {
 	char *page = NULL;
 
--- a/tests/test_document.cc
+++ b/tests/test_document.cc
@@ -1,4 +1,4 @@
-/* Documents in msgpack: what is read, and what is refused. */
+/* Tests of the msgpack document reader. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/error.h>
@@ -52,7 +52,7 @@
 	aub_document_free(document);
 }
 
-TEST(Document, SaysNothingOfWhatIsNotThere)
+TEST(Document, ReturnsEmptyValuesForMissingMembers)
 {
 	const std::string data = packed("{\"text\":\"a\",\"list\":[1]}");
 	struct aub_document *document = parse(data);
@@ -70,7 +70,7 @@
 	aub_document_free(document);
 }
 
-TEST(Document, TakesNoTextThatIsNotUtf8OrHoldsANul)
+TEST(Document, RejectsTextThatIsNotUtf8OrContainsNul)
 {
 	const std::string data("\x82\xa1"
 			       "a\xa2\xff\xfe\xa1"
@@ -85,8 +85,11 @@
 	aub_document_free(document);
 }
 
-/* Guards against a damaged answer that ends the process or takes its memory. */
-TEST(Document, RefusesWhatIsDamaged)
+/*
+ * Guards against a corrupt response that terminates the process or exhausts its
+ * memory.
+ */
+TEST(Document, RejectsCorruptDocuments)
 {
 	const std::string good = packed("{\"items\":[{\"a\":1},{\"b\":2}]}");
 	std::string deep;
--- a/tests/test_message.cc
+++ b/tests/test_message.cc
@@ -1,4 +1,4 @@
-/* Messages: what is encoded comes back; what is malformed is refused. */
+/* Tests of message encoding and of the rejection of malformed frames. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/error.h>
@@ -25,18 +25,18 @@
 	return aub_message_decode(data, length, "127.0.0.1:9", error);
 }
 
-TEST(Message, EveryTypeRoundTripsEmpty)
+TEST(Message, EmptyMessageOfEveryTypeRoundTrips)
 {
 	for (int type = 1; type < AUB_MESSAGE_TYPE_COUNT; type++) {
 		struct aub_message *message =
 			aub_message_new((enum aub_message_type)type);
 		GBytes *bytes = encode(message);
 		GError *error = NULL;
-		struct aub_message *back = decode(bytes, &error);
+		struct aub_message *decoded = decode(bytes, &error);
 
-		ASSERT_NE(back, nullptr) << error->message;
-		EXPECT_EQ(back->type, type);
-		aub_message_free(back);
+		ASSERT_NE(decoded, nullptr) << error->message;
+		EXPECT_EQ(decoded->type, type);
+		aub_message_free(decoded);
 		aub_message_free(message);
 		g_bytes_unref(bytes);
 	}
@@ -62,29 +62,29 @@
 {
 	struct aub_call *call = example_call();
 	GBytes *bytes = encode(&call->base);
-	struct aub_call *back = (struct aub_call *)decode(bytes, NULL);
+	struct aub_call *decoded = (struct aub_call *)decode(bytes, NULL);
 
-	ASSERT_NE(back, nullptr);
-	EXPECT_EQ(back->id, G_MAXUINT64);
-	EXPECT_TRUE(back->once);
-	EXPECT_STREQ(back->path, "/fees/7?x=1");
-	ASSERT_EQ(back->headers->len, 1u);
+	ASSERT_NE(decoded, nullptr);
+	EXPECT_EQ(decoded->id, G_MAXUINT64);
+	EXPECT_TRUE(decoded->once);
+	EXPECT_STREQ(decoded->path, "/fees/7?x=1");
+	ASSERT_EQ(decoded->headers->len, 1u);
 	const struct aub_header *header =
-		(struct aub_header *)g_ptr_array_index(back->headers, 0);
+		(struct aub_header *)g_ptr_array_index(decoded->headers, 0);
 	EXPECT_STREQ(header->value, "\xe9t\xe9");
-	ASSERT_EQ(back->body.length, 3u);
-	EXPECT_EQ(memcmp(back->body.data, "a\0b", 3), 0);
-	aub_message_free(&back->base);
+	ASSERT_EQ(decoded->body.length, 3u);
+	EXPECT_EQ(memcmp(decoded->body.data, "a\0b", 3), 0);
+	aub_message_free(&decoded->base);
 	aub_message_free(&call->base);
 	g_bytes_unref(bytes);
 }
 
 /*
- * A peer's frame is cut short or has a bit turned. The receiver must refuse
- * it or read some valid message, and never read past the frame; the
- * sanitizers watch for that.
+ * A frame is truncated or has a flipped bit. The decoder must reject it or
+ * return some valid message, and must not read beyond the frame, which the
+ * sanitizers check.
  */
-TEST(Message, CutAndDamagedFramesAreRefusedOrValid)
+TEST(Message, TruncatedOrCorruptFrameIsRejectedOrValid)
 {
 	struct aub_call *call = example_call();
 	GBytes *bytes = encode(&call->base);
@@ -101,12 +101,12 @@
 		g_clear_error(&error);
 	}
 	for (gsize bit = 0; bit < length * 8; bit++) {
-		std::string whole(data, length);
+		std::string corrupt(data, length);
 		GError *error = NULL;
 
-		whole[bit / 8] = (char)(whole[bit / 8] ^ (1 << (bit % 8)));
-		aub_message_free(
-			aub_message_decode(whole.data(), length, "p", &error));
+		corrupt[bit / 8] = (char)(corrupt[bit / 8] ^ (1 << (bit % 8)));
+		aub_message_free(aub_message_decode(corrupt.data(), length, "p",
+						    &error));
 		g_clear_error(&error);
 	}
 	aub_message_free(&call->base);
@@ -114,11 +114,11 @@
 }
 
 /*
- * A peer sends five bytes that announce a list of four thousand million
- * elements. The decoder would reserve 100 GB for it and the process would
- * end; the frame has to be refused before that.
+ * A peer sends five bytes that announce a list of 4,000 million elements. The
+ * decoder would allocate 100 GB and the process would terminate; the frame must
+ * be rejected before that.
  */
-TEST(Message, AnnouncedSizesBeyondTheFrameAreRefused)
+TEST(Message, ListLongerThanFrameIsRejected)
 {
 	const char frame[] = "\xdd\xff\xff\xff\xff";
 	GError *error = NULL;
@@ -175,14 +175,14 @@
 		  "ping: number: not a number" },
 	};
 
-	for (const auto &one : cases) {
+	for (const auto &it : cases) {
 		GError *error = NULL;
 
-		EXPECT_EQ(aub_message_decode(one.frame.data(), one.frame.size(),
+		EXPECT_EQ(aub_message_decode(it.frame.data(), it.frame.size(),
 					     "p", &error),
 			  nullptr);
-		ASSERT_NE(error, nullptr) << one.text;
-		EXPECT_NE(strstr(error->message, one.text), nullptr)
+		ASSERT_NE(error, nullptr) << it.text;
+		EXPECT_NE(strstr(error->message, it.text), nullptr)
 			<< error->message;
 		g_clear_error(&error);
 	}
--- a/tests/test_settings.cc
+++ b/tests/test_settings.cc
@@ -1,4 +1,4 @@
-/* Settings: filled from TOML, and every problem named with its line. */
+/* Tests of reading settings from TOML and of the reported problems. */
 #include <gtest/gtest.h>
 
 #include <auburnstile/error.h>
@@ -38,7 +38,7 @@
 				  sample, error);
 }
 
-TEST(Settings, FillsEveryTypeAndDefaults)
+TEST(Settings, ReadsEveryTypeAndDefaults)
 {
 	struct sample sample;
 	GError *error = nullptr;
@@ -61,7 +61,7 @@
 	aub_settings_clear(sample_table, &sample);
 }
 
-TEST(Settings, NamesEveryProblemWithItsLineAndFillsNothing)
+TEST(Settings, ReportsEveryProblemWithItsLineAndReturnsNothing)
 {
 	struct sample sample;
 	GError *error = nullptr;
@@ -90,7 +90,7 @@
 	g_error_free(error);
 }
 
-TEST(Settings, ReadsRealNumbersInTheirRange)
+TEST(Settings, ReadsRealNumbersAndChecksTheirRange)
 {
 	static const struct aub_setting table[] = {
 		{ .key = "share",
@@ -132,7 +132,7 @@
 	g_clear_error(&error);
 }
 
-TEST(Settings, SyntaxErrorHasItsLine)
+TEST(Settings, ReportsLineOfSyntaxError)
 {
 	struct sample sample;
 	GError *error = nullptr;
@@ -143,7 +143,7 @@
 	g_error_free(error);
 }
 
-TEST(Settings, AddressesAreIpNumbers)
+TEST(Settings, RejectsAddressesOtherThanIpAndPort)
 {
 	const char *bad[] = { "localhost:80",	 "127.0.0.1",	 "127.0.0.1:",
 			      "127.0.0.1:65536", "127.0.0.1:-1", "::1:80",
@@ -161,7 +161,7 @@
 	}
 }
 
-TEST(Settings, AFileThatCannotBeReadIsNamed)
+TEST(Settings, NamesUnreadableFile)
 {
 	struct sample sample = {};
 	GError *error = nullptr;
