--- a/include/auburnstile/settings.h
+++ b/include/auburnstile/settings.h
@@ -30,7 +30,7 @@
 	bool required;
 	gint64 minimum; /* for numbers, inclusive */
 	gint64 maximum;
-	const char *fallback; /* default value as text; NULL: none */
+	const char *default_value; /* default value as text; NULL: none */
 	const char *help; /* one line, including the unit */
 };
 
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -188,24 +188,24 @@
 	switch (setting->type) {
 	case AUB_SETTING_STRING:
 	case AUB_SETTING_ADDRESS:
-		set_string(settings, setting, setting->fallback);
+		set_string(settings, setting, setting->default_value);
 		break;
 	case AUB_SETTING_INTEGER:
 		*(gint64 *)setting_field(settings, setting) =
-			g_ascii_strtoll(setting->fallback, NULL, 10);
+			g_ascii_strtoll(setting->default_value, NULL, 10);
 		break;
 	case AUB_SETTING_REAL:
 		*(double *)setting_field(settings, setting) =
-			g_ascii_strtod(setting->fallback, NULL);
+			g_ascii_strtod(setting->default_value, NULL);
 		break;
 	case AUB_SETTING_BOOLEAN:
 		*(bool *)setting_field(settings, setting) =
-			strcmp(setting->fallback, "true") == 0;
+			strcmp(setting->default_value, "true") == 0;
 		break;
 	case AUB_SETTING_STRINGS:
 		*(char ***)setting_field(settings, setting) =
-			g_strsplit(setting->fallback, ",",
-				   *setting->fallback ? -1 : 0);
+			g_strsplit(setting->default_value, ",",
+				   *setting->default_value ? -1 : 0);
 		break;
 	}
 }
@@ -222,7 +222,7 @@
 					 NULL, "missing; it must be %s (%s)",
 					 type_names[setting->type],
 					 setting->help ? setting->help : "");
-		else if (setting->fallback)
+		else if (setting->default_value)
 			set_default(reader->settings, setting);
 	}
 }
--- a/tests/test_settings.cc
+++ b/tests/test_settings.cc
@@ -98,7 +98,7 @@
 		  .offset = 0,
 		  .minimum = 0,
 		  .maximum = 1,
-		  .fallback = "0.5",
+		  .default_value = "0.5",
 		  .help = "a share" },
 		{},
 	};
