--- a/src/protocol/message_fields.c
+++ b/src/protocol/message_fields.c
@@ -25,11 +25,13 @@
 #define ROUTES_MAX 64 /* per service, in rollout evidence */
 #define BODY_BYTES_MAX (8u << 20)
 
-#define FIELD(kind_, struct_, member_, limit_, element_)                      \
+#define NAMED_FIELD(kind_, struct_, member_, name_, limit_, element_)         \
 	{                                                                     \
 		.kind = (kind_), .offset = offsetof(struct struct_, member_), \
-		.name = #member_, .limit = (limit_), .element = (element_)    \
+		.name = (name_), .limit = (limit_), .element = (element_)     \
 	}
+#define FIELD(kind_, struct_, member_, limit_, element_) \
+	NAMED_FIELD(kind_, struct_, member_, #member_, limit_, element_)
 #define END                            \
 	{                              \
 		.kind = AUBI_FIELD_END \
@@ -37,6 +39,10 @@
 #define U64(s, m) FIELD(AUBI_FIELD_U64, s, m, 0, NULL)
 #define U32(s, m) FIELD(AUBI_FIELD_U32, s, m, 0, NULL)
 #define BOOL(s, m) FIELD(AUBI_FIELD_BOOL, s, m, 0, NULL)
+/* Fields whose name in decoding errors differs from the member. */
+#define U64_AS(s, m, name_) NAMED_FIELD(AUBI_FIELD_U64, s, m, name_, 0, NULL)
+#define U32_AS(s, m, name_) NAMED_FIELD(AUBI_FIELD_U32, s, m, name_, 0, NULL)
+#define BOOL_AS(s, m, name_) NAMED_FIELD(AUBI_FIELD_BOOL, s, m, name_, 0, NULL)
 #define ENUM(s, m, limit) FIELD(AUBI_FIELD_ENUM, s, m, limit, NULL)
 #define STRING(s, m, limit) FIELD(AUBI_FIELD_STRING, s, m, limit, NULL)
 #define BYTES(s, m, limit) FIELD(AUBI_FIELD_BYTES, s, m, limit, NULL)
@@ -68,7 +74,7 @@
 	STRING(aub_member, control_address, ADDRESS_BYTES_MAX),
 	STRING(aub_member, entry_admin, ADDRESS_BYTES_MAX),
 	STRING(aub_member, control_admin, ADDRESS_BYTES_MAX),
-	U64(aub_member, successor),
+	U64_AS(aub_member, successor, "heir"),
 	U32(aub_member, age_ms),
 	U64(aub_member, config_version),
 	U32(aub_member, load_permille),
@@ -95,7 +101,7 @@
 static const struct aubi_field key_record_fields[] = {
 	STRING(aub_key_record, key, HEADER_BYTES_MAX),
 	BYTES(aub_key_record, fingerprint, NAME_BYTES_MAX),
-	U32(aub_key_record, ttl_ms),
+	U32_AS(aub_key_record, ttl_ms, "keep_ms"),
 	ENUM(aub_key_record, outcome, AUB_OUTCOME_UNKNOWN),
 	U32(aub_key_record, status),
 	LIST(aub_key_record, headers, HEADERS_MAX, &aubi_header_layout),
@@ -153,7 +159,7 @@
 	U64(aub_view_ack, epoch),
 	U32(aub_view_ack, load_permille),
 	BOOL(aub_view_ack, stopping),
-	U64(aub_view_ack, successor),
+	U64_AS(aub_view_ack, successor, "heir"),
 	U64(aub_view_ack, number),
 	END,
 };
@@ -167,7 +173,7 @@
 	U64(aub_gossip, number),
 	U64(aub_gossip, echo),
 	U64(aub_gossip, roster),
-	U32(aub_gossip, member_count),
+	U32_AS(aub_gossip, member_count, "known"),
 	BYTES(aub_gossip, ages, AGES_BYTES_MAX),
 	END,
 };
@@ -334,7 +340,7 @@
 	BOOL(aub_heartbeat, stopping),
 	U64(aub_heartbeat, config_version),
 	U32(aub_heartbeat, peers),
-	BOOL(aub_heartbeat, reply_requested),
+	BOOL_AS(aub_heartbeat, reply_requested, "reply"),
 	BOOL(aub_heartbeat, current),
 	BOOL(aub_heartbeat, hears),
 	U64(aub_heartbeat, revisions[0]),
@@ -370,7 +376,7 @@
 	U32(aub_place_request, priority),
 	U32(aub_place_request, target_ms),
 	U32(aub_place_request, on_time_ms),
-	U32(aub_place_request, max_wait_ms),
+	U32_AS(aub_place_request, max_wait_ms, "patience_ms"),
 	BOOL(aub_place_request, retry),
 	BOOL(aub_place_request, forward),
 	STRING(aub_place_request, address, ADDRESS_BYTES_MAX),
