--- a/include/auburnstile/message.h
+++ b/include/auburnstile/message.h
@@ -181,9 +181,10 @@
 };
 
 enum aub_call_purpose {
-	AUB_CALL_KEY_OWNER =
-		1, /* receiver owns the idempotency key: execute at most once */
-	AUB_CALL_OWNER /* receiver owns the service's queue: dispatch */
+	/* The receiver owns the idempotency key and enforces at-most-once. */
+	AUB_CALL_KEY_OWNER = 1,
+	/* The receiver owns the service's queue and dispatches the call. */
+	AUB_CALL_OWNER
 };
 
 /* A caller's request, forwarded to another entry. */
@@ -232,8 +233,7 @@
 /* An idempotency key and the result stored under it. */
 struct aub_key_record {
 	char *key;
-	struct aub_bytes
-		fingerprint; /* of the request that the key belongs to */
+	struct aub_bytes fingerprint; /* of the request with this key */
 	guint32 ttl_ms; /* time until the record expires */
 	enum aub_outcome outcome; /* UNKNOWN while in progress */
 	guint32 status;
@@ -296,8 +296,7 @@
 	bool stopping;
 	guint64 config_version;
 	guint32 peers; /* other gateways, alive or just announced */
-	bool reply_requested; /* the sender has received no heartbeat of the
-				 receiver */
+	bool reply_requested; /* no heartbeat of the receiver received yet */
 	bool current; /* the sender has not been without the store for long */
 	bool hears; /* the store currently answers the sender */
 	/* Store revisions up to which the sender is current, by kind. */
@@ -315,8 +314,7 @@
 	GPtrArray *crashes; /* of struct aub_crash_record */
 };
 
-/* Changes of one kind of object, as received from the store; see store_sync.h.
- */
+/* Changes of one kind of object as received from the store (store_sync.h). */
 struct aub_store_changes {
 	struct aub_message base;
 	guint32 kind;
@@ -408,7 +406,7 @@
 struct aub_place_evidence {
 	guint32 route;
 	guint32 answers;
-	guint32 timed; /* those whose duration is comparable */
+	guint32 timed; /* answers whose duration could be judged */
 	guint32 failures;
 	guint32 slow;
 	guint32 slow_ms; /* threshold of a slow response; 0: unknown */
