--- a/include/auburnstile/message.h
+++ b/include/auburnstile/message.h
@@ -239,7 +239,7 @@
 	guint32 status;
 	GPtrArray *headers; /* of struct aub_header */
 	struct aub_bytes body;
-	bool stripped; /* headers and body have been discarded */
+	bool payload_discarded; /* headers and body have been discarded */
 };
 
 struct aub_keys {
@@ -318,8 +318,8 @@
 struct aub_store_changes {
 	struct aub_message base;
 	guint32 kind;
-	guint64 after; /* `body` has the changes after this revision */
-	guint64 until; /* up to and including this one */
+	guint64 after_revision; /* `body` has the changes after this revision */
+	guint64 until_revision; /* up to and including this one */
 	struct aub_bytes body;
 };
 
--- a/src/coordination/keeper.c
+++ b/src/coordination/keeper.c
@@ -157,7 +157,7 @@
 	if (record->outcome == AUB_OUTCOME_UNKNOWN) {
 		answer->status = 504;
 		aub_string_set(&answer->reason, "kept-unknown");
-	} else if (record->stripped) {
+	} else if (record->payload_discarded) {
 		/* Part of an answer must not pass for the whole. */
 		answer->status = 410;
 		aub_string_set(&answer->reason, "answer-not-kept");
--- a/src/coordination/node_store.c
+++ b/src/coordination/node_store.c
@@ -196,8 +196,8 @@
 		message = (struct aub_store_changes *)aub_message_new(
 			AUB_MESSAGE_STORE_CHANGES);
 		message->kind = kind;
-		message->after = (guint64)after;
-		message->until = (guint64)until;
+		message->after_revision = (guint64)after;
+		message->until_revision = (guint64)until;
 		aub_bytes_set(&message->body, data, size);
 		aub_peers_send_zone(node->peers, &message->base);
 		aub_message_free(&message->base);
@@ -220,7 +220,7 @@
 		return;
 	text = g_bytes_get_data(body, &length);
 	aub_store_sync_take(node->store, (enum aub_store_kind)message->kind,
-			    (gint64)message->after, (gint64)message->until,
+			    (gint64)message->after_revision, (gint64)message->until_revision,
 			    text, length);
 	g_bytes_unref(body);
 }
--- a/src/protocol/message_fields.c
+++ b/src/protocol/message_fields.c
@@ -106,7 +106,7 @@
 	U32(aub_key_record, status),
 	LIST(aub_key_record, headers, HEADERS_MAX, &aubi_header_layout),
 	BYTES(aub_key_record, body, BODY_BYTES_MAX),
-	BOOL(aub_key_record, stripped),
+	BOOL_AS(aub_key_record, payload_discarded, "stripped"),
 	END,
 };
 
@@ -362,8 +362,8 @@
 
 static const struct aubi_field store_changes_fields[] = {
 	U32(aub_store_changes, kind),
-	U64(aub_store_changes, after),
-	U64(aub_store_changes, until),
+	U64_AS(aub_store_changes, after_revision, "after"),
+	U64_AS(aub_store_changes, until_revision, "until"),
 	BYTES(aub_store_changes, body, OBJECT_BYTES_MAX),
 	END,
 };
--- a/src/state/key_table.c
+++ b/src/state/key_table.c
@@ -105,7 +105,7 @@
 		g_ptr_array_foreach(record->headers, free_header, NULL);
 		g_ptr_array_set_size(record->headers, 0);
 		aub_bytes_set(&record->body, NULL, 0);
-		record->stripped = true;
+		record->payload_discarded = true;
 	}
 	return table->bytes + bytes <= table->limit;
 }
@@ -235,7 +235,7 @@
 	gsize cost = answer_cost(headers, body);
 
 	if (!make_room(table, cost)) {
-		entry->record->stripped = true;
+		entry->record->payload_discarded = true;
 		return;
 	}
 	if (!cost)
@@ -273,7 +273,7 @@
 		      from->fingerprint.length);
 	record->outcome = from->outcome;
 	record->status = from->status;
-	record->stripped = from->stripped;
+	record->payload_discarded = from->payload_discarded;
 	return record;
 }
 
@@ -316,7 +316,7 @@
 		return;
 	entry = entry_add(table, record_copy(record));
 	entry_end(table, entry, now_us + (gint64)record->ttl_ms * AUB_MS);
-	if (!record->stripped)
+	if (!record->payload_discarded)
 		keep_answer(table, entry, record->headers, &record->body);
 }
 
--- a/tests/test_key_table.cc
+++ b/tests/test_key_table.cc
@@ -115,7 +115,7 @@
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_RUN);
 	EXPECT_EQ(record->status, 201u);
 	EXPECT_EQ(record->body.length, 0u);
-	EXPECT_TRUE(record->stripped);
+	EXPECT_TRUE(record->payload_discarded);
 }
 
 /*
@@ -133,9 +133,9 @@
 	}
 	ASSERT_EQ(begin("key-0", 200), AUB_KEY_KEPT);
 	EXPECT_EQ(record->outcome, AUB_OUTCOME_RUN);
-	EXPECT_TRUE(record->stripped);
+	EXPECT_TRUE(record->payload_discarded);
 	ASSERT_EQ(begin("key-149", 200), AUB_KEY_KEPT);
-	EXPECT_FALSE(record->stripped);
+	EXPECT_FALSE(record->payload_discarded);
 	EXPECT_EQ(record->body.length, 1000u);
 	EXPECT_LE(aub_key_table_bytes(table), 64u << 10);
 }
