--- a/include/auburnstile/internal/program.h
+++ b/include/auburnstile/internal/program.h
@@ -34,31 +34,31 @@
 		{ .key = "log_level",                                           \
 		  .type = AUB_SETTING_STRING,                                   \
 		  .offset = offsetof(settings_, log_level),                     \
-		  .default_value = "info",                                           \
+		  .default_value = "info",                                      \
 		  .help = "error, warning, message, info or debug" },           \
 		{ .key = "log_json",                                            \
 		  .type = AUB_SETTING_BOOLEAN,                                  \
 		  .offset = offsetof(settings_, log_json),                      \
-		  .default_value = "false",                                          \
+		  .default_value = "false",                                     \
 		  .help = "log as JSON lines" },                                \
 		{ .key = "stop_ms",                                             \
 		  .type = AUB_SETTING_INTEGER,                                  \
 		  .offset = offsetof(settings_, stop_ms),                       \
 		  .minimum = 100,                                               \
 		  .maximum = 600000,                                            \
-		  .default_value = "10000",                                          \
+		  .default_value = "10000",                                     \
 		  .help = "maximum duration of a planned stop, ms" },           \
 		{ .key = "event_capacity",                                      \
 		  .type = AUB_SETTING_INTEGER,                                  \
 		  .offset = offsetof(settings_, event_capacity),                \
 		  .minimum = 16,                                                \
 		  .maximum = 1 << 20,                                           \
-		  .default_value = "16384",                                          \
+		  .default_value = "16384",                                     \
 		  .help = "events retained for the time line" },                \
 	{                                                                       \
 		.key = "seed", .type = AUB_SETTING_INTEGER,                     \
 		.offset = offsetof(settings_, seed), .maximum = G_MAXUINT32,    \
-		.default_value = "0",                                                \
+		.default_value = "0",                                           \
 		.help = "seed of the random generator; 0: chosen by the system" \
 	}
 
