--- a/include/auburnstile/message.h
+++ b/include/auburnstile/message.h
@@ -434,7 +434,7 @@
 };
 
 /* Result of a probe. */
-struct aub_probe_result {
+struct aub_reported_probe {
 	char *upstream;
 	guint32 end; /* enum aub_probe_end */
 	struct aub_reported_load load;
@@ -443,7 +443,7 @@
 struct aub_place_probe_results {
 	struct aub_message base;
 	char *service;
-	GPtrArray *probed; /* of struct aub_probe_result */
+	GPtrArray *probed; /* of struct aub_reported_probe */
 };
 
 struct aub_name {
@@ -478,7 +478,7 @@
 struct aub_crash_record *aub_crash_record_new(void);
 struct aub_name *aub_name_new(const char *name);
 struct aub_outstanding *aub_outstanding_new(void);
-struct aub_probe_result *aub_probe_result_new(void);
+struct aub_reported_probe *aub_reported_probe_new(void);
 struct aub_place_health_row *aub_place_health_row_new(void);
 struct aub_place_evidence *aub_place_evidence_new(void);
 
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -96,16 +96,17 @@
 	struct aub_active *active =
 		g_hash_table_lookup(placer->active, probe->service);
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_probe_result *probed;
+	struct aub_reported_probe *probed;
 
 	if (!active || active->until_us >= now)
 		return;
 	if (!active->probed) {
-		active->probed = (struct aub_place_probe_results *)aub_message_new(
-			AUB_MESSAGE_PLACE_PROBE_RESULTS);
+		active->probed =
+			(struct aub_place_probe_results *)aub_message_new(
+				AUB_MESSAGE_PLACE_PROBE_RESULTS);
 		aub_string_set(&active->probed->service, probe->service);
 	}
-	probed = aub_probe_result_new();
+	probed = aub_reported_probe_new();
 	aub_string_set(&probed->upstream, probe->upstream);
 	probed->end = end;
 	probed->load = aub_load_tell(load);
@@ -124,7 +125,7 @@
 		aub_placer_placement(placer, message->service);
 
 	for (guint i = 0; i < message->probed->len; i++) {
-		const struct aub_probe_result *probed =
+		const struct aub_reported_probe *probed =
 			g_ptr_array_index(message->probed, i);
 		const struct aub_load load = aub_load_of(&probed->load);
 
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -177,7 +177,7 @@
 	return part;
 }
 
-struct aub_probe_result *aub_probe_result_new(void)
+struct aub_reported_probe *aub_reported_probe_new(void)
 {
 	return aubi_struct_new(&aubi_probe_result_layout);
 }
--- a/src/protocol/message_fields.c
+++ b/src/protocol/message_fields.c
@@ -276,18 +276,18 @@
 	LAYOUT("outstanding grant", aub_outstanding, outstanding_fields);
 
 static const struct aubi_field probe_result_fields[] = {
-	STRING(aub_probe_result, upstream, NAME_BYTES_MAX),
-	U32(aub_probe_result, end),
-	U32(aub_probe_result, load.running),
-	U32(aub_probe_result, load.waiting),
-	U32(aub_probe_result, load.slots),
-	U32(aub_probe_result, load.slowdown),
-	U32(aub_probe_result, load.warmup_ms),
+	STRING(aub_reported_probe, upstream, NAME_BYTES_MAX),
+	U32(aub_reported_probe, end),
+	U32(aub_reported_probe, load.running),
+	U32(aub_reported_probe, load.waiting),
+	U32(aub_reported_probe, load.slots),
+	U32(aub_reported_probe, load.slowdown),
+	U32(aub_reported_probe, load.warmup_ms),
 	END,
 };
 
 const struct aubi_layout aubi_probe_result_layout =
-	LAYOUT("probed upstream", aub_probe_result, probe_result_fields);
+	LAYOUT("probed upstream", aub_reported_probe, probe_result_fields);
 
 static const struct aubi_field place_probe_results_fields[] = {
 	STRING(aub_place_probe_results, service, NAME_BYTES_MAX),
