--- a/tests/test_rollout_model.cc
+++ b/tests/test_rollout_model.cc
@@ -10,23 +10,24 @@
 
 #include <string>
 
-static struct rollout_spec calm(const struct rollout_fault *fault, guint64 seed)
+static struct rollout_spec default_spec(const struct rollout_fault *fault,
+					guint64 seed)
 {
 	struct rollout_spec spec = {};
 
 	spec.fault = fault;
 	spec.upstreams = 20;
 	spec.slots = 4;
-	spec.per_s = 60;
+	spec.requests_per_s = 60;
 	spec.duration_s = 12;
 	spec.share = 0.1;
 	spec.slack = 50;
-	spec.orders = true;
+	spec.has_rollout = true;
 	spec.seed = seed;
 	return spec;
 }
 
-static const struct rollout_fault *fault(const std::string &name)
+static const struct rollout_fault *find_fault(const std::string &name)
 {
 	for (guint i = 0; i < rollout_fault_count; i++)
 		if (name == rollout_faults[i].name)
@@ -36,94 +37,99 @@
 }
 
 /* Guards against more requests to a bad version than operators allow. */
-TEST(RolloutModel, NoVersionGetsMoreThanItsExposure)
+TEST(RolloutModel, KeepsExposureOfBadVersionsWithinBound)
 {
 	for (guint i = 0; i < rollout_fault_count; i++)
 		for (guint64 seed = 1; seed <= 6; seed++) {
 			struct rollout_spec spec =
-				calm(&rollout_faults[i], seed);
+				default_spec(&rollout_faults[i], seed);
 			struct rollout_outcome outcome;
 
 			if (!i)
 				continue;
-			spec.bursts = seed % 3 == 0;
-			spec.kills = seed == 4;
+			spec.load_bursts = seed % 3 == 0;
+			spec.placer_crashes = seed == 4;
 			spec.two_placers = seed == 5;
-			spec.store_away = seed == 6;
-			spec.sick = seed % 2;
-			rollout_model_play(&spec, &outcome);
-			EXPECT_LE(outcome.exposed, outcome.bound)
+			spec.store_unavailable = seed == 6;
+			spec.unhealthy_upstreams = seed % 2;
+			rollout_model_run(&spec, &outcome);
+			EXPECT_LE(outcome.exposed, outcome.exposure_bound)
 				<< rollout_faults[i].name << " " << seed;
 		}
 }
 
-TEST(RolloutModel, AGoodVersionIsCompletedInTime)
+TEST(RolloutModel, CompletesGoodVersionBeforeDeadline)
 {
 	for (guint64 seed = 1; seed <= 10; seed++) {
-		struct rollout_spec spec = calm(rollout_faults, seed);
+		struct rollout_spec spec = default_spec(rollout_faults, seed);
 		struct rollout_outcome outcome;
 
 		spec.duration_s = 30;
-		rollout_model_play(&spec, &outcome);
+		rollout_model_run(&spec, &outcome);
 		EXPECT_EQ(outcome.state, (guint)AUB_ROLLOUT_COMPLETED)
 			<< seed << " " << outcome.reason;
-		EXPECT_EQ(outcome.cut_off, 0u) << seed;
+		EXPECT_EQ(outcome.interrupted, 0u) << seed;
 	}
 }
 
-TEST(RolloutModel, ABadVersionIsRolledBack)
+TEST(RolloutModel, RollsBackBadVersion)
 {
 	for (const char *name :
 	     { "fails 50%", "3 times slower", "6 times slower",
 	       "fails 10%, 3 times slower" })
 		for (guint64 seed = 1; seed <= 10; seed++) {
-			struct rollout_spec spec = calm(fault(name), seed);
+			struct rollout_spec spec =
+				default_spec(find_fault(name), seed);
 			struct rollout_outcome outcome;
 
-			rollout_model_play(&spec, &outcome);
+			rollout_model_run(&spec, &outcome);
 			EXPECT_EQ(outcome.state, (guint)AUB_ROLLOUT_ROLLED_BACK)
 				<< name << " " << seed;
 		}
 }
 
 /* Guards against requests that go on to a version known to be bad. */
-TEST(RolloutModel, NothingIsSentLongAfterTheFiftiethBadAnswer)
+TEST(RolloutModel, StopsSendingWithin500MsOfFiftiethBadAnswer)
 {
 	for (guint64 seed = 1; seed <= 10; seed++) {
-		struct rollout_spec spec = calm(fault("fails 50%"), seed);
+		struct rollout_spec spec =
+			default_spec(find_fault("fails 50%"), seed);
 		struct rollout_outcome outcome;
 
-		rollout_model_play(&spec, &outcome);
-		EXPECT_LE(outcome.after_50_ms, 500);
+		rollout_model_run(&spec, &outcome);
+		EXPECT_LE(outcome.after_50th_bad_ms, 500);
 	}
 }
 
-TEST(RolloutModel, CallersOfAGoodVersionHardlyNotice)
+TEST(RolloutModel, GoodVersionKeepsShareOfOnTimeAnswers)
 {
-	double with = 0;
-	double without = 0;
+	double on_time_with_rollout = 0;
+	double on_time_without_rollout = 0;
 
 	for (guint64 seed = 1; seed <= 10; seed++) {
-		struct rollout_spec spec = calm(rollout_faults, seed);
+		struct rollout_spec spec = default_spec(rollout_faults, seed);
 		struct rollout_outcome outcome;
 
-		rollout_model_play(&spec, &outcome);
-		with += (double)outcome.on_time / (double)outcome.asked / 10;
-		spec.orders = false;
-		rollout_model_play(&spec, &outcome);
-		without += (double)outcome.on_time / (double)outcome.asked / 10;
+		rollout_model_run(&spec, &outcome);
+		on_time_with_rollout += (double)outcome.on_time /
+					(double)outcome.placement_requests / 10;
+		spec.has_rollout = false;
+		rollout_model_run(&spec, &outcome);
+		on_time_without_rollout += (double)outcome.on_time /
+					   (double)outcome.placement_requests /
+					   10;
 	}
-	EXPECT_GE(with, without - 0.01);
+	EXPECT_GE(on_time_with_rollout, on_time_without_rollout - 0.01);
 }
 
-TEST(RolloutModel, OneSeedPlaysTheSame)
+TEST(RolloutModel, SameSeedGivesSameOutcome)
 {
-	struct rollout_spec spec = calm(fault("fails 10%"), 3);
+	struct rollout_spec spec = default_spec(find_fault("fails 10%"), 3);
 	struct rollout_outcome first;
 	struct rollout_outcome second;
 
-	rollout_model_play(&spec, &first);
-	rollout_model_play(&spec, &second);
+	rollout_model_run(&spec, &first);
+	rollout_model_run(&spec, &second);
 	EXPECT_EQ(first.exposed, second.exposed);
 	EXPECT_EQ(first.requests, second.requests);
 	EXPECT_EQ(first.on_time, second.on_time);
--- a/tools/bench/bench.h
+++ b/tools/bench/bench.h
@@ -15,11 +15,11 @@
 
 G_BEGIN_DECLS
 
-/* One upstream was slow by `factor` from `from_us` until `to_us`. */
-struct bench_slow {
+/* One upstream was slow by `factor` from `start_us` until `end_us`. */
+struct bench_slow_phase {
 	guint16 upstream;
-	gint64 from_us;
-	gint64 to_us;
+	gint64 start_us;
+	gint64 end_us;
 };
 
 /* A service and its upstreams in one of the users' sizes. */
@@ -33,7 +33,7 @@
 	double mean_us; /* service time, lognormal */
 };
 
-struct bench_case {
+struct bench_params {
 	const char *scenario;
 	const struct bench_shape *shape;
 	const char *policy;
@@ -49,7 +49,7 @@
 };
 
 struct bench_row {
-	struct bench_case what;
+	struct bench_params params;
 	double p50_ms;
 	double p99_ms;
 	double p999_ms;
@@ -67,28 +67,29 @@
 };
 
 #define BENCH_SLOW_FACTOR 5
-#define BENCH_SLOW_EVERY_MS 2000
-#define BENCH_SLOW_MS 400
-#define BENCH_SIGMA 0.5
+#define BENCH_SLOW_PERIOD_MS 2000
+#define BENCH_SLOW_DURATION_MS 400
+#define BENCH_SERVICE_TIME_SIGMA 0.5
 #define BENCH_DEADLINE_MS 2000
 
 /* Start a fleet for a case and wait until it serves. NULL on error. */
-struct fleet *bench_fleet(const struct bench_case *what, GError **error);
+struct fleet *bench_start_fleet(const struct bench_params *params,
+				GError **error);
 
 /* A load for a case, not started. */
-struct load *bench_load(const struct bench_case *what, struct fleet *fleet,
-			double seconds, guint seed);
+struct load *bench_new_load(const struct bench_params *params,
+			    struct fleet *fleet, double seconds, guint seed);
 
 /* A mild load before the measured one, until upstreams are known. */
-void bench_warm_up(const struct bench_case *what, struct fleet *fleet);
+void bench_warm_up(const struct bench_params *params, struct fleet *fleet);
 
 /* Run one case from start to end. */
-bool bench_run(const struct bench_case *what, struct bench_row *row,
+bool bench_run(const struct bench_params *params, struct bench_row *row,
 	       GError **error);
 
 /* p99 of one perfect queue, in ms, for these arrivals and slow phases. */
-double bench_limit_ms(const struct bench_case *what, const GArray *arrivals,
-		      const GArray *slow);
+double bench_limit_p99_ms(const struct bench_params *params,
+			  const GArray *arrivals, const GArray *slow);
 
 /* Value at `share` of sorted or unsorted times in us, as ms; sorts them. */
 double bench_quantile_ms(GArray *times, double share);
@@ -97,10 +98,10 @@
  * Zone out and back, and an owner killed: a line each 100 ms into a file,
  * and a summary on stdout.
  */
-bool bench_zone(const struct bench_shape *shape, guint members, double seconds,
-		const char *file, GError **error);
-bool bench_owner(const struct bench_shape *shape, guint members, double seconds,
-		 const char *file, GError **error);
+bool bench_zone_outage(const struct bench_shape *shape, guint members,
+		       double seconds, const char *file, GError **error);
+bool bench_owner_crash(const struct bench_shape *shape, guint members,
+		       double seconds, const char *file, GError **error);
 
 /* Rows as TSV and as a page with plots. */
 void bench_write_tsv(const GArray *rows, const char *file);
--- a/tools/bench/faults.c
+++ b/tools/bench/outages.c
@@ -4,43 +4,43 @@
 #include <signal.h>
 #include <stdio.h>
 
-#define SLICE_US (100 * AUB_MS)
+#define TIME_SLICE_US (100 * AUB_MS)
 
 /* What happened in one tenth of a second, by the moment of arrival. */
-struct slice {
+struct time_slice {
 	guint arrived;
 	guint good;
 	GArray *times; /* of gint64, us */
 };
 
-static struct slice *make_slices(guint count)
+static struct time_slice *make_slices(guint count)
 {
-	struct slice *slices = g_new0(struct slice, count);
+	struct time_slice *slices = g_new0(struct time_slice, count);
 
 	for (guint i = 0; i < count; i++)
 		slices[i].times = g_array_new(FALSE, FALSE, sizeof(gint64));
 	return slices;
 }
 
-static void free_slices(struct slice *slices, guint count)
+static void free_slices(struct time_slice *slices, guint count)
 {
 	for (guint i = 0; i < count; i++)
 		g_array_unref(slices[i].times);
 	g_free(slices);
 }
 
-static bool write_slices(const struct load *load, gint64 from_us, guint count,
+static bool write_slices(const struct load *load, gint64 start_us, guint count,
 			 const char *file, GError **error)
 {
 	const GPtrArray *requests = load_requests(load);
-	struct slice *slices = make_slices(count);
+	struct time_slice *slices = make_slices(count);
 	GString *text = g_string_new("ms\tarrived\tgood\tp99_ms\n");
 	bool good;
 
 	for (guint i = 0; i < requests->len; i++) {
 		const struct load_request *request = requests->pdata[i];
-		gint64 at = (request->arrived_us - from_us) / SLICE_US;
-		struct slice *slice = &slices[CLAMP(at, 0, count - 1)];
+		gint64 index = (request->arrived_us - start_us) / TIME_SLICE_US;
+		struct time_slice *slice = &slices[CLAMP(index, 0, count - 1)];
 
 		slice->arrived++;
 		if (request->told != LOAD_RUN || request->status >= 500)
@@ -94,9 +94,9 @@
 	       f.told[LOAD_WRONG], f.p99_ms, longest_gap_ms(load));
 }
 
-static void run_until(const struct load *load, gint64 at_us)
+static void run_load_until(const struct load *load, gint64 until_us)
 {
-	while (!load_done(load) && g_get_monotonic_time() < at_us)
+	while (!load_done(load) && g_get_monotonic_time() < until_us)
 		fleet_run_ms(10);
 }
 
@@ -107,7 +107,7 @@
 	bool accepted;
 };
 
-static gpointer give_command(gpointer data)
+static gpointer send_zone_command(gpointer data)
 {
 	struct zone_command *command = data;
 	guint status = 0;
@@ -123,13 +123,13 @@
 }
 
 /* Returns the thread to join. */
-static GThread *zone_set(struct zone_command *command)
+static GThread *start_zone_command(struct zone_command *command)
 {
-	return g_thread_new("zone", give_command, command);
+	return g_thread_new("zone", send_zone_command, command);
 }
 
 /* Last new request in zone z1 after the command, in ms; 0 for none. */
-static double last_new_ms(struct fleet *fleet, gint64 command_us)
+static double last_new_request_after_ms(struct fleet *fleet, gint64 command_us)
 {
 	JsonNode *oracle = fleet_oracle(fleet);
 	gint64 last = command_us;
@@ -148,7 +148,7 @@
 	return (double)(last - command_us) / 1000.0;
 }
 
-static gint64 fell_over(struct fleet *fleet)
+static gint64 count_overload_crashes(struct fleet *fleet)
 {
 	JsonNode *oracle = fleet_oracle(fleet);
 	gint64 sum = 0;
@@ -162,7 +162,7 @@
 }
 
 /* The zone's upstreams start anew while it is out. */
-static void turn_zone_cold(struct fleet *fleet)
+static void restart_zone_cold(struct fleet *fleet)
 {
 	for (guint i = 0; i < fleet->inventory->upstreams->len; i++)
 		if (aub_upstream_at(fleet->inventory, i)->zone == 0)
@@ -170,10 +170,10 @@
 						 "{\"cold\":1}");
 }
 
-bool bench_zone(const struct bench_shape *shape, guint members, double seconds,
-		const char *file, GError **error)
+bool bench_zone_outage(const struct bench_shape *shape, guint members,
+		       double seconds, const char *file, GError **error)
 {
-	struct bench_case what = {
+	struct bench_params params = {
 		.scenario = "zone",
 		.shape = shape,
 		.policy = "auburnstile",
@@ -182,34 +182,34 @@
 		.members = members,
 		.run = 1,
 	};
-	struct fleet *fleet = bench_fleet(&what, error);
-	struct zone_command out = { fleet, "/v1/zones/z1/out", false };
-	struct zone_command in = { fleet, "/v1/zones/z1/in", false };
+	struct fleet *fleet = bench_start_fleet(&params, error);
+	struct zone_command out_command = { fleet, "/v1/zones/z1/out", false };
+	struct zone_command in_command = { fleet, "/v1/zones/z1/in", false };
 	GThread *threads[2];
-	gint64 out_us;
-	gint64 from_us;
-	double last_ms;
+	gint64 zone_out_us;
+	gint64 start_us;
+	double last_new_request_ms;
 	struct load *load;
 	bool good;
 
 	if (!fleet)
 		return false;
-	bench_warm_up(&what, fleet);
-	load = bench_load(&what, fleet, seconds, 1);
-	from_us = g_get_monotonic_time();
+	bench_warm_up(&params, fleet);
+	load = bench_new_load(&params, fleet, seconds, 1);
+	start_us = g_get_monotonic_time();
 	load_start(load);
-	run_until(load, from_us + (gint64)(seconds * 1e6 / 6));
-	out_us = g_get_monotonic_time();
-	threads[0] = zone_set(&out);
-	run_until(load, from_us + (gint64)(seconds * 1e6 / 2));
-	last_ms = last_new_ms(fleet, out_us);
-	turn_zone_cold(fleet);
-	threads[1] = zone_set(&in);
-	run_until(load, G_MAXINT64);
+	run_load_until(load, start_us + (gint64)(seconds * 1e6 / 6));
+	zone_out_us = g_get_monotonic_time();
+	threads[0] = start_zone_command(&out_command);
+	run_load_until(load, start_us + (gint64)(seconds * 1e6 / 2));
+	last_new_request_ms = last_new_request_after_ms(fleet, zone_out_us);
+	restart_zone_cold(fleet);
+	threads[1] = start_zone_command(&in_command);
+	run_load_until(load, G_MAXINT64);
 	g_thread_join(threads[0]);
 	g_thread_join(threads[1]);
-	good = write_slices(load, from_us, (guint)(seconds * 10), file, error);
-	if (good && !(out.accepted && in.accepted)) {
+	good = write_slices(load, start_us, (guint)(seconds * 10), file, error);
+	if (good && !(out_command.accepted && in_command.accepted)) {
 		g_set_error(error, G_IO_ERROR, G_IO_ERROR_FAILED,
 			    "a zone command was not accepted");
 		good = false;
@@ -217,16 +217,16 @@
 	print_summary("zone-out-and-back", load);
 	printf("zone-out-and-back: last_new_in_zone_ms=%.0f fell_over=%" G_GINT64_FORMAT
 	       "\n",
-	       last_ms, fell_over(fleet));
+	       last_new_request_ms, count_overload_crashes(fleet));
 	load_free(load);
 	fleet_free(fleet, false);
 	return good;
 }
 
-bool bench_owner(const struct bench_shape *shape, guint members, double seconds,
-		 const char *file, GError **error)
+bool bench_owner_crash(const struct bench_shape *shape, guint members,
+		       double seconds, const char *file, GError **error)
 {
-	struct bench_case what = {
+	struct bench_params params = {
 		.scenario = "owner-killed",
 		.shape = shape,
 		.policy = "auburnstile",
@@ -235,24 +235,24 @@
 		.members = members,
 		.run = 1,
 	};
-	struct fleet *fleet = bench_fleet(&what, error);
+	struct fleet *fleet = bench_start_fleet(&params, error);
 	struct fleet_member *owner;
-	gint64 from_us;
+	gint64 start_us;
 	struct load *load;
 	bool good;
 
 	if (!fleet)
 		return false;
-	bench_warm_up(&what, fleet);
-	load = bench_load(&what, fleet, seconds, 1);
-	from_us = g_get_monotonic_time();
+	bench_warm_up(&params, fleet);
+	load = bench_new_load(&params, fleet, seconds, 1);
+	start_us = g_get_monotonic_time();
 	load_start(load);
-	run_until(load, from_us + (gint64)(seconds * 1e6 / 3));
+	run_load_until(load, start_us + (gint64)(seconds * 1e6 / 3));
 	owner = fleet_owner(fleet, shape->service);
 	if (owner)
 		fleet_signal(owner, FLEET_BOTH, SIGKILL);
-	run_until(load, G_MAXINT64);
-	good = write_slices(load, from_us, (guint)(seconds * 10), file, error);
+	run_load_until(load, G_MAXINT64);
+	good = write_slices(load, start_us, (guint)(seconds * 10), file, error);
 	print_summary("owner-killed", load);
 	load_free(load);
 	fleet_free(fleet, false);
--- a/tools/bench/report.c
+++ b/tools/bench/report.c
@@ -3,38 +3,38 @@
 
 #include <stdio.h>
 
-#define PLOT_WIDTH 640
-#define PLOT_HEIGHT 26 /* of one bar's line */
-#define PLOT_LEFT 260
+#define PLOT_WIDTH_PX 640
+#define PLOT_ROW_HEIGHT_PX 26 /* of one bar's line */
+#define PLOT_LEFT_PX 260
 
-static const char columns[] =
+static const char column_names[] =
 	"scenario\tshape\tpolicy\tload\trun\tp50_ms\tp99_ms\tp999_ms\t"
 	"goodput_ratio\tlimit_p99_ms\tprobes_per_s\ttotal_work_ratio\t"
 	"requests\trefused\trefused_p99_ms\tfailed\tunknown\twrong\tstarted_ratio\n";
 
-static char *row_text(const struct bench_row *row)
+static char *format_row(const struct bench_row *row)
 {
-	const struct bench_case *what = &row->what;
+	const struct bench_params *params = &row->params;
 
 	return g_strdup_printf(
 		"%s\t%s\t%s\t%.2f\t%u\t%.2f\t%.2f\t%.2f\t%.3f\t%.2f\t%.2f\t"
 		"%.3f\t%u\t%u\t%.2f\t%u\t%u\t%u\t%.3f\n",
-		what->scenario, what->shape->name, what->policy, what->load,
-		what->run, row->p50_ms, row->p99_ms, row->p999_ms,
-		row->goodput_ratio, row->limit_p99_ms, row->probes_per_s,
-		row->total_work_ratio, row->requests, row->refused,
-		row->refused_p99_ms, row->failed, row->unknown, row->wrong,
-		row->started_ratio);
+		params->scenario, params->shape->name, params->policy,
+		params->load, params->run, row->p50_ms, row->p99_ms,
+		row->p999_ms, row->goodput_ratio, row->limit_p99_ms,
+		row->probes_per_s, row->total_work_ratio, row->requests,
+		row->refused, row->refused_p99_ms, row->failed, row->unknown,
+		row->wrong, row->started_ratio);
 }
 
 void bench_print_header(void)
 {
-	fputs(columns, stdout);
+	fputs(column_names, stdout);
 }
 
 void bench_print_row(const struct bench_row *row)
 {
-	char *text = row_text(row);
+	char *text = format_row(row);
 
 	fputs(text, stdout);
 	fflush(stdout);
@@ -54,11 +54,11 @@
 
 void bench_write_tsv(const GArray *rows, const char *file)
 {
-	GString *text = g_string_new(columns);
+	GString *text = g_string_new(column_names);
 
 	for (guint i = 0; i < rows->len; i++) {
 		char *line =
-			row_text(&g_array_index(rows, struct bench_row, i));
+			format_row(&g_array_index(rows, struct bench_row, i));
 
 		g_string_append(text, line);
 		g_free(line);
@@ -67,12 +67,12 @@
 }
 
 /* A bar for p99 with a mark at the limit, and its label. */
-static void add_bar(GString *page, const struct bench_row *row, guint line,
-		    double scale)
+static void append_bar(GString *page, const struct bench_row *row, guint line,
+		       double scale)
 {
-	guint y = line * PLOT_HEIGHT;
+	guint y = line * PLOT_ROW_HEIGHT_PX;
 	double width = row->p99_ms * scale;
-	double mark = PLOT_LEFT + row->limit_p99_ms * scale;
+	double mark = PLOT_LEFT_PX + row->limit_p99_ms * scale;
 
 	g_string_append_printf(
 		page,
@@ -81,10 +81,11 @@
 		"fill=\"%s\"/><line x1=\"%.1f\" x2=\"%.1f\" y1=\"%u\" "
 		"y2=\"%u\" stroke=\"#000\" stroke-width=\"2\"/>"
 		"<text x=\"%.1f\" y=\"%u\">%.0f ms</text>\n",
-		y + 15, row->what.policy, row->what.scenario, row->what.load,
-		PLOT_LEFT, y + 3, width,
-		g_str_equal(row->what.policy, "auburnstile") ? "#2a7" : "#99b",
-		mark, mark, y + 1, y + 21, PLOT_LEFT + width + 6, y + 15,
+		y + 15, row->params.policy, row->params.scenario,
+		row->params.load, PLOT_LEFT_PX, y + 3, width,
+		g_str_equal(row->params.policy, "auburnstile") ? "#2a7" :
+								 "#99b",
+		mark, mark, y + 1, y + 21, PLOT_LEFT_PX + width + 6, y + 15,
 		row->p99_ms);
 }
 
@@ -102,11 +103,11 @@
 		longest = MAX(longest,
 			      g_array_index(rows, struct bench_row, i).p99_ms);
 	g_string_append_printf(page, "<svg width=\"%d\" height=\"%u\">\n",
-			       PLOT_LEFT + PLOT_WIDTH + 80,
-			       (rows->len + 1) * PLOT_HEIGHT);
+			       PLOT_LEFT_PX + PLOT_WIDTH_PX + 80,
+			       (rows->len + 1) * PLOT_ROW_HEIGHT_PX);
 	for (guint i = 0; i < rows->len; i++)
-		add_bar(page, &g_array_index(rows, struct bench_row, i), i,
-			PLOT_WIDTH / longest);
+		append_bar(page, &g_array_index(rows, struct bench_row, i), i,
+			   PLOT_WIDTH_PX / longest);
 	g_string_append(page, "</svg>\n");
 	write_file(file, page);
 }
--- a/tools/bench/run.c
+++ b/tools/bench/run.c
@@ -3,19 +3,20 @@
 
 #include "fleet/fleet_inventory.h"
 
-#define SETTLE_MS 1500 /* load before the measured one */
-#define READY_MS 20000
+#define WARM_UP_MS 1500 /* load before the measured one */
+#define READY_TIMEOUT_MS 20000
 
-struct fault_plan {
+struct slow_schedule {
 	struct fleet *fleet;
-	const struct bench_case *what;
-	GArray *slow; /* of struct bench_slow */
-	guint next;
+	const struct bench_params *params;
+	GArray *slow; /* of struct bench_slow_phase */
+	guint next_upstream;
 };
 
-struct fleet *bench_fleet(const struct bench_case *what, GError **error)
+struct fleet *bench_start_fleet(const struct bench_params *params,
+				GError **error)
 {
-	const struct bench_shape *shape = what->shape;
+	const struct bench_shape *shape = params->shape;
 	struct fleet_service service = {
 		.name = shape->service,
 		.path = "/work",
@@ -24,26 +25,27 @@
 		.cold_ms = 500,
 		.deadline_ms = BENCH_DEADLINE_MS,
 		.queue_limit = 500,
-		.hedge_percent = what->hedge_percent,
-		.probe_budget_us = what->probe_budget_us,
+		.hedge_percent = params->hedge_percent,
+		.probe_budget_us = params->probe_budget_us,
 		.probe_cost_us = shape->probe_cost_us,
 	};
 	char *text = fleet_inventory_text(&service, 1, shape->zones);
-	char *sigma = g_strdup_printf("--sigma=%.2f", BENCH_SIGMA);
+	char *sigma = g_strdup_printf("--sigma=%.2f", BENCH_SERVICE_TIME_SIGMA);
 	const char *upstream_options[] = { sigma, NULL };
 	struct fleet_options options = {
 		.inventory = text,
-		.members = what->members,
-		.seed = what->run,
+		.members = params->members,
+		.seed = params->run,
 		.mean_us = shape->mean_us,
 		.upstream_options = upstream_options,
-		.policy = what->policy,
+		.policy = params->policy,
 	};
 	struct fleet *fleet = fleet_new(&options, error);
-	bool good = fleet && fleet_start(fleet, error) &&
-		    fleet_apply_patiently(fleet, text, READY_MS, error) &&
-		    fleet_wait_ready(fleet, READY_MS, error) &&
-		    fleet_wait_owners(fleet, READY_MS, error);
+	bool good =
+		fleet && fleet_start(fleet, error) &&
+		fleet_apply_patiently(fleet, text, READY_TIMEOUT_MS, error) &&
+		fleet_wait_ready(fleet, READY_TIMEOUT_MS, error) &&
+		fleet_wait_owners(fleet, READY_TIMEOUT_MS, error);
 
 	g_free(sigma);
 	g_free(text);
@@ -54,22 +56,22 @@
 	return NULL;
 }
 
-struct load *bench_load(const struct bench_case *what, struct fleet *fleet,
-			double seconds, guint seed)
+struct load *bench_new_load(const struct bench_params *params,
+			    struct fleet *fleet, double seconds, guint seed)
 {
-	const struct bench_shape *shape = what->shape;
+	const struct bench_shape *shape = params->shape;
 	struct load_service *service = g_new0(struct load_service, 1);
 	double capacity = shape->upstreams * shape->slots / shape->mean_us;
 	struct load_options options = {
 		.entries = fleet_entries(fleet),
 		.services = service,
 		.service_count = 1,
-		.rate = what->load * capacity * 1e6,
+		.rate = params->load * capacity * 1e6,
 		.seconds = seconds,
 		.connections = 256,
-		.callers = 4 * what->members,
+		.callers = 4 * params->members,
 		.deadline_ms = BENCH_DEADLINE_MS,
-		.repeat = what->repeat,
+		.repeat = params->repeat,
 		.seed = seed,
 	};
 
@@ -79,25 +81,25 @@
 	return load_new(&options);
 }
 
-static gboolean on_slow(gpointer data)
+static gboolean on_slow_phase(gpointer data)
 {
-	struct fault_plan *plan = data;
-	guint16 upstream =
-		(guint16)(plan->next++ % plan->what->shape->upstreams);
-	struct bench_slow phase = { .upstream = upstream };
+	struct slow_schedule *schedule = data;
+	guint16 upstream = (guint16)(schedule->next_upstream++ %
+				     schedule->params->shape->upstreams);
+	struct bench_slow_phase phase = { .upstream = upstream };
 	char *json = g_strdup_printf("{\"slow_factor\":%d,\"slow_ms\":%d}",
-				     BENCH_SLOW_FACTOR, BENCH_SLOW_MS);
+				     BENCH_SLOW_FACTOR, BENCH_SLOW_DURATION_MS);
 
-	phase.from_us = g_get_monotonic_time();
-	phase.to_us = phase.from_us + BENCH_SLOW_MS * AUB_MS;
-	fleet_one_upstream_fault(plan->fleet, upstream, json);
-	g_array_append_val(plan->slow, phase);
+	phase.start_us = g_get_monotonic_time();
+	phase.end_us = phase.start_us + BENCH_SLOW_DURATION_MS * AUB_MS;
+	fleet_one_upstream_fault(schedule->fleet, upstream, json);
+	g_array_append_val(schedule->slow, phase);
 	g_free(json);
 	return G_SOURCE_CONTINUE;
 }
 
 /* Sums of one figure over all upstreams. */
-static gint64 oracle_sum(struct fleet *fleet, const char *name)
+static gint64 sum_over_upstreams(struct fleet *fleet, const char *name)
 {
 	JsonNode *oracle = fleet_oracle(fleet);
 	gint64 sum = 0;
@@ -110,8 +112,9 @@
 	return sum;
 }
 
-static void gather(const struct load *load, const struct bench_case *what,
-		   const GArray *slow, struct bench_row *row)
+static void collect_results(const struct load *load,
+			    const struct bench_params *params,
+			    const GArray *slow, struct bench_row *row)
 {
 	const GPtrArray *requests = load_requests(load);
 	GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(gint64));
@@ -135,83 +138,89 @@
 	row->p99_ms = figures.p99_ms;
 	row->p999_ms = figures.p999_ms;
 	row->refused_p99_ms = bench_quantile_ms(refused, 0.99);
-	row->limit_p99_ms = bench_limit_ms(what, arrivals, slow);
+	row->limit_p99_ms = bench_limit_p99_ms(params, arrivals, slow);
 	g_array_unref(arrivals);
 	g_array_unref(refused);
 }
 
-void bench_warm_up(const struct bench_case *what, struct fleet *fleet)
+void bench_warm_up(const struct bench_params *params, struct fleet *fleet)
 {
-	struct bench_case mild = *what;
+	struct bench_params warm_up = *params;
 	struct load *load;
 
-	mild.load = MIN(what->load, 0.5);
-	load = bench_load(&mild, fleet, SETTLE_MS / 1000.0, what->run + 500);
+	warm_up.load = MIN(params->load, 0.5);
+	load = bench_new_load(&warm_up, fleet, WARM_UP_MS / 1000.0,
+			      params->run + 500);
 	load_run(load);
 	load_free(load);
 }
 
 /* Good answers to all requests, or to what the slots can do if that is less. */
-static double goodput(const struct bench_row *row, double took_s)
+static double goodput_of(const struct bench_row *row, double elapsed_s)
 {
-	const struct bench_shape *shape = row->what.shape;
-	double capacity =
-		shape->upstreams * shape->slots * took_s * 1e6 / shape->mean_us;
+	const struct bench_shape *shape = row->params.shape;
+	double capacity = shape->upstreams * shape->slots * elapsed_s * 1e6 /
+			  shape->mean_us;
 	guint good = row->requests - row->refused - row->unknown - row->wrong -
 		     row->failed;
 
 	return good / MIN(capacity, (double)MAX(row->requests, 1));
 }
 
-static void measure(const struct bench_case *what, struct fleet *fleet,
+static void measure(const struct bench_params *params, struct fleet *fleet,
 		    struct bench_row *row)
 {
-	struct fault_plan plan = { fleet, what, NULL, what->run };
-	gint64 probes = oracle_sum(fleet, "probes");
-	gint64 started = oracle_sum(fleet, "started");
-	gint64 busy_us = oracle_sum(fleet, "busy_us");
-	gint64 from_us = g_get_monotonic_time();
-	struct load *load = bench_load(what, fleet, what->seconds, what->run);
+	struct slow_schedule schedule = { fleet, params, NULL, params->run };
+	gint64 probes = sum_over_upstreams(fleet, "probes");
+	gint64 started = sum_over_upstreams(fleet, "started");
+	gint64 busy_us = sum_over_upstreams(fleet, "busy_us");
+	gint64 start_us = g_get_monotonic_time();
+	struct load *load =
+		bench_new_load(params, fleet, params->seconds, params->run);
 	guint timer = 0;
 	double answered;
-	double took;
-
-	plan.slow = g_array_new(FALSE, FALSE, sizeof(struct bench_slow));
-	if (what->slow) {
-		on_slow(&plan);
-		timer = g_timeout_add(BENCH_SLOW_EVERY_MS, on_slow, &plan);
+	double elapsed_s;
+
+	schedule.slow =
+		g_array_new(FALSE, FALSE, sizeof(struct bench_slow_phase));
+	if (params->slow) {
+		on_slow_phase(&schedule);
+		timer = g_timeout_add(BENCH_SLOW_PERIOD_MS, on_slow_phase,
+				      &schedule);
 	}
 	load_run(load);
 	if (timer)
 		g_source_remove(timer);
-	took = (double)(g_get_monotonic_time() - from_us) / 1e6;
-	gather(load, what, plan.slow, row);
-	row->goodput_ratio = goodput(row, took);
+	elapsed_s = (double)(g_get_monotonic_time() - start_us) / 1e6;
+	collect_results(load, params, schedule.slow, row);
+	row->goodput_ratio = goodput_of(row, elapsed_s);
 	row->probes_per_s =
-		(double)(oracle_sum(fleet, "probes") - probes) / took;
+		(double)(sum_over_upstreams(fleet, "probes") - probes) /
+		elapsed_s;
 	answered = MAX(row->requests - row->refused, 1);
 	row->started_ratio =
-		(double)(oracle_sum(fleet, "started") - started) / answered;
+		(double)(sum_over_upstreams(fleet, "started") - started) /
+		answered;
 	row->total_work_ratio =
-		(double)(oracle_sum(fleet, "busy_us") - busy_us) /
-		(what->shape->mean_us * answered);
-	g_array_unref(plan.slow);
+		(double)(sum_over_upstreams(fleet, "busy_us") - busy_us) /
+		(params->shape->mean_us * answered);
+	g_array_unref(schedule.slow);
 	load_free(load);
 }
 
-bool bench_run(const struct bench_case *what, struct bench_row *row,
+bool bench_run(const struct bench_params *params, struct bench_row *row,
 	       GError **error)
 {
-	struct fleet *fleet = bench_fleet(what, error);
+	struct fleet *fleet = bench_start_fleet(params, error);
 
-	*row = (struct bench_row){ .what = *what };
+	*row = (struct bench_row){ .params = *params };
 	if (!fleet)
 		return false;
-	bench_warm_up(what, fleet);
-	for (guint i = 0; i < what->fail_fast; i++)
+	bench_warm_up(params, fleet);
+	for (guint i = 0; i < params->fail_fast; i++)
 		fleet_one_upstream_fault(fleet, (guint16)i,
 					 "{\"fail_fast\":-1}");
-	measure(what, fleet, row);
+	measure(params, fleet, row);
 	fleet_free(fleet, false);
 	return true;
 }
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -16,14 +16,14 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define MEMBERS 6
-#define READY_MS 20000
-#define ZONE_OUT_MS 3000 /* from the load's start */
-#define ZONE_IN_MS 9000
-#define END_MS 14000
-#define LAST_NEW_LIMIT_MS 3000 /* the promise */
-#define STOP_MS 12000
-#define RATE 200 /* requests a second */
+#define FLEET_MEMBERS 6
+#define READY_TIMEOUT_MS 20000
+#define ZONE_OUT_AT_MS 3000 /* from the load's start */
+#define ZONE_IN_AT_MS 9000
+#define LOAD_END_MS 14000
+#define ZONE_DRAIN_LIMIT_MS 3000 /* the promise */
+#define STOP_TIMEOUT_MS 12000
+#define REQUESTS_PER_S 200 /* requests a second */
 
 static const struct load_service services[] = {
 	{ "calendar", "/calendar/page", 65, false },
@@ -40,10 +40,10 @@
 	const char **entries;
 	struct load *load;
 	gint64 start_us; /* of the load */
-	gint64 out_us; /* when the command was given */
+	gint64 zone_out_us; /* when the command was given */
 	gint64 last_new_us; /* of the zone, since the command; < 0: before */
-	guint64 zone_before_return; /* requests the zone's upstreams got */
-	guint64 zone_after_return;
+	guint64 requests_before_return; /* requests the zone's upstreams got */
+	guint64 requests_after_return;
 };
 
 static const struct argp_option option_table[] = {
@@ -74,7 +74,7 @@
 	.doc = "A fleet on loopback, a load, and a zone out and back.",
 };
 
-static void show_progress(const struct demo *demo, const char *what)
+static void print_progress(const struct demo *demo, const char *phase)
 {
 	struct load_figures figures = { 0 };
 	double seconds = 0;
@@ -84,13 +84,13 @@
 		seconds = (g_get_monotonic_time() - demo->start_us) / 1e6;
 	}
 	printf("%6.1f s  %-28s sent %5u  whole %5u  not run %3u  unknown %3u\n",
-	       seconds, what, figures.requests, figures.told[LOAD_RUN],
+	       seconds, phase, figures.requests, figures.told[LOAD_RUN],
 	       figures.told[LOAD_NOT_RUN], figures.told[LOAD_UNKNOWN]);
 	fflush(stdout);
 }
 
 /* Runs auburnstilectl; false when it can't be run or refuses. */
-static bool command(struct demo *demo, const char *const *arguments)
+static bool run_ctl(struct demo *demo, const char *const *arguments)
 {
 	GError *error = NULL;
 	int status = -1;
@@ -107,7 +107,7 @@
 	return status == 0;
 }
 
-static bool in_zone(const struct demo *demo, guint16 upstream)
+static bool is_in_demo_zone(const struct demo *demo, guint16 upstream)
 {
 	const struct aub_inventory *inventory = demo->fleet->inventory;
 	guint16 zone = aub_upstream_at(inventory, upstream)->zone;
@@ -126,7 +126,7 @@
 
 	*last_new_us = 0;
 	for (i = 0; i < demo->fleet->inventory->upstreams->len; i++) {
-		if (!in_zone(demo, i))
+		if (!is_in_demo_zone(demo, i))
 			continue;
 		upstream = fleet_oracle_upstream(oracle, demo->fleet, i);
 		requests += tool_json_int(upstream, "requests", 0);
@@ -137,9 +137,9 @@
 	return requests;
 }
 
-static bool start(struct demo *demo)
+static bool start_fleet(struct demo *demo)
 {
-	struct fleet_options options = { .members = MEMBERS, .seed = 1 };
+	struct fleet_options options = { .members = FLEET_MEMBERS, .seed = 1 };
 	const char *apply[] = { "apply", demo->inventory_file, NULL };
 	GError *error = NULL;
 	char *text = NULL;
@@ -151,14 +151,14 @@
 	demo->fleet = fleet_new(&options, &error);
 	if (!demo->fleet || !fleet_start(demo->fleet, &error))
 		goto done;
-	show_progress(demo, "started");
-	if (!fleet_wait_control(fleet_member(demo->fleet, 0), READY_MS,
+	print_progress(demo, "started");
+	if (!fleet_wait_control(fleet_member(demo->fleet, 0), READY_TIMEOUT_MS,
 				&error) ||
-	    !command(demo, apply))
+	    !run_ctl(demo, apply))
 		goto done;
-	ok = fleet_wait_ready(demo->fleet, READY_MS, &error) &&
-	     fleet_wait_owners(demo->fleet, READY_MS, &error);
-	show_progress(demo, ok ? "all entries ready" : "not ready");
+	ok = fleet_wait_ready(demo->fleet, READY_TIMEOUT_MS, &error) &&
+	     fleet_wait_owners(demo->fleet, READY_TIMEOUT_MS, &error);
+	print_progress(demo, ok ? "all entries ready" : "not ready");
 done:
 	if (error) {
 		printf("demo: %s\n", error->message);
@@ -168,25 +168,26 @@
 	return ok;
 }
 
-static void run_until(const struct demo *demo, gint64 ms, const char *what)
+static void run_load_until(const struct demo *demo, gint64 ms,
+			   const char *phase)
 {
 	gint64 end_us = demo->start_us + ms * 1000;
-	gint64 left_ms;
+	gint64 remaining_ms;
 
 	for (;;) {
-		left_ms = (end_us - g_get_monotonic_time()) / 1000;
-		if (left_ms <= 0)
+		remaining_ms = (end_us - g_get_monotonic_time()) / 1000;
+		if (remaining_ms <= 0)
 			return;
-		fleet_run_ms(MIN(left_ms, 1000));
-		show_progress(demo, what);
+		fleet_run_ms(MIN(remaining_ms, 1000));
+		print_progress(demo, phase);
 	}
 }
 
-static bool zone_command(struct demo *demo, const char *way)
+static bool run_zone_command(struct demo *demo, const char *direction)
 {
-	const char *arguments[] = { "zone", way, demo->zone, NULL };
+	const char *arguments[] = { "zone", direction, demo->zone, NULL };
 
-	return command(demo, arguments);
+	return run_ctl(demo, arguments);
 }
 
 static bool run_load(struct demo *demo)
@@ -195,8 +196,8 @@
 		.entries = demo->entries,
 		.services = services,
 		.service_count = G_N_ELEMENTS(services),
-		.rate = RATE,
-		.seconds = END_MS / 1000.0,
+		.rate = REQUESTS_PER_S,
+		.seconds = LOAD_END_MS / 1000.0,
 		.callers = 24,
 		.deadline_ms = 5000,
 		.repeat = true,
@@ -209,23 +210,23 @@
 	demo->load = load_new(&options);
 	demo->start_us = g_get_monotonic_time();
 	load_start(demo->load);
-	run_until(demo, ZONE_OUT_MS, "three zones");
-	demo->out_us = g_get_monotonic_time();
-	ok = zone_command(demo, "out");
-	run_until(demo, ZONE_IN_MS, "one zone out");
-	demo->zone_before_return = zone_requests(demo, &last_us);
-	demo->last_new_us = last_us - demo->out_us;
-	ok = ok && zone_command(demo, "in");
-	run_until(demo, END_MS, "zone back");
+	run_load_until(demo, ZONE_OUT_AT_MS, "three zones");
+	demo->zone_out_us = g_get_monotonic_time();
+	ok = run_zone_command(demo, "out");
+	run_load_until(demo, ZONE_IN_AT_MS, "one zone out");
+	demo->requests_before_return = zone_requests(demo, &last_us);
+	demo->last_new_us = last_us - demo->zone_out_us;
+	ok = ok && run_zone_command(demo, "in");
+	run_load_until(demo, LOAD_END_MS, "zone back");
 	while (!load_done(demo->load))
 		fleet_run_ms(20);
-	demo->zone_after_return =
-		zone_requests(demo, &last_us) - demo->zone_before_return;
+	demo->requests_after_return =
+		zone_requests(demo, &last_us) - demo->requests_before_return;
 	return ok;
 }
 
-static void service_row(const struct demo *demo,
-			const struct load_service *service)
+static void print_service_row(const struct demo *demo,
+			      const struct load_service *service)
 {
 	const GPtrArray *requests = load_requests(demo->load);
 	guint told[LOAD_TOLD_COUNT] = { 0 };
@@ -254,7 +255,7 @@
 	printf("\n  %-26s %-6s %8s %8s %8s %8s\n", "path", "rule", "requests",
 	       "whole", "not run", "unknown");
 	for (i = 0; i < G_N_ELEMENTS(services); i++)
-		service_row(demo, &services[i]);
+		print_service_row(demo, &services[i]);
 	printf("\n  latency ms: p50 %.1f, p99 %.1f, p99.9 %.1f, max %.1f; "
 	       "repeats by callers: %u\n",
 	       figures->p50_ms, figures->p99_ms, figures->p999_ms,
@@ -265,7 +266,8 @@
 	printf("  zone %s: last new request %.1f"
 	       " ms after the command to take it out, %" G_GUINT64_FORMAT
 	       " requests after its return\n\n",
-	       demo->zone, demo->last_new_us / 1000.0, demo->zone_after_return);
+	       demo->zone, demo->last_new_us / 1000.0,
+	       demo->requests_after_return);
 }
 
 static bool report(struct demo *demo)
@@ -290,14 +292,14 @@
 	       MAX(demo->last_new_us, 0) / 1000);
 	return !figures.told[LOAD_WRONG] && !verdict.twice &&
 	       figures.told[LOAD_RUN] &&
-	       demo->last_new_us <= LAST_NEW_LIMIT_MS * AUB_MS &&
-	       demo->zone_after_return > 0;
+	       demo->last_new_us <= ZONE_DRAIN_LIMIT_MS * AUB_MS &&
+	       demo->requests_after_return > 0;
 }
 
-static void stop(struct demo *demo, bool ok)
+static void stop_fleet(struct demo *demo, bool ok)
 {
 	bool keep = demo->keep_logs || !ok;
-	guint in_order = 0;
+	guint clean_stops = 0;
 	guint i;
 
 	if (demo->load)
@@ -307,9 +309,9 @@
 	for (i = 0; i < demo->fleet->members->len; i++)
 		fleet_signal(fleet_member(demo->fleet, i), FLEET_BOTH, SIGTERM);
 	for (i = 0; i < demo->fleet->members->len; i++)
-		in_order += fleet_stop(fleet_member(demo->fleet, i), FLEET_BOTH,
-				       STOP_MS);
-	printf("stopped in order: %u of %u members\n", in_order,
+		clean_stops += fleet_stop(fleet_member(demo->fleet, i),
+					  FLEET_BOTH, STOP_TIMEOUT_MS);
+	printf("stopped in order: %u of %u members\n", clean_stops,
 	       demo->fleet->members->len);
 	if (keep)
 		printf("logs: %s\n", demo->fleet->folder);
@@ -325,12 +327,12 @@
 
 	argp_parse(&parser, argc, argv, 0, NULL, &demo);
 	child_guard();
-	ok = start(&demo);
+	ok = start_fleet(&demo);
 	if (ok) {
 		demo.entries = fleet_entries(demo.fleet);
 		ok = run_load(&demo);
 		ok = report(&demo) && ok;
 	}
-	stop(&demo, ok);
+	stop_fleet(&demo, ok);
 	return ok ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tools/fleet-bench.c
+++ b/tools/fleet-bench.c
@@ -25,10 +25,10 @@
 
 struct bench {
 	const char *folder;
-	const char *only; /* a scenario, NULL for all */
+	const char *only_scenario; /* a scenario, NULL for all */
 	const char *policy; /* just this one, NULL for all */
 	double load; /* of the slow rows alone, 0 for all */
-	bool brief;
+	bool is_short;
 	guint runs;
 	guint members;
 	double seconds;
@@ -53,7 +53,7 @@
 
 	switch (key) {
 	case 's':
-		bench->brief = true;
+		bench->is_short = true;
 		bench->runs = 1;
 		bench->members = 6;
 		bench->seconds = 3;
@@ -74,7 +74,7 @@
 		bench->load = g_ascii_strtod(argument, NULL);
 		return 0;
 	case 'o':
-		bench->only = argument;
+		bench->only_scenario = argument;
 		return 0;
 	case ARGP_KEY_ARG:
 		bench->folder = argument;
@@ -91,17 +91,19 @@
 	NULL
 };
 
-static bool wanted(const struct bench *bench, const char *scenario)
+static bool is_selected(const struct bench *bench, const char *scenario)
 {
-	return !bench->only || g_str_equal(bench->only, scenario);
+	return !bench->only_scenario ||
+	       g_str_equal(bench->only_scenario, scenario);
 }
 
-static char *path_of(const struct bench *bench, const char *name)
+static char *output_path(const struct bench *bench, const char *name)
 {
 	return g_build_filename(bench->folder, name, NULL);
 }
 
-static void note_error(struct bench *bench, const char *scenario, GError *error)
+static void report_error(struct bench *bench, const char *scenario,
+			 GError *error)
 {
 	fprintf(stderr, "%s: %s\n", scenario,
 		error ? error->message : "failed");
@@ -111,8 +113,8 @@
 
 static void write_files(const struct bench *bench)
 {
-	char *tsv = path_of(bench, "bench.tsv");
-	char *page = path_of(bench, "report.html");
+	char *tsv = output_path(bench, "bench.tsv");
+	char *page = output_path(bench, "report.html");
 
 	bench_write_tsv(bench->rows, tsv);
 	bench_write_page(bench->rows, page);
@@ -120,19 +122,19 @@
 	g_free(page);
 }
 
-static void measure(struct bench *bench, struct bench_case what)
+static void measure(struct bench *bench, struct bench_params params)
 {
-	if (bench->policy && !g_str_equal(what.policy, bench->policy))
+	if (bench->policy && !g_str_equal(params.policy, bench->policy))
 		return;
-	what.members = bench->members;
-	what.seconds = bench->seconds;
+	params.members = bench->members;
+	params.seconds = bench->seconds;
 	for (guint run = 1; run <= bench->runs; run++) {
 		GError *error = NULL;
 		struct bench_row row;
 
-		what.run = run;
-		if (!bench_run(&what, &row, &error)) {
-			note_error(bench, what.scenario, error);
+		params.run = run;
+		if (!bench_run(&params, &row, &error)) {
+			report_error(bench, params.scenario, error);
 			continue;
 		}
 		bench_print_row(&row);
@@ -142,13 +144,14 @@
 }
 
 /* Goal 1: a slow upstream, all policies and loads, with and without hedges. */
-static void bench_tail(struct bench *bench, const struct bench_shape *shape)
+static void bench_tail_latency(struct bench *bench,
+			       const struct bench_shape *shape)
 {
 	static const double loads[] = { 0.7, 0.85, 0.5 };
-	guint count = bench->brief ? 1 : G_N_ELEMENTS(loads);
+	guint count = bench->is_short ? 1 : G_N_ELEMENTS(loads);
 
 	for (guint i = 0; i < count; i++) {
-		struct bench_case what = {
+		struct bench_params params = {
 			.scenario = "slow",
 			.shape = shape,
 			.policy = "auburnstile",
@@ -158,40 +161,40 @@
 
 		if (bench->load > 0 && fabs(bench->load - loads[i]) > 0.001)
 			continue;
-		measure(bench, what);
-		what.scenario = "slow-hedged";
-		what.hedge_percent = 3;
-		measure(bench, what);
-		what.scenario = "slow";
-		what.hedge_percent = 0;
+		measure(bench, params);
+		params.scenario = "slow-hedged";
+		params.hedge_percent = 3;
+		measure(bench, params);
+		params.scenario = "slow";
+		params.hedge_percent = 0;
 		for (guint b = 0; b < G_N_ELEMENTS(baselines); b++) {
-			what.policy = baselines[b];
-			if (!bench->brief ||
-			    g_str_equal(what.policy, "two-choices"))
-				measure(bench, what);
+			params.policy = baselines[b];
+			if (!bench->is_short ||
+			    g_str_equal(params.policy, "two-choices"))
+				measure(bench, params);
 		}
 	}
 }
 
 static void bench_overload(struct bench *bench)
 {
-	struct bench_case what = {
+	struct bench_params params = {
 		.scenario = "overload",
 		.shape = &nidito,
 		.policy = "auburnstile",
 		.load = 1.3,
 	};
 
-	measure(bench, what);
-	if (bench->brief)
+	measure(bench, params);
+	if (bench->is_short)
 		return;
-	what.policy = "two-choices";
-	measure(bench, what);
+	params.policy = "two-choices";
+	measure(bench, params);
 }
 
 static void bench_fail_fast(struct bench *bench)
 {
-	struct bench_case what = {
+	struct bench_params params = {
 		.scenario = "fail-fast",
 		.shape = &nidito,
 		.policy = "auburnstile",
@@ -199,9 +202,9 @@
 		.fail_fast = 1,
 	};
 
-	measure(bench, what);
-	what.policy = "two-choices";
-	measure(bench, what);
+	measure(bench, params);
+	params.policy = "two-choices";
+	measure(bench, params);
 }
 
 /* Goal 3: what measuring costs, and what a larger budget would bring. */
@@ -211,7 +214,7 @@
 
 	for (guint i = 0; i < G_N_ELEMENTS(budgets); i++) {
 		char name[32];
-		struct bench_case what = {
+		struct bench_params params = {
 			.scenario = g_intern_string(
 				(g_snprintf(name, sizeof(name),
 					    "probe-budget-%u", budgets[i]),
@@ -223,22 +226,22 @@
 			.probe_budget_us = budgets[i],
 		};
 
-		measure(bench, what);
+		measure(bench, params);
 	}
 }
 
-typedef bool timed_scenario(const struct bench_shape *shape, guint members,
+typedef bool timeline_bench(const struct bench_shape *shape, guint members,
 			    double seconds, const char *file, GError **error);
 
-static void bench_timed(struct bench *bench, const char *name,
-			timed_scenario *run, double seconds)
+static void bench_timeline(struct bench *bench, const char *name,
+			   timeline_bench *run, double seconds)
 {
 	char *file_name = g_strdup_printf("%s.tsv", name);
-	char *file = path_of(bench, file_name);
+	char *file = output_path(bench, file_name);
 	GError *error = NULL;
 
 	if (!run(&nidito, bench->members, seconds, file, &error))
-		note_error(bench, name, error);
+		report_error(bench, name, error);
 	fflush(stdout);
 	g_free(file);
 	g_free(file_name);
@@ -258,19 +261,21 @@
 	bench.rows = g_array_new(FALSE, FALSE, sizeof(struct bench_row));
 	g_mkdir_with_parents(bench.folder, 0755);
 	bench_print_header();
-	if (wanted(&bench, "slow"))
-		bench_tail(&bench, &nidito);
-	if (wanted(&bench, "zone"))
-		bench_timed(&bench, "zone", bench_zone, bench.brief ? 8 : 36);
-	if (wanted(&bench, "owner"))
-		bench_timed(&bench, "owner", bench_owner, bench.brief ? 5 : 15);
-	if (wanted(&bench, "overload"))
+	if (is_selected(&bench, "slow"))
+		bench_tail_latency(&bench, &nidito);
+	if (is_selected(&bench, "zone"))
+		bench_timeline(&bench, "zone", bench_zone_outage,
+			       bench.is_short ? 8 : 36);
+	if (is_selected(&bench, "owner"))
+		bench_timeline(&bench, "owner", bench_owner_crash,
+			       bench.is_short ? 5 : 15);
+	if (is_selected(&bench, "overload"))
 		bench_overload(&bench);
-	if (!bench.brief && wanted(&bench, "cedarline"))
-		bench_tail(&bench, &cedarline);
-	if (!bench.brief && wanted(&bench, "fail-fast"))
+	if (!bench.is_short && is_selected(&bench, "cedarline"))
+		bench_tail_latency(&bench, &cedarline);
+	if (!bench.is_short && is_selected(&bench, "fail-fast"))
 		bench_fail_fast(&bench);
-	if (!bench.brief && wanted(&bench, "probes"))
+	if (!bench.is_short && is_selected(&bench, "probes"))
 		bench_probes(&bench);
 	write_files(&bench);
 	g_array_unref(bench.rows);
--- a/tools/policy-model.c
+++ b/tools/policy-model.c
@@ -14,13 +14,13 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define MEAN_US 20000.0
+#define MEAN_SERVICE_US 20000.0
 #define SLOW_FACTOR 5
-#define SLOW_EVERY_US (2 * AUB_SECOND)
-#define SLOW_US (400 * AUB_MS)
+#define SLOW_PERIOD_US (2 * AUB_SECOND)
+#define SLOW_DURATION_US (400 * AUB_MS)
 #define DEADLINE_US (5 * AUB_SECOND)
 #define WARM_UP_US (2 * AUB_SECOND) /* not measured */
-#define POLICY_LIMIT (-1)
+#define POLICY_IDEAL_QUEUE (-1)
 
 struct model_options {
 	int policy;
@@ -30,16 +30,21 @@
 	double load; /* share of all slots */
 	double sigma;
 	guint hedge_percent;
-	gint64 length_us;
+	gint64 duration_us;
 	guint32 seed;
 	bool slow; /* one upstream at a time turns slow */
 };
 
-enum event_type { EVENT_ARRIVAL, EVENT_DONE, EVENT_WAKE, EVENT_PROBED };
+enum event_type {
+	EVENT_ARRIVAL,
+	EVENT_JOB_DONE,
+	EVENT_TIMER,
+	EVENT_PROBE_DONE
+};
 
 struct event {
 	gint64 at_us;
-	guint64 order; /* ties: first made, first served */
+	guint64 sequence; /* ties: first made, first served */
 	enum event_type type;
 	guint entry;
 	struct job *job;
@@ -53,7 +58,7 @@
 	guint16 upstream;
 	gint64 started_us; /* -1: waits at its upstream */
 	bool cancelled;
-	struct event *end; /* while it runs */
+	struct event *done_event; /* while it runs */
 };
 
 struct model_upstream {
@@ -66,7 +71,7 @@
 	GRand *arrivals;
 	GRand *services;
 	GSequence *events;
-	guint64 order;
+	guint64 sequence;
 	gint64 now_us;
 	struct aub_dispatcher **entries;
 	gint64 *wake_us; /* of each entry's pending wake event */
@@ -75,7 +80,7 @@
 	GHashTable *arrived; /* request -> moment, owned */
 	GArray *times; /* of gint64: answered after */
 	guint64 next_request;
-	gint64 work_us; /* done by upstreams */
+	gint64 busy_us; /* done by upstreams */
 	guint64 offered;
 	guint64 refused;
 };
@@ -87,7 +92,7 @@
 
 	if (x->at_us != y->at_us)
 		return x->at_us < y->at_us ? -1 : 1;
-	return x->order < y->order ? -1 : x->order > y->order;
+	return x->sequence < y->sequence ? -1 : x->sequence > y->sequence;
 }
 
 static struct event *schedule(struct model *m, gint64 at_us,
@@ -97,7 +102,7 @@
 	struct event *event = g_new0(struct event, 1);
 
 	event->at_us = at_us;
-	event->order = m->order++;
+	event->sequence = m->sequence++;
 	event->type = type;
 	event->entry = entry;
 	event->job = job;
@@ -105,7 +110,7 @@
 	return event;
 }
 
-static double normal(GRand *random)
+static double draw_standard_normal(GRand *random)
 {
 	double u = 1.0 - g_rand_double(random);
 
@@ -115,37 +120,40 @@
 /* Each period another upstream is the slow one. */
 static bool is_slow(const struct model *m, guint16 upstream)
 {
-	gint64 period = m->now_us / SLOW_EVERY_US;
+	gint64 period = m->now_us / SLOW_PERIOD_US;
 
-	return m->options.slow && m->now_us % SLOW_EVERY_US < SLOW_US &&
+	return m->options.slow &&
+	       m->now_us % SLOW_PERIOD_US < SLOW_DURATION_US &&
 	       period % m->options.upstreams == upstream;
 }
 
-static gint64 service_us(struct model *m, guint16 upstream)
+static gint64 draw_service_time_us(struct model *m, guint16 upstream)
 {
 	double sigma = m->options.sigma;
-	double mu = log(MEAN_US) - sigma * sigma / 2;
-	double took = exp(mu + sigma * normal(m->services));
+	double mu = log(MEAN_SERVICE_US) - sigma * sigma / 2;
+	double took_us = exp(mu + sigma * draw_standard_normal(m->services));
 
-	return (gint64)(is_slow(m, upstream) ? took * SLOW_FACTOR : took) + 1;
+	return (gint64)(is_slow(m, upstream) ? took_us * SLOW_FACTOR :
+					       took_us) +
+	       1;
 }
 
 static void job_start(struct model *m, struct job *job)
 {
-	gint64 took_us = service_us(m, job->upstream);
+	gint64 took_us = draw_service_time_us(m, job->upstream);
 
 	m->upstreams[job->upstream].busy++;
 	job->started_us = m->now_us;
-	job->end =
-		schedule(m, m->now_us + took_us, EVENT_DONE, job->entry, job);
+	job->done_event = schedule(m, m->now_us + took_us, EVENT_JOB_DONE,
+				   job->entry, job);
 }
 
-static void job_release(struct model *m, struct job *job)
+static void job_free_slot(struct model *m, struct job *job)
 {
 	struct model_upstream *u = &m->upstreams[job->upstream];
 	struct job *next;
 
-	m->work_us += m->now_us - job->started_us;
+	m->busy_us += m->now_us - job->started_us;
 	u->busy--;
 	next = g_queue_pop_head(&u->waiting);
 	if (next)
@@ -186,13 +194,13 @@
 	return NULL;
 }
 
-static void report(struct model *m, struct job *job,
-		   enum aub_attempt_result result)
+static void report_attempt(struct model *m, struct job *job,
+			   enum aub_attempt_result result)
 {
-	struct aub_upstream_signs signs = { .boot_id = 1 };
+	struct aub_upstream_signs health = { .boot_id = 1 };
 
 	aub_dispatcher_attempt_done(m->entries[job->entry], job->request,
-				    job->attempt, result, &signs, m->now_us);
+				    job->attempt, result, &health, m->now_us);
 	g_hash_table_remove(m->jobs, job);
 }
 
@@ -202,28 +210,28 @@
 
 	if (!job)
 		return;
-	if (job->end) {
-		job->end->job = NULL;
-		job_release(m, job);
+	if (job->done_event) {
+		job->done_event->job = NULL;
+		job_free_slot(m, job);
 	} else {
 		g_queue_remove(&m->upstreams[job->upstream].waiting, job);
 	}
-	report(m, job, AUB_ATTEMPT_CANCELLED);
+	report_attempt(m, job, AUB_ATTEMPT_CANCELLED);
 }
 
-static void note_final(struct model *m, const struct aub_action *action)
+static void record_outcome(struct model *m, const struct aub_action *action)
 {
 	gint64 *arrived = g_hash_table_lookup(m->arrived, &action->request);
-	gint64 took = m->now_us - *arrived;
+	gint64 took_us = m->now_us - *arrived;
 
 	if (*arrived >= WARM_UP_US && action->type == AUB_ACTION_DELIVER)
-		g_array_append_val(m->times, took);
+		g_array_append_val(m->times, took_us);
 	else if (*arrived >= WARM_UP_US)
 		m->refused++;
 	g_hash_table_remove(m->arrived, &action->request);
 }
 
-static void settle(struct model *m, guint entry)
+static void apply_actions(struct model *m, guint entry)
 {
 	struct aub_dispatcher *d = m->entries[entry];
 	struct aub_action action;
@@ -238,19 +246,19 @@
 			job_cancel(m, &action);
 			break;
 		case AUB_ACTION_PROBE:
-			schedule(m, m->now_us + AUB_MS, EVENT_PROBED, entry,
+			schedule(m, m->now_us + AUB_MS, EVENT_PROBE_DONE, entry,
 				 NULL)
 				->upstream = action.upstream;
 			break;
 		default:
-			note_final(m, &action);
+			record_outcome(m, &action);
 			break;
 		}
 	}
 	wake_us = aub_dispatcher_wake_us(d);
 	if (wake_us < m->wake_us[entry]) {
 		m->wake_us[entry] = wake_us;
-		schedule(m, MAX(wake_us, m->now_us + 1), EVENT_WAKE, entry,
+		schedule(m, MAX(wake_us, m->now_us + 1), EVENT_TIMER, entry,
 			 NULL);
 	}
 }
@@ -258,7 +266,7 @@
 static void on_arrival(struct model *m)
 {
 	double rate = m->options.load * m->options.upstreams *
-		      m->options.slots / MEAN_US;
+		      m->options.slots / MEAN_SERVICE_US;
 	double gap = -log(1.0 - g_rand_double(m->arrivals)) / rate;
 	guint entry = g_rand_int_range(m->arrivals, 0, m->options.entries);
 	struct aub_dispatch_request request = {
@@ -266,30 +274,30 @@
 		.deadline_us = m->now_us + DEADLINE_US,
 		.retry_budget = 100,
 	};
-	gint64 *moment = g_new(gint64, 2);
+	gint64 *arrival = g_new(gint64, 2);
 
 	if (m->options.policy == AUB_POLICY_AUBURNSTILE)
 		entry = 0;
-	if (m->now_us + (gint64)gap < m->options.length_us)
+	if (m->now_us + (gint64)gap < m->options.duration_us)
 		schedule(m, m->now_us + (gint64)gap, EVENT_ARRIVAL, 0, NULL);
-	moment[0] = m->now_us;
-	moment[1] = (gint64)request.id;
+	arrival[0] = m->now_us;
+	arrival[1] = (gint64)request.id;
 	if (m->now_us >= WARM_UP_US)
 		m->offered++;
-	g_hash_table_insert(m->arrived, &moment[1], moment);
+	g_hash_table_insert(m->arrived, &arrival[1], arrival);
 	aub_dispatcher_arrive(m->entries[entry], &request, m->now_us);
-	settle(m, entry);
+	apply_actions(m, entry);
 }
 
-static void on_probed(struct model *m, const struct event *event)
+static void on_probe_done(struct model *m, const struct event *event)
 {
-	struct aub_upstream_signs signs = { .boot_id = 1 };
+	struct aub_upstream_signs health = { .boot_id = 1 };
 	const struct model_upstream *u = &m->upstreams[event->upstream];
 
 	aub_dispatcher_probe_done(m->entries[event->entry], event->upstream,
-				  true, &signs, u->busy + u->waiting.length,
+				  true, &health, u->busy + u->waiting.length,
 				  m->now_us);
-	settle(m, event->entry);
+	apply_actions(m, event->entry);
 }
 
 static void on_event(struct model *m, const struct event *event)
@@ -300,20 +308,20 @@
 	case EVENT_ARRIVAL:
 		on_arrival(m);
 		break;
-	case EVENT_DONE:
+	case EVENT_JOB_DONE:
 		if (!job)
 			break;
-		job_release(m, job);
-		report(m, job, AUB_ATTEMPT_ANSWERED);
-		settle(m, event->entry);
+		job_free_slot(m, job);
+		report_attempt(m, job, AUB_ATTEMPT_ANSWERED);
+		apply_actions(m, event->entry);
 		break;
-	case EVENT_PROBED:
-		on_probed(m, event);
+	case EVENT_PROBE_DONE:
+		on_probe_done(m, event);
 		break;
 	default:
 		m->wake_us[event->entry] = G_MAXINT64;
 		aub_dispatcher_tick(m->entries[event->entry], m->now_us);
-		settle(m, event->entry);
+		apply_actions(m, event->entry);
 		break;
 	}
 }
@@ -350,13 +358,13 @@
 static void run_dispatchers(struct model *m)
 {
 	struct aub_inventory *inventory = make_inventory(&m->options);
-	struct aub_dispatcher_options made = {
+	struct aub_dispatcher_options dispatcher_options = {
 		.policy = (enum aub_policy)m->options.policy,
 	};
 
 	for (guint i = 0; i < m->options.entries; i++) {
-		made.seed = m->options.seed * 100 + i + 1;
-		m->entries[i] = aub_dispatcher_new(&made);
+		dispatcher_options.seed = m->options.seed * 100 + i + 1;
+		m->entries[i] = aub_dispatcher_new(&dispatcher_options);
 		m->wake_us[i] = G_MAXINT64;
 		aub_dispatcher_configure(m->entries[i], inventory, 0, 0);
 		aub_dispatcher_set_role(m->entries[i], AUB_DISPATCH_OWNER, 0,
@@ -368,8 +376,8 @@
 		GSequenceIter *first = g_sequence_get_begin_iter(m->events);
 		struct event *event = g_sequence_get(first);
 
-		if (event->type == EVENT_WAKE &&
-		    event->at_us > m->options.length_us + DEADLINE_US)
+		if (event->type == EVENT_TIMER &&
+		    event->at_us > m->options.duration_us + DEADLINE_US)
 			break;
 		g_sequence_remove(first);
 		m->now_us = event->at_us;
@@ -381,32 +389,33 @@
 }
 
 /* One perfect queue: first come, first served, on the first free slot. */
-static void run_limit(struct model *m)
+static void run_ideal_queue(struct model *m)
 {
 	guint slots = m->options.upstreams * m->options.slots;
 	gint64 *free_us = g_new0(gint64, slots);
-	double rate = m->options.load * slots / MEAN_US;
-	double at = 1;
+	double rate = m->options.load * slots / MEAN_SERVICE_US;
+	double arrival_us = 1;
 
-	while (at < (double)m->options.length_us) {
-		guint best = 0;
-		gint64 arrived = (gint64)at;
-		gint64 took;
+	while (arrival_us < (double)m->options.duration_us) {
+		guint earliest = 0;
+		gint64 arrived = (gint64)arrival_us;
+		gint64 took_us;
 
 		for (guint i = 1; i < slots; i++)
 			if (MAX(free_us[i], arrived) <
-			    MAX(free_us[best], arrived))
-				best = i;
-		m->now_us = MAX(free_us[best], arrived);
-		took = service_us(m, (guint16)(best / m->options.slots));
-		m->work_us += took;
-		free_us[best] = m->now_us + took;
-		took = free_us[best] - arrived;
+			    MAX(free_us[earliest], arrived))
+				earliest = i;
+		m->now_us = MAX(free_us[earliest], arrived);
+		took_us = draw_service_time_us(m, (guint16)(earliest /
+							    m->options.slots));
+		m->busy_us += took_us;
+		free_us[earliest] = m->now_us + took_us;
+		took_us = free_us[earliest] - arrived;
 		if (arrived >= WARM_UP_US) {
 			m->offered++;
-			g_array_append_val(m->times, took);
+			g_array_append_val(m->times, took_us);
 		}
-		at -= log(1.0 - g_rand_double(m->arrivals)) / rate;
+		arrival_us -= log(1.0 - g_rand_double(m->arrivals)) / rate;
 		g_rand_int_range(m->arrivals, 0, m->options.entries);
 	}
 	g_free(free_us);
@@ -422,15 +431,16 @@
 
 static double quantile_ms(const GArray *times, double share)
 {
-	guint at = (guint)(share * (times->len - 1));
+	guint arrival_us = (guint)(share * (times->len - 1));
 
-	return times->len ? g_array_index(times, gint64, at) / 1000.0 : 0;
+	return times->len ? g_array_index(times, gint64, arrival_us) / 1000.0 :
+			    0;
 }
 
 static void print_row(struct model *m)
 {
 	const struct model_options *o = &m->options;
-	const char *name = o->policy == POLICY_LIMIT ?
+	const char *name = o->policy == POLICY_IDEAL_QUEUE ?
 				   "limit" :
 				   aub_policy_name((enum aub_policy)o->policy);
 
@@ -440,10 +450,10 @@
 	       name, o->slots, o->load, o->hedge_percent, o->seed,
 	       quantile_ms(m->times, 0.5), quantile_ms(m->times, 0.99),
 	       quantile_ms(m->times, 0.999), m->refused,
-	       (double)m->work_us / (double)MAX(m->times->len, 1));
+	       (double)m->busy_us / (double)MAX(m->times->len, 1));
 }
 
-static void run(const struct model_options *options)
+static void run_model(const struct model_options *options)
 {
 	struct model m = { .options = *options };
 
@@ -458,8 +468,8 @@
 					  g_free);
 	m.times = g_array_new(FALSE, FALSE, sizeof(gint64));
 	m.next_request = 1;
-	if (options->policy == POLICY_LIMIT)
-		run_limit(&m);
+	if (options->policy == POLICY_IDEAL_QUEUE)
+		run_ideal_queue(&m);
 	else
 		run_dispatchers(&m);
 	print_row(&m);
@@ -507,23 +517,24 @@
 			.entries = 17,
 			.load = loads[i / 2 % 3],
 			.sigma = 0.5,
-			.length_us = (gint64)(seconds * 1e6),
+			.duration_us = (gint64)(seconds * 1e6),
 			.seed = i / 6 + 1,
 			.slow = true,
 		};
 
-		for (int p = POLICY_LIMIT; p <= AUB_POLICY_TWO_CHOICES; p++) {
-			bool wanted = p == POLICY_LIMIT ?
-					      limit :
-					      p == aub_policy_parse(name);
+		for (int p = POLICY_IDEAL_QUEUE; p <= AUB_POLICY_TWO_CHOICES;
+		     p++) {
+			bool is_selected = p == POLICY_IDEAL_QUEUE ?
+						   limit :
+						   p == aub_policy_parse(name);
 
 			o.policy = p;
 			o.hedge_percent = 0;
-			if (all || wanted)
-				run(&o);
+			if (all || is_selected)
+				run_model(&o);
 			o.hedge_percent = 3;
-			if (p == AUB_POLICY_AUBURNSTILE && (all || wanted))
-				run(&o);
+			if (p == AUB_POLICY_AUBURNSTILE && (all || is_selected))
+				run_model(&o);
 		}
 	}
 	return 0;
--- a/tools/proofs.c
+++ b/tools/proofs.c
@@ -10,15 +10,23 @@
 #include <stdlib.h>
 
 static const struct proof *const tables[] = {
-	proofs_not_run, proofs_once,  proofs_whole,	proofs_cold,
-	proofs_zone,	proofs_stop,  proofs_config,	proofs_crash,
-	proofs_retries, proofs_leave, proofs_measuring,
+	proofs_not_run,
+	proofs_at_most_once,
+	proofs_complete_answer,
+	proofs_cold_start,
+	proofs_zone_evacuation,
+	proofs_graceful_shutdown,
+	proofs_config_propagation,
+	proofs_crashing_request,
+	proofs_retry_amplification,
+	proofs_upstream_leaves,
+	proofs_probe_budget,
 };
 
 struct options {
 	const char *only;
 	guint32 seed;
-	bool sure;
+	bool in_ci;
 	bool keep_logs;
 };
 
@@ -39,7 +47,7 @@
 	else if (key == 's')
 		options->seed = strtoul(argument, NULL, 10);
 	else if (key == 'c')
-		options->sure = true;
+		options->in_ci = true;
 	else if (key == 'k')
 		options->keep_logs = true;
 	else
@@ -63,7 +71,7 @@
 	argp_parse(&parser, argc, argv, 0, NULL, &options);
 	child_guard();
 	for (i = 0; i < G_N_ELEMENTS(tables); i++)
-		proof_run_table(tables[i], options.only, options.sure,
+		proof_run_table(tables[i], options.only, options.in_ci,
 				options.seed, options.keep_logs, &passed,
 				&failed);
 	printf("%u passed, %u failed\n", passed, failed);
--- a/tools/proofs/crash.c
+++ b/tools/proofs/crashing_request.c
@@ -5,18 +5,20 @@
  */
 #include "common/child.h"
 #include "common/tool.h"
-#include "proofs/common.h"
+#include "proofs/fixtures.h"
 
 #include <signal.h>
 #include <string.h>
 
-#define CRASHES_MOST 2 /* upstreams that may go down for one request */
-#define SENDS 30
-#define SEND_PAUSE_MS 100
-#define HARMLESS_LEAST 0.97 /* share of the load beside it that is served */
+#define CRASHES_MAX 2 /* upstreams that may go down for one request */
+#define REQUEST_SENDS 30
+#define SEND_INTERVAL_MS 100
+#define CONCURRENT_SERVED_MIN_SHARE \
+	0.97 /* share of the load beside it that is served */
 
 /* One more send through an entry; true when it was refused for crashes. */
-static bool send_once(struct proof_run *run, const struct fleet_member *member)
+static bool send_crashing_request(struct proof_run *run,
+				  const struct fleet_member *member)
 {
 	char *url =
 		g_strdup_printf("http://%s/calendar/poison", member->callers);
@@ -38,8 +40,8 @@
 }
 
 /* Through the members in turn; returns how many sends were refused. */
-static guint send_many(struct proof_run *run, guint count,
-		       const struct fleet_member *without)
+static guint send_through_members(struct proof_run *run, guint count,
+				  const struct fleet_member *excluded)
 {
 	guint refused = 0;
 
@@ -47,45 +49,46 @@
 		const struct fleet_member *member =
 			fleet_member(run->fleet, i % 6);
 
-		if (member != without)
-			refused += send_once(run, member);
-		fleet_run_ms(SEND_PAUSE_MS);
+		if (member != excluded)
+			refused += send_crashing_request(run, member);
+		fleet_run_ms(SEND_INTERVAL_MS);
 	}
 	return refused;
 }
 
-static void end_crash(struct proof_run *run, guint refused)
+static void finish_and_check_crashes(struct proof_run *run, guint refused)
 {
 	gint64 crashes;
 
-	mixed_end(run);
+	finish_and_check_load(run);
 	crashes = proof_oracle_sum(run, "crashes");
-	proof_figure(run, "crashes", (double)crashes);
-	proof_figure(run, "fell_over", proof_oracle_sum(run, "fell_over"));
-	proof_figure(run, "refused_at_once", refused);
-	proof_figure(run, "beside_served_percent",
-		     100.0 * run->told.told[LOAD_RUN] / run->told.requests);
-	proof_need(run, crashes > 0, "crashes");
-	proof_need(run, refused > 0, "refusals");
-	proof_check(run, crashes <= CRASHES_MOST,
+	proof_add_figure(run, "crashes", (double)crashes);
+	proof_add_figure(run, "fell_over", proof_oracle_sum(run, "fell_over"));
+	proof_add_figure(run, "refused_at_once", refused);
+	proof_add_figure(run, "beside_served_percent",
+			 100.0 * run->totals.told[LOAD_RUN] /
+				 run->totals.requests);
+	proof_require(run, crashes > 0, "crashes");
+	proof_require(run, refused > 0, "refusals");
+	proof_check(run, crashes <= CRASHES_MAX,
 		    "more upstreams went down than the goal allows");
 	proof_check(run,
-		    run->told.told[LOAD_RUN] >=
-			    HARMLESS_LEAST * run->told.requests,
+		    run->totals.told[LOAD_RUN] >=
+			    CONCURRENT_SERVED_MIN_SHARE * run->totals.requests,
 		    "requests that ran beside it were not served");
 }
 
 /* Sent thirty times through every entry. */
-static void sent_again(struct proof_run *run)
+static void sent_through_all_entries(struct proof_run *run)
 {
 	guint refused;
 
-	if (!mixed_start(run, false, 0))
+	if (!start_mixed_fleet(run, false, 0))
 		return;
-	mixed_load(run, MIXED_RATE, 5, true);
+	start_mixed_load(run, MIXED_REQUESTS_PER_S, 5, true);
 	fleet_run_ms(500);
-	refused = send_many(run, SENDS, NULL);
-	end_crash(run, refused);
+	refused = send_through_members(run, REQUEST_SENDS, NULL);
+	finish_and_check_crashes(run, refused);
 }
 
 /*
@@ -97,23 +100,23 @@
 	struct fleet_member *owner;
 	guint refused;
 
-	if (!mixed_start(run, false, 0))
+	if (!start_mixed_fleet(run, false, 0))
 		return;
-	owner = proof_owner(run, "calendar");
+	owner = proof_find_owner(run, "calendar");
 	if (!owner)
 		return;
-	mixed_load(run, MIXED_RATE, 8, true);
+	start_mixed_load(run, MIXED_REQUESTS_PER_S, 8, true);
 	fleet_run_ms(500);
-	refused = send_many(run, SENDS / 2, NULL);
+	refused = send_through_members(run, REQUEST_SENDS / 2, NULL);
 	fleet_run_ms(1500);
 	fleet_signal(owner, FLEET_BOTH, SIGKILL);
-	refused += send_many(run, SENDS, owner);
-	end_crash(run, refused);
+	refused += send_through_members(run, REQUEST_SENDS, owner);
+	finish_and_check_crashes(run, refused);
 }
 
-const struct proof proofs_crash[] = {
+const struct proof proofs_crashing_request[] = {
 	{ "crash-requests", "sent-again-through-all-entries", true,
-	  sent_again },
+	  sent_through_all_entries },
 	{ "crash-requests", "owner-killed", false, owner_killed },
 	{ 0 }
 };
--- a/tools/proofs/common.c
+++ b/tools/proofs/fixtures.c
@@ -1,5 +1,5 @@
 /* Fleets and loads that several proofs share; see common.h. */
-#include "proofs/common.h"
+#include "proofs/fixtures.h"
 
 const struct load_service mixed_services[2] = {
 	{ "calendar", "/calendar/page", 2, false },
@@ -23,7 +23,7 @@
 	  .queue_limit = 100 },
 };
 
-bool mixed_start(struct proof_run *run, bool proxies, double mean_us)
+bool start_mixed_fleet(struct proof_run *run, bool proxies, double mean_us)
 {
 	struct proof_fleet fleet = {
 		.services = fleet_services,
@@ -34,10 +34,11 @@
 		.mean_us = mean_us,
 	};
 
-	return proof_start(run, &fleet);
+	return proof_start_fleet(run, &fleet);
 }
 
-void mixed_load(struct proof_run *run, double rate, double seconds, bool repeat)
+void start_mixed_load(struct proof_run *run, double rate, double seconds,
+		      bool repeat)
 {
 	struct load_options options = {
 		.services = mixed_services,
@@ -48,10 +49,10 @@
 		.body_bytes = 300,
 	};
 
-	proof_load(run, &options);
+	proof_start_load(run, &options);
 }
 
-void keyed_load(struct proof_run *run, double rate, double seconds)
+void start_keyed_load(struct proof_run *run, double rate, double seconds)
 {
 	struct load_options options = {
 		.services = keyed_service,
@@ -64,16 +65,16 @@
 		.body_bytes = 300,
 	};
 
-	proof_load(run, &options);
+	proof_start_load(run, &options);
 }
 
-void mixed_end(struct proof_run *run)
+void finish_and_check_load(struct proof_run *run)
 {
-	proof_end_load(run);
+	proof_finish_load(run);
 	proof_check_load(run);
 }
 
-guint16 proof_upstream(const struct proof_run *run, const char *name)
+guint16 find_upstream(const struct proof_run *run, const char *name)
 {
 	guint16 handle = aub_inventory_upstream(run->fleet->inventory, name);
 
--- a/tools/proofs/measuring.c
+++ b/tools/proofs/probe_budget.c
@@ -3,37 +3,37 @@
  * time that probes took there, against the budget times the time that passed.
  */
 #include "common/tool.h"
-#include "proofs/common.h"
+#include "proofs/fixtures.h"
 
 #include <signal.h>
 #include <string.h>
 
-#define BUDGET_US 20000 /* upstream time a second, each service */
-#define PROBE_US 6000
-#define SERVICES 2
+#define PROBE_BUDGET_US_PER_S 20000 /* upstream time a second, each service */
+#define PROBE_COST_US 6000
+#define SERVICE_COUNT 2
 
-static const struct fleet_service services[SERVICES] = {
+static const struct fleet_service services[SERVICE_COUNT] = {
 	{ .name = "portal",
 	  .path = "/portal",
 	  .upstreams = 8,
 	  .slots = 6,
 	  .cold_slots = 1,
 	  .queue_limit = 200,
-	  .probe_budget_us = BUDGET_US,
-	  .probe_cost_us = PROBE_US },
+	  .probe_budget_us = PROBE_BUDGET_US_PER_S,
+	  .probe_cost_us = PROBE_COST_US },
 	{ .name = "idle",
 	  .path = "/idle",
 	  .upstreams = 8,
 	  .slots = 6,
 	  .cold_slots = 1,
 	  .queue_limit = 200,
-	  .probe_budget_us = BUDGET_US,
-	  .probe_cost_us = PROBE_US },
+	  .probe_budget_us = PROBE_BUDGET_US_PER_S,
+	  .probe_cost_us = PROBE_COST_US },
 };
 
 static const struct load_service portal = { "portal", "/portal/x", 1, false };
 
-static gint64 probe_us(struct proof_run *run)
+static gint64 read_total_probe_us(struct proof_run *run)
 {
 	JsonNode *oracle = fleet_oracle(run->fleet);
 	gint64 sum = 0;
@@ -47,12 +47,13 @@
 }
 
 /* `fault` is brought about in the middle of a load of six seconds. */
-static void measure(struct proof_run *run, void (*fault)(struct proof_run *run))
+static void check_probe_budget(struct proof_run *run,
+			       void (*fault)(struct proof_run *run))
 {
 	static const char *const probe_cost[] = { "--probe-us=6000", NULL };
 	struct proof_fleet fleet = {
 		.services = services,
-		.service_count = SERVICES,
+		.service_count = SERVICE_COUNT,
 		.members = 6,
 		.zones = 3,
 		.upstream_options = probe_cost,
@@ -64,41 +65,44 @@
 		.seconds = 6,
 		.repeat = true,
 	};
-	gint64 began_us;
-	gint64 before_us;
-	double passed_s;
-	double spent_us;
+	gint64 start_us;
+	gint64 initial_probe_us;
+	double elapsed_s;
+	double probe_us;
 
-	if (!proof_start(run, &fleet))
+	if (!proof_start_fleet(run, &fleet))
 		return;
-	began_us = g_get_monotonic_time();
-	before_us = probe_us(run);
-	proof_load(run, &load);
+	start_us = g_get_monotonic_time();
+	initial_probe_us = read_total_probe_us(run);
+	proof_start_load(run, &load);
 	fleet_run_ms(1500);
 	if (fault)
 		fault(run);
-	proof_end_load(run);
-	passed_s = (double)(g_get_monotonic_time() - began_us) / AUB_SECOND;
-	spent_us = (double)(probe_us(run) - before_us);
-	proof_figure(run, "probe_ms_per_s", spent_us / passed_s / 1000);
-	proof_figure(run, "budget_ms_per_s", SERVICES * BUDGET_US / 1000.0);
-	proof_need(run, spent_us > 0, "probes");
+	proof_finish_load(run);
+	elapsed_s = (double)(g_get_monotonic_time() - start_us) / AUB_SECOND;
+	probe_us = (double)(read_total_probe_us(run) - initial_probe_us);
+	proof_add_figure(run, "probe_ms_per_s", probe_us / elapsed_s / 1000);
+	proof_add_figure(run, "budget_ms_per_s",
+			 SERVICE_COUNT * PROBE_BUDGET_US_PER_S / 1000.0);
+	proof_require(run, probe_us > 0, "probes");
 	/* One probe a service may have been saved up before. */
 	proof_check(run,
-		    spent_us <= SERVICES * (BUDGET_US * passed_s + PROBE_US),
+		    probe_us <=
+			    SERVICE_COUNT * (PROBE_BUDGET_US_PER_S * elapsed_s +
+					     PROBE_COST_US),
 		    "probes took more than their budget");
 }
 
 static void no_fault(struct proof_run *run)
 {
-	measure(run, NULL);
+	check_probe_budget(run, NULL);
 }
 
 /* Ownership moves three times. */
-static void kill_owners(struct proof_run *run)
+static void kill_owners_in_turn(struct proof_run *run)
 {
 	for (guint i = 0; i < 3; i++) {
-		struct fleet_member *owner = proof_owner(run, "portal");
+		struct fleet_member *owner = proof_find_owner(run, "portal");
 
 		if (owner) {
 			fleet_signal(owner, FLEET_BOTH, SIGKILL);
@@ -111,24 +115,24 @@
 
 static void owners_killed(struct proof_run *run)
 {
-	measure(run, kill_owners);
+	check_probe_budget(run, kill_owners_in_turn);
 }
 
 /* Every upstream goes silent: all probes time out. */
-static void silence_all(struct proof_run *run)
+static void stop_all_upstreams(struct proof_run *run)
 {
 	fleet_upstream_fault(run->fleet, "{\"crash_ms\":3000}");
 }
 
-static void upstreams_gone(struct proof_run *run)
+static void upstreams_unavailable(struct proof_run *run)
 {
-	measure(run, silence_all);
+	check_probe_budget(run, stop_all_upstreams);
 }
 
 /* The owner is frozen; its stand-by acts; then both believe in themselves. */
-static void freeze_owner(struct proof_run *run)
+static void pause_owner(struct proof_run *run)
 {
-	struct fleet_member *owner = proof_owner(run, "portal");
+	struct fleet_member *owner = proof_find_owner(run, "portal");
 
 	if (!owner)
 		return;
@@ -137,15 +141,15 @@
 	fleet_signal(owner, FLEET_BOTH, SIGCONT);
 }
 
-static void owner_frozen(struct proof_run *run)
+static void owner_paused(struct proof_run *run)
 {
-	measure(run, freeze_owner);
+	check_probe_budget(run, pause_owner);
 }
 
 /* Upstreams crash, turn cold and slow, and the owner dies: all suspect. */
-static void suspect_all(struct proof_run *run)
+static void suspect_all_upstreams(struct proof_run *run)
 {
-	struct fleet_member *owner = proof_owner(run, "portal");
+	struct fleet_member *owner = proof_find_owner(run, "portal");
 
 	fleet_one_upstream_fault(run->fleet, 0, "{\"crash_ms\":300}");
 	fleet_one_upstream_fault(run->fleet, 1, "{\"cold\":1}");
@@ -156,16 +160,18 @@
 		fleet_signal(owner, FLEET_BOTH, SIGKILL);
 }
 
-static void all_suspect(struct proof_run *run)
+static void all_upstreams_suspected(struct proof_run *run)
 {
-	measure(run, suspect_all);
+	check_probe_budget(run, suspect_all_upstreams);
 }
 
-const struct proof proofs_measuring[] = {
+const struct proof proofs_probe_budget[] = {
 	{ "measuring-in-budget", "none", true, no_fault },
 	{ "measuring-in-budget", "owners-killed", false, owners_killed },
-	{ "measuring-in-budget", "upstreams-gone", false, upstreams_gone },
-	{ "measuring-in-budget", "owner-frozen-and-back", false, owner_frozen },
-	{ "measuring-in-budget", "slow-cold-owner-killed", false, all_suspect },
+	{ "measuring-in-budget", "upstreams-gone", false,
+	  upstreams_unavailable },
+	{ "measuring-in-budget", "owner-frozen-and-back", false, owner_paused },
+	{ "measuring-in-budget", "slow-cold-owner-killed", false,
+	  all_upstreams_suspected },
 	{ 0 }
 };
--- a/tools/proofs/proof.c
+++ b/tools/proofs/proof.c
@@ -6,34 +6,34 @@
 #include <stdio.h>
 #include <string.h>
 
-#define READY_MS 20000
+#define READY_TIMEOUT_MS 20000
 
-static void add_broken(struct proof_run *run, const char *prefix,
-		       const char *what)
+static void add_violation(struct proof_run *run, const char *prefix,
+			  const char *what)
 {
-	g_string_append_printf(run->broken, "%s%s%s",
-			       run->broken->len ? "; " : "", prefix, what);
+	g_string_append_printf(run->violations, "%s%s%s",
+			       run->violations->len ? "; " : "", prefix, what);
 }
 
 void proof_check(struct proof_run *run, bool holds, const char *what)
 {
 	if (!holds)
-		add_broken(run, "", what);
+		add_violation(run, "", what);
 }
 
-void proof_need(struct proof_run *run, bool brought_about, const char *what)
+void proof_require(struct proof_run *run, bool occurred, const char *what)
 {
-	if (!brought_about)
-		add_broken(run, "not brought about: ", what);
+	if (!occurred)
+		add_violation(run, "not brought about: ", what);
 }
 
-void proof_figure(struct proof_run *run, const char *name, double value)
+void proof_add_figure(struct proof_run *run, const char *name, double value)
 {
 	g_string_append_printf(run->figures, "%s%s=%g",
 			       run->figures->len ? " " : "", name, value);
 }
 
-bool proof_start(struct proof_run *run, const struct proof_fleet *fleet)
+bool proof_start_fleet(struct proof_run *run, const struct proof_fleet *fleet)
 {
 	char *inventory =
 		fleet_inventory_text(fleet->services, fleet->service_count,
@@ -51,20 +51,21 @@
 
 	run->fleet = fleet_new(&options, &error);
 	ok = run->fleet && fleet_start(run->fleet, &error) &&
-	     fleet_wait_control(fleet_member(run->fleet, 0), READY_MS,
+	     fleet_wait_control(fleet_member(run->fleet, 0), READY_TIMEOUT_MS,
 				&error) &&
-	     fleet_apply_patiently(run->fleet, inventory, READY_MS, &error) &&
-	     fleet_wait_ready(run->fleet, READY_MS, &error) &&
-	     fleet_wait_owners(run->fleet, READY_MS, &error);
+	     fleet_apply_patiently(run->fleet, inventory, READY_TIMEOUT_MS,
+				   &error) &&
+	     fleet_wait_ready(run->fleet, READY_TIMEOUT_MS, &error) &&
+	     fleet_wait_owners(run->fleet, READY_TIMEOUT_MS, &error);
 	if (!ok) {
-		add_broken(run, "fleet: ", error->message);
+		add_violation(run, "fleet: ", error->message);
 		g_error_free(error);
 	}
 	g_free(inventory);
 	return ok;
 }
 
-void proof_load(struct proof_run *run, struct load_options *options)
+void proof_start_load(struct proof_run *run, struct load_options *options)
 {
 	g_free(run->entries);
 	run->entries = fleet_entries(run->fleet);
@@ -79,7 +80,7 @@
 }
 
 /* Between the arrivals of the first and last request not told "run". */
-static void proof_unserved(struct proof_run *run)
+static void add_unserved_span(struct proof_run *run)
 {
 	const GPtrArray *requests = load_requests(run->load);
 	const struct load_request *request;
@@ -96,11 +97,12 @@
 		last = request;
 	}
 	if (first)
-		proof_figure(run, "unserved_span_ms",
-			     (last->arrived_us - first->arrived_us) / 1000.0);
+		proof_add_figure(run, "unserved_span_ms",
+				 (last->arrived_us - first->arrived_us) /
+					 1000.0);
 }
 
-static void proof_reasons(struct proof_run *run)
+static void add_reasons(struct proof_run *run)
 {
 	char *reasons = load_reasons_text(run->load);
 
@@ -109,7 +111,7 @@
 	g_free(reasons);
 }
 
-void proof_end_load(struct proof_run *run)
+void proof_finish_load(struct proof_run *run)
 {
 	JsonObject *nonces;
 
@@ -119,29 +121,29 @@
 	nonces =
 		json_object_get_object_member(json_node_get_object(run->oracle),
 					      "nonces");
-	load_get_figures(run->load, &run->told);
+	load_get_figures(run->load, &run->totals);
 	load_compare(run->load, nonces, &run->verdict);
-	proof_figure(run, "requests", run->told.requests);
-	proof_figure(run, "whole", run->told.told[LOAD_RUN]);
-	proof_figure(run, "wrong", run->told.told[LOAD_WRONG]);
-	proof_figure(run, "twice", run->verdict.twice);
-	proof_figure(run, "not_run", run->told.told[LOAD_NOT_RUN]);
-	proof_figure(run, "false_not_run", run->verdict.false_not_run);
-	proof_figure(run, "unknown", run->told.told[LOAD_UNKNOWN]);
-	proof_figure(run, "unanswered", run->told.told[LOAD_ERROR]);
-	proof_figure(run, "p99_ms", run->told.p99_ms);
-	proof_unserved(run);
-	proof_reasons(run);
+	proof_add_figure(run, "requests", run->totals.requests);
+	proof_add_figure(run, "whole", run->totals.told[LOAD_RUN]);
+	proof_add_figure(run, "wrong", run->totals.told[LOAD_WRONG]);
+	proof_add_figure(run, "twice", run->verdict.twice);
+	proof_add_figure(run, "not_run", run->totals.told[LOAD_NOT_RUN]);
+	proof_add_figure(run, "false_not_run", run->verdict.false_not_run);
+	proof_add_figure(run, "unknown", run->totals.told[LOAD_UNKNOWN]);
+	proof_add_figure(run, "unanswered", run->totals.told[LOAD_ERROR]);
+	proof_add_figure(run, "p99_ms", run->totals.p99_ms);
+	add_unserved_span(run);
+	add_reasons(run);
 }
 
 void proof_check_load(struct proof_run *run)
 {
-	proof_check(run, !run->told.told[LOAD_WRONG], "wrong answers");
+	proof_check(run, !run->totals.told[LOAD_WRONG], "wrong answers");
 	proof_check(run, !run->verdict.twice, "ran twice");
 	proof_check(run, !run->verdict.false_not_run,
 		    "told not-run and had run");
 	proof_check(run, !run->verdict.false_run, "told run and had not");
-	proof_need(run, run->told.told[LOAD_RUN] > 0, "any whole answer");
+	proof_require(run, run->totals.told[LOAD_RUN] > 0, "any whole answer");
 }
 
 gint64 proof_oracle_sum(const struct proof_run *run, const char *name)
@@ -171,11 +173,12 @@
 	return most;
 }
 
-struct fleet_member *proof_owner(struct proof_run *run, const char *service)
+struct fleet_member *proof_find_owner(struct proof_run *run,
+				      const char *service)
 {
 	struct fleet_member *owner = fleet_owner(run->fleet, service);
 
-	proof_need(run, owner != NULL, "an owner");
+	proof_require(run, owner != NULL, "an owner");
 	return owner;
 }
 
@@ -188,26 +191,26 @@
 		printf("  %s\n", (const char *)samples->pdata[i]);
 }
 
-static void run_one(const struct proof *proof, guint32 seed, bool keep_logs,
-		    guint *passed, guint *failed)
+static void run_proof(const struct proof *proof, guint32 seed, bool keep_logs,
+		      guint *passed, guint *failed)
 {
 	struct proof_run run = {
 		.proof = proof,
 		.seed = seed,
 		.figures = g_string_new(NULL),
-		.broken = g_string_new(NULL),
+		.violations = g_string_new(NULL),
 	};
 	bool holds;
 
 	proof->run(&run);
-	holds = !run.broken->len;
+	holds = !run.violations->len;
 	if (holds)
 		++*passed;
 	else
 		++*failed;
 	printf("promise %s fault %s seed %u: %s (%s%s%s)\n", proof->promise,
 	       proof->fault, seed, holds ? "holds" : "broken", run.figures->str,
-	       holds ? "" : ": ", run.broken->str);
+	       holds ? "" : ": ", run.violations->str);
 	if (run.load && (!holds || keep_logs))
 		print_samples(&run);
 	if (!holds && run.fleet && keep_logs)
@@ -220,18 +223,18 @@
 	fleet_free(run.fleet, !holds && keep_logs);
 	g_free(run.entries);
 	g_string_free(run.figures, TRUE);
-	g_string_free(run.broken, TRUE);
+	g_string_free(run.violations, TRUE);
 }
 
-void proof_run_table(const struct proof *table, const char *only, bool sure,
+void proof_run_table(const struct proof *table, const char *only, bool in_ci,
 		     guint32 seed, bool keep_logs, guint *passed, guint *failed)
 {
 	char *name;
 
 	for (; table->promise; table++) {
 		name = g_strdup_printf("%s/%s", table->promise, table->fault);
-		if ((!sure || table->sure) && (!only || strstr(name, only)))
-			run_one(table, seed, keep_logs, passed, failed);
+		if ((!in_ci || table->in_ci) && (!only || strstr(name, only)))
+			run_proof(table, seed, keep_logs, passed, failed);
 		g_free(name);
 	}
 }
--- a/tools/proofs/proof.h
+++ b/tools/proofs/proof.h
@@ -20,22 +20,22 @@
 struct proof {
 	const char *promise;
 	const char *fault;
-	bool sure; /* short and certain enough for CI */
+	bool in_ci; /* short and certain enough for CI */
 	void (*run)(struct proof_run *run);
 };
 
 /* Tables, one a file, ended by a NULL promise. */
 extern const struct proof proofs_not_run[];
-extern const struct proof proofs_once[];
-extern const struct proof proofs_whole[];
-extern const struct proof proofs_cold[];
-extern const struct proof proofs_zone[];
-extern const struct proof proofs_config[];
-extern const struct proof proofs_stop[];
-extern const struct proof proofs_crash[];
-extern const struct proof proofs_retries[];
-extern const struct proof proofs_leave[];
-extern const struct proof proofs_measuring[];
+extern const struct proof proofs_at_most_once[];
+extern const struct proof proofs_complete_answer[];
+extern const struct proof proofs_cold_start[];
+extern const struct proof proofs_zone_evacuation[];
+extern const struct proof proofs_config_propagation[];
+extern const struct proof proofs_graceful_shutdown[];
+extern const struct proof proofs_crashing_request[];
+extern const struct proof proofs_retry_amplification[];
+extern const struct proof proofs_upstream_leaves[];
+extern const struct proof proofs_probe_budget[];
 
 /* One proof under way. */
 struct proof_run {
@@ -45,8 +45,8 @@
 	struct load *load;
 	const char **entries;
 	GString *figures; /* shown in the line */
-	GString *broken; /* "" while it holds */
-	struct load_figures told;
+	GString *violations; /* "" while it holds */
+	struct load_figures totals;
 	struct load_verdict verdict;
 	JsonNode *oracle; /* after the load */
 };
@@ -54,8 +54,8 @@
 /* A condition that must be true; `what` says what isn't when it is not. */
 void proof_check(struct proof_run *run, bool holds, const char *what);
 /* A condition without which the proof would prove nothing. */
-void proof_need(struct proof_run *run, bool brought_about, const char *what);
-void proof_figure(struct proof_run *run, const char *name, double value);
+void proof_require(struct proof_run *run, bool occurred, const char *what);
+void proof_add_figure(struct proof_run *run, const char *name, double value);
 
 struct proof_fleet {
 	const struct fleet_service *services;
@@ -68,13 +68,13 @@
 };
 
 /* Start a fleet and apply its inventory; false (and broken) when it fails. */
-bool proof_start(struct proof_run *run, const struct proof_fleet *fleet);
+bool proof_start_fleet(struct proof_run *run, const struct proof_fleet *fleet);
 
 /* Start a load; entries and seed are filled in. The rest as given. */
-void proof_load(struct proof_run *run, struct load_options *options);
+void proof_start_load(struct proof_run *run, struct load_options *options);
 
 /* Wait for the load's end and compare it with the oracle. */
-void proof_end_load(struct proof_run *run);
+void proof_finish_load(struct proof_run *run);
 
 /* What holds of every load: nothing wrong, twice, or falsely "not run". */
 void proof_check_load(struct proof_run *run);
@@ -84,10 +84,11 @@
 gint64 proof_oracle_max(const struct proof_run *run, const char *name);
 
 /* The member that owns a service, as the controls say; NULL if unknown. */
-struct fleet_member *proof_owner(struct proof_run *run, const char *service);
+struct fleet_member *proof_find_owner(struct proof_run *run,
+				      const char *service);
 
 /* Run a table; counts are added to. Only those that match, if not NULL. */
-void proof_run_table(const struct proof *table, const char *only, bool sure,
+void proof_run_table(const struct proof *table, const char *only, bool in_ci,
 		     guint32 seed, bool keep_logs, guint *passed,
 		     guint *failed);
 
--- /dev/null
+++ b/tools/proofs/upstream_leaves.c
@@ -0,0 +1,108 @@
+/*
+ * An upstream, or its VM, leaves: no new requests after 3 s, judged by the
+ * time of the last new request its stand-in saw.
+ */
+#include "common/tool.h"
+#include "proofs/fixtures.h"
+
+#define LEAVE_LIMIT_MS 3000 /* the promise */
+#define LEAVING_UPSTREAM "calendar-1"
+
+/* Has the command run and waits; checks what came later than it may. */
+static void run_leave_command(struct proof_run *run, const char *kind,
+			      const char *name)
+{
+	const char *arguments[] = { kind, "leave", name, NULL };
+	guint16 upstream = find_upstream(run, LEAVING_UPSTREAM);
+	gint64 command_us;
+	gint64 last_request_us;
+	GError *error = NULL;
+	int status = -1;
+
+	start_mixed_load(run, MIXED_REQUESTS_PER_S, 7, true);
+	fleet_run_ms(1500);
+	command_us = g_get_monotonic_time();
+	g_free(fleet_ctl(run->fleet, fleet_member(run->fleet, 0), arguments,
+			 &status, &error));
+	g_clear_error(&error);
+	finish_and_check_load(run);
+	last_request_us =
+		tool_json_int(fleet_oracle_upstream(run->oracle, run->fleet,
+						    upstream),
+			      "last_new_us", 0);
+	proof_add_figure(run, "last_new_ms",
+			 (last_request_us - command_us) / 1000.0);
+	proof_require(run, last_request_us > 0, "requests to it before");
+	proof_check(run, status == 0 || status == 4, "the command failed");
+	proof_check(run, last_request_us - command_us < LEAVE_LIMIT_MS * AUB_MS,
+		    "it got new requests after 3 s");
+}
+
+static void upstream_leaves(struct proof_run *run)
+{
+	if (start_mixed_fleet(run, false, 0))
+		run_leave_command(run, "upstream", LEAVING_UPSTREAM);
+}
+
+static void vm_leaves(struct proof_run *run)
+{
+	const struct aub_inventory *inventory;
+	guint16 upstream;
+
+	if (!start_mixed_fleet(run, false, 0))
+		return;
+	inventory = run->fleet->inventory;
+	upstream = find_upstream(run, LEAVING_UPSTREAM);
+	run_leave_command(run, "vm",
+			  aub_vm_at(inventory,
+				    aub_upstream_at(inventory, upstream)->vm)
+				  ->name);
+}
+
+/* The store takes a second for each call from the command on. */
+static void store_slow(struct proof_run *run)
+{
+	if (!start_mixed_fleet(run, false, 0))
+		return;
+	fleet_store_fault(run->fleet, "{\"delay_ms\":400}");
+	run_leave_command(run, "upstream", LEAVING_UPSTREAM);
+}
+
+/*
+ * The upstream itself says that it drains, and nobody told the operators'
+ * inventory: its own word counts.
+ */
+static void upstream_reports_draining(struct proof_run *run)
+{
+	guint16 upstream;
+	gint64 draining_us;
+	gint64 last_request_us;
+
+	if (!start_mixed_fleet(run, false, 0))
+		return;
+	upstream = find_upstream(run, LEAVING_UPSTREAM);
+	start_mixed_load(run, MIXED_REQUESTS_PER_S, 7, true);
+	fleet_run_ms(1500);
+	draining_us = g_get_monotonic_time();
+	fleet_one_upstream_fault(run->fleet, upstream, "{\"draining\":1}");
+	finish_and_check_load(run);
+	last_request_us =
+		tool_json_int(fleet_oracle_upstream(run->oracle, run->fleet,
+						    upstream),
+			      "last_new_us", 0);
+	proof_add_figure(run, "last_new_ms",
+			 (last_request_us - draining_us) / 1000.0);
+	proof_require(run, last_request_us > 0, "requests to it before");
+	proof_check(run,
+		    last_request_us - draining_us < LEAVE_LIMIT_MS * AUB_MS,
+		    "it got new requests after 3 s");
+}
+
+const struct proof proofs_upstream_leaves[] = {
+	{ "upstream-leaves", "none", true, upstream_leaves },
+	{ "upstream-leaves", "its-vm-leaves", false, vm_leaves },
+	{ "upstream-leaves", "store-slow", false, store_slow },
+	{ "upstream-leaves", "only-its-own-word", false,
+	  upstream_reports_draining },
+	{ 0 }
+};
--- a/tools/rollout-model.c
+++ b/tools/rollout-model.c
@@ -13,12 +13,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-struct size {
+struct fleet_size {
 	guint upstreams;
-	double per_s;
+	double requests_per_s;
 };
 
-static const struct size sizes[] = {
+static const struct fleet_size sizes[] = {
 	{ 4, 5 },
 	{ 6, 20 },
 	{ 40, 100 },
@@ -30,15 +30,15 @@
 	guint orders; /* of each fault */
 	guint seed;
 	guint jobs;
-	const char *only; /* a fault's name; NULL: all */
+	const char *only_fault; /* a fault's name; NULL: all */
 	const char *tsv; /* file for each order's outcome; NULL: none */
 	bool verbose;
 };
 
-struct play {
+struct model_run {
 	struct rollout_spec spec;
 	struct rollout_outcome outcome;
-	bool visible;
+	bool is_visible;
 };
 
 static error_t parse(int key, char *arg, struct argp_state *state)
@@ -62,7 +62,7 @@
 		options->jobs = (guint)number;
 		return 0;
 	case 'f':
-		options->only = arg;
+		options->only_fault = arg;
 		return 0;
 	case 'o':
 		options->tsv = arg;
@@ -75,65 +75,71 @@
 	}
 }
 
-static void play_one(void *data, void *context)
+static void run_one(void *data, void *context)
 {
-	struct play *play = data;
+	struct model_run *run = data;
 
-	rollout_model_play(&play->spec, &play->outcome);
+	rollout_model_run(&run->spec, &run->outcome);
 }
 
 /* Sizes, durations and troubles in turn, so that each meets each. */
-static void fill(struct rollout_spec *spec, guint i, guint seed,
-		 const struct rollout_fault *fault)
+static void fill_spec(struct rollout_spec *spec, guint i, guint seed,
+		      const struct rollout_fault *fault)
 {
-	const struct size *size = &sizes[i % G_N_ELEMENTS(sizes)];
+	const struct fleet_size *size = &sizes[i % G_N_ELEMENTS(sizes)];
 
 	*spec = (struct rollout_spec){
 		.fault = fault,
 		.upstreams = size->upstreams,
 		.slots = 4,
-		.per_s = size->per_s,
+		.requests_per_s = size->requests_per_s,
 		.duration_s = durations[i / 4 % G_N_ELEMENTS(durations)],
 		.share = 0.1,
 		.slack = 50,
-		.orders = true,
-		.wave = i % 2,
-		.bursts = i / 3 % 3 == 1,
-		.kills = i / 5 % 4 == 1,
+		.has_rollout = true,
+		.load_wave = i % 2,
+		.load_bursts = i / 3 % 3 == 1,
+		.placer_crashes = i / 5 % 4 == 1,
 		.two_placers = i / 5 % 4 == 2,
-		.store_away = i / 7 % 5 == 1,
-		.sick = i / 2 % 3 == 1,
+		.store_unavailable = i / 7 % 5 == 1,
+		.unhealthy_upstreams = i / 2 % 3 == 1,
 		.seed = seed + i,
 	};
 }
 
 static void print_row(const struct rollout_fault *fault,
-		      const struct play *plays, guint count, bool verbose)
+		      const struct model_run *runs, guint count, bool verbose)
 {
-	guint visible = 0, completed = 0, rolled_back = 0, over = 0;
-	guint missed = 0, cut_off = 0;
-	double worst = 0, after_50 = 0, on_time = 0;
+	guint is_visible = 0, completed = 0, rolled_back = 0, over_bound = 0;
+	guint missed = 0, interrupted = 0;
+	double worst_exposure = 0, after_50th = 0, on_time = 0;
 
 	for (guint i = 0; i < count; i++) {
-		const struct play *play = &plays[i];
-		const struct rollout_outcome *it = &play->outcome;
-		bool done = it->state == AUB_ROLLOUT_COMPLETED;
-		bool bad = fault != rollout_faults;
-
-		visible += play->visible;
-		completed += done;
-		rolled_back += it->state == AUB_ROLLOUT_ROLLED_BACK;
-		missed += bad && done && play->visible;
-		over += bad && (double)it->exposed > it->bound;
-		cut_off += it->cut_off > 0;
-		if (bad)
-			worst = MAX(worst, (double)it->exposed / it->bound);
-		after_50 = MAX(after_50, it->after_50_ms);
-		on_time += (double)it->on_time / MAX(it->asked, 1) / count;
-		if (verbose && (bad ? (double)it->exposed > it->bound ||
-						(done && play->visible) ||
-						it->after_50_ms > 500 :
-				      !done))
+		const struct model_run *run = &runs[i];
+		const struct rollout_outcome *outcome = &run->outcome;
+		bool is_completed = outcome->state == AUB_ROLLOUT_COMPLETED;
+		bool is_bad = fault != rollout_faults;
+
+		is_visible += run->is_visible;
+		completed += is_completed;
+		rolled_back += outcome->state == AUB_ROLLOUT_ROLLED_BACK;
+		missed += is_bad && is_completed && run->is_visible;
+		over_bound += is_bad && (double)outcome->exposed >
+						outcome->exposure_bound;
+		interrupted += outcome->interrupted > 0;
+		if (is_bad)
+			worst_exposure = MAX(worst_exposure,
+					     (double)outcome->exposed /
+						     outcome->exposure_bound);
+		after_50th = MAX(after_50th, outcome->after_50th_bad_ms);
+		on_time += (double)outcome->on_time /
+			   MAX(outcome->placement_requests, 1) / count;
+		if (verbose &&
+		    (is_bad ? (double)outcome->exposed >
+					      outcome->exposure_bound ||
+				      (is_completed && run->is_visible) ||
+				      outcome->after_50th_bad_ms > 500 :
+			      !is_completed))
 			fprintf(stderr,
 				"%s: seed %" G_GUINT64_FORMAT
 				" %u upstreams %.0f/s %.0f s kills=%d two=%d "
@@ -141,22 +147,27 @@
 				"%.0f ms, %" G_GUINT64_FORMAT
 				" of %.0f, %" G_GUINT64_FORMAT
 				" bad, %.0f ms after the 50th\n",
-				fault->name, play->spec.seed,
-				play->spec.upstreams, play->spec.per_s,
-				play->spec.duration_s, play->spec.kills,
-				play->spec.two_placers, play->spec.store_away,
-				play->spec.sick, play->spec.bursts,
+				fault->name, run->spec.seed,
+				run->spec.upstreams, run->spec.requests_per_s,
+				run->spec.duration_s, run->spec.placer_crashes,
+				run->spec.two_placers,
+				run->spec.store_unavailable,
+				run->spec.unhealthy_upstreams,
+				run->spec.load_bursts,
 				aub_rollout_state_name(
-					(enum aub_rollout_state)it->state),
-				it->reason, it->verdict_ms, it->exposed,
-				it->bound, it->bad_answers, it->after_50_ms);
+					(enum aub_rollout_state)outcome->state),
+				outcome->reason, outcome->decision_ms,
+				outcome->exposed, outcome->exposure_bound,
+				outcome->bad_answers,
+				outcome->after_50th_bad_ms);
 	}
 	printf("%-32s %6u %7u %9u %7u %6u %5u %8.2f %7.0f %7u %7.3f\n",
-	       fault->name, count, visible, completed, rolled_back, missed,
-	       over, worst, after_50, cut_off, on_time);
+	       fault->name, count, is_visible, completed, rolled_back, missed,
+	       over_bound, worst_exposure, after_50th, interrupted, on_time);
 }
 
-static void write_tsv(const char *path, const struct play *plays, guint count)
+static void write_tsv(const char *path, const struct model_run *runs,
+		      guint count)
 {
 	FILE *out = fopen(path, "a");
 
@@ -165,40 +176,41 @@
 		exit(1);
 	}
 	for (guint i = 0; i < count; i++) {
-		const struct play *play = &plays[i];
-		const struct rollout_outcome *it = &play->outcome;
+		const struct model_run *run = &runs[i];
+		const struct rollout_outcome *outcome = &run->outcome;
 
 		fprintf(out,
 			"%s\t%u\t%.0f\t%.0f\t%" G_GUINT64_FORMAT
 			"\t%s\t%s\t%" G_GUINT64_FORMAT "\t%.0f\t%.0f\n",
-			play->spec.fault->name, play->spec.upstreams,
-			play->spec.per_s, play->spec.duration_s,
-			play->spec.seed,
+			run->spec.fault->name, run->spec.upstreams,
+			run->spec.requests_per_s, run->spec.duration_s,
+			run->spec.seed,
 			aub_rollout_state_name(
-				(enum aub_rollout_state)it->state),
-			it->reason, it->exposed, it->bound, it->verdict_ms);
+				(enum aub_rollout_state)outcome->state),
+			outcome->reason, outcome->exposed,
+			outcome->exposure_bound, outcome->decision_ms);
 	}
 	fclose(out);
 }
 
-static void play_fault(const struct options *options,
-		       const struct rollout_fault *fault)
+static void run_fault(const struct options *options,
+		      const struct rollout_fault *fault)
 {
-	struct play *plays = g_new0(struct play, options->orders);
-	GThreadPool *pool = g_thread_pool_new(play_one, NULL,
+	struct model_run *runs = g_new0(struct model_run, options->orders);
+	GThreadPool *pool = g_thread_pool_new(run_one, NULL,
 					      (gint)options->jobs, TRUE, NULL);
 
 	for (guint i = 0; i < options->orders; i++) {
-		fill(&plays[i].spec, i, options->seed, fault);
-		plays[i].visible = rollout_model_is_visible(&plays[i].spec);
-		g_thread_pool_push(pool, &plays[i], NULL);
+		fill_spec(&runs[i].spec, i, options->seed, fault);
+		runs[i].is_visible = rollout_model_is_visible(&runs[i].spec);
+		g_thread_pool_push(pool, &runs[i], NULL);
 	}
 	g_thread_pool_free(pool, FALSE, TRUE);
-	print_row(fault, plays, options->orders, options->verbose);
+	print_row(fault, runs, options->orders, options->verbose);
 	fflush(stdout);
 	if (options->tsv)
-		write_tsv(options->tsv, plays, options->orders);
-	g_free(plays);
+		write_tsv(options->tsv, runs, options->orders);
+	g_free(runs);
 }
 
 int main(int argc, char **argv)
@@ -229,8 +241,8 @@
 	       "orders", "visible", "completed", "rolled", "missed", "over",
 	       "exposure", "after50", "cut off", "on time");
 	for (guint i = 0; i < rollout_fault_count; i++)
-		if (!options.only ||
-		    !strcmp(options.only, rollout_faults[i].name))
-			play_fault(&options, &rollout_faults[i]);
+		if (!options.only_fault ||
+		    !strcmp(options.only_fault, rollout_faults[i].name))
+			run_fault(&options, &rollout_faults[i]);
 	return 0;
 }
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -17,11 +17,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FULL_SERVICES 88
-#define FULL_UPSTREAMS 910
-#define SETTLE_MS 9000 /* start, gossip, first assignments */
-#define ROUNDS 5 /* changes timed at each size */
-#define JOIN_S 30
+#define FULL_SIZE_SERVICES 88
+#define FULL_SIZE_UPSTREAMS 910
+#define WARM_UP_MS 9000 /* start, gossip, first assignments */
+#define TIMED_CHANGES 5 /* changes timed at each size */
+#define JOIN_TIMEOUT_S 30
 
 struct row {
 	const char *scenario;
@@ -30,15 +30,15 @@
 	guint services;
 	double changes_per_s;
 	double processor_percent; /* of a core; mean over nodes */
-	double processor_max;
+	double processor_max_percent;
 	double memory_mb;
-	double memory_max;
+	double memory_max_mb;
 	double bytes_per_s;
-	double bytes_max;
+	double bytes_max_per_s;
 	double messages_per_s;
 	double store_calls_per_s;
-	double in_force_ms; /* median, -1: not measured */
-	double in_force_max;
+	double in_effect_ms; /* median, -1: not measured */
+	double in_effect_max_ms;
 };
 
 struct run {
@@ -59,7 +59,7 @@
 	return fleet_member(run->fleet, i);
 }
 
-static bool all_have(struct run *run, guint64 version)
+static bool all_entries_have(struct run *run, guint64 version)
 {
 	guint i;
 
@@ -72,12 +72,12 @@
 	return true;
 }
 
-static bool wait_all(struct run *run, guint64 version, guint seconds)
+static bool wait_for_config(struct run *run, guint64 version, guint seconds)
 {
 	gint64 end_us =
 		g_get_monotonic_time() + (gint64)seconds * G_USEC_PER_SEC;
 
-	while (!all_have(run, version)) {
+	while (!all_entries_have(run, version)) {
 		if (g_get_monotonic_time() > end_us)
 			return false;
 		fleet_run_ms(10);
@@ -85,7 +85,7 @@
 	return true;
 }
 
-static char *apply_text(const char *inventory, guint64 base)
+static char *apply_request(const char *inventory, guint64 base)
 {
 	JsonObject *object = json_object_new();
 	JsonNode *node = json_node_init_object(json_node_alloc(), object);
@@ -101,20 +101,21 @@
 }
 
 /* One change: a zone out, or back. The time until all entries have it. */
-static double change(struct run *run, guint at)
+static double apply_change(struct run *run, guint node)
 {
 	const char *path =
 		run->changes++ % 2 ? "/v1/zones/z8/in" : "/v1/zones/z8/out";
-	gint64 began_us = g_get_monotonic_time();
-	gint64 last_us = began_us;
+	gint64 start_us = g_get_monotonic_time();
+	gint64 last_received_us = start_us;
 	guint64 version = 0;
 	guint i;
 
-	if (!slopes_post(run->fleet, member(run, at), path, "{}", &version)) {
+	if (!slopes_post_change(run->fleet, member(run, node), path, "{}",
+				&version)) {
 		fprintf(stderr, "slopes: %s was refused\n", path);
 		return -1;
 	}
-	if (!wait_all(run, version, 20)) {
+	if (!wait_for_config(run, version, 20)) {
 		fprintf(stderr,
 			"slopes: version %" G_GUINT64_FORMAT
 			" isn't in force everywhere after 20 s\n",
@@ -124,19 +125,21 @@
 	for (i = 0; i < run->entries->len; i++) {
 		struct slopes_entry *entry = run->entries->pdata[i];
 
-		last_us = MAX(last_us, entry->config_us);
+		last_received_us =
+			MAX(last_received_us, entry->config_received_us);
 	}
-	return (double)(last_us - began_us) / 1000;
+	return (double)(last_received_us - start_us) / 1000;
 }
 
-static bool open_fleet(struct run *run, guint nodes, guint services,
-		       guint upstreams)
+static bool start_fleet(struct run *run, guint nodes, guint services,
+			guint upstreams)
 {
 	struct fleet_service first = { .name = "first",
 				       .path = "/",
 				       .upstreams = 8 };
-	char *small = fleet_inventory_text(&first, 1, 8);
-	struct fleet_options options = { .inventory = small, .members = nodes };
+	char *bootstrap = fleet_inventory_text(&first, 1, 8);
+	struct fleet_options options = { .inventory = bootstrap,
+					 .members = nodes };
 	GError *error = NULL;
 	guint64 version = 0;
 	char *body;
@@ -145,13 +148,13 @@
 	run->row = (struct row){ .nodes = nodes,
 				 .services = services,
 				 .upstreams = upstreams,
-				 .in_force_ms = -1,
-				 .in_force_max = -1 };
+				 .in_effect_ms = -1,
+				 .in_effect_max_ms = -1 };
 	run->changes = 0;
 	run->entries = g_ptr_array_new_with_free_func(
 		(GDestroyNotify)slopes_entry_free);
 	run->fleet = fleet_new(&options, &error);
-	g_free(small);
+	g_free(bootstrap);
 	for (i = 0; run->fleet && i < nodes; i++)
 		if (!fleet_start_control(run->fleet, member(run, i), &error))
 			break;
@@ -166,22 +169,22 @@
 				slopes_entry_new(member(run, i), 1000 + i));
 	fleet_run_ms(3000);
 	run->inventory = slopes_inventory(services, upstreams);
-	body = apply_text(run->inventory, 0);
-	if (!slopes_post(run->fleet, member(run, 0), "/v1/config/apply", body,
-			 &version))
+	body = apply_request(run->inventory, 0);
+	if (!slopes_post_change(run->fleet, member(run, 0), "/v1/config/apply",
+				body, &version))
 		fprintf(stderr, "slopes: the inventory wasn't accepted\n");
 	g_free(body);
-	return version && wait_all(run, version, JOIN_S);
+	return version && wait_for_config(run, version, JOIN_TIMEOUT_S);
 }
 
-static void close_fleet(struct run *run)
+static void stop_fleet(struct run *run)
 {
 	g_ptr_array_unref(run->entries);
 	fleet_free(run->fleet, false);
 	g_clear_pointer(&run->inventory, g_free);
 }
 
-static struct slopes_sample *read_all(struct run *run)
+static struct slopes_sample *read_samples(struct run *run)
 {
 	guint nodes = run->row.nodes;
 	struct slopes_sample *samples = g_new0(struct slopes_sample, nodes);
@@ -194,21 +197,22 @@
 	return samples;
 }
 
-static void add_node(struct row *row, const struct slopes_sample *before,
-		     const struct slopes_sample *after)
+static void add_node_usage(struct row *row, const struct slopes_sample *before,
+			   const struct slopes_sample *after)
 {
-	double seconds = (double)(after->at_us - before->at_us) / 1e6;
+	double seconds = (double)(after->taken_us - before->taken_us) / 1e6;
 	double processor =
 		(after->processor_us - before->processor_us) / seconds / 1e4;
 	double bytes = (after->network_bytes - before->network_bytes) / seconds;
 	double memory = after->resident_bytes / (1 << 20);
 
 	row->processor_percent += processor / row->nodes;
-	row->processor_max = fmax(row->processor_max, processor);
+	row->processor_max_percent =
+		fmax(row->processor_max_percent, processor);
 	row->bytes_per_s += bytes / row->nodes;
-	row->bytes_max = fmax(row->bytes_max, bytes);
+	row->bytes_max_per_s = fmax(row->bytes_max_per_s, bytes);
 	row->memory_mb += memory / row->nodes;
-	row->memory_max = fmax(row->memory_max, memory);
+	row->memory_max_mb = fmax(row->memory_max_mb, memory);
 	row->messages_per_s +=
 		(after->messages - before->messages) / seconds / row->nodes;
 }
@@ -216,36 +220,36 @@
 /* Measure for the window, with `changes_per_s` changes meanwhile. */
 static void measure(struct run *run, double changes_per_s)
 {
-	struct slopes_sample *before = read_all(run);
-	double calls = slopes_store_calls(run->fleet);
-	gint64 began_us = g_get_monotonic_time();
-	gint64 end_us = began_us + run->window_ms * (gint64)1000;
+	struct slopes_sample *before = read_samples(run);
+	double calls = slopes_read_store_calls(run->fleet);
+	gint64 start_us = g_get_monotonic_time();
+	gint64 end_us = start_us + run->window_ms * (gint64)1000;
 	struct slopes_sample *after;
-	guint done = 0;
+	guint changes_done = 0;
 	guint i;
 
 	run->row.changes_per_s = changes_per_s;
 	while (g_get_monotonic_time() < end_us) {
 		double seconds =
-			(double)(g_get_monotonic_time() - began_us) / 1e6;
+			(double)(g_get_monotonic_time() - start_us) / 1e6;
 
-		if (done < seconds * changes_per_s) {
-			change(run, done % run->row.nodes);
-			done++;
+		if (changes_done < seconds * changes_per_s) {
+			apply_change(run, changes_done % run->row.nodes);
+			changes_done++;
 		}
 		fleet_run_ms(20);
 	}
 	run->row.store_calls_per_s =
-		(slopes_store_calls(run->fleet) - calls) * 1e6 /
-		(double)(g_get_monotonic_time() - began_us);
-	after = read_all(run);
+		(slopes_read_store_calls(run->fleet) - calls) * 1e6 /
+		(double)(g_get_monotonic_time() - start_us);
+	after = read_samples(run);
 	for (i = 0; i < run->row.nodes; i++)
-		add_node(&run->row, &before[i], &after[i]);
+		add_node_usage(&run->row, &before[i], &after[i]);
 	g_free(before);
 	g_free(after);
 }
 
-static int by_value(const void *a, const void *b)
+static int compare_doubles(const void *a, const void *b)
 {
 	double left = *(const double *)a;
 	double right = *(const double *)b;
@@ -255,17 +259,18 @@
 
 static void time_changes(struct run *run)
 {
-	double times[ROUNDS];
+	double times[TIMED_CHANGES];
 	guint i;
 
-	for (i = 0; i < ROUNDS; i++)
-		times[i] = change(run, (i * 7 + 1) % run->row.nodes);
-	qsort(times, ROUNDS, sizeof(times[0]), by_value);
-	run->row.in_force_ms = times[0] < 0 ? -1 : times[ROUNDS / 2];
-	run->row.in_force_max = times[0] < 0 ? -1 : times[ROUNDS - 1];
+	for (i = 0; i < TIMED_CHANGES; i++)
+		times[i] = apply_change(run, (i * 7 + 1) % run->row.nodes);
+	qsort(times, TIMED_CHANGES, sizeof(times[0]), compare_doubles);
+	run->row.in_effect_ms = times[0] < 0 ? -1 : times[TIMED_CHANGES / 2];
+	run->row.in_effect_max_ms =
+		times[0] < 0 ? -1 : times[TIMED_CHANGES - 1];
 }
 
-static void report(struct run *run, const char *scenario)
+static void write_row(struct run *run, const char *scenario)
 {
 	struct row *row = &run->row;
 	char text[512];
@@ -276,9 +281,10 @@
 		   "\t%.1f\t%.1f\t%.0f\t%.0f\n",
 		   scenario, row->nodes, row->upstreams, row->services,
 		   row->changes_per_s, row->processor_percent,
-		   row->processor_max, row->memory_mb, row->memory_max,
-		   row->bytes_per_s, row->bytes_max, row->messages_per_s,
-		   row->store_calls_per_s, row->in_force_ms, row->in_force_max);
+		   row->processor_max_percent, row->memory_mb,
+		   row->memory_max_mb, row->bytes_per_s, row->bytes_max_per_s,
+		   row->messages_per_s, row->store_calls_per_s,
+		   row->in_effect_ms, row->in_effect_max_ms);
 	fputs(text, run->out);
 	fflush(run->out);
 	fputs(text, stdout);
@@ -286,24 +292,25 @@
 	g_array_append_val(run->rows, *row);
 }
 
-static void one(struct run *run, const char *scenario, guint nodes,
-		guint services, guint upstreams, double changes_per_s)
+static void measure_size(struct run *run, const char *scenario, guint nodes,
+			 guint services, guint upstreams, double changes_per_s)
 {
-	if (open_fleet(run, nodes, services, upstreams)) {
-		fleet_run_ms(SETTLE_MS);
+	if (start_fleet(run, nodes, services, upstreams)) {
+		fleet_run_ms(WARM_UP_MS);
 		measure(run, changes_per_s);
 		if (!strcmp(scenario, "nodes"))
 			time_changes(run);
-		report(run, scenario);
+		write_row(run, scenario);
 	} else {
 		printf("%s %u %u %u: didn't come up\n", scenario, nodes,
 		       services, upstreams);
 	}
-	close_fleet(run);
+	stop_fleet(run);
 }
 
 /* Kill `count` controls from `first` on, by `step`, and start them again. */
-static void restart(struct run *run, guint first, guint step, guint count)
+static void restart_controls(struct run *run, guint first, guint step,
+			     guint count)
 {
 	guint i;
 
@@ -317,32 +324,32 @@
 }
 
 /* What restarts cost: a zone at once, then a third while a change spreads. */
-static void restarts(struct run *run, guint nodes)
+static void measure_restarts(struct run *run, guint nodes)
 {
 	double calls;
 
-	if (!open_fleet(run, nodes, FULL_SERVICES, FULL_UPSTREAMS))
+	if (!start_fleet(run, nodes, FULL_SIZE_SERVICES, FULL_SIZE_UPSTREAMS))
 		goto out;
-	fleet_run_ms(SETTLE_MS);
-	calls = slopes_store_calls(run->fleet);
+	fleet_run_ms(WARM_UP_MS);
+	calls = slopes_read_store_calls(run->fleet);
 	fleet_run_ms(10000);
 	printf("restart\tnone\t%u nodes\t%.0f store calls in 10 s\n", nodes,
-	       slopes_store_calls(run->fleet) - calls);
-	calls = slopes_store_calls(run->fleet);
-	restart(run, 0, 8, nodes / 8);
+	       slopes_read_store_calls(run->fleet) - calls);
+	calls = slopes_read_store_calls(run->fleet);
+	restart_controls(run, 0, 8, nodes / 8);
 	fleet_run_ms(10000);
 	printf("restart\tzone\t%u nodes\t%.0f store calls in 10 s\n", nodes,
-	       slopes_store_calls(run->fleet) - calls);
+	       slopes_read_store_calls(run->fleet) - calls);
 	fleet_run_ms(5000);
-	restart(run, 1, 3, nodes / 3);
+	restart_controls(run, 1, 3, nodes / 3);
 	printf("restart\tthird\t%u nodes\tin force after %.0f ms\n", nodes,
-	       change(run, 0));
+	       apply_change(run, 0));
 out:
-	close_fleet(run);
+	stop_fleet(run);
 }
 
-static void fit(struct run *run, const char *scenario, const char *what,
-		size_t x_offset, bool x_is_double, size_t y_offset)
+static void print_fit(struct run *run, const char *scenario, const char *what,
+		      size_t x_offset, bool x_is_double, size_t y_offset)
 {
 	double x[16];
 	double y[16];
@@ -353,13 +360,13 @@
 	for (i = 0; i < run->rows->len && count < G_N_ELEMENTS(x); i++) {
 		const struct row *row =
 			&g_array_index(run->rows, struct row, i);
-		const char *at = (const char *)row;
+		const char *node = (const char *)row;
 
 		if (strcmp(row->scenario, scenario) != 0)
 			continue;
-		x[count] = x_is_double ? *(const double *)(at + x_offset) :
-					 *(const guint *)(at + x_offset);
-		y[count++] = *(const double *)(at + y_offset);
+		x[count] = x_is_double ? *(const double *)(node + x_offset) :
+					 *(const guint *)(node + x_offset);
+		y[count++] = *(const double *)(node + y_offset);
 	}
 	if (count < 2)
 		return;
@@ -368,7 +375,7 @@
 	       scenario, what, line.base, line.slope, line.residual);
 }
 
-static void fits(struct run *run)
+static void print_fits(struct run *run)
 {
 	static const struct {
 		const char *what;
@@ -394,34 +401,37 @@
 
 	for (i = 0; i < G_N_ELEMENTS(inputs); i++)
 		for (j = 0; j < G_N_ELEMENTS(outcomes); j++)
-			fit(run, inputs[i].scenario, outcomes[j].what,
-			    inputs[i].offset, inputs[i].is_double,
-			    outcomes[j].offset);
+			print_fit(run, inputs[i].scenario, outcomes[j].what,
+				  inputs[i].offset, inputs[i].is_double,
+				  outcomes[j].offset);
 }
 
-static void all(struct run *run)
+static void measure_all(struct run *run)
 {
 	static const guint nodes[] = { 8, 16, 32, 64, 104 };
 	static const guint upstreams[] = { 114, 228, 455, 910 };
 	static const guint services[] = { 11, 22, 44, 88 };
 	static const double changes[] = { 0, 0.1, 0.25, 0.5 };
-	char *text = slopes_inventory(FULL_SERVICES, FULL_UPSTREAMS);
+	char *text = slopes_inventory(FULL_SIZE_SERVICES, FULL_SIZE_UPSTREAMS);
 	guint i;
 
 	printf("full inventory: %zu bytes of TOML\n", strlen(text));
 	g_free(text);
 	for (i = 0; i < G_N_ELEMENTS(nodes); i++)
-		one(run, "nodes", nodes[i], FULL_SERVICES, FULL_UPSTREAMS, 0);
+		measure_size(run, "nodes", nodes[i], FULL_SIZE_SERVICES,
+			     FULL_SIZE_UPSTREAMS, 0);
 	for (i = 0; i < G_N_ELEMENTS(upstreams); i++)
-		one(run, "upstreams", 8, FULL_SERVICES, upstreams[i], 0);
+		measure_size(run, "upstreams", 8, FULL_SIZE_SERVICES,
+			     upstreams[i], 0);
 	for (i = 0; i < G_N_ELEMENTS(services); i++)
-		one(run, "services", 8, services[i], FULL_UPSTREAMS, 0);
+		measure_size(run, "services", 8, services[i],
+			     FULL_SIZE_UPSTREAMS, 0);
 	for (i = 0; i < G_N_ELEMENTS(changes); i++)
-		one(run, "changes", 16, FULL_SERVICES, FULL_UPSTREAMS,
-		    changes[i]);
-	restarts(run, 40);
-	fits(run);
-	slopes_calls(stdout);
+		measure_size(run, "changes", 16, FULL_SIZE_SERVICES,
+			     FULL_SIZE_UPSTREAMS, changes[i]);
+	measure_restarts(run, 40);
+	print_fits(run);
+	slopes_measure_entry(stdout);
 }
 
 static error_t parse_option(int key, char *argument, struct argp_state *state)
@@ -468,7 +478,7 @@
 	nodes = run.row.nodes;
 	child_guard();
 	if (run.entry_only)
-		return slopes_calls(stdout) ? 0 : 1;
+		return slopes_measure_entry(stdout) ? 0 : 1;
 	run.out = fopen("build/slopes.tsv", "w");
 	if (!run.out) {
 		perror("build/slopes.tsv");
@@ -481,11 +491,12 @@
 	      "in_force_ms\tin_force_max\n",
 	      run.out);
 	if (run.restarts_only)
-		restarts(&run, 40);
+		measure_restarts(&run, 40);
 	else if (nodes)
-		one(&run, "nodes", nodes, FULL_SERVICES, FULL_UPSTREAMS, 0);
+		measure_size(&run, "nodes", nodes, FULL_SIZE_SERVICES,
+			     FULL_SIZE_UPSTREAMS, 0);
 	else
-		all(&run);
+		measure_all(&run);
 	fclose(run.out);
 	g_array_unref(run.rows);
 	return 0;
--- a/tools/slopes/slopes.h
+++ b/tools/slopes/slopes.h
@@ -22,7 +22,7 @@
 	guint timer;
 	guint64 incarnation;
 	guint64 config_version;
-	gint64 config_us; /* when that version came */
+	gint64 config_received_us; /* when that version came */
 	guint64 epoch;
 	bool serve;
 };
@@ -33,7 +33,7 @@
 
 /* Counters of one control at one moment. */
 struct slopes_sample {
-	gint64 at_us;
+	gint64 taken_us;
 	double processor_us;
 	double network_bytes; /* both ways, the local entry's excepted */
 	double messages;
@@ -44,11 +44,12 @@
 			struct slopes_sample *sample);
 
 /* Calls that the stand-in store has counted. */
-double slopes_store_calls(const struct fleet *fleet);
+double slopes_read_store_calls(const struct fleet *fleet);
 
 /* POST while the main loop runs. True when answered with 200. */
-bool slopes_post(const struct fleet *fleet, const struct fleet_member *member,
-		 const char *path, const char *body, guint64 *version);
+bool slopes_post_change(const struct fleet *fleet,
+			const struct fleet_member *member, const char *path,
+			const char *body, guint64 *version);
 
 /* Least squares y = base + slope * x, and the largest residual. */
 struct slopes_line {
@@ -58,7 +59,7 @@
 };
 
 /* The entry's cost over calls, keys and connections, as lines of text. */
-bool slopes_calls(FILE *out);
+bool slopes_measure_entry(FILE *out);
 
 struct slopes_line slopes_fit(const double *x, const double *y, guint count);
 
--- a/tools/slopes/slopes_calls.c
+++ b/tools/slopes/slopes_entry_cost.c
@@ -9,11 +9,11 @@
 #include <string.h>
 #include <unistd.h>
 
-#define WARM_S 8
-#define RUN_S 6
-#define UPSTREAMS 16
-#define SLOTS 16
-#define MEAN_US 4000
+#define WARM_UP_S 8
+#define MEASURE_S 6
+#define UPSTREAM_COUNT 16
+#define SLOTS_PER_UPSTREAM 16
+#define MEAN_SERVICE_US 4000
 
 struct usage {
 	double processor_s;
@@ -21,7 +21,7 @@
 };
 
 /* Processor time and memory of a process, from /proc. */
-static struct usage usage_of(GPid pid)
+static struct usage read_usage(GPid pid)
 {
 	char *file = g_strdup_printf("/proc/%d/stat", (int)pid);
 	struct usage usage = { 0 };
@@ -83,25 +83,25 @@
 	return figures;
 }
 
-static void over_calls(struct fleet *fleet, bool keyed, FILE *out)
+static void measure_calls(struct fleet *fleet, bool keyed, FILE *out)
 {
 	static const double rates[] = { 250, 500, 1000, 1500 };
 	GPid pid = fleet_member(fleet, 0)->entry->pid;
 	double x[G_N_ELEMENTS(rates)];
 	double y[G_N_ELEMENTS(rates)];
 	double calls = 0;
-	double first_mb = usage_of(pid).resident_mb;
+	double initial_mb = read_usage(pid).resident_mb;
 	struct slopes_line line;
 	guint i;
 
 	for (i = 0; i < G_N_ELEMENTS(rates); i++) {
-		struct usage before = usage_of(pid);
-		gint64 began_us = g_get_monotonic_time();
+		struct usage before = read_usage(pid);
+		gint64 start_us = g_get_monotonic_time();
 		struct load_figures figures =
-			run_load(fleet, keyed, rates[i], RUN_S);
+			run_load(fleet, keyed, rates[i], MEASURE_S);
 		double seconds =
-			(double)(g_get_monotonic_time() - began_us) / 1e6;
-		struct usage after = usage_of(pid);
+			(double)(g_get_monotonic_time() - start_us) / 1e6;
+		struct usage after = read_usage(pid);
 
 		x[i] = figures.requests / seconds;
 		y[i] = 100 * (after.processor_s - before.processor_s) / seconds;
@@ -117,16 +117,16 @@
 		"fit\tentry %s\t%.3g%% + %.4g%% a call a second, largest "
 		"residual %.3g%%; memory grew by %.2f kB a call\n",
 		keyed ? "keyed" : "plain", line.base, line.slope, line.residual,
-		(usage_of(pid).resident_mb - first_mb) * 1024 / calls);
+		(read_usage(pid).resident_mb - initial_mb) * 1024 / calls);
 }
 
 /* Callers that are connected and say nothing. */
-static void over_connections(struct fleet *fleet, FILE *out)
+static void measure_idle_connections(struct fleet *fleet, FILE *out)
 {
 	const struct fleet_member *member = fleet_member(fleet, 0);
-	GPtrArray *open = g_ptr_array_new_with_free_func(g_object_unref);
+	GPtrArray *connections = g_ptr_array_new_with_free_func(g_object_unref);
 	GSocketClient *client = g_socket_client_new();
-	double before = usage_of(member->entry->pid).resident_mb;
+	double before = read_usage(member->entry->pid).resident_mb;
 	guint i;
 
 	for (i = 0; i < 1000; i++) {
@@ -135,45 +135,47 @@
 							0, NULL, NULL);
 
 		if (connection)
-			g_ptr_array_add(open, connection);
+			g_ptr_array_add(connections, connection);
 	}
 	fleet_run_ms(1000);
-	fprintf(out, "entry\tidle connections\t%u\t%.2f kB each\n", open->len,
-		(usage_of(member->entry->pid).resident_mb - before) * 1024 /
-			MAX(open->len, 1));
-	g_ptr_array_unref(open);
+	fprintf(out, "entry\tidle connections\t%u\t%.2f kB each\n",
+		connections->len,
+		(read_usage(member->entry->pid).resident_mb - before) * 1024 /
+			MAX(connections->len, 1));
+	g_ptr_array_unref(connections);
 	g_object_unref(client);
 }
 
-bool slopes_calls(FILE *out)
+bool slopes_measure_entry(FILE *out)
 {
 	struct fleet_service service = { .name = "calls",
 					 .path = "/calls",
-					 .upstreams = UPSTREAMS,
+					 .upstreams = UPSTREAM_COUNT,
 					 .once = true,
-					 .slots = SLOTS,
-					 .cold_slots = SLOTS,
+					 .slots = SLOTS_PER_UPSTREAM,
+					 .cold_slots = SLOTS_PER_UPSTREAM,
 					 .cold_ms = 500,
 					 .queue_limit = 2000 };
 	char *inventory = fleet_inventory_text(&service, 1, 1);
 	struct fleet_options options = { .inventory = inventory,
 					 .members = 1,
-					 .mean_us = MEAN_US };
+					 .mean_us = MEAN_SERVICE_US };
 	GError *error = NULL;
 	struct fleet *fleet = fleet_new(&options, &error);
-	bool up = fleet && fleet_start(fleet, &error);
+	bool is_ready = fleet && fleet_start(fleet, &error);
 
-	if (up)
+	if (is_ready)
 		fleet_run_ms(1500);
-	up = up &&
-	     fleet_apply(fleet, fleet_member(fleet, 0), inventory, &error) &&
-	     fleet_wait_ready(fleet, 15000, &error);
-	if (up) {
+	is_ready =
+		is_ready &&
+		fleet_apply(fleet, fleet_member(fleet, 0), inventory, &error) &&
+		fleet_wait_ready(fleet, 15000, &error);
+	if (is_ready) {
 		fleet_run_ms(3000);
-		run_load(fleet, false, 100, WARM_S);
-		over_calls(fleet, false, out);
-		over_calls(fleet, true, out);
-		over_connections(fleet, out);
+		run_load(fleet, false, 100, WARM_UP_S);
+		measure_calls(fleet, false, out);
+		measure_calls(fleet, true, out);
+		measure_idle_connections(fleet, out);
 	} else {
 		fprintf(stderr, "slopes: %s\n",
 			error ? error->message : "the entry didn't come up");
@@ -181,5 +183,5 @@
 	g_clear_error(&error);
 	fleet_free(fleet, false);
 	g_free(inventory);
-	return up;
+	return is_ready;
 }
--- a/tools/slopes/slopes_entry.c
+++ b/tools/slopes/slopes_fake_entry.c
@@ -1,11 +1,11 @@
 /* An entry as a control sees one: takes views, acknowledges each. */
 #include "slopes/slopes.h"
 
-#define AGAIN_MS 200
+#define RECONNECT_MS 200
 
 static void slopes_connect(struct slopes_entry *entry);
 
-static gboolean on_again(void *context)
+static gboolean on_reconnect(void *context)
 {
 	struct slopes_entry *entry = context;
 
@@ -25,7 +25,7 @@
 		goto out;
 	if (view->config.length) {
 		entry->config_version = view->config_version;
-		entry->config_us = g_get_monotonic_time();
+		entry->config_received_us = g_get_monotonic_time();
 	}
 	entry->epoch = view->epoch;
 	entry->serve = view->serve;
@@ -45,7 +45,7 @@
 
 	aub_link_free(entry->link);
 	entry->link = NULL;
-	entry->timer = g_timeout_add(AGAIN_MS, on_again, entry);
+	entry->timer = g_timeout_add(RECONNECT_MS, on_reconnect, entry);
 }
 
 static const struct aub_link_callbacks callbacks = {
--- a/tools/slopes/slopes_read.c
+++ b/tools/slopes/slopes_metrics.c
@@ -5,8 +5,8 @@
 #include <math.h>
 #include <string.h>
 
-#define POST_MS 20000
-#define READ_MS 2000
+#define POST_TIMEOUT_MS 20000
+#define READ_TIMEOUT_MS 2000
 
 char *slopes_inventory(guint services, guint upstreams)
 {
@@ -46,7 +46,7 @@
 	return g_string_free(text, FALSE);
 }
 
-static double metric(const char *text, const char *name)
+static double read_metric(const char *text, const char *name)
 {
 	char *line = g_strdup_printf("\n%s ", name);
 	const char *found = strstr(text, line);
@@ -65,25 +65,30 @@
 	guint status = 0;
 	char *text;
 
-	text = child_http("GET", url, NULL, NULL, READ_MS, &status, NULL);
-	sample->at_us = g_get_monotonic_time();
+	text = child_http("GET", url, NULL, NULL, READ_TIMEOUT_MS, &status,
+			  NULL);
+	sample->taken_us = g_get_monotonic_time();
 	g_free(url);
 	if (!text)
 		return false;
-	sample->processor_us = metric(text, "auburnstile_processor_us");
-	sample->network_bytes = metric(text, "auburnstile_link_bytes_in") +
-				metric(text, "auburnstile_link_bytes_out") -
-				metric(text, "auburnstile_entry_bytes");
-	sample->messages = metric(text, "auburnstile_control_messages_total");
-	sample->resident_bytes = metric(text, "auburnstile_resident_bytes");
+	sample->processor_us = read_metric(text, "auburnstile_processor_us");
+	sample->network_bytes =
+		read_metric(text, "auburnstile_link_bytes_in") +
+		read_metric(text, "auburnstile_link_bytes_out") -
+		read_metric(text, "auburnstile_entry_bytes");
+	sample->messages =
+		read_metric(text, "auburnstile_control_messages_total");
+	sample->resident_bytes =
+		read_metric(text, "auburnstile_resident_bytes");
 	g_free(text);
 	return status == 200;
 }
 
-double slopes_store_calls(const struct fleet *fleet)
+double slopes_read_store_calls(const struct fleet *fleet)
 {
 	char *url = g_strdup_printf("http://%s/calls", fleet->store->address);
-	char *text = child_http("GET", url, NULL, NULL, READ_MS, NULL, NULL);
+	char *text =
+		child_http("GET", url, NULL, NULL, READ_TIMEOUT_MS, NULL, NULL);
 	JsonNode *node = text ? json_from_string(text, NULL) : NULL;
 	double calls = 0;
 
@@ -98,21 +103,22 @@
 	return calls;
 }
 
-struct posted {
+struct post_result {
 	GBytes *body;
 	bool done;
 };
 
-static void on_posted(GObject *source, GAsyncResult *result, void *context)
+static void on_posted(GObject *source, GAsyncResult *async_result,
+		      void *context)
 {
-	struct posted *posted = context;
+	struct post_result *result = context;
 
-	posted->body = soup_session_send_and_read_finish(SOUP_SESSION(source),
-							 result, NULL);
-	posted->done = true;
+	result->body = soup_session_send_and_read_finish(SOUP_SESSION(source),
+							 async_result, NULL);
+	result->done = true;
 }
 
-static guint64 version_of(GBytes *body)
+static guint64 parse_version(GBytes *body)
 {
 	gsize length;
 	const char *data = g_bytes_get_data(body, &length);
@@ -129,64 +135,66 @@
 	return version;
 }
 
-bool slopes_post(const struct fleet *fleet, const struct fleet_member *member,
-		 const char *path, const char *body, guint64 *version)
+bool slopes_post_change(const struct fleet *fleet,
+			const struct fleet_member *member, const char *path,
+			const char *body, guint64 *version)
 {
 	SoupSession *session =
-		soup_session_new_with_options("timeout", POST_MS / 1000, NULL);
+		soup_session_new_with_options("timeout", POST_TIMEOUT_MS / 1000,
+					      NULL);
 	char *url = g_strdup_printf("http://%s%s", member->control_admin, path);
 	char *bearer = g_strdup_printf("Bearer %s", fleet->token);
 	SoupMessage *message = soup_message_new("POST", url);
 	GBytes *bytes = g_bytes_new(body, strlen(body));
-	struct posted posted = { 0 };
-	bool good;
+	struct post_result result = { 0 };
+	bool accepted;
 
 	soup_message_headers_append(soup_message_get_request_headers(message),
 				    "Authorization", bearer);
 	soup_message_set_request_body_from_bytes(message, "application/json",
 						 bytes);
 	soup_session_send_and_read_async(session, message, 0, NULL, on_posted,
-					 &posted);
-	while (!posted.done)
+					 &result);
+	while (!result.done)
 		g_main_context_iteration(NULL, TRUE);
-	good = posted.body && soup_message_get_status(message) == 200;
-	if (good)
-		*version = version_of(posted.body);
-	else if (posted.body)
+	accepted = result.body && soup_message_get_status(message) == 200;
+	if (accepted)
+		*version = parse_version(result.body);
+	else if (result.body)
 		fprintf(stderr, "slopes: %u %.*s\n",
 			soup_message_get_status(message),
-			(int)MIN(g_bytes_get_size(posted.body), 300),
-			(const char *)g_bytes_get_data(posted.body, NULL));
-	if (posted.body)
-		g_bytes_unref(posted.body);
+			(int)MIN(g_bytes_get_size(result.body), 300),
+			(const char *)g_bytes_get_data(result.body, NULL));
+	if (result.body)
+		g_bytes_unref(result.body);
 	g_bytes_unref(bytes);
 	g_object_unref(message);
 	g_object_unref(session);
 	g_free(bearer);
 	g_free(url);
-	return good;
+	return accepted;
 }
 
 struct slopes_line slopes_fit(const double *x, const double *y, guint count)
 {
 	struct slopes_line line = { 0 };
-	double sx = 0;
-	double sy = 0;
-	double sxx = 0;
-	double sxy = 0;
-	double spread;
+	double sum_x = 0;
+	double sum_y = 0;
+	double sum_xx = 0;
+	double sum_xy = 0;
+	double denominator;
 	guint i;
 
 	for (i = 0; i < count; i++) {
-		sx += x[i];
-		sy += y[i];
-		sxx += x[i] * x[i];
-		sxy += x[i] * y[i];
+		sum_x += x[i];
+		sum_y += y[i];
+		sum_xx += x[i] * x[i];
+		sum_xy += x[i] * y[i];
 	}
-	spread = count * sxx - sx * sx;
-	if (spread > 0)
-		line.slope = (count * sxy - sx * sy) / spread;
-	line.base = count ? (sy - line.slope * sx) / count : 0;
+	denominator = count * sum_xx - sum_x * sum_x;
+	if (denominator > 0)
+		line.slope = (count * sum_xy - sum_x * sum_y) / denominator;
+	line.base = count ? (sum_y - line.slope * sum_x) / count : 0;
 	for (i = 0; i < count; i++)
 		line.residual = fmax(line.residual, fabs(y[i] - line.base -
 							 line.slope * x[i]));
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -22,9 +22,9 @@
 #include <argp.h>
 #include <glib/gstdio.h>
 
-#define SERVED_LEAST 0.9 /* of the calls once all is mended */
+#define SERVED_MIN_SHARE 0.9 /* of the calls once all is mended */
 
-struct arguments {
+struct options {
 	guint seed;
 	guint seconds;
 	guint runs;
@@ -36,36 +36,36 @@
 	return aub_timer_now(soak->timers);
 }
 
-void soak_broken(struct soak *soak, const char *rule, const char *id)
+void soak_report_violation(struct soak *soak, const char *rule, const char *id)
 {
-	soak->broken++;
+	soak->violations++;
 	g_print("BROKEN %s: request %s, %.3f s before the calm\n", rule, id,
-		(double)(soak->calm_us - soak_now(soak)) / 1e6);
+		(double)(soak->faults_end_us - soak_now(soak)) / 1e6);
 }
 
-gint64 soak_later(struct soak *soak, guint least_ms, guint most_ms)
+gint64 soak_random_time(struct soak *soak, guint min_ms, guint max_ms)
 {
 	return soak_now(soak) +
-	       g_rand_int_range(soak->random, (gint)least_ms, (gint)most_ms) *
+	       g_rand_int_range(soak->random, (gint)min_ms, (gint)max_ms) *
 		       AUB_MS;
 }
 
-static void on_turn(void *context, gint64 now_us)
+static void on_step(void *context, gint64 now_us)
 {
 	struct soak *soak = context;
 
-	soak_mend_due(soak, now_us);
+	soak_repair_due(soak, now_us);
 	if (soak->rollout)
-		soak_rollout_turn(soak->rollout, now_us);
-	if (soak->zone_out && now_us >= soak->calm_us)
-		soak_zone_back(soak);
-	if (now_us >= soak->next_fault_us && now_us < soak->calm_us)
-		soak_fault_begin(soak);
-	for (guint i = 0; i < CALLERS; i++)
-		soak_caller_turn(&soak->callers[i], now_us);
+		soak_rollout_step(soak->rollout, now_us);
+	if (soak->zone_evacuated && now_us >= soak->faults_end_us)
+		soak_end_evacuation(soak);
+	if (now_us >= soak->next_fault_us && now_us < soak->faults_end_us)
+		soak_inject_fault(soak);
+	for (guint i = 0; i < CALLER_COUNT; i++)
+		soak_caller_step(&soak->callers[i], now_us);
 }
 
-static void soak_start(struct soak *soak, const struct arguments *arguments,
+static void soak_start(struct soak *soak, const struct options *options,
 		       guint32 seed)
 {
 	gint64 now;
@@ -76,109 +76,111 @@
 	soak->requests =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	soak->folder = g_dir_make_tmp("auburnstile-soak-XXXXXX", NULL);
-	if (arguments->rollouts)
+	if (options->rollouts)
 		soak->rollout = soak_rollout_new(soak, seed);
 	soak_configure(soak);
-	for (guint i = 0; i < UPSTREAMS; i++) {
+	for (guint i = 0; i < UPSTREAM_COUNT; i++) {
 		soak->upstreams[i].soak = soak;
 		soak->upstreams[i].number = i;
 		soak_upstream_start(&soak->upstreams[i]);
 	}
-	for (guint i = 0; i < PORTS; i++)
+	for (guint i = 0; i < GATEWAY_PORT_COUNT; i++)
 		soak->ports[i] = child_free_port();
-	for (guint i = 0; i < GATEWAYS; i++) {
+	for (guint i = 0; i < GATEWAY_COUNT; i++) {
 		soak->gateways[i].soak = soak;
 		soak->gateways[i].number = i;
 		soak->gateways[i].callers =
 			soak_gateway_address(&soak->gateways[i], 0);
-		soak_gateway_write(&soak->gateways[i]);
+		soak_gateway_write_settings(&soak->gateways[i]);
 		soak_gateway_start(&soak->gateways[i]);
 	}
 	now = soak_now(soak);
-	for (guint i = 0; i < CALLERS; i++) {
+	for (guint i = 0; i < CALLER_COUNT; i++) {
 		soak->callers[i].soak = soak;
 		soak->callers[i].next_us = now + AUB_SECOND;
 	}
 	soak->next_fault_us = now + 2 * AUB_SECOND;
-	soak->calm_us = now + arguments->seconds * AUB_SECOND;
+	soak->faults_end_us = now + options->seconds * AUB_SECOND;
 }
 
 static bool soak_report(struct soak *soak, guint32 seed)
 {
-	if (soak->late_served < SERVED_LEAST * soak->late_calls ||
-	    !soak->late_calls)
-		soak_broken(soak, "RECOVER", "-");
+	if (soak->recovered_served < SERVED_MIN_SHARE * soak->recovered_calls ||
+	    !soak->recovered_calls)
+		soak_report_violation(soak, "RECOVER", "-");
 	g_print("seed %u: %u faults, %u calls, %u served; after the faults "
 		"%u of %u; %u broken\n",
 		seed, soak->faults, soak->calls, soak->served,
-		soak->late_served, soak->late_calls, soak->broken);
+		soak->recovered_served, soak->recovered_calls,
+		soak->violations);
 	if (soak->rollout)
 		soak_rollout_report(soak->rollout);
-	if (soak->broken)
+	if (soak->violations)
 		g_print("logs are kept in %s\n", soak->folder);
-	return soak->broken == 0;
+	return soak->violations == 0;
 }
 
-static void soak_end(struct soak *soak)
+static void soak_stop(struct soak *soak)
 {
-	for (guint i = 0; i < CALLERS; i++)
-		soak_caller_hang_up(&soak->callers[i]);
-	for (guint i = 0; i < GATEWAYS; i++) {
+	for (guint i = 0; i < CALLER_COUNT; i++)
+		soak_caller_disconnect(&soak->callers[i]);
+	for (guint i = 0; i < GATEWAY_COUNT; i++) {
 		char *log = g_strdup_printf("%s/g%u.log", soak->folder, i);
 
 		child_free(soak->gateways[i].child);
-		if (!soak->broken) {
+		if (!soak->violations) {
 			g_unlink(log);
 			g_unlink(soak->gateways[i].settings);
 		}
 		g_free(log);
 	}
-	if (!soak->broken)
+	if (!soak->violations)
 		g_rmdir(soak->folder);
 	soak_rollout_free(soak->rollout);
 }
 
 static error_t parse_option(int key, char *text, struct argp_state *state)
 {
-	struct arguments *arguments = state->input;
-	guint *value = key == 's' ? &arguments->seed :
-		       key == 't' ? &arguments->seconds :
-		       key == 'n' ? &arguments->runs :
-				    NULL;
+	struct options *options = state->input;
+	guint *number_target = key == 's' ? &options->seed :
+			       key == 't' ? &options->seconds :
+			       key == 'n' ? &options->runs :
+					    NULL;
 	guint64 number;
 
 	if (key == 'r') {
-		arguments->rollouts = true;
+		options->rollouts = true;
 		return 0;
 	}
-	if (!value)
+	if (!number_target)
 		return ARGP_ERR_UNKNOWN;
 	if (!g_ascii_string_to_unsigned(text, 10, 1, G_MAXUINT32, &number,
 					NULL))
 		argp_error(state, "-%c wants a number", key);
-	*value = (guint)number;
+	*number_target = (guint)number;
 	return 0;
 }
 
-static bool soak_run(guint32 seed, const struct arguments *arguments)
+static bool run_seed(guint32 seed, const struct options *options)
 {
 	struct soak soak = { .random = g_rand_new_with_seed(seed) };
-	guint turn;
+	guint step_timer;
 	bool good;
 
-	soak_start(&soak, arguments, seed);
-	turn = aub_timer_every(soak.timers, "turn", 2 * AUB_MS, on_turn, &soak);
-	while (soak_now(&soak) < soak.calm_us + CALM_MS * AUB_MS)
+	soak_start(&soak, options, seed);
+	step_timer = aub_timer_every(soak.timers, "turn", 2 * AUB_MS, on_step,
+				     &soak);
+	while (soak_now(&soak) < soak.faults_end_us + FAULT_FREE_MS * AUB_MS)
 		g_main_context_iteration(NULL, TRUE);
-	aub_timer_cancel(soak.timers, turn);
+	aub_timer_cancel(soak.timers, step_timer);
 	good = soak_report(&soak, seed);
-	soak_end(&soak);
+	soak_stop(&soak);
 	return good;
 }
 
 int main(int argc, char **argv)
 {
-	static const struct argp_option options[] = {
+	static const struct argp_option option_table[] = {
 		{ "seed", 's', "N", 0, "first seed (1)", 0 },
 		{ "seconds", 't', "S", 0, "of faults, a seed (20)", 0 },
 		{ "runs", 'n', "N", 0, "seeds, one after the other (1)", 0 },
@@ -187,17 +189,17 @@
 		{ 0 },
 	};
 	const struct argp argp = {
-		.options = options,
+		.options = option_table,
 		.parser = parse_option,
 		.doc = "Gateways under random faults; ends with a line a seed.",
 	};
-	struct arguments arguments = { .seed = 1, .seconds = 20, .runs = 1 };
+	struct options options = { .seed = 1, .seconds = 20, .runs = 1 };
 	guint failed = 0;
 
-	argp_parse(&argp, argc, argv, 0, NULL, &arguments);
+	argp_parse(&argp, argc, argv, 0, NULL, &options);
 	child_guard();
-	for (guint i = 0; i < arguments.runs; i++)
-		failed += !soak_run(arguments.seed + i, &arguments);
-	g_print("%u passed, %u failed\n", arguments.runs - failed, failed);
+	for (guint i = 0; i < options.runs; i++)
+		failed += !run_seed(options.seed + i, &options);
+	g_print("%u passed, %u failed\n", options.runs - failed, failed);
 	return failed ? 1 : 0;
 }
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -14,19 +14,20 @@
 
 G_BEGIN_DECLS
 
-#define GATEWAYS 5
-#define FIRST_IP 10
-#define PORTS 5 /* that a gateway listens on */
-#define UPSTREAMS 8
-#define CALLERS 12 /* fewer than the slots of one zone */
-#define BODY_BYTES 500
-#define WORK_MS 20
-#define CALL_MS 3000 /* a caller's deadline */
-#define THINK_MS 15
-#define FAULT_GAP_MS 400 /* mean time between two faults */
-#define CALM_MS 9000 /* at the end, without new faults */
-#define SETTLED_MS 6000 /* of it, until the last fault has been mended */
-#define DRAIN_US (3 * AUB_SECOND) /* from an entry's change to the last run */
+#define GATEWAY_COUNT 5
+#define FIRST_HOST_NUMBER 10
+#define GATEWAY_PORT_COUNT 5 /* that a gateway listens on */
+#define UPSTREAM_COUNT 8
+#define CALLER_COUNT 12 /* fewer than the slots of one zone */
+#define ANSWER_BYTES 500
+#define SERVICE_TIME_MS 20
+#define CALL_DEADLINE_MS 3000 /* a caller's deadline */
+#define THINK_TIME_MEAN_MS 15
+#define FAULT_INTERVAL_MEAN_MS 400 /* mean time between two faults */
+#define FAULT_FREE_MS 9000 /* at the end, without new faults */
+#define RECOVERY_MS 6000 /* of it, until the last fault has been mended */
+#define DRAIN_LIMIT_US \
+	(3 * AUB_SECOND) /* from an entry's change to the last run */
 
 struct rollout;
 struct soak;
@@ -45,16 +46,16 @@
 	struct soak *soak;
 	guint number;
 	guint generation; /* a new id each time it is replaced */
-	struct platform_upstream *it;
+	struct platform_upstream *server;
 	struct proxy_route *route;
 	char *id;
 	gint64 draining_us; /* since when; 0: not */
-	gint64 mend_us; /* its fault ends then; 0: none */
-	bool of_order; /* of the version that an order moves to */
+	gint64 repair_us; /* its fault ends then; 0: none */
+	bool of_new_version; /* of the version that an order moves to */
 };
 
 struct request {
-	bool once;
+	bool at_most_once;
 	bool refused; /* the caller was told that it did not run */
 	guint runs;
 };
@@ -64,12 +65,12 @@
 	struct aub_http_stream *stream;
 	struct gateway *gateway;
 	char *id;
-	gint64 begun_us; /* of the call under way; 0: thinks */
+	gint64 start_us; /* of the call under way; 0: thinks */
 	gint64 next_us;
 	guint status;
-	gsize body;
-	char text[64]; /* how its body begins */
-	bool mine;
+	gsize body_bytes;
+	char body_start[64]; /* how its body begins */
+	bool is_own_answer;
 };
 
 struct soak {
@@ -78,56 +79,56 @@
 	struct aub_timer_service *timers;
 	struct aub_poller *poller;
 	struct platform_store *store;
-	struct gateway gateways[GATEWAYS];
-	struct upstream upstreams[UPSTREAMS];
-	struct caller callers[CALLERS];
+	struct gateway gateways[GATEWAY_COUNT];
+	struct upstream upstreams[UPSTREAM_COUNT];
+	struct caller callers[CALLER_COUNT];
 	GHashTable *requests; /* id -> struct request */
 	char *folder;
-	guint16 ports[PORTS];
+	guint16 ports[GATEWAY_PORT_COUNT];
 	guint serial;
 	guint version;
-	gint64 store_mend_us; /* 0: it is well */
-	gint64 store_well_us; /* since when, at the last mend */
-	gint64 store_ill_us; /* since when, at the last fault */
+	gint64 store_repair_us; /* 0: it is well */
+	gint64 store_healthy_us; /* since when, at the last mend */
+	gint64 store_faulty_us; /* since when, at the last fault */
 	gint64 next_fault_us;
-	gint64 calm_us; /* no fault begins later */
-	bool zone_out;
+	gint64 faults_end_us; /* no fault begins later */
+	bool zone_evacuated;
 	guint faults;
 	guint calls;
 	guint served;
-	guint late_calls; /* once all was mended */
-	guint late_served;
-	guint broken;
+	guint recovered_calls; /* once all was mended */
+	guint recovered_served;
+	guint violations;
 };
 
 /* In this process's own time. */
 gint64 soak_now(const struct soak *soak);
-/* A moment between `least_ms` and `most_ms` from now. */
-gint64 soak_later(struct soak *soak, guint least_ms, guint most_ms);
+/* A moment between `min_ms` and `max_ms` from now. */
+gint64 soak_random_time(struct soak *soak, guint min_ms, guint max_ms);
 /* A rule was broken; `id` of the request, or "-". */
-void soak_broken(struct soak *soak, const char *rule, const char *id);
+void soak_report_violation(struct soak *soak, const char *rule, const char *id);
 
 void soak_configure(struct soak *soak);
 /* Write the entry of an upstream in `state`. */
-void soak_upstream_enter(struct upstream *upstream, const char *state);
+void soak_upstream_register(struct upstream *upstream, const char *state);
 /* A new incarnation of `upstream`; its number and soak are set. */
 void soak_upstream_start(struct upstream *upstream);
-void soak_upstream_end(struct upstream *upstream);
+void soak_upstream_stop(struct upstream *upstream);
 
-void soak_gateway_write(struct gateway *gateway);
+void soak_gateway_write_settings(struct gateway *gateway);
 void soak_gateway_start(struct gateway *gateway);
 /* Of its listener `port`; g_free. */
 char *soak_gateway_address(const struct gateway *gateway, guint port);
 
 /* A fault of any kind, from the soak's seed. */
-void soak_fault_begin(struct soak *soak);
+void soak_inject_fault(struct soak *soak);
 /* What is due to be mended. */
-void soak_mend_due(struct soak *soak, gint64 now_us);
-void soak_zone_back(struct soak *soak);
+void soak_repair_due(struct soak *soak, gint64 now_us);
+void soak_end_evacuation(struct soak *soak);
 
 /* Go on calling, or wait. */
-void soak_caller_turn(struct caller *caller, gint64 now_us);
-void soak_caller_hang_up(struct caller *caller);
+void soak_caller_step(struct caller *caller, gint64 now_us);
+void soak_caller_disconnect(struct caller *caller);
 
 /*
  * An order to change versions in the middle of the faults: good or bad by
@@ -135,10 +136,11 @@
  */
 struct rollout *soak_rollout_new(struct soak *soak, guint32 seed);
 void soak_rollout_free(struct rollout *rollout);
-void soak_rollout_turn(struct rollout *rollout, gint64 now_us);
+void soak_rollout_step(struct rollout *rollout, gint64 now_us);
 /* A request begins to run at `upstream`. */
-void soak_rollout_run(struct rollout *rollout, const struct upstream *upstream,
-		      const char *id);
+void soak_rollout_count_request(struct rollout *rollout,
+				const struct upstream *upstream,
+				const char *id);
 /* Is the old version stopped? */
 bool soak_rollout_is_done(const struct rollout *rollout);
 /* One line about what became of it. */
--- a/tools/soak/soak_faults.c
+++ b/tools/soak/soak_faults.c
@@ -5,25 +5,26 @@
 
 #include <signal.h>
 
-static void fault_gateway(struct soak *soak)
+static void inject_gateway_fault(struct soak *soak)
 {
 	struct gateway *gateway =
-		&soak->gateways[g_rand_int_range(soak->random, 0, GATEWAYS)];
+		&soak->gateways[g_rand_int_range(soak->random, 0,
+						 GATEWAY_COUNT)];
 
 	if (gateway->restart_us || gateway->resume_us)
 		return;
 	switch (g_rand_int_range(soak->random, 0, 4)) {
 	case 0:
 		child_signal(gateway->child, SIGKILL);
-		gateway->restart_us = soak_later(soak, 50, 1500);
+		gateway->restart_us = soak_random_time(soak, 50, 1500);
 		break;
 	case 1:
 		child_signal(gateway->child, SIGTERM);
-		gateway->restart_us = soak_later(soak, 3100, 4000);
+		gateway->restart_us = soak_random_time(soak, 3100, 4000);
 		break;
 	case 2:
 		child_signal(gateway->child, SIGSTOP);
-		gateway->resume_us = soak_later(soak, 100, 2000);
+		gateway->resume_us = soak_random_time(soak, 100, 2000);
 		break;
 	default:
 		child_signal(gateway->child, SIGHUP);
@@ -31,7 +32,7 @@
 	}
 }
 
-static void fault_store(struct soak *soak)
+static void inject_store_fault(struct soak *soak)
 {
 	switch (g_rand_int_range(soak->random, 0, 4)) {
 	case 0:
@@ -50,20 +51,21 @@
 				PLATFORM_STORE_NONSENSE + 1));
 		break;
 	}
-	if (!soak->store_mend_us)
-		soak->store_ill_us = soak_now(soak);
-	soak->store_mend_us = soak_later(soak, 300, 3000);
+	if (!soak->store_repair_us)
+		soak->store_faulty_us = soak_now(soak);
+	soak->store_repair_us = soak_random_time(soak, 300, 3000);
 }
 
-static void fault_upstream(struct soak *soak)
+static void inject_upstream_fault(struct soak *soak)
 {
 	struct upstream *upstream =
-		&soak->upstreams[g_rand_int_range(soak->random, 0, UPSTREAMS)];
+		&soak->upstreams[g_rand_int_range(soak->random, 0,
+						  UPSTREAM_COUNT)];
 
-	if (upstream->mend_us || upstream->draining_us ||
+	if (upstream->repair_us || upstream->draining_us ||
 	    soak_rollout_is_done(soak->rollout))
 		return;
-	upstream->mend_us = soak_later(soak, 300, 2500);
+	upstream->repair_us = soak_random_time(soak, 300, 2500);
 	switch (g_rand_int_range(soak->random, 0, 6)) {
 	case 0:
 		upstream->route->fault.delay_ms =
@@ -76,82 +78,85 @@
 		upstream->route->fault.silent[PROXY_DOWN] = true;
 		break;
 	case 3:
-		platform_upstream_set_down(upstream->it, true);
+		platform_upstream_set_down(upstream->server, true);
 		break;
 	case 4:
 		upstream->draining_us = soak_now(soak);
-		upstream->mend_us = soak_later(soak, 4000, 6000);
-		soak_upstream_enter(upstream, "draining");
+		upstream->repair_us = soak_random_time(soak, 4000, 6000);
+		soak_upstream_register(upstream, "draining");
 		break;
 	default:
 		platform_upstream_set_answer(
-			upstream->it,
+			upstream->server,
 			(enum platform_answer)g_rand_int_range(
 				soak->random, 0, PLATFORM_ANSWER_EARLY));
 		break;
 	}
 }
 
-static void upstream_mend(struct soak *soak, guint number)
+static void replace_upstream(struct soak *soak, guint number)
 {
 	struct upstream *upstream = &soak->upstreams[number];
 
 	/* Whatever it had, it comes back as a new incarnation. */
-	upstream->mend_us = 0;
-	soak_upstream_end(upstream);
+	upstream->repair_us = 0;
+	soak_upstream_stop(upstream);
 	soak_upstream_start(upstream);
 }
 
-void soak_zone_back(struct soak *soak)
+void soak_end_evacuation(struct soak *soak)
 {
 	platform_store_remove(soak->store, "evacuations", "z1");
-	soak->zone_out = false;
+	soak->zone_evacuated = false;
 }
 
-static void fault_operator(struct soak *soak)
+static void inject_operator_change(struct soak *soak)
 {
 	if (g_rand_boolean(soak->random)) {
 		soak_configure(soak);
 		return;
 	}
-	if (soak->zone_out) {
-		soak_zone_back(soak);
+	if (soak->zone_evacuated) {
+		soak_end_evacuation(soak);
 		return;
 	}
 	platform_store_put(soak->store, "evacuations", "z1", "{}");
-	soak->zone_out = true;
+	soak->zone_evacuated = true;
 }
 
-void soak_fault_begin(struct soak *soak)
+void soak_inject_fault(struct soak *soak)
 {
-	static void (*const faults[])(struct soak *) = {
-		fault_gateway,	fault_gateway, fault_upstream,
-		fault_upstream, fault_store,   fault_operator,
+	static void (*const injectors[])(struct soak *) = {
+		inject_gateway_fault,  inject_gateway_fault,
+		inject_upstream_fault, inject_upstream_fault,
+		inject_store_fault,    inject_operator_change,
 	};
 
 	soak->faults++;
-	faults[g_rand_int_range(soak->random, 0, G_N_ELEMENTS(faults))](soak);
-	soak->next_fault_us = soak_later(soak, 1, 2 * FAULT_GAP_MS);
+	injectors[g_rand_int_range(soak->random, 0, G_N_ELEMENTS(injectors))](
+		soak);
+	soak->next_fault_us =
+		soak_random_time(soak, 1, 2 * FAULT_INTERVAL_MEAN_MS);
 }
 
-static void store_mend(struct soak *soak)
+static void repair_store(struct soak *soak)
 {
 	platform_store_set_fault(soak->store, PLATFORM_STORE_WELL);
 	platform_store_set_delay(soak->store, 0);
-	soak->store_mend_us = 0;
-	soak->store_well_us = soak_now(soak);
+	soak->store_repair_us = 0;
+	soak->store_healthy_us = soak_now(soak);
 }
 
-void soak_mend_due(struct soak *soak, gint64 now_us)
+void soak_repair_due(struct soak *soak, gint64 now_us)
 {
-	if (soak->store_mend_us && soak->store_mend_us <= now_us)
-		store_mend(soak);
-	for (guint i = 0; i < UPSTREAMS; i++)
+	if (soak->store_repair_us && soak->store_repair_us <= now_us)
+		repair_store(soak);
+	for (guint i = 0; i < UPSTREAM_COUNT; i++)
 		if (!soak_rollout_is_done(soak->rollout) &&
-		    soak->upstreams[i].mend_us &&
-		    soak->upstreams[i].mend_us <= now_us)
-			upstream_mend(soak, i);
-	for (guint i = 0; i < GATEWAYS; i++) {
+		    soak->upstreams[i].repair_us &&
+		    soak->upstreams[i].repair_us <= now_us)
+			replace_upstream(soak, i);
+	for (guint i = 0; i < GATEWAY_COUNT; i++) {
 		struct gateway *gateway = &soak->gateways[i];
 
 		if (gateway->resume_us && gateway->resume_us <= now_us) {
--- a/tools/soak/soak_gateways.c
+++ b/tools/soak/soak_gateways.c
@@ -9,13 +9,14 @@
  */
 char *soak_gateway_address(const struct gateway *gateway, guint port)
 {
-	return g_strdup_printf("127.0.1.%u:%u", FIRST_IP + gateway->number,
+	return g_strdup_printf("127.0.1.%u:%u",
+			       FIRST_HOST_NUMBER + gateway->number,
 			       gateway->soak->ports[port]);
 }
 
-void soak_gateway_write(struct gateway *gateway)
+void soak_gateway_write_settings(struct gateway *gateway)
 {
-	static const char *const names[PORTS] = {
+	static const char *const names[GATEWAY_PORT_COUNT] = {
 		"callers", "directory", "readiness", "peers", "metrics",
 	};
 	GString *text = g_string_new(NULL);
@@ -28,9 +29,9 @@
 		"retry_slack = 50\nrollout_share = %s\n"
 		"rollout_slack = 50\n",
 		gateway->number, gateway->number % 2,
-		platform_store_address(gateway->soak->store), FIRST_IP,
-		FIRST_IP + 1, gateway->soak->rollout ? "0.1" : "0");
-	for (guint i = 0; i < PORTS; i++) {
+		platform_store_address(gateway->soak->store), FIRST_HOST_NUMBER,
+		FIRST_HOST_NUMBER + 1, gateway->soak->rollout ? "0.1" : "0");
+	for (guint i = 0; i < GATEWAY_PORT_COUNT; i++) {
 		char *address = soak_gateway_address(gateway, i);
 
 		g_string_append_printf(text, "%s = \"%s\"\n", names[i],
--- a/tools/soak/soak_rollout.c
+++ b/tools/soak/soak_rollout.c
@@ -5,27 +5,27 @@
 
 #include <string.h>
 
-#define BEGIN_MS 3000 /* after the start, within the faults */
-#define DURATION_MS 8000
-#define SHARE 0.1 /* as the gateways' settings say */
-#define SLACK 50
-#define FAILING_SHARE 0.5 /* of a bad version's answers */
-#define SETTLE_MS 3000 /* after a roll-back is stored */
+#define ORDER_AT_MS 3000 /* after the start, within the faults */
+#define ROLLOUT_MS 8000
+#define EXPOSURE_SHARE 0.1 /* as the gateways' settings say */
+#define EXPOSURE_SLACK_REQUESTS 50
+#define BAD_VERSION_FAILURE_SHARE 0.5 /* of a bad version's answers */
+#define ROLLBACK_GRACE_MS 3000 /* after a roll-back is stored */
 
 struct rollout {
 	struct soak *soak;
 	GRand *random;
-	bool bad;
-	gint64 begin_us;
-	gint64 end_us;
-	bool given;
-	bool done; /* completed: the old version is stopped */
+	bool is_bad;
+	gint64 order_us;
+	gint64 deadline_us;
+	bool is_submitted;
+	bool is_completed; /* completed: the old version is stopped */
 	gint64 rolled_back_us; /* 0: not */
-	gint64 paused_us; /* when a gateway was last seen paused */
-	guint reached; /* requests between the order and its end */
+	gint64 last_paused_us; /* when a gateway was last seen paused */
+	guint requests; /* requests between the order and its end */
 	guint exposed; /* of these, at the new version */
-	guint later; /* requests to it after a roll-back */
-	struct upstream upstreams[UPSTREAMS];
+	guint after_rollback; /* requests to it after a roll-back */
+	struct upstream upstreams[UPSTREAM_COUNT];
 };
 
 struct rollout *soak_rollout_new(struct soak *soak, guint32 seed)
@@ -34,9 +34,9 @@
 
 	rollout->soak = soak;
 	rollout->random = g_rand_new_with_seed(seed);
-	rollout->bad = seed % 2;
-	rollout->begin_us = soak_now(soak) + BEGIN_MS * AUB_MS;
-	rollout->end_us = rollout->begin_us + DURATION_MS * AUB_MS;
+	rollout->is_bad = seed % 2;
+	rollout->order_us = soak_now(soak) + ORDER_AT_MS * AUB_MS;
+	rollout->deadline_us = rollout->order_us + ROLLOUT_MS * AUB_MS;
 	return rollout;
 }
 
@@ -50,25 +50,25 @@
 
 bool soak_rollout_is_done(const struct rollout *rollout)
 {
-	return rollout && rollout->done;
+	return rollout && rollout->is_completed;
 }
 
-static void give(struct rollout *rollout)
+static void submit_order(struct rollout *rollout)
 {
 	char *text = g_strdup_printf(
 		"{\"service\":\"svc\",\"target_version\":\"v2\","
 		"\"duration_s\":%g}",
-		DURATION_MS / 1000.0);
+		ROLLOUT_MS / 1000.0);
 
 	platform_store_put(rollout->soak->store, "rollouts", "svc", text);
 	g_free(text);
-	for (guint i = 0; i < UPSTREAMS; i++) {
+	for (guint i = 0; i < UPSTREAM_COUNT; i++) {
 		rollout->upstreams[i].soak = rollout->soak;
 		rollout->upstreams[i].number = i;
-		rollout->upstreams[i].of_order = true;
+		rollout->upstreams[i].of_new_version = true;
 		soak_upstream_start(&rollout->upstreams[i]);
 	}
-	rollout->given = true;
+	rollout->is_submitted = true;
 }
 
 static bool is_stored(const struct rollout *rollout, const char *state)
@@ -80,64 +80,68 @@
 }
 
 /* At once, without draining. */
-static void stop_old(struct rollout *rollout)
+static void stop_old_version(struct rollout *rollout)
 {
-	for (guint i = 0; i < UPSTREAMS; i++)
-		soak_upstream_end(&rollout->soak->upstreams[i]);
-	rollout->done = true;
-	if (rollout->bad)
-		soak_broken(rollout->soak, "VERDICT", "-");
+	for (guint i = 0; i < UPSTREAM_COUNT; i++)
+		soak_upstream_stop(&rollout->soak->upstreams[i]);
+	rollout->is_completed = true;
+	if (rollout->is_bad)
+		soak_report_violation(rollout->soak, "VERDICT", "-");
 }
 
 static void check_exposure(const struct rollout *rollout, const char *id)
 {
-	if (rollout->bad && rollout->exposed > SHARE * rollout->reached + SLACK)
-		soak_broken(rollout->soak, "EXPOSURE", id);
+	if (rollout->is_bad &&
+	    rollout->exposed > EXPOSURE_SHARE * rollout->requests +
+				       EXPOSURE_SLACK_REQUESTS)
+		soak_report_violation(rollout->soak, "EXPOSURE", id);
 }
 
-void soak_rollout_turn(struct rollout *rollout, gint64 now_us)
+void soak_rollout_step(struct rollout *rollout, gint64 now_us)
 {
 	const struct soak *soak = rollout->soak;
 
-	if (!rollout->given && now_us >= rollout->begin_us)
-		give(rollout);
-	for (guint i = 0; i < GATEWAYS; i++)
+	if (!rollout->is_submitted && now_us >= rollout->order_us)
+		submit_order(rollout);
+	for (guint i = 0; i < GATEWAY_COUNT; i++)
 		if (soak->gateways[i].resume_us)
-			rollout->paused_us = now_us;
-	if (!rollout->given || rollout->done)
+			rollout->last_paused_us = now_us;
+	if (!rollout->is_submitted || rollout->is_completed)
 		return;
 	if (!rollout->rolled_back_us && is_stored(rollout, "rolled_back"))
 		rollout->rolled_back_us = now_us;
 	if (is_stored(rollout, "completed"))
-		stop_old(rollout);
+		stop_old_version(rollout);
 }
 
 /* What a gateway that stood still had taken before is not counted. */
-static bool is_late(const struct rollout *rollout, gint64 now_us)
+static bool is_after_rollback(const struct rollout *rollout, gint64 now_us)
 {
-	gint64 since_us = MAX(rollout->rolled_back_us, rollout->paused_us);
+	gint64 last_change_us =
+		MAX(rollout->rolled_back_us, rollout->last_paused_us);
 
 	return rollout->rolled_back_us &&
-	       now_us > since_us + SETTLE_MS * AUB_MS;
+	       now_us > last_change_us + ROLLBACK_GRACE_MS * AUB_MS;
 }
 
-void soak_rollout_run(struct rollout *rollout, const struct upstream *upstream,
-		      const char *id)
+void soak_rollout_count_request(struct rollout *rollout,
+				const struct upstream *upstream, const char *id)
 {
 	gint64 now = soak_now(rollout->soak);
 
-	if (rollout->given && now < rollout->end_us) {
-		rollout->reached++;
-		rollout->exposed += upstream->of_order;
+	if (rollout->is_submitted && now < rollout->deadline_us) {
+		rollout->requests++;
+		rollout->exposed += upstream->of_new_version;
 	}
-	if (!upstream->of_order)
+	if (!upstream->of_new_version)
 		return;
-	if (is_late(rollout, now))
-		soak_broken(rollout->soak, "ROUTE (rolled back)", id);
-	rollout->later += rollout->rolled_back_us != 0;
+	if (is_after_rollback(rollout, now))
+		soak_report_violation(rollout->soak, "ROUTE (rolled back)", id);
+	rollout->after_rollback += rollout->rolled_back_us != 0;
 	check_exposure(rollout, id);
-	if (rollout->bad && g_rand_double(rollout->random) < FAILING_SHARE)
-		platform_upstream_answer_once(upstream->it,
+	if (rollout->is_bad &&
+	    g_rand_double(rollout->random) < BAD_VERSION_FAILURE_SHARE)
+		platform_upstream_answer_once(upstream->server,
 					      PLATFORM_ANSWER_FAILED);
 }
 
@@ -145,9 +149,9 @@
 {
 	g_print("order: %s version, %s; %u of %u requests to it, %u after a "
 		"roll-back was stored\n",
-		rollout->bad ? "bad" : "good",
-		rollout->done		? "completed" :
+		rollout->is_bad ? "bad" : "good",
+		rollout->is_completed	? "completed" :
 		rollout->rolled_back_us ? "rolled back" :
 					  "open",
-		rollout->exposed, rollout->reached, rollout->later);
+		rollout->exposed, rollout->requests, rollout->after_rollback);
 }
--- a/tools/soak/soak_upstreams.c
+++ b/tools/soak/soak_upstreams.c
@@ -4,17 +4,17 @@
 #include "soak.h"
 
 /* For how long the store, while well, has told that `upstream` drains. */
-static gint64 heard_us(const struct upstream *upstream)
+static gint64 drain_published_us(const struct upstream *upstream)
 {
 	const struct soak *soak = upstream->soak;
-	gint64 since_us = MAX(upstream->draining_us, soak->store_well_us);
+	gint64 since_us = MAX(upstream->draining_us, soak->store_healthy_us);
 	gint64 until_us =
-		soak->store_mend_us ? soak->store_ill_us : soak_now(soak);
+		soak->store_repair_us ? soak->store_faulty_us : soak_now(soak);
 
 	return until_us - since_us;
 }
 
-static void on_run(const char *id, void *context)
+static void on_request_started(const char *id, void *context)
 {
 	struct upstream *upstream = context;
 	struct soak *soak = upstream->soak;
@@ -23,17 +23,18 @@
 	if (!request)
 		return;
 	if (soak->rollout)
-		soak_rollout_run(soak->rollout, upstream, id);
+		soak_rollout_count_request(soak->rollout, upstream, id);
 	request->runs++;
-	if (request->once && request->runs > 1)
-		soak_broken(soak, "TWICE", id);
+	if (request->at_most_once && request->runs > 1)
+		soak_report_violation(soak, "TWICE", id);
 	if (request->refused)
-		soak_broken(soak, "REFUSED (it ran later)", id);
-	if (upstream->draining_us && heard_us(upstream) > DRAIN_US)
-		soak_broken(soak, "DRAIN", id);
+		soak_report_violation(soak, "REFUSED (it ran later)", id);
+	if (upstream->draining_us &&
+	    drain_published_us(upstream) > DRAIN_LIMIT_US)
+		soak_report_violation(soak, "DRAIN", id);
 }
 
-void soak_upstream_enter(struct upstream *upstream, const char *state)
+void soak_upstream_register(struct upstream *upstream, const char *state)
 {
 	char *address = g_strdup_printf("127.0.0.1:%u", upstream->route->port);
 	char *text = g_strdup_printf(
@@ -41,8 +42,9 @@
 		"\"version\":\"%s\",\"zone\":\"z%u\",\"slots\":4},\"status\":{"
 		"\"state\":\"%s\",\"sequence\":1,\"warmup_left_ms\":0},"
 		"\"born\":%u}",
-		address, upstream->of_order ? "v2" : "v1", upstream->number % 2,
-		state, upstream->generation + (upstream->of_order ? 1000 : 0));
+		address, upstream->of_new_version ? "v2" : "v1",
+		upstream->number % 2, state,
+		upstream->generation + (upstream->of_new_version ? 1000 : 0));
 
 	platform_store_put(upstream->soak->store, "servers", upstream->id,
 			   text);
@@ -58,27 +60,28 @@
 	upstream->generation++;
 	upstream->draining_us = 0;
 	upstream->id =
-		g_strdup_printf("%s%u-%u", upstream->of_order ? "n" : "u",
+		g_strdup_printf("%s%u-%u", upstream->of_new_version ? "n" : "u",
 				upstream->number, upstream->generation);
-	upstream->it =
+	upstream->server =
 		platform_upstream_new(soak->poller, soak->timers, upstream->id);
-	platform_upstream_set_body(upstream->it, BODY_BYTES);
-	platform_upstream_set_work(upstream->it, WORK_MS);
-	platform_upstream_on_run(upstream->it, on_run, upstream);
+	platform_upstream_set_body(upstream->server, ANSWER_BYTES);
+	platform_upstream_set_work(upstream->server, SERVICE_TIME_MS);
+	platform_upstream_on_run(upstream->server, on_request_started,
+				 upstream);
 	upstream->route =
 		proxy_route_new("127.0.0.1:0",
-				platform_upstream_address(upstream->it),
+				platform_upstream_address(upstream->server),
 				&error);
 	if (!upstream->route)
 		g_error("proxy: %s", error->message);
-	soak_upstream_enter(upstream, "ready");
+	soak_upstream_register(upstream, "ready");
 }
 
-void soak_upstream_end(struct upstream *upstream)
+void soak_upstream_stop(struct upstream *upstream)
 {
 	platform_store_remove(upstream->soak->store, "servers", upstream->id);
 	proxy_route_free(upstream->route);
-	platform_upstream_free(upstream->it);
+	platform_upstream_free(upstream->server);
 	g_free(upstream->id);
 }
 
