--- a/tests/test_rollout_model.cc
+++ b/tests/test_rollout_model.cc
@@ -1,6 +1,7 @@
 /*
- * Orders on a model of one service: what callers and operators get, whatever
- * the version turns out to be.
+ * Tests of rollouts in the simulated service of rollout_model.h: the exposure
+ * to the new version, the decision and the answers that callers get, for good
+ * versions and for versions with each kind of fault.
  */
 #include <gtest/gtest.h>
 
@@ -36,7 +37,11 @@
 	return rollout_faults;
 }
 
-/* Guards against more requests to a bad version than operators allow. */
+/*
+ * Guards against sending more requests to a faulty version than the configured
+ * exposure share and slack allow, also while placers crash, two placers are
+ * active, the store is unavailable or upstreams are unhealthy.
+ */
 TEST(RolloutModel, KeepsExposureOfBadVersionsWithinBound)
 {
 	for (guint i = 0; i < rollout_fault_count; i++)
@@ -88,7 +93,10 @@
 		}
 }
 
-/* Guards against requests that go on to a version known to be bad. */
+/*
+ * Guards against requests that are still sent to the new version after its
+ * fault has become evident.
+ */
 TEST(RolloutModel, StopsSendingWithin500MsOfFiftiethBadAnswer)
 {
 	for (guint64 seed = 1; seed <= 10; seed++) {
--- a/tools/bench/bench.h
+++ b/tools/bench/bench.h
@@ -1,10 +1,10 @@
 /*
- * Measurements of a whole fleet of real processes under load and faults.
+ * Measures a complete fleet of real processes under load and faults.
  *
- * Each run starts a fleet with one policy, sends an open-loop load, and gives
- * a row. The limit of a row is one perfect queue over all slots, worked out
- * from the arrivals of that very run, the same distribution of service times
- * and the same slow phases.
+ * Each run starts a fleet with one policy, sends an open-loop load and yields
+ * one row of results. The limit in a row is the p99 latency of an ideal queue:
+ * a single FIFO queue in front of all slots. It is computed from the arrivals
+ * of the same run, the same service time distribution and the same slow phases.
  */
 #ifndef TOOL_BENCH_H
 #define TOOL_BENCH_H
@@ -15,14 +15,20 @@
 
 G_BEGIN_DECLS
 
-/* One upstream was slow by `factor` from `start_us` until `end_us`. */
+/*
+ * An upstream whose service time was multiplied by BENCH_SLOW_FACTOR from
+ * `start_us` until `end_us`.
+ */
 struct bench_slow_phase {
 	guint16 upstream;
 	gint64 start_us;
 	gint64 end_us;
 };
 
-/* A service and its upstreams in one of the users' sizes. */
+/*
+ * The size of a service and of its set of upstreams, as a typical deployment
+ * has it.
+ */
 struct bench_shape {
 	const char *name;
 	const char *service;
@@ -30,22 +36,25 @@
 	guint slots;
 	guint zones;
 	guint probe_cost_us;
-	double mean_us; /* service time, lognormal */
+	double mean_us; /* mean service time; lognormal */
 };
 
 struct bench_params {
 	const char *scenario;
 	const struct bench_shape *shape;
 	const char *policy;
-	double load; /* share of all slots */
+	double load; /* offered load as a share of all slots */
 	double seconds;
 	guint members;
-	guint run; /* also the seed */
+	guint run; /* number of the run; also the random seed */
 	guint hedge_percent;
-	guint probe_budget_us; /* 0: the default */
-	bool slow; /* one upstream at a time turns slow */
-	guint fail_fast; /* upstreams that answer 500 at once */
-	bool repeat; /* callers try their next address, and again */
+	guint probe_budget_us; /* 0 means the default */
+	/* Slows down one upstream at a time. */
+	bool slow;
+	/* Number of upstreams that answer 500 immediately. */
+	guint fail_fast;
+	/* Callers retry on their next address. */
+	bool repeat;
 };
 
 struct bench_row {
@@ -54,15 +63,25 @@
 	double p99_ms;
 	double p999_ms;
 	double limit_p99_ms;
-	double goodput_ratio; /* good answers to what slots could give */
+	/* Successful answers divided by what the slots could serve. */
+	double goodput_ratio;
 	double probes_per_s;
-	double total_work_ratio; /* slots' time to answers of mean length */
-	double started_ratio; /* started at upstreams to answered */
+	/*
+	 * Busy time of the slots divided by answers times the mean service
+	 * time.
+	 */
+	double total_work_ratio;
+	/* Attempts started at upstreams divided by answered requests. */
+	double started_ratio;
 	guint requests;
 	guint refused;
 	guint failed; /* answered with a server error */
 	guint unknown;
-	guint wrong; /* not whole, or nothing definite */
+	/*
+	 * Incomplete or corrupted answers, and requests without a definite
+	 * answer.
+	 */
+	guint wrong;
 	double refused_p99_ms;
 };
 
@@ -72,38 +91,57 @@
 #define BENCH_SERVICE_TIME_SIGMA 0.5
 #define BENCH_DEADLINE_MS 2000
 
-/* Start a fleet for a case and wait until it serves. NULL on error. */
+/*
+ * Starts a fleet for `params` and waits until it serves requests. Returns NULL
+ * and sets `error` on failure. Freed with fleet_free().
+ */
 struct fleet *bench_start_fleet(const struct bench_params *params,
 				GError **error);
 
-/* A load for a case, not started. */
+/*
+ * Returns a load for `params` that has not been started. Freed with
+ * load_free().
+ */
 struct load *bench_new_load(const struct bench_params *params,
 			    struct fleet *fleet, double seconds, guint seed);
 
-/* A mild load before the measured one, until upstreams are known. */
+/*
+ * Runs a load of at most 50% utilization before the measured one, so that the
+ * fleet has statistics for its upstreams.
+ */
 void bench_warm_up(const struct bench_params *params, struct fleet *fleet);
 
-/* Run one case from start to end. */
+/*
+ * Runs one case from start to end and fills in `row`. Returns false and sets
+ * `error` on failure.
+ */
 bool bench_run(const struct bench_params *params, struct bench_row *row,
 	       GError **error);
 
-/* p99 of one perfect queue, in ms, for these arrivals and slow phases. */
+/*
+ * Returns the p99 latency in ms of an ideal queue for these arrivals and slow
+ * phases.
+ */
 double bench_limit_p99_ms(const struct bench_params *params,
 			  const GArray *arrivals, const GArray *slow);
 
-/* Value at `share` of sorted or unsorted times in us, as ms; sorts them. */
+/*
+ * Returns the quantile `share` (0 to 1) of `times` (gint64, us) in ms, or 0 if
+ * there are none. Sorts `times` in place.
+ */
 double bench_quantile_ms(GArray *times, double share);
 
 /*
- * Zone out and back, and an owner killed: a line each 100 ms into a file,
- * and a summary on stdout.
+ * Take a zone out and back in, and kill the owner of a service, under load.
+ * Each writes one line for every 100 ms to `file` and a summary to stdout, and
+ * returns false and sets `error` on failure.
  */
 bool bench_zone_outage(const struct bench_shape *shape, guint members,
 		       double seconds, const char *file, GError **error);
 bool bench_owner_crash(const struct bench_shape *shape, guint members,
 		       double seconds, const char *file, GError **error);
 
-/* Rows as TSV and as a page with plots. */
+/* Write the rows as TSV, or as an HTML page with plots. */
 void bench_write_tsv(const GArray *rows, const char *file);
 void bench_write_page(const GArray *rows, const char *file);
 void bench_print_header(void);
--- a/tools/bench/ideal_queue.c
+++ b/tools/bench/ideal_queue.c
@@ -1,9 +1,13 @@
-/* One perfect queue over all slots: what no policy without hedges betters. */
+/*
+ * Simulates an ideal FIFO queue in front of all slots. No policy without hedged
+ * requests can have a lower latency.
+ */
 #include "bench/bench.h"
 
 #include <math.h>
 
-#define SERVICE_TIME_DRAWS 5 /* of service times; their median counts */
+/* The simulation is repeated with new service times; the median p99 is used. */
+#define SERVICE_TIME_DRAWS 5
 
 static int compare_times(const void *a, const void *b)
 {
@@ -51,7 +55,7 @@
 	return duration_us;
 }
 
-/* The slot that is free first. */
+/* Returns the index of the slot that becomes free first. */
 static guint earliest_free_slot(const gint64 *free_us, guint slots)
 {
 	guint earliest = 0;
--- a/tools/bench/outages.c
+++ b/tools/bench/outages.c
@@ -1,4 +1,7 @@
-/* Service while a zone leaves and returns, and while an owner is killed. */
+/*
+ * Measures the service while a zone is out and returns, and while the owner of
+ * the service is killed.
+ */
 #include "bench/bench.h"
 
 #include <signal.h>
@@ -6,11 +9,11 @@
 
 #define TIME_SLICE_US (100 * AUB_MS)
 
-/* What happened in one tenth of a second, by the moment of arrival. */
+/* Requests that arrived within one interval of 100 ms, and their outcomes. */
 struct time_slice {
 	guint arrived;
 	guint good;
-	GArray *times; /* of gint64, us */
+	GArray *times; /* latencies, gint64 in us */
 };
 
 static struct time_slice *make_slices(guint count)
@@ -59,7 +62,7 @@
 	return good;
 }
 
-/* The longest time in which nobody got a good answer, in ms. */
+/* Returns the longest time without an answer to any request, in ms. */
 static double longest_gap_ms(const struct load *load)
 {
 	const GPtrArray *requests = load_requests(load);
@@ -100,7 +103,10 @@
 		fleet_run_ms(10);
 }
 
-/* A command to control, given from a thread so that the load goes on. */
+/*
+ * A command to control. It is sent from a separate thread so that the load
+ * generator keeps running.
+ */
 struct zone_command {
 	struct fleet *fleet;
 	const char *path;
@@ -122,13 +128,16 @@
 	return NULL;
 }
 
-/* Returns the thread to join. */
+/* Returns the thread, which the caller has to join. */
 static GThread *start_zone_command(struct zone_command *command)
 {
 	return g_thread_new("zone", send_zone_command, command);
 }
 
-/* Last new request in zone z1 after the command, in ms; 0 for none. */
+/*
+ * Returns the time from the command to the last new request in zone z1 in ms,
+ * or 0 if there was none after the command.
+ */
 static double last_new_request_after_ms(struct fleet *fleet, gint64 command_us)
 {
 	JsonNode *oracle = fleet_oracle(fleet);
@@ -161,7 +170,10 @@
 	return sum;
 }
 
-/* The zone's upstreams start anew while it is out. */
+/*
+ * Makes the upstreams of the zone cold, as after a restart, while the zone is
+ * out.
+ */
 static void restart_zone_cold(struct fleet *fleet)
 {
 	for (guint i = 0; i < fleet->inventory->upstreams->len; i++)
--- a/tools/bench/report.c
+++ b/tools/bench/report.c
@@ -1,10 +1,10 @@
-/* Rows of figures as lines, as TSV, and as a page with plots. */
+/* Prints rows of results as lines, as TSV and as an HTML page with plots. */
 #include "bench/bench.h"
 
 #include <stdio.h>
 
 #define PLOT_WIDTH_PX 640
-#define PLOT_ROW_HEIGHT_PX 26 /* of one bar's line */
+#define PLOT_ROW_HEIGHT_PX 26 /* height of one bar and its label */
 #define PLOT_LEFT_PX 260
 
 static const char column_names[] =
@@ -66,7 +66,7 @@
 	write_file(file, text);
 }
 
-/* A bar for p99 with a mark at the limit, and its label. */
+/* Appends a bar for the p99 latency with its label and a mark at the limit. */
 static void append_bar(GString *page, const struct bench_row *row, guint line,
 		       double scale)
 {
--- a/tools/bench/run.c
+++ b/tools/bench/run.c
@@ -1,4 +1,7 @@
-/* One case: a fleet with one policy, a load, faults, a row of figures. */
+/*
+ * Runs one case: a fleet with one policy under a load and faults, which yields
+ * one row of results.
+ */
 #include "bench/bench.h"
 
 #include "fleet/fleet_inventory.h"
@@ -98,7 +101,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* Sums of one figure over all upstreams. */
+/* Returns the sum of one counter over all upstreams. */
 static gint64 sum_over_upstreams(struct fleet *fleet, const char *name)
 {
 	JsonNode *oracle = fleet_oracle(fleet);
@@ -155,7 +158,10 @@
 	load_free(load);
 }
 
-/* Good answers to all requests, or to what the slots can do if that is less. */
+/*
+ * Returns the share of successful answers in all requests, or in what the slots
+ * could serve during `elapsed_s` if that is less.
+ */
 static double goodput_of(const struct bench_row *row, double elapsed_s)
 {
 	const struct bench_shape *shape = row->params.shape;
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -1,10 +1,11 @@
 /*
- * The demonstration: a whole fleet on loopback serves a Nidito-shaped load
- * while a zone is taken out and brought back.
+ * Demonstration: a complete fleet on loopback serves a load of the shape of the
+ * Nidito deployment while a zone is taken out and brought back.
  *
- * Ends with 0 only when no answer was wrong, no request that may run once
- * ran twice, the zone got nothing new from 3 s after the command on, and got
- * work again after its return. What ran is read from the upstreams.
+ * Exits with 0 only if no answer was wrong, no at-most-once request was
+ * executed more than once, the zone received no new requests later than 3 s
+ * after the command, and the zone received requests again after its return. The
+ * requests that were executed are read from the upstreams.
  */
 #include "common/child.h"
 #include "common/tool.h"
@@ -18,12 +19,13 @@
 
 #define FLEET_MEMBERS 6
 #define READY_TIMEOUT_MS 20000
-#define ZONE_OUT_AT_MS 3000 /* from the load's start */
+#define ZONE_OUT_AT_MS 3000 /* both from the start of the load */
 #define ZONE_IN_AT_MS 9000
 #define LOAD_END_MS 14000
-#define ZONE_DRAIN_LIMIT_MS 3000 /* the promise */
+#define ZONE_DRAIN_LIMIT_MS \
+	3000 /* upper bound for the last new request in the zone */
 #define STOP_TIMEOUT_MS 12000
-#define REQUESTS_PER_S 200 /* requests a second */
+#define REQUESTS_PER_S 200
 
 static const struct load_service services[] = {
 	{ "calendar", "/calendar/page", 65, false },
@@ -34,15 +36,20 @@
 
 struct demo {
 	const char *inventory_file;
-	const char *zone; /* that goes out and comes back */
+	const char *zone; /* the zone that is taken out and brought back */
 	bool keep_logs;
 	struct fleet *fleet;
 	const char **entries;
 	struct load *load;
-	gint64 start_us; /* of the load */
-	gint64 zone_out_us; /* when the command was given */
-	gint64 last_new_us; /* of the zone, since the command; < 0: before */
-	guint64 requests_before_return; /* requests the zone's upstreams got */
+	gint64 start_us; /* start of the load */
+	gint64 zone_out_us; /* time of the command to take the zone out */
+	/*
+	 * Last new request in the zone relative to the command; negative if it
+	 * arrived before the command.
+	 */
+	gint64 last_new_us;
+	/* Requests that the upstreams of the zone received. */
+	guint64 requests_before_return;
 	guint64 requests_after_return;
 };
 
@@ -89,7 +96,10 @@
 	fflush(stdout);
 }
 
-/* Runs auburnstilectl; false when it can't be run or refuses. */
+/*
+ * Runs auburnstilectl. Returns false if it cannot be run or exits with an
+ * error.
+ */
 static bool run_ctl(struct demo *demo, const char *const *arguments)
 {
 	GError *error = NULL;
@@ -115,7 +125,10 @@
 	return !strcmp(aub_zone_at(inventory, zone)->name, demo->zone);
 }
 
-/* Requests the zone's upstreams got so far, and when the last came. */
+/*
+ * Returns the number of requests that the upstreams of the zone have received,
+ * and sets `last_new_us` to the time of the last one.
+ */
 static guint64 zone_requests(struct demo *demo, gint64 *last_new_us)
 {
 	JsonNode *oracle = fleet_oracle(demo->fleet);
--- a/tools/fleet-bench.c
+++ b/tools/fleet-bench.c
@@ -1,6 +1,6 @@
 /*
- * Measurements with real processes; see bench/bench.h. Writes bench.tsv,
- * zone.tsv, owner.tsv and report.html into the folder given.
+ * Measures a fleet of real processes; see bench/bench.h. Writes bench.tsv,
+ * zone.tsv, owner.tsv and report.html to the given folder.
  */
 #include "bench/bench.h"
 
@@ -10,8 +10,8 @@
 #include <stdlib.h>
 
 /*
- * Service times are longer than the design's 20 ms, so that a single load
- * process and one machine bear the arrivals; see docs/MEASUREMENTS.md.
+ * The mean service times are longer than the 20 ms of the design, so that one
+ * load generator process on one machine can keep up with the arrivals.
  */
 static const struct bench_shape nidito = {
 	"nidito-calendar", "calendar", 12, 2, 3, 1000, 40000
@@ -25,9 +25,10 @@
 
 struct bench {
 	const char *folder;
-	const char *only_scenario; /* a scenario, NULL for all */
-	const char *policy; /* just this one, NULL for all */
-	double load; /* of the slow rows alone, 0 for all */
+	const char *only_scenario; /* a scenario; NULL for all */
+	const char *policy; /* a policy; NULL for all */
+	/* Offered load of the slow scenario; 0 for all loads. */
+	double load;
 	bool is_short;
 	guint runs;
 	guint members;
@@ -143,7 +144,10 @@
 	}
 }
 
-/* Goal 1: a slow upstream, all policies and loads, with and without hedges. */
+/*
+ * Tail latency with one slow upstream at a time: all policies and loads, with
+ * and without hedged requests.
+ */
 static void bench_tail_latency(struct bench *bench,
 			       const struct bench_shape *shape)
 {
@@ -207,7 +211,7 @@
 	measure(bench, params);
 }
 
-/* Goal 3: what measuring costs, and what a larger budget would bring. */
+/* Compares the cost of probes with the benefit of a larger probe budget. */
 static void bench_probes(struct bench *bench)
 {
 	static const guint budgets[] = { 1000, 10000, 50000, 200000 };
--- a/tools/policy-model.c
+++ b/tools/policy-model.c
@@ -1,11 +1,13 @@
 /*
- * The dispatcher in virtual time against modelled upstreams: one service, to
- * choose constants by. Queueing alone; no network, no processes, no claim
- * about a fleet. Figures for users come from the bench with real processes.
+ * Simulates the dispatcher in virtual time against modelled upstreams of one
+ * service, in order to choose constants. It models queueing only, without
+ * network and processes, and makes no statement about a real fleet; fleet-bench
+ * measures real processes.
  *
- * `limit` is one perfect queue over all slots: the first request takes the
- * first slot that is free, whichever it is. Baselines run as `entries`
- * dispatchers, each with its own counts; upstreams queue what they get.
+ * `limit` is an ideal FIFO queue in front of all slots: the first request takes
+ * the slot that becomes free first. The baseline policies run as `entries`
+ * independent dispatchers, each with its own counters; upstreams queue requests
+ * beyond their slots.
  */
 #include <auburnstile/dispatch.h>
 #include <auburnstile/timer.h>
@@ -19,20 +21,20 @@
 #define SLOW_PERIOD_US (2 * AUB_SECOND)
 #define SLOW_DURATION_US (400 * AUB_MS)
 #define DEADLINE_US (5 * AUB_SECOND)
-#define WARM_UP_US (2 * AUB_SECOND) /* not measured */
+#define WARM_UP_US (2 * AUB_SECOND) /* excluded from the results */
 #define POLICY_IDEAL_QUEUE (-1)
 
 struct model_options {
 	int policy;
 	guint upstreams;
 	guint slots;
-	guint entries; /* of the baselines */
-	double load; /* share of all slots */
+	guint entries; /* number of dispatchers; for baselines */
+	double load; /* offered load as a share of all slots */
 	double sigma;
 	guint hedge_percent;
 	gint64 duration_us;
 	guint32 seed;
-	bool slow; /* one upstream at a time turns slow */
+	bool slow; /* slows down one upstream at a time */
 };
 
 enum event_type {
@@ -44,7 +46,8 @@
 
 struct event {
 	gint64 at_us;
-	guint64 sequence; /* ties: first made, first served */
+	/* Breaks ties: events at the same time run in order of creation. */
+	guint64 sequence;
 	enum event_type type;
 	guint entry;
 	struct job *job;
@@ -56,9 +59,9 @@
 	guint64 request;
 	guint32 attempt;
 	guint16 upstream;
-	gint64 started_us; /* -1: waits at its upstream */
+	gint64 started_us; /* -1 while queued at the upstream */
 	bool cancelled;
-	struct event *done_event; /* while it runs */
+	struct event *done_event; /* NULL unless running */
 };
 
 struct model_upstream {
@@ -74,13 +77,15 @@
 	guint64 sequence;
 	gint64 now_us;
 	struct aub_dispatcher **entries;
-	gint64 *wake_us; /* of each entry's pending wake event */
+	/* Time of the pending timer event of each entry. */
+	gint64 *wake_us;
 	struct model_upstream *upstreams;
 	GHashTable *jobs; /* struct job, owned */
-	GHashTable *arrived; /* request -> moment, owned */
-	GArray *times; /* of gint64: answered after */
+	/* Request id to time of arrival, owned. */
+	GHashTable *arrived;
+	GArray *times; /* latencies, gint64 in us */
 	guint64 next_request;
-	gint64 busy_us; /* done by upstreams */
+	gint64 busy_us; /* total service time at the upstreams */
 	guint64 offered;
 	guint64 refused;
 };
@@ -117,7 +122,7 @@
 	return sqrt(-2 * log(u)) * cos(2 * G_PI * g_rand_double(random));
 }
 
-/* Each period another upstream is the slow one. */
+/* A different upstream is slow in each period. */
 static bool is_slow(const struct model *m, guint16 upstream)
 {
 	gint64 period = m->now_us / SLOW_PERIOD_US;
@@ -388,7 +393,10 @@
 		aub_dispatcher_free(m->entries[i]);
 }
 
-/* One perfect queue: first come, first served, on the first free slot. */
+/*
+ * Simulates an ideal queue: first come, first served, on the slot that becomes
+ * free first.
+ */
 static void run_ideal_queue(struct model *m)
 {
 	guint slots = m->options.upstreams * m->options.slots;
--- a/tools/proofs.c
+++ b/tools/proofs.c
@@ -1,6 +1,7 @@
 /*
- * Runs the proofs of what must always hold; see proofs/proof.h. Ends with
- * "N passed, N failed", and with 0 only when none failed.
+ * Runs the checks of guaranteed behaviour; see proofs/proof.h. Prints "N
+ * passed, N failed" at the end, and exits with 0 only if at least one passed
+ * and none failed.
  */
 #include "common/child.h"
 #include "proofs/proof.h"
--- a/tools/proofs/at_most_once.c
+++ b/tools/proofs/at_most_once.c
@@ -1,7 +1,8 @@
 /*
- * At most once: callers repeat a keyed request through the same entry and
- * others until they are told something definite. What the upstreams started
- * is counted; a cancelled run counts too, for it may have had its effect.
+ * At-most-once execution. Callers retry a request with an idempotency key
+ * through the same entry and others until they receive a definite result. The
+ * check counts the executions that the upstreams started; a cancelled execution
+ * counts as well, because it may have had an effect.
  */
 #include "proofs/fixtures.h"
 
@@ -11,7 +12,10 @@
 #define KEYED_SECONDS 3.0
 #define FAILOVER_LIMIT_US (15 * AUB_SECOND)
 
-/* The share of requests left with "unknown" or nothing, in per cent. */
+/*
+ * Adds the share of requests without a definite result ("unknown" or no
+ * answer), in per cent, and checks that each retry was answered.
+ */
 static void finish_and_check_keyed(struct proof_run *run)
 {
 	guint undecided;
@@ -43,8 +47,8 @@
 }
 
 /*
- * An upstream runs a payment and dies before it answers. The caller repeats;
- * another upstream must not run it again.
+ * An upstream executes a payment and crashes before it answers. The caller
+ * retries; another upstream must not execute the payment again.
  */
 static void upstream_crashes(struct proof_run *run)
 {
@@ -56,7 +60,7 @@
 	proof_require(run, run->totals.repeats > 0, "repeats");
 }
 
-/* Answers are lost on the way from the upstream: cut, spoiled, never sent. */
+/* Answers from the upstream are lost: truncated, corrupted or never sent. */
 static void answers_lost(struct proof_run *run)
 {
 	if (!start_keyed_run(run, true))
@@ -69,7 +73,7 @@
 	proof_require(run, run->totals.repeats > 0, "repeats");
 }
 
-/* Until another member owns the service, as the controls say. */
+/* Waits until the controls report a different owner of the service. */
 static void wait_for_failover(struct proof_run *run,
 			      struct fleet_member *old_owner)
 {
@@ -87,7 +91,10 @@
 	proof_check(run, owner && owner != old_owner, "no new owner");
 }
 
-/* The entry that keeps the keys is killed; repeats go to the others. */
+/*
+ * The entry that owns the idempotency keys is killed; callers retry through the
+ * other entries.
+ */
 static void key_owner_killed(struct proof_run *run)
 {
 	struct fleet_member *owner = start_keyed_run(run, false);
@@ -100,7 +107,10 @@
 	proof_require(run, run->totals.repeats > 0, "repeats");
 }
 
-/* It comes back at once under the same address, remembering nothing. */
+/*
+ * The key owner is killed and restarts immediately at the same address, without
+ * the keys that it had in memory.
+ */
 static void key_owner_restarted(struct proof_run *run)
 {
 	struct fleet_member *owner = start_keyed_run(run, false);
@@ -116,8 +126,9 @@
 }
 
 /*
- * The keeper is frozen for longer than any lease: the others take it for
- * dead. It wakes and still believes. Repeats met both.
+ * The key owner is paused for longer than any lease, so that the other entries
+ * consider it dead. After it resumes it still regards itself as the owner, so
+ * retries may reach both.
  */
 static void key_owner_paused(struct proof_run *run)
 {
@@ -132,7 +143,10 @@
 	proof_require(run, run->totals.repeats > 0, "repeats");
 }
 
-/* A planned stop hands the keys over: no repeat may be left undecided. */
+/*
+ * A planned stop hands the keys over, so no retry may end without a definite
+ * result.
+ */
 static void key_owner_stops(struct proof_run *run)
 {
 	struct fleet_member *owner = start_keyed_run(run, false);
@@ -145,7 +159,7 @@
 		    "a planned stop left requests unknown");
 }
 
-/* The store is down and the keeper dies in the meantime. */
+/* The store is down when the key owner is killed. */
 static void store_down_and_key_owner_killed(struct proof_run *run)
 {
 	struct fleet_member *owner = start_keyed_run(run, false);
--- a/tools/proofs/cold_start.c
+++ b/tools/proofs/cold_start.c
@@ -1,15 +1,19 @@
 /*
- * A cold upstream gets no more than it bears. The stand-in falls over when
- * pushed beyond its cold slots, and counts that; nothing else is judged.
+ * A cold upstream gets no more requests than it can serve. The stand-in
+ * upstream crashes when it has more requests than its cold slots and counts
+ * these crashes; the check is based on that count alone.
  */
 #include "proofs/fixtures.h"
 
 #include <signal.h>
 
 #define LOAD_SECONDS 5.0
-#define NORMAL_REQUESTS_PER_S \
-	350 /* of the 600 that the warm upstreams can do */
-#define STANDBY_REQUESTS_PER_S 115 /* what a stand-by can do */
+/*
+ * Rates: the warm upstreams can serve 600 requests a second; the stand-by of a
+ * service can admit 115.
+ */
+#define NORMAL_REQUESTS_PER_S 350
+#define STANDBY_REQUESTS_PER_S 115
 
 static const struct fleet_service cold_service[] = {
 	{ .name = "calendar",
@@ -71,7 +75,7 @@
 	finish_cold_load(run);
 }
 
-/* An upstream turns cold without a restart; only its answers say so. */
+/* An upstream becomes cold without a restart; only its answers show it. */
 static void upstreams_turn_cold(struct proof_run *run)
 {
 	if (!start_cold_load(run, 6, NORMAL_REQUESTS_PER_S))
@@ -82,7 +86,7 @@
 	finish_cold_load(run);
 }
 
-/* Seventeen entries at once; the owner is killed during the warm-up. */
+/* 17 entries are used concurrently; the owner is killed during the warm-up. */
 static void owner_killed(struct proof_run *run)
 {
 	struct fleet_member *owner;
@@ -99,7 +103,9 @@
 	finish_cold_load(run);
 }
 
-/* The owner freezes during the warm-up, the store is down, it wakes. */
+/*
+ * The owner is paused during the warm-up while the store is down, and resumes.
+ */
 static void owner_paused(struct proof_run *run)
 {
 	struct fleet_member *owner;
--- a/tools/proofs/complete_answer.c
+++ b/tools/proofs/complete_answer.c
@@ -1,7 +1,8 @@
 /*
- * The whole answer to one's own request: every answer carries its request's
- * nonce and a checksum, and the load checks them all while answers come
- * late, out of order, cut, reset, with wrong lengths, or not at all.
+ * Each caller gets the complete answer to its own request. Every answer
+ * contains the nonce of its request and a checksum. The load generator verifies
+ * them while answers are late, out of order, truncated, reset, sent with a
+ * wrong length, or missing.
  */
 #include "proofs/fixtures.h"
 
@@ -9,7 +10,7 @@
 
 #define LOAD_SECONDS 3.0
 
-/* Share of requests that got their whole answer, in per cent. */
+/* Returns the share of requests with a complete answer, in per cent. */
 static double complete_percent(const struct proof_run *run)
 {
 	return 100.0 * run->totals.told[LOAD_RUN] /
@@ -24,7 +25,7 @@
 		    "too few whole answers");
 }
 
-/* Upstreams spoil answers in every way a library would not. */
+/* Upstreams corrupt answers in ways that an HTTP library would not. */
 static void answers_corrupted(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, false, 0))
@@ -36,7 +37,7 @@
 	finish_and_check_complete(run, 80);
 }
 
-/* Hedges and late answers: two answers may come to one request. */
+/* Hedged requests and late answers: a request may get two answers. */
 static void answers_late(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, false, 0))
@@ -51,8 +52,8 @@
 }
 
 /*
- * Connections between entries and upstreams lose their middle: they stay
- * open and swallow everything, while new ones work.
+ * Connections between entries and upstreams become half-open: they stay open
+ * and drop all data, while new connections work.
  */
 static void upstream_connections_unresponsive(struct proof_run *run)
 {
@@ -76,7 +77,7 @@
 					  "{\"silence_open\":1}");
 }
 
-/* Bytes crawl, then every answer is cut short by the network. */
+/* The network is slow at first and then truncates every answer. */
 static void answers_truncated_by_network(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, true, 0))
@@ -93,8 +94,8 @@
 }
 
 /*
- * Connections between callers and entries go silent for good, twice, while
- * new ones work; keyed requests are among them.
+ * Connections between callers and entries become unresponsive permanently,
+ * twice, while new ones work. Requests with an idempotency key are among them.
  */
 static void caller_connections_unresponsive(struct proof_run *run)
 {
@@ -123,8 +124,8 @@
 }
 
 /*
- * The owner of the services dies. Its callers find the stand-by, which
- * serves at a reduced share until there is a new owner.
+ * The owner of the services is killed. Callers reach the stand-by, which serves
+ * at a reduced share until there is a new owner.
  */
 static void owner_killed(struct proof_run *run)
 {
--- a/tools/proofs/config_propagation.c
+++ b/tools/proofs/config_propagation.c
@@ -1,6 +1,6 @@
 /*
- * An accepted configuration is in force everywhere within seconds and never
- * reverts: the version in force at each member is polled all the time.
+ * An accepted configuration takes effect at all members within seconds and is
+ * never reverted. The active version of each member is polled continuously.
  */
 #include "proofs/fixtures.h"
 
@@ -9,11 +9,14 @@
 #include <signal.h>
 #include <string.h>
 
-#define IN_EFFECT_LIMIT_MS 9000 /* the design figure */
+#define IN_EFFECT_LIMIT_MS 9000 /* limit given by the design */
 #define POLL_INTERVAL_MS 100
 #define CLEAR_FAULTS "{\"clear\":1}"
 
-/* Highest version seen in force at each member, and what went back. */
+/*
+ * The highest active version seen at each member, and the number of times that
+ * a member reported an older one.
+ */
 struct monitor {
 	struct proof_run *run;
 	gint64 highest[32];
@@ -37,7 +40,10 @@
 	return version;
 }
 
-/* Polls every member once; the lowest version of those that answer. */
+/*
+ * Polls every member once. Returns the lowest version of the members that
+ * answer, or 0 if none does.
+ */
 static gint64 poll_versions(struct monitor *monitor)
 {
 	struct fleet *fleet = monitor->run->fleet;
@@ -76,8 +82,8 @@
 }
 
 /*
- * Changes from two members in turn, under one fault of the store while they
- * are made and another one (or none) from their acceptance on.
+ * Applies changes through two members in turn. The store has `fault` while a
+ * change is made and `later_fault` (or none) once it is accepted.
  */
 static void apply_changes(struct proof_run *run, const char *fault,
 			  const char *later_fault)
@@ -135,13 +141,13 @@
 	run_changes(run, CLEAR_FAULTS, "{\"stale\":1,\"delay_ms\":20}");
 }
 
-/* The store hangs as soon as a change was accepted. */
+/* The store hangs as soon as a change is accepted. */
 static void store_down(struct proof_run *run)
 {
 	run_changes(run, CLEAR_FAULTS, "{\"down\":\"hang\"}");
 }
 
-/* Connections between controls and store go silent; new ones work. */
+/* Connections between controls and store become half-open; new ones work. */
 static void store_connections_unresponsive(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, true, 0))
@@ -151,7 +157,7 @@
 	apply_changes(run, CLEAR_FAULTS, CLEAR_FAULTS);
 }
 
-/* All controls are replaced one by one while the store serves old reads. */
+/* All controls are restarted one by one while the store serves stale reads. */
 static void controls_replaced_in_turn(struct proof_run *run)
 {
 	struct monitor monitor = { .run = run };
--- a/tools/proofs/crashing_request.c
+++ b/tools/proofs/crashing_request.c
@@ -1,7 +1,7 @@
 /*
- * A request that crashes each upstream that runs it, sent again and again by
- * its caller, beside an ordinary load. Judged by the crashes the upstreams
- * count, and by what the load, which merely ran beside it, was told.
+ * A request that crashes every upstream that executes it is retried by its
+ * caller, concurrently with a normal load. The check is based on the crashes
+ * counted by the upstreams and on the results of the concurrent load.
  */
 #include "common/child.h"
 #include "common/tool.h"
@@ -10,13 +10,17 @@
 #include <signal.h>
 #include <string.h>
 
-#define CRASHES_MAX 2 /* upstreams that may go down for one request */
+/* Upstreams that may crash because of one request. */
+#define CRASHES_MAX 2
 #define REQUEST_SENDS 30
 #define SEND_INTERVAL_MS 100
-#define CONCURRENT_SERVED_MIN_SHARE \
-	0.97 /* share of the load beside it that is served */
+/* Minimum share of the concurrent load that must be served. */
+#define CONCURRENT_SERVED_MIN_SHARE 0.97
 
-/* One more send through an entry; true when it was refused for crashes. */
+/*
+ * Sends the request once through an entry. Returns true if it was refused
+ * because of previous crashes.
+ */
 static bool send_crashing_request(struct proof_run *run,
 				  const struct fleet_member *member)
 {
@@ -39,7 +43,10 @@
 	return refused;
 }
 
-/* Through the members in turn; returns how many sends were refused. */
+/*
+ * Sends the request through the members in turn. Returns how many attempts were
+ * refused.
+ */
 static guint send_through_members(struct proof_run *run, guint count,
 				  const struct fleet_member *excluded)
 {
@@ -78,7 +85,7 @@
 		    "requests that ran beside it were not served");
 }
 
-/* Sent thirty times through every entry. */
+/* The request is sent 30 times, through all entries in turn. */
 static void sent_through_all_entries(struct proof_run *run)
 {
 	guint refused;
@@ -92,8 +99,8 @@
 }
 
 /*
- * After two crashes the owner of the queue is killed. The next owner must
- * know the request already, or two more upstreams go down.
+ * The owner of the queue is killed after two crashes. Unless the next owner
+ * already knows the request, two more upstreams crash.
  */
 static void owner_killed(struct proof_run *run)
 {
--- a/tools/proofs/fixtures.c
+++ b/tools/proofs/fixtures.c
@@ -1,4 +1,4 @@
-/* Fleets and loads that several proofs share; see common.h. */
+/* Fleets and loads shared by several checks; see fixtures.h. */
 #include "proofs/fixtures.h"
 
 const struct load_service mixed_services[2] = {
--- a/tools/proofs/fixtures.h
+++ b/tools/proofs/fixtures.h
@@ -1,4 +1,4 @@
-/* Fleets and loads that several proofs share. */
+/* Fleets and loads shared by several checks. */
 #ifndef TOOL_PROOFS_FIXTURES_H
 #define TOOL_PROOFS_FIXTURES_H
 
@@ -6,25 +6,40 @@
 
 G_BEGIN_DECLS
 
-/* Half of what six and four upstreams of 2 slots and 20 ms can do. */
+/*
+ * Half of the capacity of six and four upstreams with 2 slots each and a
+ * service time of 20 ms.
+ */
 #define MIXED_REQUESTS_PER_S 300
 
-/* "calendar" (GET) and "fees" (keyed POST): the load's share of each. */
+/*
+ * "calendar" (GET) and "fees" (POST with an idempotency key), with the share of
+ * the load that each gets.
+ */
 extern const struct load_service mixed_services[2];
 extern const struct load_service keyed_service[1];
 
-/* Six members in three zones before both services. */
+/*
+ * Starts six members in three zones that serve both services. Returns false and
+ * records a violation on failure.
+ */
 bool start_mixed_fleet(struct proof_run *run, bool proxies, double mean_us);
 
-/* Open-loop load over both services, or over the keyed one alone. */
+/*
+ * Start an open-loop load on both services, or only on the one with idempotency
+ * keys.
+ */
 void start_mixed_load(struct proof_run *run, double rate, double seconds,
 		      bool repeat);
 void start_keyed_load(struct proof_run *run, double rate, double seconds);
 
-/* Wait for the load, compare, and check what holds of every load. */
+/*
+ * Waits for the end of the load, compares it with the records of the upstreams
+ * and runs the checks that apply to every load.
+ */
 void finish_and_check_load(struct proof_run *run);
 
-/* A handle by the upstream's name; ends the program if there is none. */
+/* Returns the handle of the upstream `name`. Aborts if there is none. */
 guint16 find_upstream(const struct proof_run *run, const char *name);
 
 G_END_DECLS
--- a/tools/proofs/graceful_shutdown.c
+++ b/tools/proofs/graceful_shutdown.c
@@ -1,6 +1,6 @@
 /*
- * Planned stops cut off no request in flight and forget no key, one member
- * after another until the whole fleet was replaced.
+ * Planned stops interrupt no request in flight and lose no idempotency key,
+ * also when all members are replaced one after another.
  */
 #include "proofs/fixtures.h"
 
@@ -45,7 +45,7 @@
 	finish_and_check_stops(run, clean_stops, run->fleet->members->len);
 }
 
-/* The owner alone is stopped, with slow requests inside. */
+/* Only the owner is stopped, while it has slow requests in flight. */
 static void owner_stops(struct proof_run *run)
 {
 	struct fleet_member *owner;
--- a/tools/proofs/not_run.c
+++ b/tools/proofs/not_run.c
@@ -1,15 +1,16 @@
 /*
- * "Not run" is true: for each way to be refused, cut or timed out, what
- * callers were told is compared with what the upstreams ran. Callers don't
- * repeat here, so that each thing told is final.
+ * A "not run" result is true. For each way in which a request can be refused,
+ * interrupted or timed out, the results that callers got are compared with the
+ * executions at the upstreams. Callers do not retry here, so that each result
+ * is final.
  */
 #include "proofs/fixtures.h"
 
 #include <signal.h>
 
-#define LOAD_SECONDS 2.5 /* seconds of load */
+#define LOAD_SECONDS 2.5
 
-/* Far more arrives than can be served: full queues, missed deadlines. */
+/* The load exceeds the capacity: queues are full and deadlines are missed. */
 static void overload(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, false, 80000))
@@ -19,7 +20,10 @@
 	proof_require(run, run->totals.told[LOAD_NOT_RUN] > 50, "refusals");
 }
 
-/* Upstreams refuse, fail, crash and spoil answers; some never answer. */
+/*
+ * Upstreams refuse requests, fail, crash and corrupt answers; some never
+ * answer.
+ */
 static void answers_corrupted(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, false, 0))
@@ -35,7 +39,7 @@
 	proof_require(run, proof_oracle_sum(run, "crashes") > 5, "crashes");
 }
 
-/* Every upstream refuses connections, then comes back. */
+/* Every upstream refuses connections for a while. */
 static void connections_refused(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, true, 0))
@@ -49,7 +53,10 @@
 	proof_require(run, run->totals.told[LOAD_NOT_RUN] > 20, "refusals");
 }
 
-/* The owner of both services dies, then another entry stops in order. */
+/*
+ * The owner of the service "fees" is killed, then another entry is stopped in
+ * an orderly way.
+ */
 static void entries_stop(struct proof_run *run)
 {
 	struct fleet_member *owner;
@@ -69,7 +76,7 @@
 	finish_and_check_load(run);
 }
 
-/* Answers come after the callers' deadlines. */
+/* Answers arrive after the deadlines of the callers. */
 static void answers_late(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, false, 0))
@@ -93,7 +100,10 @@
 	return member->callers;
 }
 
-/* Callers use an entry that owns nothing, so that all is relayed. */
+/*
+ * Callers use an entry that owns neither service, so that all requests are
+ * relayed. Returns the owner of "calendar", or NULL.
+ */
 static struct fleet_member *start_relayed_load(struct proof_run *run)
 {
 	struct load_options options = {
@@ -123,7 +133,10 @@
 	return owner;
 }
 
-/* Both owners die under requests that another entry relayed to them. */
+/*
+ * Both owners are killed while they have requests that another entry relayed to
+ * them.
+ */
 static void relayed_owner_killed(struct proof_run *run)
 {
 	struct fleet_member *owner = start_relayed_load(run);
@@ -138,7 +151,10 @@
 	finish_and_check_load(run);
 }
 
-/* It freezes: the links between entries stay open and silent. It wakes. */
+/*
+ * The owner is paused, so that the connections between entries stay open but
+ * unresponsive, and resumes.
+ */
 static void relayed_owner_paused(struct proof_run *run)
 {
 	struct fleet_member *owner = start_relayed_load(run);
--- a/tools/proofs/probe_budget.c
+++ b/tools/proofs/probe_budget.c
@@ -1,6 +1,7 @@
 /*
- * Measuring stays in its budget, fleet-wide. Counted at the upstreams: the
- * time that probes took there, against the budget times the time that passed.
+ * Probes stay within their budget in the whole fleet. The upstreams count the
+ * time spent on probes, which is compared with the budget times the elapsed
+ * time.
  */
 #include "common/tool.h"
 #include "proofs/fixtures.h"
@@ -8,7 +9,8 @@
 #include <signal.h>
 #include <string.h>
 
-#define PROBE_BUDGET_US_PER_S 20000 /* upstream time a second, each service */
+#define PROBE_BUDGET_US_PER_S \
+	20000 /* upstream time spent on probes, for each service */
 #define PROBE_COST_US 6000
 #define SERVICE_COUNT 2
 
@@ -46,7 +48,10 @@
 	return sum;
 }
 
-/* `fault` is brought about in the middle of a load of six seconds. */
+/*
+ * Injects `fault` 1.5 s after the start of a load of six seconds and compares
+ * the cost of the probes with the budget.
+ */
 static void check_probe_budget(struct proof_run *run,
 			       void (*fault)(struct proof_run *run))
 {
@@ -85,7 +90,7 @@
 	proof_add_figure(run, "budget_ms_per_s",
 			 SERVICE_COUNT * PROBE_BUDGET_US_PER_S / 1000.0);
 	proof_require(run, probe_us > 0, "probes");
-	/* One probe a service may have been saved up before. */
+	/* Each service may have saved up the cost of one probe beforehand. */
 	proof_check(run,
 		    probe_us <=
 			    SERVICE_COUNT * (PROBE_BUDGET_US_PER_S * elapsed_s +
@@ -98,7 +103,7 @@
 	check_probe_budget(run, NULL);
 }
 
-/* Ownership moves three times. */
+/* The ownership changes three times. */
 static void kill_owners_in_turn(struct proof_run *run)
 {
 	for (guint i = 0; i < 3; i++) {
@@ -118,7 +123,7 @@
 	check_probe_budget(run, kill_owners_in_turn);
 }
 
-/* Every upstream goes silent: all probes time out. */
+/* All upstreams are unavailable for 3 s, so that all probes time out. */
 static void stop_all_upstreams(struct proof_run *run)
 {
 	fleet_upstream_fault(run->fleet, "{\"crash_ms\":3000}");
@@ -129,7 +134,10 @@
 	check_probe_budget(run, stop_all_upstreams);
 }
 
-/* The owner is frozen; its stand-by acts; then both believe in themselves. */
+/*
+ * The owner is paused and the stand-by takes over; after the owner resumes,
+ * both regard themselves as the owner.
+ */
 static void pause_owner(struct proof_run *run)
 {
 	struct fleet_member *owner = proof_find_owner(run, "portal");
@@ -146,7 +154,10 @@
 	check_probe_budget(run, pause_owner);
 }
 
-/* Upstreams crash, turn cold and slow, and the owner dies: all suspect. */
+/*
+ * Upstreams crash, become cold and slow, and the owner is killed, so that all
+ * upstreams are suspected.
+ */
 static void suspect_all_upstreams(struct proof_run *run)
 {
 	struct fleet_member *owner = proof_find_owner(run, "portal");
--- a/tools/proofs/proof.c
+++ b/tools/proofs/proof.c
@@ -1,4 +1,4 @@
-/* Running proofs; see proof.h. */
+/* Implements the framework of the checks; see proof.h. */
 #include "proofs/proof.h"
 
 #include "common/tool.h"
@@ -79,7 +79,10 @@
 	load_start(run->load);
 }
 
-/* Between the arrivals of the first and last request not told "run". */
+/*
+ * Adds the time between the arrivals of the first and the last request that did
+ * not get a "run" result.
+ */
 static void add_unserved_span(struct proof_run *run)
 {
 	const GPtrArray *requests = load_requests(run->load);
--- a/tools/proofs/proof.h
+++ b/tools/proofs/proof.h
@@ -1,9 +1,10 @@
 /*
- * Proofs of what must always hold: real processes, faults brought about on
- * purpose, and a verdict taken from what the upstreams ran and what callers
- * were told, never from the system's own view.
+ * Checks of guaranteed behaviour ("promises") with real processes and injected
+ * faults. The results come from what the upstreams executed and what callers
+ * received, never from the state that the system itself reports.
+ *
+ * Each check prints one line:
  *
- * Each prints one line:
  *   promise NAME fault FAULT seed N: holds|broken (figures)
  */
 #ifndef TOOL_PROOF_H
@@ -20,11 +21,11 @@
 struct proof {
 	const char *promise;
 	const char *fault;
-	bool in_ci; /* short and certain enough for CI */
+	bool in_ci; /* short and deterministic enough for CI */
 	void (*run)(struct proof_run *run);
 };
 
-/* Tables, one a file, ended by a NULL promise. */
+/* Tables of checks, one for each file, terminated by a NULL promise. */
 extern const struct proof proofs_not_run[];
 extern const struct proof proofs_at_most_once[];
 extern const struct proof proofs_complete_answer[];
@@ -37,23 +38,26 @@
 extern const struct proof proofs_upstream_leaves[];
 extern const struct proof proofs_probe_budget[];
 
-/* One proof under way. */
+/* The state of one check while it runs. */
 struct proof_run {
 	const struct proof *proof;
 	guint32 seed;
 	struct fleet *fleet;
 	struct load *load;
 	const char **entries;
-	GString *figures; /* shown in the line */
-	GString *violations; /* "" while it holds */
+	GString *figures; /* figures printed in the result line */
+	GString *violations; /* empty if the promise holds */
 	struct load_figures totals;
 	struct load_verdict verdict;
-	JsonNode *oracle; /* after the load */
+	JsonNode *oracle; /* records of the upstreams, after the load */
 };
 
-/* A condition that must be true; `what` says what isn't when it is not. */
+/* Records a violation unless `holds`; `what` describes the violation. */
 void proof_check(struct proof_run *run, bool holds, const char *what);
-/* A condition without which the proof would prove nothing. */
+/*
+ * Records a violation unless `occurred`: without the fault or the event that
+ * `what` describes, the check would pass without having tested anything.
+ */
 void proof_require(struct proof_run *run, bool occurred, const char *what);
 void proof_add_figure(struct proof_run *run, const char *name, double value);
 
@@ -67,27 +71,49 @@
 	const char *const *upstream_options;
 };
 
-/* Start a fleet and apply its inventory; false (and broken) when it fails. */
+/*
+ * Starts a fleet and applies its inventory. Returns false and records a
+ * violation on failure.
+ */
 bool proof_start_fleet(struct proof_run *run, const struct proof_fleet *fleet);
 
-/* Start a load; entries and seed are filled in. The rest as given. */
+/*
+ * Starts a load. Fills in the entries and the seed of `options`, and the number
+ * of callers and the deadline if they are 0.
+ */
 void proof_start_load(struct proof_run *run, struct load_options *options);
 
-/* Wait for the load's end and compare it with the oracle. */
+/*
+ * Waits for the end of the load and compares it with the records of the
+ * upstreams.
+ */
 void proof_finish_load(struct proof_run *run);
 
-/* What holds of every load: nothing wrong, twice, or falsely "not run". */
+/*
+ * Runs the checks that apply to every load: no wrong answers, no repeated
+ * execution and no false "not run" result.
+ */
 void proof_check_load(struct proof_run *run);
 
-/* Sum, or maximum, of one figure over all upstreams, after the load. */
+/*
+ * Return the sum, or the maximum, of one counter over all upstreams after the
+ * load.
+ */
 gint64 proof_oracle_sum(const struct proof_run *run, const char *name);
 gint64 proof_oracle_max(const struct proof_run *run, const char *name);
 
-/* The member that owns a service, as the controls say; NULL if unknown. */
+/*
+ * Returns the owner of a service as reported by the controls. Records a
+ * violation and returns NULL if there is none.
+ */
 struct fleet_member *proof_find_owner(struct proof_run *run,
 				      const char *service);
 
-/* Run a table; counts are added to. Only those that match, if not NULL. */
+/*
+ * Runs the checks of a table: those whose PROMISE/FAULT contains `only` unless
+ * it is NULL, and with `in_ci` only those marked for CI. Adds to `passed` and
+ * `failed`.
+ */
 void proof_run_table(const struct proof *table, const char *only, bool in_ci,
 		     guint32 seed, bool keep_logs, guint *passed,
 		     guint *failed);
--- a/tools/proofs/retry_amplification.c
+++ b/tools/proofs/retry_amplification.c
@@ -1,13 +1,14 @@
 /*
- * Retries don't multiply: each request walks down a tree of calls, 25
- * services deep, and the last one fails. Judged by how often the last
- * service was asked for each call that was made.
+ * Retries are not amplified. Each request passes through a chain of calls that
+ * is 25 services deep, and the last service fails. The check is based on the
+ * number of requests at the last service for each call of the load.
  */
 #include "common/tool.h"
 #include "proofs/fixtures.h"
 
 #define TREE_DEPTH 25
-#define LEAF_ATTEMPTS_PER_CALL_MAX 1.2 /* at the leaf, a call: the goal */
+/* Maximum number of requests at the leaf for each call of the load. */
+#define LEAF_ATTEMPTS_PER_CALL_MAX 1.2
 #define CALLS_PER_S 20
 #define LOAD_SECONDS 5
 #define LEAF_SERVICE 0 /* number of the service that fails */
@@ -35,7 +36,7 @@
 	}
 }
 
-/* Each service but the leaf calls the one below, through some entry. */
+/* Each service except the leaf calls the next lower one through an entry. */
 static void connect_call_tree(struct proof_run *run)
 {
 	const struct aub_inventory *inventory = run->fleet->inventory;
@@ -119,27 +120,30 @@
 		    "the leaf was asked more often than the goal allows");
 }
 
-/* The leaf's connections are reset in the middle of each answer. */
+/* The leaf resets its connections in the middle of each answer. */
 static void leaf_resets(struct proof_run *run)
 {
 	run_call_tree(run, "{\"reset_middle\":-1}");
 }
 
-/* The leaf answers every call with an error at once. */
+/* The leaf immediately answers every call with an error. */
 static void leaf_fails_fast(struct proof_run *run)
 {
 	run_call_tree(run, "{\"fail_fast\":-1}");
 }
 
-/* The leaf refuses all: not run, so that each refusal could be retried. */
+/*
+ * The leaf refuses all requests before executing them, so that each refusal
+ * could be retried.
+ */
 static void leaf_sheds(struct proof_run *run)
 {
 	run_call_tree(run, "{\"shed\":-1}");
 }
 
 /*
- * The leaf never answers: every level sees its own time run out at about the
- * same moment, and each could take it for a reason to ask again.
+ * The leaf never answers. The time limit of every level expires at about the
+ * same time, and each level could regard that as a reason to retry.
  */
 static void leaf_unresponsive(struct proof_run *run)
 {
--- a/tools/proofs/upstream_leaves.c
+++ b/tools/proofs/upstream_leaves.c
@@ -1,14 +1,18 @@
 /*
- * An upstream, or its VM, leaves: no new requests after 3 s, judged by the
- * time of the last new request its stand-in saw.
+ * An upstream, or its VM, is removed from service and gets no new requests
+ * later than 3 s after the command. The check is based on the time of the last
+ * new request that the stand-in upstream received.
  */
 #include "common/tool.h"
 #include "proofs/fixtures.h"
 
-#define LEAVE_LIMIT_MS 3000 /* the promise */
+#define LEAVE_LIMIT_MS 3000 /* from the command to the last new request */
 #define LEAVING_UPSTREAM "calendar-1"
 
-/* Has the command run and waits; checks what came later than it may. */
+/*
+ * Runs `auburnstilectl KIND leave NAME` under load and checks the time of the
+ * last new request.
+ */
 static void run_leave_command(struct proof_run *run, const char *kind,
 			      const char *name)
 {
@@ -59,7 +63,7 @@
 				  ->name);
 }
 
-/* The store takes a second for each call from the command on. */
+/* From the command on, the store delays each call by 400 ms. */
 static void store_slow(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, false, 0))
@@ -69,8 +73,8 @@
 }
 
 /*
- * The upstream itself says that it drains, and nobody told the operators'
- * inventory: its own word counts.
+ * The upstream itself reports that it is draining, without a change of the
+ * inventory. Its own report has to be sufficient.
  */
 static void upstream_reports_draining(struct proof_run *run)
 {
--- a/tools/proofs/zone_evacuation.c
+++ b/tools/proofs/zone_evacuation.c
@@ -1,7 +1,7 @@
 /*
- * A zone that is taken out gets no new requests from 3 s after the accepted
- * command on, and gets them again after its return. Judged by the moment of
- * the last request that reached one of its upstreams.
+ * A zone that is taken out gets no new requests later than 3 s after the
+ * accepted command, and gets requests again after its return. The check is
+ * based on the time of the last request that reached one of its upstreams.
  */
 #include "proofs/fixtures.h"
 
@@ -16,7 +16,10 @@
 
 static guint paused_control = NO_MEMBER; /* index of its member */
 
-/* Requests that reached the zone's upstreams; the last one's moment. */
+/*
+ * Returns the number of requests that reached the upstreams of the zone and
+ * sets `last_request_us` to the time of the last one.
+ */
 static guint64 zone_requests(struct proof_run *run, gint64 *last_request_us)
 {
 	const struct aub_inventory *inventory = run->fleet->inventory;
@@ -41,7 +44,7 @@
 	return requests;
 }
 
-/* Through the first control that isn't frozen. */
+/* Sends the command through the first control that is not paused. */
 static bool zone_command(struct proof_run *run, const char *direction)
 {
 	const struct fleet_member *member =
@@ -63,7 +66,9 @@
 
 typedef void zone_fault(struct proof_run *run, bool on);
 
-/* Out under load with the fault on, back without it. */
+/*
+ * Takes the zone out under load with the fault present, and back in without it.
+ */
 static void run_evacuation(struct proof_run *run, zone_fault *fault)
 {
 	gint64 command_us;
@@ -103,7 +108,9 @@
 	run_evacuation(run, NULL);
 }
 
-/* From the command on the store is slow, and then hangs. */
+/*
+ * The store delays each call by 300 ms, beginning shortly before the command.
+ */
 static void set_store_delay(struct proof_run *run, bool on)
 {
 	fleet_store_fault(run->fleet,
@@ -117,7 +124,7 @@
 
 static void partition_from_store(struct proof_run *run, bool on)
 {
-	/* The last member's way to the store. */
+	/* Only the connections of the last member to the store. */
 	struct fleet_member *member = fleet_member(run->fleet, 5);
 	char *json = g_strdup_printf("{\"port\":%s,\"refuse\":%d,\"reset\":1}",
 				     strrchr(member->store_url, ':') + 1, on);
@@ -131,7 +138,7 @@
 	run_evacuation(run, partition_from_store);
 }
 
-/* An entry restarts at the moment of the command and reads stale objects. */
+/* An entry restarts at the time of the command and reads stale objects. */
 static void restart_with_stale_store(struct proof_run *run, bool on)
 {
 	struct fleet_member *member = fleet_member(run->fleet, 4);
@@ -150,7 +157,7 @@
 	run_evacuation(run, restart_with_stale_store);
 }
 
-/* A member is frozen over the command, and wakes long after. */
+/* A member is paused during the command and resumes much later. */
 static void pause_member(struct proof_run *run, bool on)
 {
 	fleet_signal(fleet_member(run->fleet, 5), FLEET_BOTH,
@@ -165,9 +172,9 @@
 }
 
 /*
- * The control of the services' owner is frozen: its entry hears neither of
- * the store nor of peers. It must stop serving by itself, for it can't know
- * that the zone went out.
+ * The control of the owner of the services is paused, so its entry receives
+ * updates neither from the store nor from peers. The entry must stop serving by
+ * itself, because it cannot know that the zone was taken out.
  */
 static void isolate_owner(struct proof_run *run, bool on)
 {
--- a/tools/rollout-model.c
+++ b/tools/rollout-model.c
@@ -1,8 +1,9 @@
 /*
- * rollout-model: plays orders of every kind on a model of one service and
- * prints a table: exposure, verdicts, and what callers get.
+ * rollout-model: simulates rollouts of good and faulty versions in a model of
+ * one service and prints a table of the exposure, the decisions and the answers
+ * that callers get.
  *
- * Seeded and in virtual time, on all cores. See tools/rollout/.
+ * Runs are seeded, use virtual time and run on all cores. See tools/rollout/.
  */
 #include "rollout/rollout_model.h"
 
@@ -27,11 +28,11 @@
 static const double durations[] = { 5, 12, 30, 120 };
 
 struct options {
-	guint orders; /* of each fault */
+	guint orders; /* for each fault */
 	guint seed;
 	guint jobs;
-	const char *only_fault; /* a fault's name; NULL: all */
-	const char *tsv; /* file for each order's outcome; NULL: none */
+	const char *only_fault; /* name of a fault; NULL for all */
+	const char *tsv; /* file for the outcome of each rollout, or NULL */
 	bool verbose;
 };
 
@@ -82,7 +83,10 @@
 	rollout_model_run(&run->spec, &run->outcome);
 }
 
-/* Sizes, durations and troubles in turn, so that each meets each. */
+/*
+ * Combines sizes, durations and disturbances with different periods, so that
+ * all combinations occur.
+ */
 static void fill_spec(struct rollout_spec *spec, guint i, guint seed,
 		      const struct rollout_fault *fault)
 {
--- a/tools/rollout/rollout_model.c
+++ b/tools/rollout/rollout_model.c
@@ -1,5 +1,6 @@
 /*
- * The model: steps of a millisecond, from before the order to its deadline.
+ * The simulation, in steps of one millisecond from before the rollout order
+ * until after its deadline.
  */
 #include "rollout_model.h"
 
@@ -9,10 +10,12 @@
 #include <string.h>
 
 #define US_PER_MS ((gint64)1000)
-#define LOAD_BEFORE_ORDER_MS 4000 /* of load before the order */
-#define RUN_AFTER_DEADLINE_MS 1500 /* beyond the deadline */
-#define ROLLOUT_STEP_MS 25 /* as often as placers look at an order */
-#define EVIDENCE_INTERVAL_MS 250 /* as often as they tell their evidence */
+#define LOAD_BEFORE_ORDER_MS 4000
+/* The simulation goes on for this long after the deadline. */
+#define RUN_AFTER_DEADLINE_MS 1500
+#define ROLLOUT_STEP_MS 25 /* interval at which a placer steps a rollout */
+#define EVIDENCE_INTERVAL_MS \
+	250 /* interval at which a placer publishes its evidence */
 #define INTERFERENCE_WINDOW_MS 300
 #define INTERFERENCE_SHARE 0.25
 #define INTERFERENCE_SLOWDOWN 4.0
@@ -22,7 +25,8 @@
 #define WARM_UP_SLOWDOWN 2.0
 #define WARM_UP_REQUESTS_PER_S 4.3
 #define HIGH_LOAD 0.7
-#define PLACERS_MAX 16 /* one after the other, at most */
+/* Maximum number of placers, one after another. */
+#define PLACERS_MAX 16
 #define HANG_DURATION_MS 4000
 
 const struct rollout_fault rollout_faults[] = {
@@ -65,7 +69,7 @@
 
 struct request_class {
 	guint32 route;
-	double share; /* of the requests */
+	double share; /* share of the requests */
 	double work_ms;
 	guint target_ms;
 };
@@ -93,13 +97,13 @@
 struct attempt {
 	guint64 ticket;
 	guint upstream;
-	guint placer; /* that granted it */
+	guint placer; /* placer that granted the request */
 	gint64 sent_ms;
 	gint64 requested_ms;
 	gint64 ends_ms;
 	const struct request_class *request_class;
 	bool failed;
-	bool bad; /* by the version's fault */
+	bool bad; /* affected by the fault of the version */
 };
 
 struct model {
@@ -109,16 +113,19 @@
 	struct upstream *upstreams;
 	guint upstream_count;
 	struct aub_placement *placers[PLACERS_MAX];
-	guint placer; /* the one that places now */
+	guint placer; /* index of the active placer */
 	gint64 started_ms[PLACERS_MAX];
-	struct aub_judge_route evidence[AUB_JUDGE_ROUTES + 1]; /* last told */
+	/* The evidence and the counters last published by a placer. */
+	struct aub_judge_route evidence[AUB_JUDGE_ROUTES + 1];
 	guint evidence_count;
 	guint64 reached;
 	guint64 exposed;
 	double allowance;
-	enum aub_rollout_state published_state; /* how far the order is */
+	/* State of the rollout as last published. */
+	enum aub_rollout_state published_state;
 	GArray *attempts; /* of struct attempt */
-	GHashTable *waiting; /* &ticket -> struct attempt, those that wait */
+	/* &ticket -> struct attempt: requests without a decision. */
+	GHashTable *waiting;
 	double next_arrival_ms;
 	guint64 last_ticket;
 	gint64 fiftieth_bad_ms;
@@ -178,7 +185,7 @@
 	return &record;
 }
 
-/* Another process begins to place, with what it has been told. */
+/* Starts a new placer process with the state published by its predecessor. */
 static void start_placer(struct model *model, gint64 now_ms)
 {
 	const struct aub_placement_limits limits = {
@@ -363,7 +370,9 @@
 	return &request_classes[0];
 }
 
-/* With two placers, every third request asks the one before. */
+/*
+ * While two placers are active, every third request goes to the previous one.
+ */
 static guint draw_placer(struct model *model, gint64 now_ms)
 {
 	bool two_active = model->spec->two_placers && model->placer > 0 &&
@@ -530,7 +539,7 @@
 		const struct upstream *upstream =
 			&model->upstreams[attempt->upstream];
 
-		/* One that hangs would never have been answered. */
+		/* An attempt at a hanging upstream would never be answered. */
 		outcome->interrupted +=
 			!upstream->new_version && upstream->health != HANGING;
 	}
@@ -594,7 +603,10 @@
 		store_state(model, wanted, now_ms);
 }
 
-/* What it had granted is learned from the holders. */
+/*
+ * Replaces the active placer. The new one learns the grants of a crashed
+ * predecessor from their holders.
+ */
 static void replace_placer(struct model *model, bool crashes, gint64 now_ms)
 {
 	if (model->placer + 1 >= PLACERS_MAX)
@@ -650,7 +662,10 @@
 		upstream->interference_offset_ms =
 			(guint)g_rand_int_range(model->random, 0,
 						INTERFERENCE_WINDOW_MS);
-		/* A seventh at most, and never all of a small service. */
+		/*
+		 * At most a seventh, and never all upstreams of a small
+		 * service.
+		 */
 		if (spec->unhealthy_upstreams && i % 7 == 3)
 			upstream->health = (enum upstream_health)(
 				1 + g_rand_int_range(model->random, 0, 3));
@@ -714,7 +729,10 @@
 	model_free(&model);
 }
 
-/* Nats that one answer brings against rate `base`, where it is `rate`. */
+/*
+ * Returns the expected information of one answer in nats (Kullback-Leibler
+ * divergence) for a rate of `rate` against `base`.
+ */
 static double information_nats(double rate, double base)
 {
 	return rate * log(rate / base) +
--- a/tools/rollout/rollout_model.h
+++ b/tools/rollout/rollout_model.h
@@ -1,9 +1,11 @@
 /*
- * One service in virtual time while an order moves it to a new version.
+ * Simulates one service in virtual time while a rollout moves it to a new
+ * version.
  *
- * The decisions are the placement's own; callers, upstreams, neighbours and
- * faults are played. Placers may be killed, two may place at once, and the
- * store may be away. One seed always plays the same.
+ * The decisions are made by the real placement code; callers, upstreams, noisy
+ * neighbours and faults are simulated. Placers may crash, two placers may be
+ * active, and the store may be unavailable. The same seed always gives the same
+ * result.
  */
 #ifndef TOOLS_ROLLOUT_MODEL_H
 #define TOOLS_ROLLOUT_MODEL_H
@@ -15,59 +17,71 @@
 
 struct rollout_fault {
 	const char *name;
-	double failure_share; /* share of the new version's answers that are
-				 failures */
-	double slowdown; /* its work takes so many times as long; 0: as usual */
-	double start_share; /* share of the order's time */
+	/* Share of the answers of the new version that fail. */
+	double failure_share;
+	/* Factor on the service time; 0 for none. */
+	double slowdown;
+	/* Start of the fault as a share of the duration. */
+	double start_share;
 	bool only_at_high_load; /* only above 70% of the slots */
-	bool only_rare_route; /* only on the rarest one */
+	bool only_rare_route; /* only on the route with the fewest requests */
 };
 
 extern const struct rollout_fault rollout_faults[];
-extern const guint rollout_fault_count; /* the first is a good version */
+extern const guint rollout_fault_count; /* the first one is a good version */
 
 struct rollout_spec {
 	const struct rollout_fault *fault;
 	guint upstreams; /* of each version */
 	guint slots;
-	double requests_per_s; /* requests; wave and bursts go on top */
+	/* Mean arrival rate; load_wave and load_bursts vary it. */
+	double requests_per_s;
 	double duration_s;
-	double share; /* exposure that the operators allow */
+	/* Exposure limit: share of the requests, plus `slack` requests. */
+	double share;
 	double slack;
-	bool has_rollout; /* false: the same load without an order */
+	bool has_rollout; /* false: the same load without a rollout */
 	bool load_wave;
 	bool load_bursts;
-	bool placer_crashes; /* placers die, one after the other */
-	bool two_placers; /* for a third of the time */
-	bool store_unavailable; /* around the moment of completion */
-	bool unhealthy_upstreams; /* some upstreams of both versions fail, hang
-				     or are slow */
+	bool placer_crashes; /* placers crash one after another */
+	bool two_placers; /* for a third of the duration */
+	bool store_unavailable; /* around the time of completion */
+	/* Some upstreams of both versions fail, hang or are slow. */
+	bool unhealthy_upstreams;
 	guint64 seed;
 };
 
 struct rollout_outcome {
-	guint state; /* enum aub_rollout_state as stored at the deadline */
+	/* enum aub_rollout_state as stored at the deadline. */
+	guint state;
 	const char *reason;
-	guint64 requests; /* that reached the service until the deadline */
+	guint64 requests; /* reached the service before the deadline */
 	guint64 exposed; /* of these, at the new version */
-	double exposure_bound; /* what is allowed for a bad version */
-	guint64 bad_answers; /* of the new version, by its fault */
-	double decision_ms; /* after the order; -1: none */
-	double first_bad_ms; /* when its fault began; -1: none */
-	double after_50th_bad_ms; /* from the 50th bad answer to the last
-				     request */
-	guint64 interrupted; /* requests still at the old version at the end */
+	/* Maximum of `exposed` for a faulty version. */
+	double exposure_bound;
+	/* Answers of the new version that were affected by its fault. */
+	guint64 bad_answers;
+	/* Time from the order to the decision; -1 for none. */
+	double decision_ms;
+	/* Time from the order to the start of the fault. */
+	double first_bad_ms;
+	/* Time from the 50th bad answer to the last request. */
+	double after_50th_bad_ms;
+	/* Requests still running at the old version upon completion. */
+	guint64 interrupted;
 	guint64 placement_requests;
 	guint64 on_time;
-	double peak_share; /* most of `exposed` over `bound` */
+	/* Maximum of `exposed` divided by `exposure_bound`. */
+	double peak_share;
 };
 
 void rollout_model_run(const struct rollout_spec *spec,
 		       struct rollout_outcome *outcome);
 
 /*
- * Could a test tell this version from a good one by the requests that it may
- * be given? By the information of one answer, without noise.
+ * Returns whether a statistical test could distinguish the version from a good
+ * one with the requests that it may be given. The estimate uses the information
+ * of each answer, without noise.
  */
 bool rollout_model_is_visible(const struct rollout_spec *spec);
 
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -1,10 +1,11 @@
 /*
- * slopes: how the control's processor time, memory and bytes, and the
- * store's calls, grow with nodes, upstreams, services and changes.
+ * slopes: measures how the processor time, memory and network traffic of
+ * control, and the number of calls to the store, grow with nodes, upstreams,
+ * services and changes.
  *
- * Real controls on loopback with the stand-in store; their entries are
- * played here. Writes build/slopes.tsv and prints fitted lines with
- * their largest residual. docs/CAPACITY.md is worked out from them.
+ * Runs real controls on loopback with the stand-in store; their entries are
+ * simulated in this process. Writes build/slopes.tsv and prints fitted lines
+ * with their largest residuals, which are the basis of docs/CAPACITY.md.
  */
 #include "fleet/fleet_inventory.h"
 #include "slopes/slopes.h"
@@ -19,8 +20,8 @@
 
 #define FULL_SIZE_SERVICES 88
 #define FULL_SIZE_UPSTREAMS 910
-#define WARM_UP_MS 9000 /* start, gossip, first assignments */
-#define TIMED_CHANGES 5 /* changes timed at each size */
+#define WARM_UP_MS 9000 /* start, gossip and first assignments */
+#define TIMED_CHANGES 5 /* number of timed changes for each size */
 #define JOIN_TIMEOUT_S 30
 
 struct row {
@@ -29,7 +30,7 @@
 	guint upstreams;
 	guint services;
 	double changes_per_s;
-	double processor_percent; /* of a core; mean over nodes */
+	double processor_percent; /* of one core; mean over the nodes */
 	double processor_max_percent;
 	double memory_mb;
 	double memory_max_mb;
@@ -37,7 +38,7 @@
 	double bytes_max_per_s;
 	double messages_per_s;
 	double store_calls_per_s;
-	double in_effect_ms; /* median, -1: not measured */
+	double in_effect_ms; /* median; -1 if not measured */
 	double in_effect_max_ms;
 };
 
@@ -51,7 +52,8 @@
 	guint window_ms;
 	bool entry_only;
 	bool restarts_only;
-	guint64 changes; /* made so far, for which way a zone goes */
+	/* Changes so far; odd ones bring the zone back. */
+	guint64 changes;
 };
 
 static struct fleet_member *member(struct run *run, guint i)
@@ -100,7 +102,10 @@
 	return text;
 }
 
-/* One change: a zone out, or back. The time until all entries have it. */
+/*
+ * Takes a zone out or back in. Returns the time in ms until all entries have
+ * the change, or -1 on failure.
+ */
 static double apply_change(struct run *run, guint node)
 {
 	const char *path =
@@ -217,7 +222,7 @@
 		(after->messages - before->messages) / seconds / row->nodes;
 }
 
-/* Measure for the window, with `changes_per_s` changes meanwhile. */
+/* Measures for the window and applies `changes_per_s` changes meanwhile. */
 static void measure(struct run *run, double changes_per_s)
 {
 	struct slopes_sample *before = read_samples(run);
@@ -308,7 +313,10 @@
 	stop_fleet(run);
 }
 
-/* Kill `count` controls from `first` on, by `step`, and start them again. */
+/*
+ * Kills `count` controls, every `step`th one from `first` on, and starts them
+ * again.
+ */
 static void restart_controls(struct run *run, guint first, guint step,
 			     guint count)
 {
@@ -323,7 +331,10 @@
 				    NULL);
 }
 
-/* What restarts cost: a zone at once, then a third while a change spreads. */
+/*
+ * Measures the cost of restarts: all controls of a zone at the same time, then
+ * a third of all controls while a change is distributed.
+ */
 static void measure_restarts(struct run *run, guint nodes)
 {
 	double calls;
--- a/tools/slopes/slopes.h
+++ b/tools/slopes/slopes.h
@@ -1,6 +1,4 @@
-/*
- * Measuring how the control's cost grows: pieces of tools/slopes.c.
- */
+/* Measures how the cost of control and entry grows; used by tools/slopes.c. */
 #ifndef TOOL_SLOPES_H
 #define TOOL_SLOPES_H
 
@@ -12,17 +10,20 @@
 
 G_BEGIN_DECLS
 
-/* TOML of 8 zones in 2 regions. Owned by the caller. */
+/* Returns a TOML inventory of 8 zones in 2 regions. Owned by the caller. */
 char *slopes_inventory(guint services, guint upstreams);
 
-/* An entry as a control sees one. Connects again when its link ends. */
+/*
+ * A simulated entry for a control to connect to. Reconnects when its link goes
+ * down.
+ */
 struct slopes_entry {
 	const struct fleet_member *member; /* borrowed */
 	struct aub_link *link;
 	guint timer;
 	guint64 incarnation;
 	guint64 config_version;
-	gint64 config_received_us; /* when that version came */
+	gint64 config_received_us; /* when that version arrived */
 	guint64 epoch;
 	bool serve;
 };
@@ -31,11 +32,12 @@
 				      guint64 incarnation);
 void slopes_entry_free(struct slopes_entry *entry);
 
-/* Counters of one control at one moment. */
+/* Counters of one control at a point in time. */
 struct slopes_sample {
 	gint64 taken_us;
 	double processor_us;
-	double network_bytes; /* both ways, the local entry's excepted */
+	/* Both directions, without the link to the local entry. */
+	double network_bytes;
 	double messages;
 	double resident_bytes;
 };
@@ -43,22 +45,28 @@
 bool slopes_sample_read(const struct fleet_member *member,
 			struct slopes_sample *sample);
 
-/* Calls that the stand-in store has counted. */
+/* Returns the number of calls counted by the stand-in store. */
 double slopes_read_store_calls(const struct fleet *fleet);
 
-/* POST while the main loop runs. True when answered with 200. */
+/*
+ * Sends a POST request while the main loop runs. Sets `version` and returns
+ * true if the status of the answer is 200.
+ */
 bool slopes_post_change(const struct fleet *fleet,
 			const struct fleet_member *member, const char *path,
 			const char *body, guint64 *version);
 
-/* Least squares y = base + slope * x, and the largest residual. */
+/* Least-squares line y = base + slope * x, with the largest residual. */
 struct slopes_line {
 	double base;
 	double slope;
 	double residual;
 };
 
-/* The entry's cost over calls, keys and connections, as lines of text. */
+/*
+ * Measures the cost of an entry over calls, idempotency keys and connections,
+ * and prints lines of text. Returns false if the fleet does not become ready.
+ */
 bool slopes_measure_entry(FILE *out);
 
 struct slopes_line slopes_fit(const double *x, const double *y, guint count);
--- a/tools/slopes/slopes_entry_cost.c
+++ b/tools/slopes/slopes_entry_cost.c
@@ -1,4 +1,7 @@
-/* How the entry's cost grows: over calls, remembered keys, connections. */
+/*
+ * Measures how the cost of an entry grows with calls, retained idempotency keys
+ * and connections.
+ */
 #include "slopes/slopes.h"
 
 #include "fleet/fleet_inventory.h"
@@ -20,7 +23,7 @@
 	double resident_mb;
 };
 
-/* Processor time and memory of a process, from /proc. */
+/* Returns the processor time and memory of a process, from /proc. */
 static struct usage read_usage(GPid pid)
 {
 	char *file = g_strdup_printf("/proc/%d/stat", (int)pid);
@@ -120,7 +123,7 @@
 		(read_usage(pid).resident_mb - initial_mb) * 1024 / calls);
 }
 
-/* Callers that are connected and say nothing. */
+/* Connections of callers that send no requests. */
 static void measure_idle_connections(struct fleet *fleet, FILE *out)
 {
 	const struct fleet_member *member = fleet_member(fleet, 0);
--- a/tools/slopes/slopes_fake_entry.c
+++ b/tools/slopes/slopes_fake_entry.c
@@ -1,4 +1,4 @@
-/* An entry as a control sees one: takes views, acknowledges each. */
+/* A simulated entry: receives views from its control and acknowledges each. */
 #include "slopes/slopes.h"
 
 #define RECONNECT_MS 200
--- a/tools/slopes/slopes_metrics.c
+++ b/tools/slopes/slopes_metrics.c
@@ -1,4 +1,4 @@
-/* Reading counters, posting changes, fitting lines. */
+/* Reads counters, posts changes and fits lines. */
 #include "slopes/slopes.h"
 
 #include <libsoup/soup.h>
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -1,34 +1,39 @@
 /*
- * soak: gateways as real processes under random faults from outside.
+ * soak: runs real gateway processes under random external faults.
  *
- * The store, the upstreams and the callers live in this process, gateways are
- * children. Signals kill, stop, pause and reload them; the store and the
- * upstreams misbehave; a proxy before each upstream delays, silences and
- * refuses. All of it comes from one seed, in series and overlapping.
+ * The store, the upstreams and the callers are part of this process; gateways
+ * are child processes. Signals kill, stop, pause and reload gateways, the store
+ * and the upstreams fail, and a proxy in front of each upstream delays, drops
+ * and refuses traffic. All faults are derived from one seed; they occur in
+ * sequence and overlapping.
  *
- * Checked while it runs, from what callers and upstreams see:
- *   TWICE    what may run once ran twice
- *   REFUSED  "not run" was said of a request that ran, before or after
- *   MIXED    an answer is not the caller's own, or not whole
- *   DENIED   a proper request was denied
- *   DRAIN    a draining upstream got something new, seconds after
- *   ROUTE    a version ran something without its order, or once it was bad
- *   EXPOSURE a bad version got more than its share
- *   VERDICT  a bad version was completed
- *   RECOVER  with the faults over, requests are not served
+ * These rules are checked during the run, from what callers and upstreams
+ * observe; a violation is printed with its name:
+ *
+ *   TWICE    an at-most-once request was executed more than once
+ *   REFUSED  a request was reported as "not run" but was executed,
+ *            before or after the report
+ *   MIXED    an answer belongs to another request or is incomplete
+ *   DENIED   a valid request was rejected
+ *   DRAIN    an upstream got a new request seconds after it began to drain
+ *   ROUTE    a version got requests without its rollout order, or after
+ *            its roll-back
+ *   EXPOSURE a faulty version got more than its share of requests
+ *   VERDICT  the rollout of a faulty version was completed
+ *   RECOVER  requests are not served after the faults have ended
  */
 #include "soak/soak.h"
 
 #include <argp.h>
 #include <glib/gstdio.h>
 
-#define SERVED_MIN_SHARE 0.9 /* of the calls once all is mended */
+#define SERVED_MIN_SHARE 0.9 /* of the calls after all repairs */
 
 struct options {
 	guint seed;
 	guint seconds;
 	guint runs;
-	bool rollouts; /* an order to change versions in each */
+	bool rollouts; /* with a rollout in each run */
 };
 
 gint64 soak_now(const struct soak *soak)
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -1,6 +1,4 @@
-/*
- * The inside of the soak, shared by its files.
- */
+/* Internal declarations shared by the files of the soak test. */
 #ifndef TOOLS_SOAK_SOAK_H
 #define TOOLS_SOAK_SOAK_H
 
@@ -16,18 +14,19 @@
 
 #define GATEWAY_COUNT 5
 #define FIRST_HOST_NUMBER 10
-#define GATEWAY_PORT_COUNT 5 /* that a gateway listens on */
+#define GATEWAY_PORT_COUNT 5 /* listeners of a gateway */
 #define UPSTREAM_COUNT 8
 #define CALLER_COUNT 12 /* fewer than the slots of one zone */
 #define ANSWER_BYTES 500
 #define SERVICE_TIME_MS 20
-#define CALL_DEADLINE_MS 3000 /* a caller's deadline */
+#define CALL_DEADLINE_MS 3000 /* deadline of a caller */
 #define THINK_TIME_MEAN_MS 15
 #define FAULT_INTERVAL_MEAN_MS 400 /* mean time between two faults */
 #define FAULT_FREE_MS 9000 /* at the end, without new faults */
-#define RECOVERY_MS 6000 /* of it, until the last fault has been mended */
-#define DRAIN_LIMIT_US \
-	(3 * AUB_SECOND) /* from an entry's change to the last run */
+/* Within FAULT_FREE_MS, the time until the last fault has been repaired. */
+#define RECOVERY_MS 6000
+/* From the update of the store to the last new request. */
+#define DRAIN_LIMIT_US (3 * AUB_SECOND)
 
 struct rollout;
 struct soak;
@@ -38,25 +37,27 @@
 	struct child *child;
 	char *callers;
 	char *settings;
-	gint64 resume_us; /* paused until then; 0: running */
-	gint64 restart_us; /* dead until then */
+	gint64 resume_us; /* paused until then; 0 if not paused */
+	gint64 restart_us; /* stopped until then; 0 if running */
 };
 
 struct upstream {
 	struct soak *soak;
 	guint number;
-	guint generation; /* a new id each time it is replaced */
+	/* Incremented at each replacement, which gives a new id. */
+	guint generation;
 	struct platform_upstream *server;
 	struct proxy_route *route;
 	char *id;
-	gint64 draining_us; /* since when; 0: not */
-	gint64 repair_us; /* its fault ends then; 0: none */
-	bool of_new_version; /* of the version that an order moves to */
+	gint64 draining_us; /* start of draining; 0 if not draining */
+	gint64 repair_us; /* end of its fault; 0 if none */
+	bool of_new_version; /* belongs to the target version of the rollout */
 };
 
 struct request {
 	bool at_most_once;
-	bool refused; /* the caller was told that it did not run */
+	/* The caller was told that the request was not run. */
+	bool refused;
 	guint runs;
 };
 
@@ -65,17 +66,17 @@
 	struct aub_http_stream *stream;
 	struct gateway *gateway;
 	char *id;
-	gint64 start_us; /* of the call under way; 0: thinks */
+	gint64 start_us; /* start of the current call; 0 if idle */
 	gint64 next_us;
 	guint status;
 	gsize body_bytes;
-	char body_start[64]; /* how its body begins */
+	char body_start[64]; /* the beginning of the body */
 	bool is_own_answer;
 };
 
 struct soak {
 	GRand *random;
-	struct rollout *rollout; /* an order to change versions; or NULL */
+	struct rollout *rollout; /* NULL without a rollout */
 	struct aub_timer_service *timers;
 	struct aub_poller *poller;
 	struct platform_store *store;
@@ -87,63 +88,77 @@
 	guint16 ports[GATEWAY_PORT_COUNT];
 	guint serial;
 	guint version;
-	gint64 store_repair_us; /* 0: it is well */
-	gint64 store_healthy_us; /* since when, at the last mend */
-	gint64 store_faulty_us; /* since when, at the last fault */
+	gint64 store_repair_us; /* end of its fault; 0 if healthy */
+	/* Time of the last repair. */
+	gint64 store_healthy_us;
+	/* Start of the last fault. */
+	gint64 store_faulty_us;
 	gint64 next_fault_us;
-	gint64 faults_end_us; /* no fault begins later */
+	gint64 faults_end_us; /* no fault starts later */
 	bool zone_evacuated;
 	guint faults;
 	guint calls;
 	guint served;
-	guint recovered_calls; /* once all was mended */
+	guint recovered_calls; /* calls after all repairs */
 	guint recovered_served;
 	guint violations;
 };
 
-/* In this process's own time. */
+/* Returns the current time in us on the clock of this process. */
 gint64 soak_now(const struct soak *soak);
-/* A moment between `min_ms` and `max_ms` from now. */
+/* Returns a random time between `min_ms` and `max_ms` from now, in us. */
 gint64 soak_random_time(struct soak *soak, guint min_ms, guint max_ms);
-/* A rule was broken; `id` of the request, or "-". */
+/*
+ * Prints and counts a violation of a rule. `id` is the id of the request, or
+ * "-".
+ */
 void soak_report_violation(struct soak *soak, const char *rule, const char *id);
 
 void soak_configure(struct soak *soak);
-/* Write the entry of an upstream in `state`. */
+/* Writes the record of an upstream with the given state to the store. */
 void soak_upstream_register(struct upstream *upstream, const char *state);
-/* A new incarnation of `upstream`; its number and soak are set. */
+/* Starts a new incarnation of `upstream`, whose number and soak are set. */
 void soak_upstream_start(struct upstream *upstream);
 void soak_upstream_stop(struct upstream *upstream);
 
 void soak_gateway_write_settings(struct gateway *gateway);
 void soak_gateway_start(struct gateway *gateway);
-/* Of its listener `port`; g_free. */
+/* Returns the address of listener `port` of a gateway. Freed with g_free(). */
 char *soak_gateway_address(const struct gateway *gateway, guint port);
 
-/* A fault of any kind, from the soak's seed. */
+/* Injects a random fault of any kind. */
 void soak_inject_fault(struct soak *soak);
-/* What is due to be mended. */
+/* Ends the faults that are due. */
 void soak_repair_due(struct soak *soak, gint64 now_us);
 void soak_end_evacuation(struct soak *soak);
 
-/* Go on calling, or wait. */
+/*
+ * Ends a call that has passed its deadline, or starts the next call if it is
+ * due.
+ */
 void soak_caller_step(struct caller *caller, gint64 now_us);
 void soak_caller_disconnect(struct caller *caller);
 
 /*
- * An order to change versions in the middle of the faults: good or bad by
- * `seed`. Its upstreams are its own.
+ * A rollout that takes place during the faults. The parity of `seed` determines
+ * whether the new version is good (even) or faulty (odd). The rollout owns the
+ * upstreams of the new version.
  */
 struct rollout *soak_rollout_new(struct soak *soak, guint32 seed);
 void soak_rollout_free(struct rollout *rollout);
 void soak_rollout_step(struct rollout *rollout, gint64 now_us);
-/* A request begins to run at `upstream`. */
-void soak_rollout_count_request(struct rollout *rollout,
-				const struct upstream *upstream,
-				const char *id);
-/* Is the old version stopped? */
+/*
+ * Counts and checks a request that starts at `upstream`. Makes it fail at
+ * random if the new version is faulty.
+ */
+void soak_rollout_on_request(struct rollout *rollout,
+			     const struct upstream *upstream, const char *id);
+/*
+ * Returns whether the rollout is completed and the old version has been
+ * stopped. `rollout` may be NULL.
+ */
 bool soak_rollout_is_done(const struct rollout *rollout);
-/* One line about what became of it. */
+/* Prints one line with the outcome. */
 void soak_rollout_report(const struct rollout *rollout);
 
 G_END_DECLS
--- a/tools/soak/soak_callers.c
+++ b/tools/soak/soak_callers.c
@@ -1,6 +1,4 @@
-/*
- * The soak's callers, and what they check of their answers.
- */
+/* Callers of the soak test and the checks of their answers. */
 #include "soak.h"
 
 #include <auburnstile/internal/tcp.h>
--- a/tools/soak/soak_faults.c
+++ b/tools/soak/soak_faults.c
@@ -1,6 +1,4 @@
-/*
- * The soak's faults, and how they are mended.
- */
+/* Injects and repairs the faults of the soak test. */
 #include "soak.h"
 
 #include <signal.h>
@@ -98,7 +96,7 @@
 {
 	struct upstream *upstream = &soak->upstreams[number];
 
-	/* Whatever it had, it comes back as a new incarnation. */
+	/* A repaired upstream is a new incarnation, whatever its fault was. */
 	upstream->repair_us = 0;
 	soak_upstream_stop(upstream);
 	soak_upstream_start(upstream);
--- a/tools/soak/soak_gateways.c
+++ b/tools/soak/soak_gateways.c
@@ -1,11 +1,10 @@
-/*
- * The soak's gateways: real processes.
- */
+/* Gateways of the soak test, which are real processes. */
 #include "soak.h"
 
 /*
- * Gateways know each other by IP number and one port for all: each has a
- * loopback number of its own. The first two are the seeds of all.
+ * Gateways identify each other by IP address and use the same port numbers, so
+ * each has a loopback address of its own. The first two gateways are the seeds
+ * of all.
  */
 char *soak_gateway_address(const struct gateway *gateway, guint port)
 {
--- a/tools/soak/soak_rollout.c
+++ b/tools/soak/soak_rollout.c
@@ -1,16 +1,15 @@
-/*
- * An order to change versions in the middle of the soak's faults.
- */
+/* A rollout during the faults of the soak test. */
 #include "soak.h"
 
 #include <string.h>
 
-#define ORDER_AT_MS 3000 /* after the start, within the faults */
+#define ORDER_AT_MS 3000 /* after the start, during the faults */
 #define ROLLOUT_MS 8000
-#define EXPOSURE_SHARE 0.1 /* as the gateways' settings say */
+#define EXPOSURE_SHARE 0.1 /* as in the settings of the gateways */
 #define EXPOSURE_SLACK_REQUESTS 50
-#define BAD_VERSION_FAILURE_SHARE 0.5 /* of a bad version's answers */
-#define ROLLBACK_GRACE_MS 3000 /* after a roll-back is stored */
+/* Share of the answers of a faulty version that fail. */
+#define BAD_VERSION_FAILURE_SHARE 0.5
+#define ROLLBACK_GRACE_MS 3000 /* after a roll-back has been stored */
 
 struct rollout {
 	struct soak *soak;
@@ -19,12 +18,15 @@
 	gint64 order_us;
 	gint64 deadline_us;
 	bool is_submitted;
-	bool is_completed; /* completed: the old version is stopped */
-	gint64 rolled_back_us; /* 0: not */
-	gint64 last_paused_us; /* when a gateway was last seen paused */
-	guint requests; /* requests between the order and its end */
+	bool is_completed; /* the old version has been stopped */
+	gint64 rolled_back_us; /* 0 if not rolled back */
+	/* When a gateway was last seen paused. */
+	gint64 last_paused_us;
+	/* Requests between the order and its deadline. */
+	guint requests;
 	guint exposed; /* of these, at the new version */
-	guint after_rollback; /* requests to it after a roll-back */
+	/* Requests at the new version after a roll-back. */
+	guint after_rollback;
 	struct upstream upstreams[UPSTREAM_COUNT];
 };
 
@@ -79,7 +81,7 @@
 	return status && strstr(status, state);
 }
 
-/* At once, without draining. */
+/* Stops the old version immediately, without draining. */
 static void stop_old_version(struct rollout *rollout)
 {
 	for (guint i = 0; i < UPSTREAM_COUNT; i++)
@@ -114,7 +116,7 @@
 		stop_old_version(rollout);
 }
 
-/* What a gateway that stood still had taken before is not counted. */
+/* Requests that a gateway had accepted before it was paused are not counted. */
 static bool is_after_rollback(const struct rollout *rollout, gint64 now_us)
 {
 	gint64 last_change_us =
@@ -124,8 +126,8 @@
 	       now_us > last_change_us + ROLLBACK_GRACE_MS * AUB_MS;
 }
 
-void soak_rollout_count_request(struct rollout *rollout,
-				const struct upstream *upstream, const char *id)
+void soak_rollout_on_request(struct rollout *rollout,
+			     const struct upstream *upstream, const char *id)
 {
 	gint64 now = soak_now(rollout->soak);
 
--- a/tools/soak/soak_upstreams.c
+++ b/tools/soak/soak_upstreams.c
@@ -1,9 +1,13 @@
 /*
- * The soak's upstreams, each behind a proxy, and what they see.
+ * Upstreams of the soak test, each behind a proxy, and the checks of the
+ * requests that they receive.
  */
 #include "soak.h"
 
-/* For how long the store, while well, has told that `upstream` drains. */
+/*
+ * Returns for how long, in us, a healthy store has contained the draining state
+ * of `upstream`.
+ */
 static gint64 drain_published_us(const struct upstream *upstream)
 {
 	const struct soak *soak = upstream->soak;
@@ -23,7 +27,7 @@
 	if (!request)
 		return;
 	if (soak->rollout)
-		soak_rollout_count_request(soak->rollout, upstream, id);
+		soak_rollout_on_request(soak->rollout, upstream, id);
 	request->runs++;
 	if (request->at_most_once && request->runs > 1)
 		soak_report_violation(soak, "TWICE", id);
