--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,72 +1,75 @@
 #!/bin/sh
-# Run every test program of a build folder, then the short selection of proofs
-# from a release build, and print one closing line.
+# Runs every test program of a sanitizer build, then the short selection of
+# proofs and short soak runs from a release build. The last line is
+# "N passed, N failed".
 # Usage: tests/run.sh SANITIZER_BUILD RELEASE_BUILD
 #
-# What KNOWN-RED.txt names ("Suite.Test" or "PROMISE/FAULT") may fail without
-# failing the run; it is printed. Counts are single test cases and proofs.
+# Tests listed in KNOWN-RED.txt ("Suite.Test", "PROMISE/FAULT" or "soak/NAME")
+# are printed when they fail, but do not make this script fail. The counts are
+# of single test cases, proofs and soak runs.
 set -u
 build=$1
 release=$2
 passed=0
 failed=0
-verdict=0
-known=$(grep -v '^#' KNOWN-RED.txt 2>/dev/null | cut -d: -f1)
+exit_status=0
+known_red=$(grep -v '^#' KNOWN-RED.txt 2>/dev/null | cut -d: -f1)
 
 for program in "$build"/tests/test_*; do
 	test -x "$program" || continue
 	case "$program" in *.d) continue ;; esac
 	log=$program.log
 	BUILD=$build "$program" >"$log" 2>&1
-	status=$?
-	p=$(grep -c '^\[       OK \]' "$log")
-	f=$(grep -c '^\[  FAILED  \].* ms)$' "$log")
-	if test $status -ne 0 && test "$f" -eq 0; then
-		f=1
+	program_status=$?
+	case_passed=$(grep -c '^\[       OK \]' "$log")
+	case_failed=$(grep -c '^\[  FAILED  \].* ms)$' "$log")
+	if test $program_status -ne 0 && test "$case_failed" -eq 0; then
+		case_failed=1
 	fi
-	passed=$((passed + p))
-	failed=$((failed + f))
-	if test $status -ne 0; then
-		names=$(sed -n 's/^\[  FAILED  \] \([^ ,]*\).* ms)$/\1/p' "$log")
-		red=1
-		test -n "$names" || red=0
-		for name in $names; do
-			printf '%s\n' "$known" | grep -qx "$name" || red=0
+	passed=$((passed + case_passed))
+	failed=$((failed + case_failed))
+	if test $program_status -ne 0; then
+		failed_names=$(sed -n 's/^\[  FAILED  \] \([^ ,]*\).* ms)$/\1/p' "$log")
+		is_known_red=1
+		test -n "$failed_names" || is_known_red=0
+		for name in $failed_names; do
+			printf '%s\n' "$known_red" | grep -qx "$name" || is_known_red=0
 		done
-		if test $red -eq 1; then
-			echo "known red: $names"
+		if test $is_known_red -eq 1; then
+			echo "known red: $failed_names"
 		else
-			verdict=1
+			exit_status=1
 			echo "FAILED: $program"
 			tail -n 60 "$log"
 		fi
 	fi
-	echo "$(basename "$program"): $p passed, $f failed"
+	echo "$(basename "$program"): $case_passed passed, $case_failed failed"
 done
 
 log=$build/tests/proofs.log
 "$release/proofs" --sure | tee "$log" | grep '^promise\|^  '
-p=$(grep -c '^promise .*: holds' "$log")
-f=$(grep -c '^promise .*: broken' "$log")
-passed=$((passed + p))
-failed=$((failed + f))
-# Its exit status is lost in the pipe: without its closing line it died early.
-if test $((p + f)) -eq 0 ||
+case_passed=$(grep -c '^promise .*: holds' "$log")
+case_failed=$(grep -c '^promise .*: broken' "$log")
+passed=$((passed + case_passed))
+failed=$((failed + case_failed))
+# The pipe hides the exit status of the program, which ended early if its last
+# line is missing.
+if test $((case_passed + case_failed)) -eq 0 ||
 	! grep -q '^[0-9]* passed, [0-9]* failed$' "$log"; then
-	echo "FAILED: the proofs did not run to their end"
+	echo "FAILED: the proofs ended early"
 	failed=$((failed + 1))
-	verdict=1
+	exit_status=1
 fi
 for name in $(sed -n \
 	's/^promise \([^ ]*\) fault \([^ ]*\) .*: broken.*/\1\/\2/p' "$log"); do
-	if printf '%s\n' "$known" | grep -qx "$name"; then
+	if printf '%s\n' "$known_red" | grep -qx "$name"; then
 		echo "known red: $name"
 	else
-		verdict=1
+		exit_status=1
 	fi
 done
-# A short soak with fixed seeds. 15 once said DRAIN while no gateway could know,
-# 117 TWICE of an upstream that took its word back: both were the soak's faults.
+
+# Runs a soak NAME with the given options.
 soak()
 {
 	name=$1
@@ -77,21 +80,25 @@
 		passed=$((passed + 1))
 	else
 		failed=$((failed + 1))
-		if printf '%s\n' "$known" | grep -qx "soak/$name"; then
+		if printf '%s\n' "$known_red" | grep -qx "soak/$name"; then
 			echo "known red: soak/$name"
 		else
-			verdict=1
+			exit_status=1
 			echo "FAILED: soak, $name"
 			tail -n 30 "$log"
 		fi
 	fi
 	grep '^seed \|^order' "$log"
 }
+# Short runs with fixed seeds. In the run of seed 15, an upstream drains while no
+# gateway can know it, which must not be reported as DRAIN. In that of seed 117,
+# an upstream is switched to refuse requests after it has started one, and must
+# not report that one as "not run" (TWICE).
 for seed in 1 15 117; do
 	soak $seed --seed $seed --seconds 8
 done
-# An order to change to a bad version, and one to a good one.
+# A rollout to a faulty version, and one to a good version.
 soak bad-version --rollouts --seed 1 --seconds 14
 soak good-version --rollouts --seed 2 --seconds 14
 echo "$passed passed, $failed failed"
-exit $verdict
+exit $exit_status
--- a/tools/bench/outages.c
+++ b/tools/bench/outages.c
@@ -223,7 +223,7 @@
 	good = write_slices(load, start_us, (guint)(seconds * 10), file, error);
 	if (good && !(out_command.accepted && in_command.accepted)) {
 		g_set_error(error, G_IO_ERROR, G_IO_ERROR_FAILED,
-			    "a zone command was not accepted");
+			    "a command for a zone was not accepted");
 		good = false;
 	}
 	print_summary("zone-out-and-back", load);
--- a/tools/bench/report.c
+++ b/tools/bench/report.c
@@ -95,8 +95,8 @@
 		"<!DOCTYPE html><meta charset=\"utf-8\"><title>auburnstile: "
 		"measurements</title><style>body{font:14px sans-serif}"
 		"text{font:12px sans-serif}</style><h1>p99 of each run</h1>"
-		"<p>The black mark is the limit: one perfect queue without "
-		"hedges, for the same arrivals.</p>");
+		"<p>The black mark shows the limit: an ideal queue without "
+		"hedged requests for the same arrivals.</p>");
 	double longest = 1;
 
 	for (guint i = 0; i < rows->len; i++)
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -54,9 +54,11 @@
 };
 
 static const struct argp_option option_table[] = {
-	{ "inventory", 'i', "FILE", 0, "default: examples/nidito.toml", 0 },
-	{ "zone", 'z', "NAME", 0, "default: occidente-b", 0 },
-	{ "keep-logs", 'k', NULL, 0, "leave the processes' logs", 0 },
+	{ "inventory", 'i', "FILE", 0,
+	  "inventory to apply (default: examples/nidito.toml)", 0 },
+	{ "zone", 'z', "NAME", 0, "zone to take out (default: occidente-b)",
+	  0 },
+	{ "keep-logs", 'k', NULL, 0, "keep the log files of the processes", 0 },
 	{ 0 }
 };
 
@@ -78,7 +80,8 @@
 static const struct argp parser = {
 	.options = option_table,
 	.parser = parse_option,
-	.doc = "A fleet on loopback, a load, and a zone out and back.",
+	.doc = "Run a fleet on loopback under load while a zone is taken out "
+	       "and brought back.",
 };
 
 static void print_progress(const struct demo *demo, const char *phase)
@@ -270,11 +273,11 @@
 	for (i = 0; i < G_N_ELEMENTS(services); i++)
 		print_service_row(demo, &services[i]);
 	printf("\n  latency ms: p50 %.1f, p99 %.1f, p99.9 %.1f, max %.1f; "
-	       "repeats by callers: %u\n",
+	       "retries by callers: %u\n",
 	       figures->p50_ms, figures->p99_ms, figures->p999_ms,
 	       figures->max_ms, figures->repeats);
 	if (*reasons)
-		printf("  tries told otherwise than run: %s\n", reasons);
+		printf("  attempts without a \"run\" result: %s\n", reasons);
 	g_free(reasons);
 	printf("  zone %s: last new request %.1f"
 	       " ms after the command to take it out, %" G_GUINT64_FORMAT
--- a/tools/fleet-bench.c
+++ b/tools/fleet-bench.c
@@ -38,13 +38,15 @@
 };
 
 static const struct argp_option option_table[] = {
-	{ "short", 's', NULL, 0, "one row of each, in under 55 s", 0 },
-	{ "runs", 'r', "N", 0, "runs of each row (default: 5)", 0 },
-	{ "members", 'm', "N", 0, "entry VMs (default: 15)", 0 },
-	{ "seconds", 't', "N", 0, "length of a run (default: 10)", 0 },
-	{ "policy", 'p', "NAME", 0, "just this one", 0 },
-	{ "load", 'l', "SHARE", 0, "slow rows of this load alone", 0 },
-	{ "only", 'o', "SCENARIO", 0, "just this one", 0 },
+	{ "short", 's', NULL, 0, "one row of each scenario, in less than 55 s",
+	  0 },
+	{ "runs", 'r', "N", 0, "number of runs of each case (default: 5)", 0 },
+	{ "members", 'm', "N", 0, "number of entry VMs (default: 15)", 0 },
+	{ "seconds", 't', "N", 0, "duration of a run (default: 10)", 0 },
+	{ "policy", 'p', "NAME", 0, "run only this policy", 0 },
+	{ "load", 'l', "SHARE", 0, "run the slow scenario only with this load",
+	  0 },
+	{ "only", 'o', "SCENARIO", 0, "run only this scenario", 0 },
 	{ 0 }
 };
 
--- a/tools/packages.sh
+++ b/tools/packages.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Install the Debian packages that building and testing need, if any is
-# missing. Needs root for that, and says what it would install without.
+# Installs the Debian packages that building and testing need, if any is
+# missing. Installing requires root; without it, prints the missing packages
+# and fails.
 set -eu
 
 packages="gcc g++ clang libclang-rt-14-dev clang-format clang-tidy make git
--- a/tools/proofs.c
+++ b/tools/proofs.c
@@ -32,10 +32,11 @@
 };
 
 static const struct argp_option option_table[] = {
-	{ "only", 'o', "TEXT", 0, "those whose PROMISE/FAULT contains it", 0 },
-	{ "seed", 's', "N", 0, "of arrivals and service times (1)", 0 },
-	{ "sure", 'c', NULL, 0, "the short selection for CI", 0 },
-	{ "keep-logs", 'k', NULL, 0, "leave logs of those that failed", 0 },
+	{ "only", 'o', "TEXT", 0,
+	  "run only checks whose PROMISE/FAULT contains TEXT", 0 },
+	{ "seed", 's', "N", 0, "seed of arrivals and service times (1)", 0 },
+	{ "sure", 'c', NULL, 0, "run only the short selection for CI", 0 },
+	{ "keep-logs", 'k', NULL, 0, "keep the logs of failed checks", 0 },
 	{ 0 }
 };
 
@@ -59,7 +60,8 @@
 static const struct argp parser = {
 	.options = option_table,
 	.parser = parse_option,
-	.doc = "Proofs of what must always hold, with real processes.",
+	.doc = "Check guaranteed behaviour with real processes and injected "
+	       "faults.",
 };
 
 int main(int argc, char **argv)
--- a/tools/proofs/at_most_once.c
+++ b/tools/proofs/at_most_once.c
@@ -29,7 +29,7 @@
 				 0);
 	proof_add_figure(run, "repeats", run->totals.repeats);
 	proof_check(run, !run->totals.told[LOAD_ERROR],
-		    "a repeat got no definite answer");
+		    "a retry got no definite answer");
 }
 
 static struct fleet_member *start_keyed_run(struct proof_run *run, bool proxies)
@@ -156,7 +156,7 @@
 	fleet_signal(owner, FLEET_BOTH, SIGTERM);
 	finish_and_check_keyed(run);
 	proof_check(run, !run->totals.told[LOAD_UNKNOWN],
-		    "a planned stop left requests unknown");
+		    "a planned stop left requests with an \"unknown\" result");
 }
 
 /* The store is down when the key owner is killed. */
--- a/tools/proofs/cold_start.c
+++ b/tools/proofs/cold_start.c
@@ -60,7 +60,7 @@
 	proof_add_figure(run, "max_cold", proof_oracle_max(run, "max_cold"));
 	proof_add_figure(run, "fell_over", proof_oracle_sum(run, "fell_over"));
 	proof_check(run, !proof_oracle_sum(run, "fell_over"),
-		    "a cold upstream was pushed over");
+		    "a cold upstream crashed from overload");
 	proof_require(run, proof_oracle_max(run, "max_cold") > 0,
 		      "requests to a cold upstream");
 }
--- a/tools/proofs/complete_answer.c
+++ b/tools/proofs/complete_answer.c
@@ -22,7 +22,7 @@
 	finish_and_check_load(run);
 	proof_add_figure(run, "whole_percent", complete_percent(run));
 	proof_check(run, complete_percent(run) >= min_percent,
-		    "too few whole answers");
+		    "too few complete answers");
 }
 
 /* Upstreams corrupt answers in ways that an HTTP library would not. */
--- a/tools/proofs/config_propagation.c
+++ b/tools/proofs/config_propagation.c
@@ -115,8 +115,9 @@
 			 slowest_change_us / 1000.0);
 	proof_add_figure(run, "reverts", monitor.reverts);
 	proof_check(run, slowest_change_us < IN_EFFECT_LIMIT_MS * AUB_MS,
-		    "not in force in time");
-	proof_check(run, !monitor.reverts, "a version went back");
+		    "a change took effect too late");
+	proof_check(run, !monitor.reverts,
+		    "a member reverted to an older version");
 }
 
 static void run_changes(struct proof_run *run, const char *fault,
@@ -186,8 +187,9 @@
 	proof_add_figure(run, "lowest", poll_versions(&monitor));
 	proof_add_figure(run, "reverts", monitor.reverts);
 	proof_check(run, poll_versions(&monitor) >= version,
-		    "a member holds an older version");
-	proof_check(run, !monitor.reverts, "a version went back");
+		    "a member still uses an older version");
+	proof_check(run, !monitor.reverts,
+		    "a member reverted to an older version");
 }
 
 const struct proof proofs_config_propagation[] = {
--- a/tools/proofs/crashing_request.c
+++ b/tools/proofs/crashing_request.c
@@ -78,11 +78,11 @@
 	proof_require(run, crashes > 0, "crashes");
 	proof_require(run, refused > 0, "refusals");
 	proof_check(run, crashes <= CRASHES_MAX,
-		    "more upstreams went down than the goal allows");
+		    "more upstreams crashed than allowed");
 	proof_check(run,
 		    run->totals.told[LOAD_RUN] >=
 			    CONCURRENT_SERVED_MIN_SHARE * run->totals.requests,
-		    "requests that ran beside it were not served");
+		    "too few concurrent requests were served");
 }
 
 /* The request is sent 30 times, through all entries in turn. */
--- a/tools/proofs/graceful_shutdown.c
+++ b/tools/proofs/graceful_shutdown.c
@@ -15,8 +15,10 @@
 	proof_add_figure(run, "stopped_in_order", clean_stops);
 	proof_check(run, clean_stops == stops,
 		    "a stop took too long or failed");
-	proof_check(run, !run->totals.told[LOAD_ERROR], "cut off");
-	proof_check(run, !run->totals.told[LOAD_UNKNOWN], "left unknown");
+	proof_check(run, !run->totals.told[LOAD_ERROR],
+		    "a request got no answer");
+	proof_check(run, !run->totals.told[LOAD_UNKNOWN],
+		    "a request got an \"unknown\" result");
 }
 
 /* Every member in turn is stopped and started again under load. */
--- a/tools/proofs/probe_budget.c
+++ b/tools/proofs/probe_budget.c
@@ -95,7 +95,7 @@
 		    probe_us <=
 			    SERVICE_COUNT * (PROBE_BUDGET_US_PER_S * elapsed_s +
 					     PROBE_COST_US),
-		    "probes took more than their budget");
+		    "probes exceeded their budget");
 }
 
 static void no_fault(struct proof_run *run)
--- a/tools/proofs/proof.c
+++ b/tools/proofs/proof.c
@@ -24,7 +24,7 @@
 void proof_require(struct proof_run *run, bool occurred, const char *what)
 {
 	if (!occurred)
-		add_violation(run, "not brought about: ", what);
+		add_violation(run, "did not occur: ", what);
 }
 
 void proof_add_figure(struct proof_run *run, const char *name, double value)
@@ -142,11 +142,13 @@
 void proof_check_load(struct proof_run *run)
 {
 	proof_check(run, !run->totals.told[LOAD_WRONG], "wrong answers");
-	proof_check(run, !run->verdict.twice, "ran twice");
+	proof_check(run, !run->verdict.twice,
+		    "a request was executed more than once");
 	proof_check(run, !run->verdict.false_not_run,
-		    "told not-run and had run");
-	proof_check(run, !run->verdict.false_run, "told run and had not");
-	proof_require(run, run->totals.told[LOAD_RUN] > 0, "any whole answer");
+		    "a request reported as \"not run\" was executed");
+	proof_check(run, !run->verdict.false_run,
+		    "a request reported as \"run\" was not executed");
+	proof_require(run, run->totals.told[LOAD_RUN] > 0, "a complete answer");
 }
 
 gint64 proof_oracle_sum(const struct proof_run *run, const char *name)
--- a/tools/proofs/retry_amplification.c
+++ b/tools/proofs/retry_amplification.c
@@ -115,9 +115,9 @@
 			 (double)count_service_requests(run, TREE_DEPTH - 1) /
 				 run->totals.requests);
 	proof_require(run, count_service_requests(run, LEAF_SERVICE) > 0,
-		      "calls at the leaf");
+		      "requests at the leaf");
 	proof_check(run, attempts <= LEAF_ATTEMPTS_PER_CALL_MAX,
-		    "the leaf was asked more often than the goal allows");
+		    "the leaf got more requests than allowed");
 }
 
 /* The leaf resets its connections in the middle of each answer. */
--- a/tools/proofs/upstream_leaves.c
+++ b/tools/proofs/upstream_leaves.c
@@ -36,10 +36,11 @@
 			      "last_new_us", 0);
 	proof_add_figure(run, "last_new_ms",
 			 (last_request_us - command_us) / 1000.0);
-	proof_require(run, last_request_us > 0, "requests to it before");
+	proof_require(run, last_request_us > 0,
+		      "requests to the upstream before");
 	proof_check(run, status == 0 || status == 4, "the command failed");
 	proof_check(run, last_request_us - command_us < LEAVE_LIMIT_MS * AUB_MS,
-		    "it got new requests after 3 s");
+		    "the upstream got new requests after 3 s");
 }
 
 static void upstream_leaves(struct proof_run *run)
@@ -96,10 +97,11 @@
 			      "last_new_us", 0);
 	proof_add_figure(run, "last_new_ms",
 			 (last_request_us - draining_us) / 1000.0);
-	proof_require(run, last_request_us > 0, "requests to it before");
+	proof_require(run, last_request_us > 0,
+		      "requests to the upstream before");
 	proof_check(run,
 		    last_request_us - draining_us < LEAVE_LIMIT_MS * AUB_MS,
-		    "it got new requests after 3 s");
+		    "the upstream got new requests after 3 s");
 }
 
 const struct proof proofs_upstream_leaves[] = {
--- a/tools/proofs/zone_evacuation.c
+++ b/tools/proofs/zone_evacuation.c
@@ -83,24 +83,26 @@
 		fault(run, true);
 	fleet_run_ms(200);
 	command_us = g_get_monotonic_time();
-	proof_require(run, zone_command(run, "out"), "an accepted zone out");
+	proof_require(run, zone_command(run, "out"),
+		      "an accepted command to take the zone out");
 	fleet_run_ms(6000);
 	requests_before_return = zone_requests(run, &last_request_us);
 	proof_add_figure(run, "last_new_ms",
 			 MAX(last_request_us - command_us, 0) / 1000.0);
 	proof_check(run,
 		    last_request_us - command_us < EVACUATION_LIMIT_MS * AUB_MS,
-		    "new requests 3 s after the command");
+		    "the zone got new requests 3 s after the command");
 	proof_require(run, requests_before_return > 0,
-		      "requests in the zone before");
+		      "requests in the zone before its return");
 	if (fault)
 		fault(run, false);
-	proof_require(run, zone_command(run, "in"), "an accepted zone in");
+	proof_require(run, zone_command(run, "in"),
+		      "an accepted command to bring the zone back");
 	finish_and_check_load(run);
 	proof_check(run,
 		    zone_requests(run, &last_request_us) >
 			    requests_before_return,
-		    "the zone got nothing after its return");
+		    "the zone got no requests after its return");
 }
 
 static void no_fault(struct proof_run *run)
--- a/tools/rollout-model.c
+++ b/tools/rollout-model.c
@@ -28,7 +28,7 @@
 static const double durations[] = { 5, 12, 30, 120 };
 
 struct options {
-	guint orders; /* for each fault */
+	guint rollouts; /* for each fault */
 	guint seed;
 	guint jobs;
 	const char *only_fault; /* name of a fault; NULL for all */
@@ -42,7 +42,7 @@
 	bool is_visible;
 };
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
 	struct options *options = state->input;
 	char *end = NULL;
@@ -54,7 +54,7 @@
 			   key, arg);
 	switch (key) {
 	case 'n':
-		options->orders = (guint)number;
+		options->rollouts = (guint)number;
 		return 0;
 	case 's':
 		options->seed = (guint)number;
@@ -176,7 +176,7 @@
 	FILE *out = fopen(path, "a");
 
 	if (!out) {
-		fprintf(stderr, "rollout-model: %s: can't be written\n", path);
+		fprintf(stderr, "rollout-model: cannot write %s\n", path);
 		exit(1);
 	}
 	for (guint i = 0; i < count; i++) {
@@ -200,42 +200,42 @@
 static void run_fault(const struct options *options,
 		      const struct rollout_fault *fault)
 {
-	struct model_run *runs = g_new0(struct model_run, options->orders);
+	struct model_run *runs = g_new0(struct model_run, options->rollouts);
 	GThreadPool *pool = g_thread_pool_new(run_one, NULL,
 					      (gint)options->jobs, TRUE, NULL);
 
-	for (guint i = 0; i < options->orders; i++) {
+	for (guint i = 0; i < options->rollouts; i++) {
 		fill_spec(&runs[i].spec, i, options->seed, fault);
 		runs[i].is_visible = rollout_model_is_visible(&runs[i].spec);
 		g_thread_pool_push(pool, &runs[i], NULL);
 	}
 	g_thread_pool_free(pool, FALSE, TRUE);
-	print_row(fault, runs, options->orders, options->verbose);
+	print_row(fault, runs, options->rollouts, options->verbose);
 	fflush(stdout);
 	if (options->tsv)
-		write_tsv(options->tsv, runs, options->orders);
+		write_tsv(options->tsv, runs, options->rollouts);
 	g_free(runs);
 }
 
 int main(int argc, char **argv)
 {
-	static const struct argp_option table[] = {
-		{ "orders", 'n', "N", 0, "orders of each fault (100)", 0 },
+	static const struct argp_option option_table[] = {
+		{ "orders", 'n', "N", 0, "rollouts for each fault (100)", 0 },
 		{ "seed", 's', "N", 0, "first seed (1)", 0 },
-		{ "jobs", 'j', "N", 0, "at once (all cores)", 0 },
-		{ "fault", 'f', "NAME", 0, "only this one", 0 },
-		{ "output", 'o', "FILE", 0, "append each outcome", 0 },
-		{ "verbose", 'v', NULL, 0, "name the orders that went wrong",
-		  0 },
+		{ "jobs", 'j', "N", 0, "parallel jobs (all cores)", 0 },
+		{ "fault", 'f', "NAME", 0, "simulate only this fault", 0 },
+		{ "output", 'o', "FILE", 0, "append each outcome to FILE", 0 },
+		{ "verbose", 'v', NULL, 0,
+		  "print the rollouts with a wrong outcome", 0 },
 		{ 0 },
 	};
 	const struct argp argp = {
-		.options = table,
-		.parser = parse,
-		.doc = "Play orders to change versions on a model.",
+		.options = option_table,
+		.parser = parse_option,
+		.doc = "Simulate rollouts in a model of one service.",
 	};
 	struct options options = {
-		.orders = 100,
+		.rollouts = 100,
 		.seed = 1,
 		.jobs = g_get_num_processors(),
 	};
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -123,7 +123,7 @@
 	if (!wait_for_config(run, version, 20)) {
 		fprintf(stderr,
 			"slopes: version %" G_GUINT64_FORMAT
-			" isn't in force everywhere after 20 s\n",
+			" is not in effect everywhere after 20 s\n",
 			version);
 		return -1;
 	}
@@ -177,7 +177,7 @@
 	body = apply_request(run->inventory, 0);
 	if (!slopes_post_change(run->fleet, member(run, 0), "/v1/config/apply",
 				body, &version))
-		fprintf(stderr, "slopes: the inventory wasn't accepted\n");
+		fprintf(stderr, "slopes: the inventory was not accepted\n");
 	g_free(body);
 	return version && wait_for_config(run, version, JOIN_TIMEOUT_S);
 }
@@ -307,8 +307,8 @@
 			time_changes(run);
 		write_row(run, scenario);
 	} else {
-		printf("%s %u %u %u: didn't come up\n", scenario, nodes,
-		       services, upstreams);
+		printf("%s %u %u %u: the fleet did not become ready\n",
+		       scenario, nodes, services, upstreams);
 	}
 	stop_fleet(run);
 }
@@ -468,10 +468,10 @@
 }
 
 static const struct argp_option options[] = {
-	{ "window-ms", 'w', "MS", 0, "measure each size for so long", 0 },
-	{ "entry", 'e', NULL, 0, "only the entry's cost", 0 },
-	{ "restarts", 'r', NULL, 0, "only what restarts cost", 0 },
-	{ "nodes", 'n', "N", 0, "only this many nodes, at full size", 0 },
+	{ "window-ms", 'w', "MS", 0, "duration of each measurement", 0 },
+	{ "entry", 'e', NULL, 0, "measure only the cost of an entry", 0 },
+	{ "restarts", 'r', NULL, 0, "measure only the cost of restarts", 0 },
+	{ "nodes", 'n', "N", 0, "measure only N nodes, at full size", 0 },
 	{ NULL }
 };
 
@@ -480,7 +480,7 @@
 	const struct argp argp = {
 		.options = options,
 		.parser = parse_option,
-		.doc = "Measure how the control's cost grows.",
+		.doc = "Measure how the cost of control grows.",
 	};
 	struct run run = { .window_ms = 10000 };
 	guint nodes;
--- a/tools/slopes/slopes_entry_cost.c
+++ b/tools/slopes/slopes_entry_cost.c
@@ -181,7 +181,8 @@
 		measure_idle_connections(fleet, out);
 	} else {
 		fprintf(stderr, "slopes: %s\n",
-			error ? error->message : "the entry didn't come up");
+			error ? error->message :
+				"the entry did not become ready");
 	}
 	g_clear_error(&error);
 	fleet_free(fleet, false);
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -44,8 +44,8 @@
 void soak_report_violation(struct soak *soak, const char *rule, const char *id)
 {
 	soak->violations++;
-	g_print("BROKEN %s: request %s, %.3f s before the calm\n", rule, id,
-		(double)(soak->faults_end_us - soak_now(soak)) / 1e6);
+	g_print("BROKEN %s: request %s, %.3f s before the end of the faults\n",
+		rule, id, (double)(soak->faults_end_us - soak_now(soak)) / 1e6);
 }
 
 gint64 soak_random_time(struct soak *soak, guint min_ms, guint max_ms)
@@ -161,7 +161,7 @@
 		return ARGP_ERR_UNKNOWN;
 	if (!g_ascii_string_to_unsigned(text, 10, 1, G_MAXUINT32, &number,
 					NULL))
-		argp_error(state, "-%c wants a number", key);
+		argp_error(state, "-%c needs a positive number", key);
 	*number_target = (guint)number;
 	return 0;
 }
@@ -187,16 +187,18 @@
 {
 	static const struct argp_option option_table[] = {
 		{ "seed", 's', "N", 0, "first seed (1)", 0 },
-		{ "seconds", 't', "S", 0, "of faults, a seed (20)", 0 },
-		{ "runs", 'n', "N", 0, "seeds, one after the other (1)", 0 },
-		{ "rollouts", 'r', NULL, 0, "with an order to change versions",
+		{ "seconds", 't', "S", 0,
+		  "duration of the faults for each seed (20)", 0 },
+		{ "runs", 'n', "N", 0, "number of consecutive seeds to run (1)",
 		  0 },
+		{ "rollouts", 'r', NULL, 0, "with a rollout in each run", 0 },
 		{ 0 },
 	};
 	const struct argp argp = {
 		.options = option_table,
 		.parser = parse_option,
-		.doc = "Gateways under random faults; ends with a line a seed.",
+		.doc = "Run gateways under random faults; prints a line for each "
+		       "seed.",
 	};
 	struct options options = { .seed = 1, .seconds = 20, .runs = 1 };
 	guint failed = 0;
--- a/tools/soak/soak_callers.c
+++ b/tools/soak/soak_callers.c
@@ -57,17 +57,19 @@
 		g_hash_table_lookup(soak->requests, caller->id);
 
 	if (!caller->is_own_answer)
-		soak_report_violation(soak, "MIXED (another's answer)",
+		soak_report_violation(soak, "MIXED (answer to another request)",
 				      caller->id);
 	if (caller->status == 200 && caller->body_bytes != ANSWER_BYTES)
-		soak_report_violation(soak, "MIXED (not whole)", caller->id);
+		soak_report_violation(soak, "MIXED (incomplete answer)",
+				      caller->id);
 	if (caller->status / 100 == 4 && caller->status != 408 &&
 	    caller->status != 421 && caller->status != 429)
 		soak_report_violation(soak, "DENIED", caller->id);
 	if (caller->status == 503) {
 		request->refused = request->at_most_once;
 		if (request->at_most_once && request->runs)
-			soak_report_violation(soak, "REFUSED (it had run)",
+			soak_report_violation(soak,
+					      "REFUSED (already executed)",
 					      caller->id);
 	}
 }
@@ -77,8 +79,8 @@
 	struct caller *caller = context;
 
 	if (!caller->start_us) {
-		soak_report_violation(caller->soak, "MIXED (nobody asked)",
-				      "-");
+		soak_report_violation(caller->soak,
+				      "MIXED (answer without a request)", "-");
 		return;
 	}
 	check_answer_rules(caller);
--- a/tools/soak/soak_gateways.c
+++ b/tools/soak/soak_gateways.c
@@ -41,7 +41,7 @@
 		g_strdup_printf("%s/g%u.toml", gateway->soak->folder,
 				gateway->number);
 	if (!g_file_set_contents(gateway->settings, text->str, -1, NULL))
-		g_error("%s can't be written", gateway->settings);
+		g_error("cannot write %s", gateway->settings);
 	g_string_free(text, TRUE);
 }
 
--- a/tools/soak/soak_upstreams.c
+++ b/tools/soak/soak_upstreams.c
@@ -32,7 +32,7 @@
 	if (request->at_most_once && request->runs > 1)
 		soak_report_violation(soak, "TWICE", id);
 	if (request->refused)
-		soak_report_violation(soak, "REFUSED (it ran later)", id);
+		soak_report_violation(soak, "REFUSED (executed later)", id);
 	if (upstream->draining_us &&
 	    drain_published_us(upstream) > DRAIN_LIMIT_US)
 		soak_report_violation(soak, "DRAIN", id);
