--- a/tools/proofs/proof.h
+++ b/tools/proofs/proof.h
@@ -59,6 +59,7 @@
  * `what` describes, the check would pass without having tested anything.
  */
 void proof_require(struct proof_run *run, bool occurred, const char *what);
+/* Adds NAME=VALUE to the figures of the result line. */
 void proof_add_figure(struct proof_run *run, const char *name, double value);
 
 struct proof_fleet {
--- a/tools/rollout-model.c
+++ b/tools/rollout-model.c
@@ -114,7 +114,7 @@
 static void print_row(const struct rollout_fault *fault,
 		      const struct model_run *runs, guint count, bool verbose)
 {
-	guint is_visible = 0, completed = 0, rolled_back = 0, over_bound = 0;
+	guint visible = 0, completed = 0, rolled_back = 0, over_bound = 0;
 	guint missed = 0, interrupted = 0;
 	double worst_exposure = 0, after_50th = 0, on_time = 0;
 
@@ -124,7 +124,7 @@
 		bool is_completed = outcome->state == AUB_ROLLOUT_COMPLETED;
 		bool is_bad = fault != rollout_faults;
 
-		is_visible += run->is_visible;
+		visible += run->is_visible;
 		completed += is_completed;
 		rolled_back += outcome->state == AUB_ROLLOUT_ROLLED_BACK;
 		missed += is_bad && is_completed && run->is_visible;
@@ -166,7 +166,7 @@
 				outcome->after_50th_bad_ms);
 	}
 	printf("%-32s %6u %7u %9u %7u %6u %5u %8.2f %7.0f %7u %7.3f\n",
-	       fault->name, count, is_visible, completed, rolled_back, missed,
+	       fault->name, count, visible, completed, rolled_back, missed,
 	       over_bound, worst_exposure, after_50th, interrupted, on_time);
 }
 
--- a/tools/rollout/rollout_model.c
+++ b/tools/rollout/rollout_model.c
@@ -14,17 +14,18 @@
 /* The simulation goes on for this long after the deadline. */
 #define RUN_AFTER_DEADLINE_MS 1500
 #define ROLLOUT_STEP_MS 25 /* interval at which a placer steps a rollout */
-#define EVIDENCE_INTERVAL_MS \
-	250 /* interval at which a placer publishes its evidence */
+/* Interval at which a placer publishes its evidence. */
+#define EVIDENCE_INTERVAL_MS 250
 #define INTERFERENCE_WINDOW_MS 300
+/* Share of the windows in which an upstream has noisy neighbours. */
 #define INTERFERENCE_SHARE 0.25
 #define INTERFERENCE_SLOWDOWN 4.0
-#define SATURATION_LOAD 0.8
+#define SATURATION_LOAD 0.8 /* share of the slots in use */
 #define SATURATION_SLOWDOWN 1.7
 #define WARM_UP_MS 3000
 #define WARM_UP_SLOWDOWN 2.0
 #define WARM_UP_REQUESTS_PER_S 4.3
-#define HIGH_LOAD 0.7
+#define HIGH_LOAD 0.7 /* share of the slots in use */
 /* Maximum number of placers, one after another. */
 #define PLACERS_MAX 16
 #define HANG_DURATION_MS 4000
@@ -103,7 +104,7 @@
 	gint64 ends_ms;
 	const struct request_class *request_class;
 	bool failed;
-	bool bad; /* affected by the fault of the version */
+	bool affected_by_fault; /* affected by the fault of the version */
 };
 
 struct model {
@@ -118,9 +119,9 @@
 	/* The evidence and the counters last published by a placer. */
 	struct aub_judge_route evidence[AUB_JUDGE_ROUTES + 1];
 	guint evidence_count;
-	guint64 reached;
-	guint64 exposed;
-	double allowance;
+	guint64 published_requests;
+	guint64 published_exposed;
+	double published_allowance;
 	/* State of the rollout as last published. */
 	enum aub_rollout_state published_state;
 	GArray *attempts; /* of struct attempt */
@@ -129,7 +130,7 @@
 	double next_arrival_ms;
 	guint64 last_ticket;
 	gint64 fiftieth_bad_ms;
-	enum aub_rollout_state stored;
+	enum aub_rollout_state stored_state;
 	gint64 order_ms;
 	gint64 deadline_ms;
 };
@@ -147,8 +148,8 @@
 
 static bool is_stored_final(const struct model *model)
 {
-	return model->stored == AUB_ROLLOUT_COMPLETED ||
-	       model->stored == AUB_ROLLOUT_ROLLED_BACK;
+	return model->stored_state == AUB_ROLLOUT_COMPLETED ||
+	       model->stored_state == AUB_ROLLOUT_ROLLED_BACK;
 }
 
 static void register_upstream(struct model *model,
@@ -216,14 +217,18 @@
 			register_upstream(model, placement, i, now_ms);
 	if (!model->spec->has_rollout || now_ms < model->order_ms)
 		return;
-	aub_placement_order(placement, rollout_record_of(model, model->stored),
+	aub_placement_order(placement,
+			    rollout_record_of(model, model->stored_state),
 			    false, now_ms * US_PER_MS);
 	(void)aub_placement_order_told(
-		placement, &rollout_record_of(model, model->stored)->order,
+		placement,
+		&rollout_record_of(model, model->stored_state)->order,
 		model->published_state, (now_ms - model->order_ms) * US_PER_MS,
 		now_ms * US_PER_MS);
 	aub_placement_inherit(placement, model->evidence, model->evidence_count,
-			      model->reached, model->exposed, model->allowance);
+			      model->published_requests,
+			      model->published_exposed,
+			      model->published_allowance);
 }
 
 static struct aub_placement *current_placer(struct model *model)
@@ -245,7 +250,7 @@
 			    rollout_record_of(model, AUB_ROLLOUT_NONE), false,
 			    now_ms * US_PER_MS);
 	aub_placement_grant_slack(current_placer(model));
-	model->stored = AUB_ROLLOUT_RUNNING;
+	model->stored_state = AUB_ROLLOUT_RUNNING;
 	model->published_state = AUB_ROLLOUT_RUNNING;
 }
 
@@ -302,10 +307,10 @@
 	if (fault_applies(model, upstream, attempt, now_ms)) {
 		if (fault->slowdown > 0)
 			ms *= fault->slowdown;
-		attempt->bad = fault->slowdown > 0;
+		attempt->affected_by_fault = fault->slowdown > 0;
 		if (draw_uniform(model) < fault->failure_share) {
 			attempt->failed = true;
-			attempt->bad = true;
+			attempt->affected_by_fault = true;
 		}
 	}
 	if (upstream->health == HANGING && draw_uniform(model) < 0.3)
@@ -330,7 +335,8 @@
 	guint index = (guint)atoi(decision->upstream + 1);
 	struct upstream *upstream = &model->upstreams[index];
 	struct attempt attempt = *waiting;
-	bool counts = now_ms >= model->order_ms && now_ms < model->deadline_ms;
+	bool is_counted =
+		now_ms >= model->order_ms && now_ms < model->deadline_ms;
 
 	attempt.upstream = index;
 	attempt.sent_ms = now_ms;
@@ -338,7 +344,7 @@
 	attempt.ends_ms = now_ms + (gint64)draw_work_ms(model, upstream,
 							&attempt, now_ms);
 	g_array_append_val(model->attempts, attempt);
-	if (!counts)
+	if (!is_counted)
 		return;
 	model->outcome->requests++;
 	if (upstream->new_version)
@@ -360,11 +366,11 @@
 
 static const struct request_class *draw_request_class(struct model *model)
 {
-	double at = draw_uniform(model);
+	double point = draw_uniform(model);
 
 	for (guint i = 0; i < G_N_ELEMENTS(request_classes); i++) {
-		at -= request_classes[i].share;
-		if (at < 0)
+		point -= request_classes[i].share;
+		if (point < 0)
 			return &request_classes[i];
 	}
 	return &request_classes[0];
@@ -412,7 +418,7 @@
 	apply_decision(model, &decision, now_ms);
 }
 
-static double rate_at(const struct model *model, gint64 now_ms)
+static double arrival_rate_at(const struct model *model, gint64 now_ms)
 {
 	const struct rollout_spec *spec = model->spec;
 	double rate = spec->requests_per_s;
@@ -429,7 +435,7 @@
 	while (model->next_arrival_ms <= now_ms) {
 		request_placement(model, now_ms);
 		model->next_arrival_ms += -log(1 - draw_uniform(model)) * 1000 /
-					  rate_at(model, now_ms);
+					  arrival_rate_at(model, now_ms);
 	}
 }
 
@@ -442,7 +448,7 @@
 	    attempt->requested_ms < model->deadline_ms && !attempt->failed &&
 	    now_ms - attempt->requested_ms <= attempt->request_class->target_ms)
 		outcome->on_time++;
-	if (!attempt->bad || now_ms < model->order_ms)
+	if (!attempt->affected_by_fault || now_ms < model->order_ms)
 		return;
 	if (++outcome->bad_answers == 50)
 		model->fiftieth_bad_ms = now_ms;
@@ -530,8 +536,8 @@
 {
 	struct rollout_outcome *outcome = model->outcome;
 
-	outcome->state = model->stored;
-	if (model->stored != AUB_ROLLOUT_COMPLETED)
+	outcome->state = model->stored_state;
+	if (model->stored_state != AUB_ROLLOUT_COMPLETED)
 		return;
 	for (guint i = 0; i < model->attempts->len; i++) {
 		const struct attempt *attempt =
@@ -548,10 +554,10 @@
 static void store_state(struct model *model, enum aub_rollout_state state,
 			gint64 now_ms)
 {
-	if (is_stored_final(model) || state <= model->stored ||
+	if (is_stored_final(model) || state <= model->stored_state ||
 	    !is_store_available(model, now_ms))
 		return;
-	model->stored = state;
+	model->stored_state = state;
 	if (now_ms < model->deadline_ms)
 		record_stored_state(model, now_ms);
 	for (guint i = 0; i < PLACERS_MAX; i++)
@@ -566,9 +572,9 @@
 {
 	model->evidence_count =
 		aub_judge_export(&rollout->judge, model->evidence);
-	model->reached = aub_rollout_total_reached(rollout);
-	model->exposed = aub_rollout_total_exposed(rollout);
-	model->allowance = rollout->allowance;
+	model->published_requests = aub_rollout_total_reached(rollout);
+	model->published_exposed = aub_rollout_total_exposed(rollout);
+	model->published_allowance = rollout->allowance;
 	model->published_state = rollout->state;
 	for (guint i = 0; i < PLACERS_MAX; i++)
 		if (model->placers[i] && i != model->placer)
@@ -582,25 +588,25 @@
 static void step_rollout(struct model *model, gint64 now_ms)
 {
 	struct aub_placement *placement = current_placer(model);
-	enum aub_rollout_state before = placement->rollout.state;
-	enum aub_rollout_state wanted =
+	enum aub_rollout_state previous_state = placement->rollout.state;
+	enum aub_rollout_state wanted_state =
 		aub_placement_rollout_step(placement, now_ms * US_PER_MS);
 	const struct aub_rollout *rollout = aub_placement_rollout(placement);
 
 	if (!rollout)
 		return;
-	if (rollout->state != before ||
+	if (rollout->state != previous_state ||
 	    now_ms % EVIDENCE_INTERVAL_MS < ROLLOUT_STEP_MS)
 		publish_evidence(model, rollout, now_ms);
-	if (rollout->state != before && !aub_rollout_is_open(rollout) &&
+	if (rollout->state != previous_state && !aub_rollout_is_open(rollout) &&
 	    model->outcome->decision_ms < 0) {
 		model->outcome->decision_ms =
 			(double)(now_ms - model->order_ms);
 		model->outcome->reason = rollout->reason;
 	}
-	if (wanted == AUB_ROLLOUT_COMPLETED ||
-	    wanted == AUB_ROLLOUT_ROLLED_BACK)
-		store_state(model, wanted, now_ms);
+	if (wanted_state == AUB_ROLLOUT_COMPLETED ||
+	    wanted_state == AUB_ROLLOUT_ROLLED_BACK)
+		store_state(model, wanted_state, now_ms);
 }
 
 /*
--- a/tools/rollout/rollout_model.h
+++ b/tools/rollout/rollout_model.h
@@ -75,6 +75,7 @@
 	double peak_share;
 };
 
+/* Simulates `spec` from start to end and fills in `outcome`. */
 void rollout_model_run(const struct rollout_spec *spec,
 		       struct rollout_outcome *outcome);
 
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -56,7 +56,7 @@
 	guint64 changes;
 };
 
-static struct fleet_member *member(struct run *run, guint i)
+static struct fleet_member *member_at(struct run *run, guint i)
 {
 	return fleet_member(run->fleet, i);
 }
@@ -115,7 +115,7 @@
 	guint64 version = 0;
 	guint i;
 
-	if (!slopes_post_change(run->fleet, member(run, node), path, "{}",
+	if (!slopes_post_change(run->fleet, member_at(run, node), path, "{}",
 				&version)) {
 		fprintf(stderr, "slopes: %s was refused\n", path);
 		return -1;
@@ -161,7 +161,7 @@
 	run->fleet = fleet_new(&options, &error);
 	g_free(bootstrap);
 	for (i = 0; run->fleet && i < nodes; i++)
-		if (!fleet_start_control(run->fleet, member(run, i), &error))
+		if (!fleet_start_control(run->fleet, member_at(run, i), &error))
 			break;
 	if (error) {
 		fprintf(stderr, "slopes: %s\n", error->message);
@@ -171,12 +171,12 @@
 	fleet_run_ms(1500);
 	for (i = 0; i < nodes; i++)
 		g_ptr_array_add(run->entries,
-				slopes_entry_new(member(run, i), 1000 + i));
+				slopes_entry_new(member_at(run, i), 1000 + i));
 	fleet_run_ms(3000);
 	run->inventory = slopes_inventory(services, upstreams);
 	body = apply_request(run->inventory, 0);
-	if (!slopes_post_change(run->fleet, member(run, 0), "/v1/config/apply",
-				body, &version))
+	if (!slopes_post_change(run->fleet, member_at(run, 0),
+				"/v1/config/apply", body, &version))
 		fprintf(stderr, "slopes: the inventory was not accepted\n");
 	g_free(body);
 	return version && wait_for_config(run, version, JOIN_TIMEOUT_S);
@@ -196,7 +196,7 @@
 	guint i;
 
 	for (i = 0; i < nodes; i++) {
-		slopes_sample_read(member(run, i), &samples[i]);
+		slopes_sample_read(member_at(run, i), &samples[i]);
 		fleet_run_ms(1);
 	}
 	return samples;
@@ -323,12 +323,12 @@
 	guint i;
 
 	for (i = 0; i < count; i++)
-		fleet_signal(member(run, first + i * step), FLEET_CONTROL,
+		fleet_signal(member_at(run, first + i * step), FLEET_CONTROL,
 			     SIGKILL);
 	fleet_run_ms(200);
 	for (i = 0; i < count; i++)
-		fleet_start_control(run->fleet, member(run, first + i * step),
-				    NULL);
+		fleet_start_control(run->fleet,
+				    member_at(run, first + i * step), NULL);
 }
 
 /*
--- a/tools/slopes/slopes.h
+++ b/tools/slopes/slopes.h
@@ -42,6 +42,7 @@
 	double resident_bytes;
 };
 
+/* Reads the metrics of the control of `member`. Returns false on failure. */
 bool slopes_sample_read(const struct fleet_member *member,
 			struct slopes_sample *sample);
 
@@ -69,6 +70,7 @@
  */
 bool slopes_measure_entry(FILE *out);
 
+/* Fits a line to `count` points by least squares. */
 struct slopes_line slopes_fit(const double *x, const double *y, guint count);
 
 G_END_DECLS
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -94,7 +94,7 @@
 	for (guint i = 0; i < GATEWAY_COUNT; i++) {
 		soak->gateways[i].soak = soak;
 		soak->gateways[i].number = i;
-		soak->gateways[i].callers =
+		soak->gateways[i].callers_address =
 			soak_gateway_address(&soak->gateways[i], 0);
 		soak_gateway_write_settings(&soak->gateways[i]);
 		soak_gateway_start(&soak->gateways[i]);
@@ -102,7 +102,7 @@
 	now = soak_now(soak);
 	for (guint i = 0; i < CALLER_COUNT; i++) {
 		soak->callers[i].soak = soak;
-		soak->callers[i].next_us = now + AUB_SECOND;
+		soak->callers[i].next_call_us = now + AUB_SECOND;
 	}
 	soak->next_fault_us = now + 2 * AUB_SECOND;
 	soak->faults_end_us = now + options->seconds * AUB_SECOND;
@@ -135,7 +135,7 @@
 		child_free(soak->gateways[i].child);
 		if (!soak->violations) {
 			g_unlink(log);
-			g_unlink(soak->gateways[i].settings);
+			g_unlink(soak->gateways[i].settings_file);
 		}
 		g_free(log);
 	}
@@ -200,7 +200,7 @@
 		.doc = "Run gateways under random faults; prints a line for each "
 		       "seed.",
 	};
-	struct options options = { .seed = 1, .seconds = 20, .runs = 1 };
+	struct options options = { .seed = 1, .seconds = 20, .executions = 1 };
 	guint failed = 0;
 
 	argp_parse(&argp, argc, argv, 0, NULL, &options);
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -35,8 +35,8 @@
 	struct soak *soak;
 	guint number;
 	struct child *child;
-	char *callers;
-	char *settings;
+	char *callers_address;
+	char *settings_file;
 	gint64 resume_us; /* paused until then; 0 if not paused */
 	gint64 restart_us; /* stopped until then; 0 if running */
 };
@@ -57,8 +57,8 @@
 struct request {
 	bool at_most_once;
 	/* The caller was told that the request was not run. */
-	bool refused;
-	guint runs;
+	bool reported_not_run;
+	guint executions;
 };
 
 struct caller {
@@ -67,7 +67,7 @@
 	struct gateway *gateway;
 	char *id;
 	gint64 start_us; /* start of the current call; 0 if idle */
-	gint64 next_us;
+	gint64 next_call_us;
 	guint status;
 	gsize body_bytes;
 	char body_start[64]; /* the beginning of the body */
@@ -86,8 +86,8 @@
 	GHashTable *requests; /* id -> struct request */
 	char *folder;
 	guint16 ports[GATEWAY_PORT_COUNT];
-	guint serial;
-	guint version;
+	guint last_request_id;
+	guint config_version;
 	gint64 store_repair_us; /* end of its fault; 0 if healthy */
 	/* Time of the last repair. */
 	gint64 store_healthy_us;
@@ -114,14 +114,18 @@
  */
 void soak_report_violation(struct soak *soak, const char *rule, const char *id);
 
+/* Writes a new version of the configuration to the store. */
 void soak_configure(struct soak *soak);
 /* Writes the record of an upstream with the given state to the store. */
 void soak_upstream_register(struct upstream *upstream, const char *state);
 /* Starts a new incarnation of `upstream`, whose number and soak are set. */
 void soak_upstream_start(struct upstream *upstream);
+/* Stops an upstream without draining and removes its record. */
 void soak_upstream_stop(struct upstream *upstream);
 
+/* Writes the settings file of a gateway. */
 void soak_gateway_write_settings(struct gateway *gateway);
+/* Starts the process of a gateway, after ending the previous one if any. */
 void soak_gateway_start(struct gateway *gateway);
 /* Returns the address of listener `port` of a gateway. Freed with g_free(). */
 char *soak_gateway_address(const struct gateway *gateway, guint port);
@@ -130,6 +134,7 @@
 void soak_inject_fault(struct soak *soak);
 /* Ends the faults that are due. */
 void soak_repair_due(struct soak *soak, gint64 now_us);
+/* Ends the evacuation of zone z1. */
 void soak_end_evacuation(struct soak *soak);
 
 /*
--- a/tools/soak/soak_callers.c
+++ b/tools/soak/soak_callers.c
@@ -26,7 +26,8 @@
 				caller->gateway->number, caller->body_start);
 	}
 	caller->start_us = 0;
-	caller->next_us = soak_random_time(soak, 1, 2 * THINK_TIME_MEAN_MS);
+	caller->next_call_us =
+		soak_random_time(soak, 1, 2 * THINK_TIME_MEAN_MS);
 	g_clear_pointer(&caller->id, g_free);
 }
 
@@ -66,8 +67,8 @@
 	    caller->status != 421 && caller->status != 429)
 		soak_report_violation(soak, "DENIED", caller->id);
 	if (caller->status == 503) {
-		request->refused = request->at_most_once;
-		if (request->at_most_once && request->runs)
+		request->reported_not_run = request->at_most_once;
+		if (request->at_most_once && request->executions)
 			soak_report_violation(soak,
 					      "REFUSED (already executed)",
 					      caller->id);
@@ -111,7 +112,7 @@
 
 	caller->gateway = &soak->gateways[g_rand_int_range(soak->random, 0,
 							   GATEWAY_COUNT)];
-	fd = aub_tcp_connect(caller->gateway->callers, NULL);
+	fd = aub_tcp_connect(caller->gateway->callers_address, NULL);
 	if (fd < 0)
 		return false;
 	caller->stream =
@@ -127,7 +128,7 @@
 	char *text;
 
 	request->at_most_once = g_rand_boolean(soak->random);
-	caller->id = g_strdup_printf("%x", ++soak->serial);
+	caller->id = g_strdup_printf("%x", ++soak->last_request_id);
 	caller->start_us = soak_now(soak);
 	caller->status = 0;
 	g_hash_table_insert(soak->requests, g_strdup(caller->id), request);
@@ -153,7 +154,7 @@
 		}
 		return;
 	}
-	if (caller->next_us > now_us)
+	if (caller->next_call_us > now_us)
 		return;
 	if (!caller->stream && !connect_caller(caller))
 		return;
--- a/tools/soak/soak_gateways.c
+++ b/tools/soak/soak_gateways.c
@@ -37,17 +37,17 @@
 				       address);
 		g_free(address);
 	}
-	gateway->settings =
+	gateway->settings_file =
 		g_strdup_printf("%s/g%u.toml", gateway->soak->folder,
 				gateway->number);
-	if (!g_file_set_contents(gateway->settings, text->str, -1, NULL))
-		g_error("cannot write %s", gateway->settings);
+	if (!g_file_set_contents(gateway->settings_file, text->str, -1, NULL))
+		g_error("cannot write %s", gateway->settings_file);
 	g_string_free(text, TRUE);
 }
 
 void soak_gateway_start(struct gateway *gateway)
 {
-	const char *const arguments[] = { "--settings", gateway->settings,
+	const char *const arguments[] = { "--settings", gateway->settings_file,
 					  NULL };
 	char *log = g_strdup_printf("%s/g%u.log", gateway->soak->folder,
 				    gateway->number);
--- a/tools/soak/soak_upstreams.c
+++ b/tools/soak/soak_upstreams.c
@@ -28,10 +28,10 @@
 		return;
 	if (soak->rollout)
 		soak_rollout_on_request(soak->rollout, upstream, id);
-	request->runs++;
-	if (request->at_most_once && request->runs > 1)
+	request->executions++;
+	if (request->at_most_once && request->executions > 1)
 		soak_report_violation(soak, "TWICE", id);
-	if (request->refused)
+	if (request->reported_not_run)
 		soak_report_violation(soak, "REFUSED (executed later)", id);
 	if (upstream->draining_us &&
 	    drain_published_us(upstream) > DRAIN_LIMIT_US)
@@ -103,7 +103,7 @@
 		"\"/health\",220,\"h1\",false,3.0,20.0]]},\"limits\":{"
 		"\"max_header_bytes\":4096,\"max_body_bytes\":1048576,"
 		"\"header_timeout_ms\":1000,\"idle_timeout_ms\":3000}}",
-		++soak->version);
+		++soak->config_version);
 
 	platform_store_put(soak->store, "config", "main", text);
 	g_free(text);
