--- a/tools/demo.c
+++ b/tools/demo.c
@@ -19,11 +19,12 @@
 
 #define FLEET_MEMBERS 6
 #define READY_TIMEOUT_MS 20000
-#define ZONE_OUT_AT_MS 3000 /* both from the start of the load */
+/* Times of the commands, relative to the start of the load. */
+#define ZONE_OUT_AT_MS 3000
 #define ZONE_IN_AT_MS 9000
 #define LOAD_END_MS 14000
-#define ZONE_DRAIN_LIMIT_MS \
-	3000 /* upper bound for the last new request in the zone */
+/* Upper bound for the last new request in the zone after the command. */
+#define ZONE_DRAIN_LIMIT_MS 3000
 #define STOP_TIMEOUT_MS 12000
 #define REQUESTS_PER_S 200
 
@@ -245,7 +246,7 @@
 			      const struct load_service *service)
 {
 	const GPtrArray *requests = load_requests(demo->load);
-	guint told[LOAD_TOLD_COUNT] = { 0 };
+	guint counts[LOAD_TOLD_COUNT] = { 0 };
 	guint count = 0;
 	guint i;
 
@@ -254,12 +255,12 @@
 
 		if (request->service != service)
 			continue;
-		told[request->told]++;
+		counts[request->told]++;
 		count++;
 	}
 	printf("  %-26s %-6s %8u %8u %8u %8u\n", service->path,
-	       service->keyed ? "once" : "", count, told[LOAD_RUN],
-	       told[LOAD_NOT_RUN], told[LOAD_UNKNOWN] + told[LOAD_ERROR]);
+	       service->keyed ? "once" : "", count, counts[LOAD_RUN],
+	       counts[LOAD_NOT_RUN], counts[LOAD_UNKNOWN] + counts[LOAD_ERROR]);
 }
 
 static void print_table(const struct demo *demo,
--- a/tools/proofs/config_propagation.c
+++ b/tools/proofs/config_propagation.c
@@ -17,7 +17,7 @@
  * The highest active version seen at each member, and the number of times that
  * a member reported an older one.
  */
-struct monitor {
+struct version_monitor {
 	struct proof_run *run;
 	gint64 highest[32];
 	guint reverts;
@@ -44,7 +44,7 @@
  * Polls every member once. Returns the lowest version of the members that
  * answer, or 0 if none does.
  */
-static gint64 poll_versions(struct monitor *monitor)
+static gint64 poll_versions(struct version_monitor *monitor)
 {
 	struct fleet *fleet = monitor->run->fleet;
 	gint64 lowest = G_MAXINT64;
@@ -88,7 +88,7 @@
 static void apply_changes(struct proof_run *run, const char *fault,
 			  const char *later_fault)
 {
-	struct monitor monitor = { .run = run };
+	struct version_monitor monitor = { .run = run };
 	gint64 slowest_change_us = 0;
 	gint64 start_us;
 	gint64 version;
@@ -161,7 +161,7 @@
 /* All controls are restarted one by one while the store serves stale reads. */
 static void controls_replaced_in_turn(struct proof_run *run)
 {
-	struct monitor monitor = { .run = run };
+	struct version_monitor monitor = { .run = run };
 	GError *error = NULL;
 	gint64 version;
 	guint i;
--- a/tools/proofs/proof.c
+++ b/tools/proofs/proof.c
@@ -165,7 +165,7 @@
 
 gint64 proof_oracle_max(const struct proof_run *run, const char *name)
 {
-	gint64 most = 0;
+	gint64 maximum = 0;
 	gint64 value;
 	guint i;
 
@@ -173,9 +173,9 @@
 		value = tool_json_int(fleet_oracle_upstream(run->oracle,
 							    run->fleet, i),
 				      name, 0);
-		most = MAX(most, value);
+		maximum = MAX(maximum, value);
 	}
-	return most;
+	return maximum;
 }
 
 struct fleet_member *proof_find_owner(struct proof_run *run,
--- a/tools/proofs/proof.h
+++ b/tools/proofs/proof.h
@@ -18,6 +18,7 @@
 
 struct proof_run;
 
+/* One check: a promise that must hold under a fault. */
 struct proof {
 	const char *promise;
 	const char *fault;
@@ -62,6 +63,7 @@
 /* Adds NAME=VALUE to the figures of the result line. */
 void proof_add_figure(struct proof_run *run, const char *name, double value);
 
+/* Parameters of the fleet for a check. */
 struct proof_fleet {
 	const struct fleet_service *services;
 	guint service_count;
--- a/tools/proofs/retry_amplification.c
+++ b/tools/proofs/retry_amplification.c
@@ -6,27 +6,27 @@
 #include "common/tool.h"
 #include "proofs/fixtures.h"
 
-#define TREE_DEPTH 25
+#define CHAIN_DEPTH 25
 /* Maximum number of requests at the leaf for each call of the load. */
 #define LEAF_ATTEMPTS_PER_CALL_MAX 1.2
 #define CALLS_PER_S 20
 #define LOAD_SECONDS 5
 #define LEAF_SERVICE 0 /* number of the service that fails */
 
-struct call_tree {
-	struct fleet_service services[TREE_DEPTH];
-	char names[TREE_DEPTH][8];
-	char paths[TREE_DEPTH][8];
+struct call_chain {
+	struct fleet_service services[CHAIN_DEPTH];
+	char names[CHAIN_DEPTH][8];
+	char paths[CHAIN_DEPTH][8];
 };
 
-static void init_call_tree(struct call_tree *tree)
+static void init_call_chain(struct call_chain *chain)
 {
-	for (guint i = 0; i < TREE_DEPTH; i++) {
-		g_snprintf(tree->names[i], sizeof(tree->names[i]), "s%u", i);
-		g_snprintf(tree->paths[i], sizeof(tree->paths[i]), "/s%u", i);
-		tree->services[i] = (struct fleet_service){
-			.name = tree->names[i],
-			.path = tree->paths[i],
+	for (guint i = 0; i < CHAIN_DEPTH; i++) {
+		g_snprintf(chain->names[i], sizeof(chain->names[i]), "s%u", i);
+		g_snprintf(chain->paths[i], sizeof(chain->paths[i]), "/s%u", i);
+		chain->services[i] = (struct fleet_service){
+			.name = chain->names[i],
+			.path = chain->paths[i],
 			.upstreams = 2,
 			.slots = 30,
 			.cold_slots = 30,
@@ -37,7 +37,7 @@
 }
 
 /* Each service except the leaf calls the next lower one through an entry. */
-static void connect_call_tree(struct proof_run *run)
+static void connect_call_chain(struct proof_run *run)
 {
 	const struct aub_inventory *inventory = run->fleet->inventory;
 
@@ -81,7 +81,7 @@
 	return sum;
 }
 
-static void run_call_tree(struct proof_run *run, const char *fault)
+static void run_call_chain(struct proof_run *run, const char *fault)
 {
 	struct load_service root_service = { "s24", "/s24/", 1, false };
 	struct load_options load = {
@@ -92,19 +92,19 @@
 		.deadline_ms = 5000,
 	};
 	struct proof_fleet fleet = {
-		.service_count = TREE_DEPTH,
+		.service_count = CHAIN_DEPTH,
 		.members = 3,
 		.zones = 3,
 		.mean_us = 2000,
 	};
-	struct call_tree tree;
+	struct call_chain chain;
 	double attempts;
 
-	init_call_tree(&tree);
-	fleet.services = tree.services;
+	init_call_chain(&chain);
+	fleet.services = chain.services;
 	if (!proof_start_fleet(run, &fleet))
 		return;
-	connect_call_tree(run);
+	connect_call_chain(run);
 	fail_leaf(run, fault);
 	proof_start_load(run, &load);
 	proof_finish_load(run);
@@ -112,7 +112,7 @@
 		   run->totals.requests;
 	proof_add_figure(run, "leaf_attempts_per_call", attempts);
 	proof_add_figure(run, "root_attempts_per_call",
-			 (double)count_service_requests(run, TREE_DEPTH - 1) /
+			 (double)count_service_requests(run, CHAIN_DEPTH - 1) /
 				 run->totals.requests);
 	proof_require(run, count_service_requests(run, LEAF_SERVICE) > 0,
 		      "requests at the leaf");
@@ -123,13 +123,13 @@
 /* The leaf resets its connections in the middle of each answer. */
 static void leaf_resets(struct proof_run *run)
 {
-	run_call_tree(run, "{\"reset_middle\":-1}");
+	run_call_chain(run, "{\"reset_middle\":-1}");
 }
 
 /* The leaf immediately answers every call with an error. */
 static void leaf_fails_fast(struct proof_run *run)
 {
-	run_call_tree(run, "{\"fail_fast\":-1}");
+	run_call_chain(run, "{\"fail_fast\":-1}");
 }
 
 /*
@@ -138,7 +138,7 @@
  */
 static void leaf_sheds(struct proof_run *run)
 {
-	run_call_tree(run, "{\"shed\":-1}");
+	run_call_chain(run, "{\"shed\":-1}");
 }
 
 /*
@@ -147,7 +147,7 @@
  */
 static void leaf_unresponsive(struct proof_run *run)
 {
-	run_call_tree(run, "{\"never\":-1}");
+	run_call_chain(run, "{\"never\":-1}");
 }
 
 const struct proof proofs_retry_amplification[] = {
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -200,7 +200,7 @@
 		.doc = "Run gateways under random faults; prints a line for each "
 		       "seed.",
 	};
-	struct options options = { .seed = 1, .seconds = 20, .executions = 1 };
+	struct options options = { .seed = 1, .seconds = 20, .runs = 1 };
 	guint failed = 0;
 
 	argp_parse(&argp, argc, argv, 0, NULL, &options);
