--- a/tools/policy-model.c
+++ b/tools/policy-model.c
@@ -501,8 +501,8 @@
 static void usage(void)
 {
 	fputs("usage: policy-model [POLICY|limit|all] [SECONDS] [SEEDS]\n"
-	      "prints a row for each run: policy slots load hedge seed p50 p99 p999 (ms) "
-	      "refused busy (us for each call)\n",
+	      "a row per run: policy slots load hedge seed p50 p99 p999 (ms) "
+	      "refused work (us / call)\n",
 	      stderr);
 	exit(2);
 }
--- a/tools/rollout-model.c
+++ b/tools/rollout-model.c
@@ -219,7 +219,7 @@
 
 int main(int argc, char **argv)
 {
-	static const struct argp_option option_table[] = {
+	static const struct argp_option table[] = {
 		{ "orders", 'n', "N", 0, "rollouts for each fault (100)", 0 },
 		{ "seed", 's', "N", 0, "first seed (1)", 0 },
 		{ "jobs", 'j', "N", 0, "parallel jobs (all cores)", 0 },
@@ -230,7 +230,7 @@
 		{ 0 },
 	};
 	const struct argp argp = {
-		.options = option_table,
+		.options = table,
 		.parser = parse_option,
 		.doc = "Simulate rollouts in a model of one service.",
 	};
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -177,7 +177,7 @@
 	body = apply_request(run->inventory, 0);
 	if (!slopes_post_change(run->fleet, member_at(run, 0),
 				"/v1/config/apply", body, &version))
-		fprintf(stderr, "slopes: the inventory was not accepted\n");
+		fprintf(stderr, "slopes: the inventory was not applied\n");
 	g_free(body);
 	return version && wait_for_config(run, version, JOIN_TIMEOUT_S);
 }
