--- a/tests/addresses.h
+++ b/tests/addresses.h
@@ -13,13 +13,13 @@
 
 /*
  * Free for connections and for datagrams, and given to no other program that
- * asks so: see child_free_port().
+ * asks so: see child_pick_free_port().
  */
 static inline std::string free_address()
 {
 	for (;;) {
 		std::string address =
-			"127.0.0.1:" + std::to_string(child_free_port());
+			"127.0.0.1:" + std::to_string(child_pick_free_port());
 		int fd = aub_udp_bind(address.c_str(), NULL);
 
 		if (fd < 0)
--- a/tests/test_control.cc
+++ b/tests/test_control.cc
@@ -177,7 +177,7 @@
 		while (!what()) {
 			if (g_get_monotonic_time() > end)
 				return false;
-			fleet_run_ms(20);
+			fleet_run_main_loop_ms(20);
 		}
 		return true;
 	}
@@ -368,9 +368,9 @@
 {
 	start(6, false);
 	ASSERT_EQ(apply(0, 0)->status, 200u);
-	fleet_run_ms(5500);
+	fleet_run_main_loop_ms(5500);
 	guint64 before = store_calls();
-	fleet_run_ms(3000);
+	fleet_run_main_loop_ms(3000);
 	double a_second = (double)(store_calls() - before) / 3;
 
 	printf("6 controls, one region: %.1f calls a second\n", a_second);
@@ -387,7 +387,7 @@
 	start(4, true);
 	ASSERT_EQ(apply(1, 0)->status, 200u);
 	ASSERT_TRUE(fleet_store_fault(fleet, "{\"down\":\"refuse\"}"));
-	fleet_run_ms(5000);
+	fleet_run_main_loop_ms(5000);
 	for (auto &entry : entries)
 		EXPECT_TRUE(entry->serve);
 	auto refused = apply(1, 1);
@@ -406,13 +406,13 @@
 {
 	start(4, true, true);
 	ASSERT_EQ(apply(1, 0)->status, 200u);
-	fleet_run_ms(2000);
+	fleet_run_main_loop_ms(2000);
 	std::string port = strrchr(at(0)->store_url, ':') + 1;
 	std::string silence = "{\"port\":" + port + ",\"silence\":\"both\"}";
 	std::string clear = "{\"port\":" + port + ",\"clear\":1,\"cut\":1}";
 
 	ASSERT_TRUE(fleet_proxy_fault(fleet, silence.c_str()));
-	fleet_run_ms(4000);
+	fleet_run_main_loop_ms(4000);
 	EXPECT_TRUE(entries[0]->serve);
 	auto out = post(1, "/v1/zones/z1/out", "{}");
 	ASSERT_TRUE(soon([&] { return out->done; }, 12));
@@ -465,7 +465,7 @@
 			soon([&] { return number(i, "config_version") > 0; },
 			     9));
 		EXPECT_EQ(number(i, "config_version"), 2) << i;
-		fleet_run_ms(500);
+		fleet_run_main_loop_ms(500);
 	}
 	EXPECT_TRUE(all_hold(2));
 }
@@ -517,14 +517,14 @@
 		guint64 version = (guint64)number(2, "config_version");
 
 		fleet_signal(at(frozen), FLEET_CONTROL, SIGSTOP);
-		fleet_run_ms(1000);
+		fleet_run_main_loop_ms(1000);
 		auto out = post(2,
 				version == 1 ? "/v1/zones/z1/out" :
 					       "/v1/zones/z1/in",
 				"{}");
 		ASSERT_TRUE(soon([&] { return out->done; }, 14));
 		EXPECT_EQ(out->status, 200u) << out->body;
-		fleet_run_ms(3000);
+		fleet_run_main_loop_ms(3000);
 		guint64 newer = (guint64)number(2, "config_version");
 		EXPECT_GT(newer, version);
 		entries[frozen]->floor = newer;
@@ -576,7 +576,7 @@
 	EXPECT_TRUE(soon([&] { return !entries[0]->owns(at(3)->name); }, 8));
 	entries[3]->heir = 1001;
 	entries[3]->acknowledge();
-	fleet_run_ms(200);
+	fleet_run_main_loop_ms(200);
 	entries[3].reset();
 	EXPECT_TRUE(fleet_stop(at(3), FLEET_CONTROL, 8000));
 	for (int i = 0; i < 3; i++)
--- a/tests/test_ctl.cc
+++ b/tests/test_ctl.cc
@@ -44,7 +44,7 @@
 		service.name = "calendar";
 		service.path = "/calendar";
 		service.upstreams = 3;
-		service.once = true;
+		service.at_most_once = true;
 		inventory = fleet_inventory_text(&service, 1, 3);
 		options.inventory = inventory;
 		options.members = 3;
@@ -216,7 +216,7 @@
  */
 TEST_F(Ctl, ALostAnswerIsFoundOutAtTheNextControl)
 {
-	std::string port = std::to_string(child_free_port());
+	std::string port = std::to_string(child_pick_free_port());
 	std::string listen = "127.0.0.1:" + port;
 	std::string route = "--route=" + listen + "=" +
 			    fleet_member(fleet, 0)->control_admin;
--- a/tests/test_front.cc
+++ b/tests/test_front.cc
@@ -21,16 +21,16 @@
 
 struct Node {
 	std::string name, callers, inner, admin, control;
-	guint port = child_free_port();
+	guint port = child_pick_free_port();
 	struct aub_entry_settings settings = {};
 	struct aub_entry *entry;
 
 	explicit Node(const std::string &name_) : name(name_)
 	{
 		callers = at(port);
-		inner = at(child_free_port());
-		admin = at(child_free_port());
-		control = at(child_free_port());
+		inner = at(child_pick_free_port());
+		admin = at(child_pick_free_port());
+		control = at(child_pick_free_port());
 		settings.name = (char *)name.c_str();
 		settings.zone = (char *)"z";
 		settings.callers = (char *)callers.c_str();
--- a/tests/test_gateway.cc
+++ b/tests/test_gateway.cc
@@ -49,7 +49,7 @@
 	 * connections before it has read the configuration; a 404 would tell
 	 * callers for good that the path does not exist.
 	 */
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	start();
 	run_for(50);
 	auto caller = call("GET", "/safe/a", "id1");
@@ -135,8 +135,8 @@
 		guint before = platform_upstream_runs(one) +
 			       platform_upstream_runs(two);
 
-		platform_upstream_answer_once(one, answer);
-		platform_upstream_answer_once(two, answer);
+		platform_upstream_set_next_answer(one, answer);
+		platform_upstream_set_next_answer(two, answer);
 		auto caller = call("GET", "/safe/a", "id1");
 		ASSERT_TRUE(answered(caller)) << answer;
 		/* Both are broken once: the second try fails as well. */
@@ -165,7 +165,7 @@
 	configure();
 	start_ready();
 	for (auto answer :
-	     { PLATFORM_ANSWER_FULL, PLATFORM_ANSWER_MISDIRECTED }) {
+	     { PLATFORM_ANSWER_OVERLOADED, PLATFORM_ANSWER_MISDIRECTED }) {
 		platform_upstream_set_answer(one, answer);
 		guint before = platform_upstream_runs(two);
 		auto caller = call("POST", "/once/pay", "id1",
@@ -181,7 +181,7 @@
 {
 	struct platform_upstream *one = add_upstream("u1");
 
-	platform_upstream_set_answer(one, PLATFORM_ANSWER_FULL);
+	platform_upstream_set_answer(one, PLATFORM_ANSWER_OVERLOADED);
 	configure();
 	start_ready();
 	auto caller = call("POST", "/once/pay", "id1", "Content-Length: 0\r\n");
@@ -238,25 +238,25 @@
 
 	configure();
 	start_ready();
-	platform_upstream_set_answer(one, PLATFORM_ANSWER_NEVER);
-	platform_upstream_set_answer(two, PLATFORM_ANSWER_NEVER);
-	platform_upstream_answer_once(one, PLATFORM_ANSWER_FAILED);
-	platform_upstream_answer_once(two, PLATFORM_ANSWER_FAILED);
+	platform_upstream_set_answer(one, PLATFORM_ANSWER_NONE);
+	platform_upstream_set_answer(two, PLATFORM_ANSWER_NONE);
+	platform_upstream_set_next_answer(one, PLATFORM_ANSWER_FAILED);
+	platform_upstream_set_next_answer(two, PLATFORM_ANSWER_FAILED);
 	/* Whichever is tried first fails; the other falls silent. */
-	platform_upstream_on_run(
+	platform_upstream_set_run_callback(
 		one,
 		[](const char *, void *other) {
-			platform_upstream_answer_once(
+			platform_upstream_set_next_answer(
 				(struct platform_upstream *)other,
-				PLATFORM_ANSWER_NEVER);
+				PLATFORM_ANSWER_NONE);
 		},
 		two);
-	platform_upstream_on_run(
+	platform_upstream_set_run_callback(
 		two,
 		[](const char *, void *other) {
-			platform_upstream_answer_once(
+			platform_upstream_set_next_answer(
 				(struct platform_upstream *)other,
-				PLATFORM_ANSWER_NEVER);
+				PLATFORM_ANSWER_NONE);
 		},
 		one);
 	auto caller = call("GET", "/safe/a", "id1");
@@ -275,7 +275,7 @@
 	 */
 	struct platform_upstream *one = add_upstream("u1");
 
-	platform_upstream_set_answer(one, PLATFORM_ANSWER_NEVER);
+	platform_upstream_set_answer(one, PLATFORM_ANSWER_NONE);
 	timeout_ms = 300;
 	configure();
 	start_ready();
@@ -291,7 +291,7 @@
 {
 	struct platform_upstream *one = add_upstream("u1");
 
-	platform_upstream_set_work(one, 2000);
+	platform_upstream_set_service_time(one, 2000);
 	timeout_ms = 5000;
 	configure();
 	start_ready();
@@ -315,13 +315,13 @@
 
 	configure();
 	start_ready();
-	platform_upstream_answer_once(one, PLATFORM_ANSWER_FOREIGN_FIRST);
+	platform_upstream_set_next_answer(one, PLATFORM_ANSWER_MISMATCHED_FIRST);
 	auto first = call("GET", "/safe/a", "id1");
 	ASSERT_TRUE(answered(first));
 	EXPECT_EQ(first->status, 200u);
 	EXPECT_EQ(first->last_id, "id1");
 	EXPECT_EQ(first->body.size(), 20u);
-	platform_upstream_answer_once(one, PLATFORM_ANSWER_TWICE);
+	platform_upstream_set_next_answer(one, PLATFORM_ANSWER_DUPLICATED);
 	auto second = call("GET", "/safe/a", "id2");
 	ASSERT_TRUE(answered(second));
 	auto third = call("GET", "/safe/a", "id3");
@@ -338,11 +338,11 @@
 	start_ready();
 	for (gsize bytes : { (gsize)0, (gsize)50, (gsize)300000 })
 		for (auto answer :
-		     { PLATFORM_ANSWER_WHOLE, PLATFORM_ANSWER_CHUNKED,
+		     { PLATFORM_ANSWER_COMPLETE, PLATFORM_ANSWER_CHUNKED,
 		       PLATFORM_ANSWER_UNFRAMED }) {
 			if (!bytes && answer == PLATFORM_ANSWER_CHUNKED)
 				continue; /* an empty chunk is the end */
-			platform_upstream_set_body(one, bytes);
+			platform_upstream_set_body_bytes(one, bytes);
 			platform_upstream_set_answer(one, answer);
 			auto caller = call("GET", "/safe/a", "id1");
 			ASSERT_TRUE(answered(caller)) << answer << " " << bytes;
@@ -362,7 +362,7 @@
 
 	configure();
 	start_ready();
-	platform_upstream_set_body(one, 200000);
+	platform_upstream_set_body_bytes(one, 200000);
 	platform_upstream_set_answer(one, PLATFORM_ANSWER_TRUNCATED);
 	auto caller = call("GET", "/safe/a", "id1");
 	ASSERT_TRUE(answered(caller));
@@ -388,7 +388,7 @@
 	caller->send(body);
 	ASSERT_TRUE(answered(caller));
 	EXPECT_EQ(caller->status, 200u);
-	EXPECT_EQ(platform_upstream_body_read(one), 900000u);
+	EXPECT_EQ(platform_upstream_body_bytes_read(one), 900000u);
 	auto chunked = call("POST", "/once/pay", "id2",
 			    "Transfer-Encoding: chunked\r\n");
 	chunked->send("4\r\nabcd\r\n3\r\nefg\r\n0\r\n\r\n");
@@ -418,7 +418,7 @@
 
 	configure();
 	start_ready();
-	platform_upstream_set_answer(one, PLATFORM_ANSWER_EARLY);
+	platform_upstream_set_answer(one, PLATFORM_ANSWER_EARLY_ERROR);
 	guint before = platform_upstream_connections(one);
 	auto caller =
 		call("POST", "/once/pay", "id1", "Content-Length: 50000\r\n");
@@ -426,7 +426,7 @@
 	ASSERT_TRUE(answered(caller));
 	EXPECT_EQ(caller->status, 400u);
 	EXPECT_FALSE(caller->keep_alive);
-	platform_upstream_set_answer(one, PLATFORM_ANSWER_WHOLE);
+	platform_upstream_set_answer(one, PLATFORM_ANSWER_COMPLETE);
 	auto next = call("GET", "/safe/a", "id2");
 	ASSERT_TRUE(answered(next));
 	EXPECT_EQ(next->status, 200u);
@@ -511,7 +511,7 @@
 	}
 	for (auto upstream : upstreams) {
 		runs += platform_upstream_runs(upstream);
-		platform_upstream_set_answer(upstream, PLATFORM_ANSWER_WHOLE);
+		platform_upstream_set_answer(upstream, PLATFORM_ANSWER_COMPLETE);
 	}
 	EXPECT_EQ(runs, 3u);
 	EXPECT_EQ(caller->status, 503u);
@@ -531,14 +531,14 @@
 	struct platform_upstream *one = add_upstream("u1");
 	struct platform_upstream *two = add_upstream("u2");
 
-	platform_upstream_set_work(one, 100);
-	platform_upstream_set_work(two, 100);
+	platform_upstream_set_service_time(one, 100);
+	platform_upstream_set_service_time(two, 100);
 	configure();
 	start_ready();
 	auto caller = call("POST", "/once/pay", "id1", "Content-Length: 0\r\n");
 	run_for(50);
-	platform_upstream_set_answer(one, PLATFORM_ANSWER_FULL);
-	platform_upstream_set_answer(two, PLATFORM_ANSWER_FULL);
+	platform_upstream_set_answer(one, PLATFORM_ANSWER_OVERLOADED);
+	platform_upstream_set_answer(two, PLATFORM_ANSWER_OVERLOADED);
 	ASSERT_TRUE(answered(caller));
 	EXPECT_EQ(caller->status, 200u);
 	EXPECT_EQ(platform_upstream_runs(one) + platform_upstream_runs(two),
--- a/tests/test_gateway_caller.cc
+++ b/tests/test_gateway_caller.cc
@@ -21,7 +21,7 @@
 	void serve(int count, guint work_ms)
 	{
 		for (int i = 1; i <= count; i++)
-			platform_upstream_set_work(
+			platform_upstream_set_service_time(
 				add_upstream("u" + std::to_string(i)), work_ms);
 		configure();
 		start_ready();
@@ -91,8 +91,8 @@
 	struct platform_upstream *one = add_upstream("u1");
 	struct platform_upstream *two = add_upstream("u2");
 
-	platform_upstream_set_body(one, 300000);
-	platform_upstream_set_body(two, 300000);
+	platform_upstream_set_body_bytes(one, 300000);
+	platform_upstream_set_body_bytes(two, 300000);
 	configure();
 	start_ready();
 	Caller caller(poller, addresses[0]);
--- a/tests/test_gateway_process.cc
+++ b/tests/test_gateway_process.cc
@@ -29,7 +29,7 @@
 		file = std::string(folder) + "/gateway.toml";
 		log = std::string(folder) + "/log";
 		for (auto &port : ports)
-			port = "127.0.0.1:" + std::to_string(child_free_port());
+			port = "127.0.0.1:" + std::to_string(child_pick_free_port());
 	}
 	void TearDown() override
 	{
@@ -113,7 +113,7 @@
 	 */
 	timeout_ms = 5000;
 	start_process();
-	platform_upstream_set_work(upstreams[0], 1800);
+	platform_upstream_set_service_time(upstreams[0], 1800);
 	addresses = { ports[0] };
 	auto caller = call("GET", "/safe/a", "id1");
 	run_for(200);
@@ -134,7 +134,7 @@
 	ASSERT_TRUE(g_file_set_contents(file.c_str(), "zoen = 7\n", -1, NULL));
 	EXPECT_TRUE(child_signal(child, SIGHUP));
 	run_for(1500);
-	EXPECT_FALSE(child_ended(child));
+	EXPECT_FALSE(child_has_exited(child));
 	EXPECT_TRUE(tells("0.300", 1000));
 	ASSERT_TRUE(g_file_get_contents(log.c_str(), &text, NULL, NULL));
 	EXPECT_NE(strstr(text, ":1: zoen: unknown key"), nullptr) << text;
@@ -145,7 +145,7 @@
 {
 	start_process();
 	EXPECT_TRUE(child_signal(child, SIGTERM));
-	EXPECT_TRUE(run_until([&] { return child_ended(child); }, 5000));
+	EXPECT_TRUE(run_until([&] { return child_has_exited(child); }, 5000));
 	EXPECT_TRUE(WIFEXITED(child->status));
 	EXPECT_EQ(WEXITSTATUS(child->status), 0);
 }
--- a/tests/test_load.cc
+++ b/tests/test_load.cc
@@ -41,7 +41,7 @@
 
 	std::string address;
 	std::vector<std::string> keys;
-	int asked = 0;
+	int lookups = 0;
 
       private:
 	static void on_addresses(SoupServer *, SoupServerMessage *message,
@@ -52,7 +52,7 @@
 				   entry->address +
 				   "\"}],\"valid_ms\":60000,\"grant\":\"G\"}";
 
-		entry->asked++;
+		entry->lookups++;
 		tool_answer_text(message, 200, text.c_str());
 	}
 
@@ -77,14 +77,14 @@
 	Handler handler;
 };
 
-void header(SoupServerMessage *message, const char *name, const char *value)
+void set_header(SoupServerMessage *message, const char *name, const char *value)
 {
 	soup_message_headers_replace(soup_server_message_get_response_headers(
 					     message),
 				     name, value);
 }
 
-void whole(SoupServerMessage *message, const std::string &nonce)
+void answer_correctly(SoupServerMessage *message, const std::string &nonce)
 {
 	SoupMessageBody *got = soup_server_message_get_request_body(message);
 	std::string body = "nonce=" + nonce + "\nrest";
@@ -95,19 +95,19 @@
 						 got->length);
 
 	tool_answer_text(message, 200, body.c_str());
-	header(message, "Auburnstile-Outcome", "run");
-	header(message, "X-Nonce", nonce.c_str());
-	header(message, "X-Body-Sha256", sum);
-	header(message, "X-Request-Sha256", sent);
+	set_header(message, "Auburnstile-Outcome", "run");
+	set_header(message, "X-Nonce", nonce.c_str());
+	set_header(message, "X-Body-Sha256", sum);
+	set_header(message, "X-Request-Sha256", sent);
 	g_free(sum);
 	g_free(sent);
 }
 
 struct Outcome {
-	struct load_figures figures;
-	struct load_verdict verdict;
+	struct load_stats stats;
+	struct load_comparison comparison;
 	std::vector<std::string> keys;
-	int asked;
+	int lookups;
 };
 
 Outcome run(Handler handler, bool keyed = false, const char *oracle = "{}",
@@ -126,101 +126,101 @@
 	options.rate = 500;
 	options.requests = 2;
 	options.deadline_ms = deadline_ms;
-	options.repeat = true;
+	options.retry = true;
 	options.seed = 1;
 	struct load *load = load_new(&options);
 	load_run(load);
-	load_get_figures(load, &result.figures);
-	load_compare(load, json_node_get_object(root), &result.verdict);
+	load_get_stats(load, &result.stats);
+	load_compare(load, json_node_get_object(root), &result.comparison);
 	load_free(load);
 	json_node_unref(root);
 	result.keys = entry.keys;
-	result.asked = entry.asked;
+	result.lookups = entry.lookups;
 	return result;
 }
 
 } // namespace
 
-TEST(Load, WholeAnswersPassAndAddressesAreKept)
+TEST(Load, AcceptsCompleteAnswersAndCachesAddresses)
 {
-	Outcome result = run(whole, true);
+	Outcome result = run(answer_correctly, true);
 
-	EXPECT_EQ(result.figures.told[LOAD_RUN], 2u);
-	EXPECT_EQ(result.asked, 1);
+	EXPECT_EQ(result.stats.outcomes[LOAD_RUN], 2u);
+	EXPECT_EQ(result.lookups, 1);
 	std::sort(result.keys.begin(), result.keys.end());
 	EXPECT_EQ(result.keys,
 		  std::vector<std::string>({ "G/k-1-0", "G/k-1-1" }));
-	EXPECT_EQ(result.verdict.false_run, 2u);
+	EXPECT_EQ(result.comparison.false_run, 2u);
 }
 
-TEST(Load, EachWayOfBeingWrongIsSeen)
+TEST(Load, DetectsEachKindOfInvalidAnswer)
 {
 	std::vector<Handler> handlers = {
 		[](SoupServerMessage *m, const std::string &n) {
-			whole(m, n + "x");
+			answer_correctly(m, n + "x");
 		},
 		[](SoupServerMessage *m, const std::string &n) {
-			whole(m, n + "x");
-			header(m, "X-Nonce", n.c_str());
+			answer_correctly(m, n + "x");
+			set_header(m, "X-Nonce", n.c_str());
 		},
 		[](SoupServerMessage *m, const std::string &n) {
-			whole(m, n);
-			header(m, "X-Body-Sha256", "0");
+			answer_correctly(m, n);
+			set_header(m, "X-Body-Sha256", "0");
 		},
 		[](SoupServerMessage *m, const std::string &n) {
-			whole(m, n);
-			header(m, "X-Request-Sha256", "0");
+			answer_correctly(m, n);
+			set_header(m, "X-Request-Sha256", "0");
 		},
 		[](SoupServerMessage *m, const std::string &n) {
-			whole(m, n);
-			header(m, "Auburnstile-Outcome", "maybe");
+			answer_correctly(m, n);
+			set_header(m, "Auburnstile-Outcome", "maybe");
 		},
 	};
 
 	for (const Handler &handler : handlers)
-		EXPECT_EQ(run(handler).figures.told[LOAD_WRONG], 2u);
+		EXPECT_EQ(run(handler).stats.outcomes[LOAD_INVALID], 2u);
 }
 
-TEST(Load, LostTriesAreRepeatedUnderTheSameKey)
+TEST(Load, RetriesLostAttemptsUnderTheSameKey)
 {
 	int tries = 0;
 	Outcome result = run(
 		[&](SoupServerMessage *m, const std::string &n) {
 			if (tries++ < 2)
-				tool_drop(m, true);
+				tool_close_connection(m, true);
 			else
-				whole(m, n);
+				answer_correctly(m, n);
 		},
 		true, "{}", 3000);
 
-	EXPECT_EQ(result.figures.told[LOAD_RUN], 2u);
-	EXPECT_EQ(result.figures.repeats, 2u);
+	EXPECT_EQ(result.stats.outcomes[LOAD_RUN], 2u);
+	EXPECT_EQ(result.stats.retries, 2u);
 	for (const std::string &key : result.keys)
 		EXPECT_TRUE(key == "G/k-1-0" || key == "G/k-1-1");
 }
 
-TEST(Load, RefusalsAndUnknownsAreHeldAgainstTheOracle)
+TEST(Load, ChecksRefusedAndUnknownRequestsAgainstTheOracle)
 {
 	auto refuse = [](SoupServerMessage *m, const std::string &) {
 		tool_answer_text(m, 503, "");
-		header(m, "Auburnstile-Outcome", "not-run");
-		header(m, "Auburnstile-Retry-After-Ms", "1000");
+		set_header(m, "Auburnstile-Outcome", "not-run");
+		set_header(m, "Auburnstile-Retry-After-Ms", "1000");
 	};
-	auto doubt = [](SoupServerMessage *m, const std::string &) {
+	auto unknown_answer = [](SoupServerMessage *m, const std::string &) {
 		tool_answer_text(m, 504, "");
-		header(m, "Auburnstile-Outcome", "unknown");
+		set_header(m, "Auburnstile-Outcome", "unknown");
 	};
 	/*
 	 * Tries at 0, 1 and 2 s of 2.5: no try is in the air when time is up,
 	 * however busy the machine.
 	 */
 	Outcome refused = run(refuse, true, "{\"k-1-0\":[1,0,1]}", 2500);
-	Outcome unknown = run(doubt, true, "{\"k-1-0\":[2,2,0]}");
-
-	EXPECT_EQ(refused.figures.told[LOAD_NOT_RUN], 2u);
-	EXPECT_GT(refused.figures.repeats, 2u);
-	EXPECT_EQ(refused.verdict.false_not_run, 1u);
-	EXPECT_EQ(unknown.figures.told[LOAD_UNKNOWN], 2u);
-	EXPECT_EQ(unknown.verdict.twice, 1u);
-	EXPECT_EQ(unknown.verdict.unknown_not_started, 1u);
+	Outcome unknown = run(unknown_answer, true, "{\"k-1-0\":[2,2,0]}");
+
+	EXPECT_EQ(refused.stats.outcomes[LOAD_NOT_RUN], 2u);
+	EXPECT_GT(refused.stats.retries, 2u);
+	EXPECT_EQ(refused.comparison.false_not_run, 1u);
+	EXPECT_EQ(unknown.stats.outcomes[LOAD_UNKNOWN], 2u);
+	EXPECT_EQ(unknown.comparison.executed_more_than_once, 1u);
+	EXPECT_EQ(unknown.comparison.unknown_not_started, 1u);
 }
--- a/tests/test_node.cc
+++ b/tests/test_node.cc
@@ -82,14 +82,14 @@
 
 	configure();
 	start_ready();
-	platform_store_set_fault(store, PLATFORM_STORE_SILENT);
+	platform_store_set_fault(store, PLATFORM_STORE_UNRESPONSIVE);
 	run_for(1500);
 	auto caller = call("GET", "/safe/a", "id1");
 	ASSERT_TRUE(answered(caller));
 	EXPECT_EQ(caller->status, 200u);
 	struct platform_upstream *two = add_upstream("u2");
 	enter(one, "draining");
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	EXPECT_TRUE(run_until(
 		[&] {
 			answered(call("GET", "/safe/a", "id"));
@@ -103,7 +103,7 @@
 	add_upstream("u1");
 	configure();
 	start_ready();
-	platform_store_forget_history(store);
+	platform_store_compact(store);
 	struct platform_upstream *two = add_upstream("u2");
 	EXPECT_TRUE(run_until([&] { return platform_upstream_probes(two) > 0; },
 			      5000));
@@ -123,7 +123,7 @@
 	start_ready();
 	run_for(600);
 	/* A listing of each kind, one of them of other gateways' records. */
-	EXPECT_LE(platform_store_calls(store), 4u);
+	EXPECT_LE(platform_store_call_count(store), 4u);
 	struct platform_upstream *two = add_upstream("u2");
 	EXPECT_TRUE(run_until([&] { return platform_upstream_probes(two) > 0; },
 			      1500));
@@ -206,7 +206,7 @@
 	platform_store_set_fault(store, PLATFORM_STORE_RESET);
 	run_for(500);
 	platform_store_remove(store, "servers", "u1");
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	run_for(1500);
 	auto caller = call("GET", "/safe/a", "id1");
 	ASSERT_TRUE(answered(caller));
@@ -313,7 +313,7 @@
 	configure();
 	start_ready();
 	ASSERT_TRUE(answered(call("GET", "/safe/a", "id1")));
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	run_for(1200);
 	EXPECT_EQ(get(addresses[4], "/metrics", &body), 200u);
 	for (auto line : {
@@ -356,7 +356,7 @@
 	struct platform_upstream *one = add_upstream("u1");
 
 	stopped = false;
-	platform_upstream_set_work(one, 700);
+	platform_upstream_set_service_time(one, 700);
 	timeout_ms = 3000;
 	configure();
 	start_ready();
@@ -389,7 +389,7 @@
 	configure();
 	start_ready();
 	/* An open request keeps the process. */
-	platform_upstream_set_work(upstreams[0], 1500);
+	platform_upstream_set_service_time(upstreams[0], 1500);
 	timeout_ms = 5000;
 	configure();
 	run_for(400);
--- a/tests/test_node_rollouts.cc
+++ b/tests/test_node_rollouts.cc
@@ -166,11 +166,11 @@
 	order(20);
 	ASSERT_TRUE(run_until([&] { return holds("running"); }, 2000));
 	run_for(300);
-	platform_store_set_fault(store, PLATFORM_STORE_LOSES);
+	platform_store_set_fault(store, PLATFORM_STORE_LOSE_ANSWERS);
 	ASSERT_TRUE(serve_until([&] { return holds("rolled_back"); }, 6000))
 		<< stored() << " " << runs(after) << " of " << serial;
 	guint sent = runs(after);
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	run_for(2500);
 	EXPECT_TRUE(holds("rolled_back"));
 	for (int i = 0; i < 10; i++)
@@ -183,7 +183,7 @@
 	start_both();
 	order(20);
 	ASSERT_TRUE(run_until([&] { return holds("running"); }, 2000));
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	answer_new(PLATFORM_ANSWER_FAILED);
 	serve_until([] { return false; }, 2500);
 	guint sent = runs(after);
@@ -192,7 +192,7 @@
 		serve();
 	EXPECT_EQ(runs(after), sent);
 	EXPECT_FALSE(holds("rolled_back"));
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	EXPECT_TRUE(serve_until([&] { return holds("rolled_back"); }, 5000));
 }
 
@@ -203,7 +203,7 @@
 	answer_new(PLATFORM_ANSWER_FAILED);
 	order(3);
 	ASSERT_TRUE(serve_until([&] { return holds("rolled_back"); }, 4000));
-	answer_new(PLATFORM_ANSWER_WHOLE);
+	answer_new(PLATFORM_ANSWER_COMPLETE);
 	order(4);
 	ASSERT_TRUE(run_until([&] { return holds("running"); }, 2000))
 		<< stored();
--- a/tests/test_processes.cc
+++ b/tests/test_processes.cc
@@ -132,7 +132,7 @@
 			applied = fleet_apply(fleet, fleet_member(fleet, 0),
 					      inventory, &error);
 			if (!applied)
-				fleet_run_ms(200);
+				fleet_run_main_loop_ms(200);
 		}
 		ASSERT_TRUE(applied) << error->message;
 		ASSERT_TRUE(fleet_wait_ready(fleet, READY_MS, &error))
--- a/tests/test_proxy.cc
+++ b/tests/test_proxy.cc
@@ -22,7 +22,7 @@
 		ASSERT_TRUE(tool_listen(server, "127.0.0.1:0", &port, NULL));
 		std::string target = "127.0.0.1:" + std::to_string(port);
 		std::string listen =
-			"127.0.0.1:" + std::to_string(child_free_port());
+			"127.0.0.1:" + std::to_string(child_pick_free_port());
 		route = proxy_route_new(listen.c_str(), target.c_str(), NULL);
 		ASSERT_NE(route, nullptr);
 	}
@@ -41,7 +41,7 @@
 	{
 		Proxy *proxy = static_cast<Proxy *>(data);
 
-		proxy->arrived++;
+		proxy->requests_received++;
 		tool_answer_text(message, 200, proxy->body.c_str());
 	}
 
@@ -69,35 +69,35 @@
 	SoupServer *server = NULL;
 	struct proxy_route *route = NULL;
 	std::string body = std::string(400000, 'x');
-	int arrived = 0;
+	int requests_received = 0;
 };
 
-TEST_F(Proxy, PassesWholeAnswersAndCountsThem)
+TEST_F(Proxy, ForwardsCompleteAnswersAndCountsBytes)
 {
 	EXPECT_EQ(call(), body);
 	EXPECT_EQ(route->accepted, 1u);
 	EXPECT_GT(route->bytes[PROXY_DOWN], body.size());
 }
 
-TEST_F(Proxy, TruncatesRefusesAndTakesItBack)
+TEST_F(Proxy, TruncatesAndRefusesUntilTheFaultsAreCleared)
 {
 	fault("{\"truncate_down\":1000}");
 	EXPECT_EQ(call(), "");
 	fault("{\"truncate_down\":-1,\"refuse\":1}");
 	EXPECT_EQ(call(), "");
-	EXPECT_EQ(arrived, 1);
+	EXPECT_EQ(requests_received, 1);
 	fault("{\"refuse\":0}");
 	EXPECT_EQ(call(), body);
 }
 
-TEST_F(Proxy, SilenceSwallowsEitherWay)
+TEST_F(Proxy, DiscardsBytesInEitherDirection)
 {
 	fault("{\"silence\":\"up\"}");
 	EXPECT_EQ(call(200), "");
-	EXPECT_EQ(arrived, 0);
+	EXPECT_EQ(requests_received, 0);
 	fault("{\"silence\":\"down\"}");
 	EXPECT_EQ(call(200), "");
-	EXPECT_EQ(arrived, 1);
+	EXPECT_EQ(requests_received, 1);
 	fault("{\"clear\":1}");
 	EXPECT_EQ(call(), body);
 }
@@ -115,7 +115,7 @@
 	EXPECT_GE(g_get_monotonic_time() - start_us, 190000);
 }
 
-TEST_F(Proxy, CutsWhatIsOpen)
+TEST_F(Proxy, ResetsOpenConnections)
 {
 	fault("{\"throttle\":100000}");
 	guint timer = g_timeout_add(
--- a/tests/test_store_sync.cc
+++ b/tests/test_store_sync.cc
@@ -109,12 +109,12 @@
 		if (!sync)
 			start();
 		run_for(1200);
-		*count = platform_store_calls(store);
+		*count = platform_store_call_count(store);
 		for (int i = 0; i < 40; i++) {
 			put("u" + std::to_string(now * 100 + i));
 			run_for(50);
 		}
-		*count = platform_store_calls(store) - *count;
+		*count = platform_store_call_count(store) - *count;
 	}
 	EXPECT_GE(calls[0], 6u);
 	EXPECT_LE(calls[1], 3u);
@@ -128,12 +128,12 @@
 	put("u1");
 	start();
 	ASSERT_TRUE(holds(1));
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	run_for(2500);
-	guint64 before = platform_store_calls(store);
+	guint64 before = platform_store_call_count(store);
 	run_for(6000);
-	EXPECT_LE(platform_store_calls(store) - before, 3u);
-	EXPECT_GE(platform_store_calls(store) - before, 1u);
+	EXPECT_LE(platform_store_call_count(store) - before, 3u);
+	EXPECT_GE(platform_store_call_count(store) - before, 1u);
 }
 
 /* Guards against an old configuration while a store's retry is far off. */
@@ -143,9 +143,9 @@
 	put("u1");
 	start();
 	ASSERT_TRUE(holds(1));
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	run_for(4000);
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	put("u2");
 	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
 				platform_store_put(store, "x", "y", "{}"));
@@ -156,7 +156,7 @@
 {
 	for (int i = 0; i < 7; i++)
 		put("u" + std::to_string(i));
-	platform_store_set_page(store, 3);
+	platform_store_set_page_size(store, 3);
 	start();
 	EXPECT_TRUE(holds(7));
 	put("late");
@@ -172,17 +172,17 @@
 	start();
 	EXPECT_TRUE(holds(1));
 	run_for(500);
-	guint64 before = platform_store_calls(store);
+	guint64 before = platform_store_call_count(store);
 	run_for(1500);
-	EXPECT_LE(platform_store_calls(store) - before, 3u);
+	EXPECT_LE(platform_store_call_count(store) - before, 3u);
 }
 
 TEST_F(StoreSyncTest, RidesOutEveryFaultOfTheStore)
 {
-	for (auto fault : { PLATFORM_STORE_BUSY, PLATFORM_STORE_LIMITED,
-			    PLATFORM_STORE_RESET, PLATFORM_STORE_SILENT,
-			    PLATFORM_STORE_LOSES, PLATFORM_STORE_NONSENSE }) {
-		platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	for (auto fault : { PLATFORM_STORE_UNAVAILABLE, PLATFORM_STORE_RATE_LIMITED,
+			    PLATFORM_STORE_RESET, PLATFORM_STORE_UNRESPONSIVE,
+			    PLATFORM_STORE_LOSE_ANSWERS, PLATFORM_STORE_MALFORMED }) {
+		platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 		aub_store_sync_free(sync);
 		present.clear();
 		put("u1");
@@ -192,7 +192,7 @@
 		put("u2");
 		put("u3");
 		run_for(300);
-		platform_store_set_fault(store, PLATFORM_STORE_WELL);
+		platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 		EXPECT_TRUE(holds(3, 9000)) << fault;
 		platform_store_remove(store, "servers", "u2");
 		platform_store_remove(store, "servers", "u3");
@@ -215,7 +215,7 @@
 	for (int i = 0; i < 5; i++)
 		platform_store_remove(store, "servers",
 				      ("u" + std::to_string(i)).c_str());
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	run_for(1800);
 	EXPECT_EQ(present.size(), 6u);
 	put("u0");
@@ -237,7 +237,7 @@
 	platform_store_set_fault(store, PLATFORM_STORE_RESET);
 	run_for(400);
 	platform_store_remove(store, "servers", "u3");
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	EXPECT_TRUE(holds(5, 1500));
 }
 
@@ -251,13 +251,13 @@
 	put("u2");
 	run_for(400);
 	EXPECT_EQ(present.size(), 1u);
-	guint64 before = platform_store_calls(store);
+	guint64 before = platform_store_call_count(store);
 	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
 				aub_store_sync_known(sync,
 						     AUB_STORE_UPSTREAMS) +
 					1);
 	EXPECT_TRUE(holds(2));
-	EXPECT_EQ(platform_store_calls(store) - before, 1u);
+	EXPECT_EQ(platform_store_call_count(store) - before, 1u);
 }
 
 TEST_F(StoreSyncTest, DoesNotAskForWhatOthersPassOn)
@@ -278,7 +278,7 @@
 	start();
 	run_for(200);
 	gint64 known = aub_store_sync_known(sync, AUB_STORE_UPSTREAMS);
-	guint64 before = platform_store_calls(store);
+	guint64 before = platform_store_call_count(store);
 
 	for (int i = 1; i <= 20; i++) {
 		aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
@@ -288,7 +288,7 @@
 				    shared[0].size());
 		run_for(100);
 	}
-	EXPECT_EQ(platform_store_calls(store) - before, 0u);
+	EXPECT_EQ(platform_store_call_count(store) - before, 0u);
 }
 
 TEST_F(StoreSyncTest, AsksForWhatChangedWhileItListed)
@@ -300,7 +300,7 @@
 	 */
 	for (int i = 0; i < 6; i++)
 		put("u" + std::to_string(i));
-	platform_store_set_page(store, 3);
+	platform_store_set_page_size(store, 3);
 	platform_store_set_delay(store, 60);
 	duty = AUB_WATCH_NONE;
 	start();
@@ -325,7 +325,7 @@
 	start();
 	ASSERT_TRUE(holds(1));
 	run_for(400);
-	platform_store_set_deaf(store, true);
+	platform_store_suppress_watch_events(store, true);
 	put("u2");
 	run_for(400);
 	EXPECT_EQ(present.size(), 1u);
@@ -370,12 +370,12 @@
 
 	member.ip = (char *)"10.0.0.1";
 	member.zone = (char *)"z1";
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	start();
 	aub_store_sync_enrol(sync, "10.0.0.1", &member);
 	run_for(300);
 	EXPECT_EQ(platform_store_count(store, "entries"), 0u);
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	EXPECT_TRUE(run_until(
 		[&] { return platform_store_count(store, "entries") == 1; },
 		4000));
--- a/tools/bench/faults.c
+++ b/tools/bench/faults.c
@@ -43,7 +43,7 @@
 		struct slice *slice = &slices[CLAMP(at, 0, count - 1)];
 
 		slice->arrived++;
-		if (request->told != LOAD_RUN || request->status >= 500)
+		if (request->outcome != LOAD_RUN || request->status >= 500)
 			continue;
 		slice->good++;
 		g_array_append_val(slice->times, request->latency_us);
@@ -70,7 +70,7 @@
 		const struct load_request *request = requests->pdata[i];
 		gint64 end = request->arrived_us + request->latency_us;
 
-		if (request->told == LOAD_RUN)
+		if (request->outcome == LOAD_RUN)
 			g_array_append_val(ends, end);
 	}
 	bench_quantile_ms(ends, 0);
@@ -84,20 +84,20 @@
 
 static void print_summary(const char *name, const struct load *load)
 {
-	struct load_figures f;
+	struct load_stats f;
 
-	load_get_figures(load, &f);
+	load_get_stats(load, &f);
 	printf("%s: requests=%u good=%u not_run=%u unknown=%u errors=%u "
 	       "wrong=%u p99_ms=%.1f longest_gap_ms=%.0f\n",
-	       name, f.requests, f.told[LOAD_RUN] - f.failed,
-	       f.told[LOAD_NOT_RUN], f.told[LOAD_UNKNOWN], f.told[LOAD_ERROR],
-	       f.told[LOAD_WRONG], f.p99_ms, longest_gap_ms(load));
+	       name, f.requests, f.outcomes[LOAD_RUN] - f.failed,
+	       f.outcomes[LOAD_NOT_RUN], f.outcomes[LOAD_UNKNOWN], f.outcomes[LOAD_ERROR],
+	       f.outcomes[LOAD_INVALID], f.p99_ms, longest_gap_ms(load));
 }
 
 static void run_until(const struct load *load, gint64 at_us)
 {
 	while (!load_done(load) && g_get_monotonic_time() < at_us)
-		fleet_run_ms(10);
+		fleet_run_main_loop_ms(10);
 }
 
 /* A command to control, given from a thread so that the load goes on. */
@@ -166,7 +166,7 @@
 {
 	for (guint i = 0; i < fleet->inventory->upstreams->len; i++)
 		if (aub_upstream_at(fleet->inventory, i)->zone == 0)
-			fleet_one_upstream_fault(fleet, (guint16)i,
+			fleet_single_upstream_fault(fleet, (guint16)i,
 						 "{\"cold\":1}");
 }
 
--- a/tools/bench/run.c
+++ b/tools/bench/run.c
@@ -41,7 +41,7 @@
 	};
 	struct fleet *fleet = fleet_new(&options, error);
 	bool good = fleet && fleet_start(fleet, error) &&
-		    fleet_apply_patiently(fleet, text, READY_MS, error) &&
+		    fleet_apply_with_retry(fleet, text, READY_MS, error) &&
 		    fleet_wait_ready(fleet, READY_MS, error) &&
 		    fleet_wait_owners(fleet, READY_MS, error);
 
@@ -61,7 +61,7 @@
 	struct load_service *service = g_new0(struct load_service, 1);
 	double capacity = shape->upstreams * shape->slots / shape->mean_us;
 	struct load_options options = {
-		.entries = fleet_entries(fleet),
+		.entries = fleet_entry_addresses(fleet),
 		.services = service,
 		.service_count = 1,
 		.rate = what->load * capacity * 1e6,
@@ -69,7 +69,7 @@
 		.connections = 256,
 		.callers = 4 * what->members,
 		.deadline_ms = BENCH_DEADLINE_MS,
-		.repeat = what->repeat,
+		.retry = what->repeat,
 		.seed = seed,
 	};
 
@@ -90,7 +90,7 @@
 
 	phase.from_us = g_get_monotonic_time();
 	phase.to_us = phase.from_us + BENCH_SLOW_MS * AUB_MS;
-	fleet_one_upstream_fault(plan->fleet, upstream, json);
+	fleet_single_upstream_fault(plan->fleet, upstream, json);
 	g_array_append_val(plan->slow, phase);
 	g_free(json);
 	return G_SOURCE_CONTINUE;
@@ -116,20 +116,20 @@
 	const GPtrArray *requests = load_requests(load);
 	GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(gint64));
 	GArray *refused = g_array_new(FALSE, FALSE, sizeof(gint64));
-	struct load_figures figures;
+	struct load_stats figures;
 
-	load_get_figures(load, &figures);
+	load_get_stats(load, &figures);
 	for (guint i = 0; i < requests->len; i++) {
 		const struct load_request *request = requests->pdata[i];
 
 		g_array_append_val(arrivals, request->arrived_us);
-		if (request->told == LOAD_NOT_RUN)
+		if (request->outcome == LOAD_NOT_RUN)
 			g_array_append_val(refused, request->latency_us);
 	}
 	row->requests = figures.requests;
-	row->refused = figures.told[LOAD_NOT_RUN];
-	row->unknown = figures.told[LOAD_UNKNOWN];
-	row->wrong = figures.told[LOAD_WRONG] + figures.told[LOAD_ERROR];
+	row->refused = figures.outcomes[LOAD_NOT_RUN];
+	row->unknown = figures.outcomes[LOAD_UNKNOWN];
+	row->wrong = figures.outcomes[LOAD_INVALID] + figures.outcomes[LOAD_ERROR];
 	row->failed = figures.failed;
 	row->p50_ms = figures.p50_ms;
 	row->p99_ms = figures.p99_ms;
@@ -209,7 +209,7 @@
 		return false;
 	bench_warm_up(what, fleet);
 	for (guint i = 0; i < what->fail_fast; i++)
-		fleet_one_upstream_fault(fleet, (guint16)i,
+		fleet_single_upstream_fault(fleet, (guint16)i,
 					 "{\"fail_fast\":-1}");
 	measure(what, fleet, row);
 	fleet_free(fleet, false);
--- a/tools/caller-load.c
+++ b/tools/caller-load.c
@@ -84,10 +84,10 @@
 		options->deadline_ms = strtoul(argument, NULL, 10);
 		break;
 	case 'y':
-		options->try_ms = strtoul(argument, NULL, 10);
+		options->attempt_timeout_ms = strtoul(argument, NULL, 10);
 		break;
 	case 'R':
-		options->repeat = false;
+		options->retry = false;
 		break;
 	case 'b':
 		options->body_bytes = strtoul(argument, NULL, 10);
@@ -122,7 +122,7 @@
 
 static bool write_result(const struct program *program, struct load *load)
 {
-	char *text = tool_json_text(load_result(load));
+	char *text = tool_json_serialize(load_result(load));
 	GError *error = NULL;
 	bool ok = true;
 
@@ -144,13 +144,13 @@
 		.options = { .rate = 100,
 			     .callers = 8,
 			     .deadline_ms = 5000,
-			     .repeat = true,
+			     .retry = true,
 			     .seed = 1 },
 		.entries = g_ptr_array_new(),
 		.services =
 			g_array_new(FALSE, TRUE, sizeof(struct load_service)),
 	};
-	struct load_figures figures;
+	struct load_stats stats;
 	struct load *load;
 	bool ok;
 
@@ -162,10 +162,10 @@
 	program.options.service_count = program.services->len;
 	load = load_new(&program.options);
 	load_run(load);
-	load_get_figures(load, &figures);
+	load_get_stats(load, &stats);
 	ok = write_result(&program, load);
 	load_free(load);
 	g_ptr_array_unref(program.entries);
 	g_array_unref(program.services);
-	return ok && !figures.told[LOAD_WRONG] ? 0 : 1;
+	return ok && !stats.outcomes[LOAD_INVALID] ? 0 : 1;
 }
--- a/tools/common/child.c
+++ b/tools/common/child.c
@@ -17,27 +17,27 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define CHILD_LIMIT 256 /* children at a time; a handler walks the table */
-#define PORT_FIRST 21000
-#define BLOCK_PORTS 500
-#define BLOCKS 22
-#define LISTENING_MS 10000
-#define POLL_US 2000UL
+#define CHILDREN_MAX 256 /* children at a time; a handler walks the table */
+#define FIRST_PORT 21000
+#define PORTS_PER_BLOCK 500
+#define PORT_BLOCK_COUNT 22
+#define LISTENING_TIMEOUT_MS 10000
+#define WAIT_POLL_INTERVAL_US 2000UL
 
 /* Pids for the signal handler, which must not allocate or lock. */
-static volatile pid_t running[CHILD_LIMIT];
+static volatile pid_t running_pids[CHILDREN_MAX];
 
-static void remember(pid_t pid, pid_t instead_of)
+static void replace_running_pid(pid_t pid, pid_t old_pid)
 {
 	int i;
 
-	for (i = 0; i < CHILD_LIMIT; i++) {
-		if (running[i] != instead_of)
+	for (i = 0; i < CHILDREN_MAX; i++) {
+		if (running_pids[i] != old_pid)
 			continue;
-		running[i] = pid;
+		running_pids[i] = pid;
 		return;
 	}
-	g_error("more than %d children", CHILD_LIMIT);
+	g_error("more than %d children", CHILDREN_MAX);
 }
 
 char *child_program_path(const char *program)
@@ -61,7 +61,7 @@
 }
 
 /* A terminal's Ctrl-C goes to all; the parent ends its children itself. */
-void child_in_setup(void)
+void child_setup(void)
 {
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 	signal(SIGINT, SIG_IGN);
@@ -72,7 +72,7 @@
 	const char *log = data;
 	int file;
 
-	child_in_setup();
+	child_setup();
 	if (!log)
 		return;
 	file = open(log, O_WRONLY | O_CREAT | O_APPEND, 0600);
@@ -89,15 +89,15 @@
 /* Reads up to the first line's end; NULL after the time or at the end. */
 static char *read_line(int file, guint timeout_ms)
 {
-	gint64 end_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
+	gint64 deadline_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
 	GString *line = g_string_new(NULL);
 	struct pollfd poller = { .fd = file, .events = POLLIN };
-	gint64 left_ms;
+	gint64 remaining_ms;
 	char byte;
 
 	for (;;) {
-		left_ms = (end_us - g_get_monotonic_time()) / 1000;
-		if (left_ms <= 0 || poll(&poller, 1, left_ms) <= 0 ||
+		remaining_ms = (deadline_us - g_get_monotonic_time()) / 1000;
+		if (remaining_ms <= 0 || poll(&poller, 1, remaining_ms) <= 0 ||
 		    read(file, &byte, 1) != 1) {
 			g_string_free(line, TRUE);
 			return NULL;
@@ -109,7 +109,7 @@
 }
 
 /* What it wrote to its log, for the error's text; owned by the caller. */
-static char *log_text(const char *log)
+static char *read_log(const char *log)
 {
 	char *text = NULL;
 
@@ -121,17 +121,18 @@
 static bool wait_listening(struct child *child, int output, const char *log,
 			   GError **error)
 {
-	char *line = read_line(output, LISTENING_MS);
+	char *line = read_line(output, LISTENING_TIMEOUT_MS);
 	bool ok = line && g_str_has_prefix(line, "listening ");
-	char *said = ok ? NULL : log_text(log);
+	char *log_output = ok ? NULL : read_log(log);
 
 	if (ok)
 		child->address = g_strdup(line + strlen("listening "));
 	else
 		aub_error_set(error, AUB_ERROR_UNAVAILABLE, "start program",
 			      child->name, "did not come up: %s",
-			      said && *said ? said : "it says nothing");
-	g_free(said);
+			      log_output && *log_output ? log_output :
+							  "it says nothing");
+	g_free(log_output);
 	g_free(line);
 	return ok;
 }
@@ -158,7 +159,7 @@
 		setup, (char *)log, &child->pid, NULL,
 		listening ? &output : NULL, NULL, error);
 	if (ok)
-		remember(child->pid, 0);
+		replace_running_pid(child->pid, 0);
 	if (ok && listening)
 		ok = wait_listening(child, output, log, error);
 	if (output >= 0)
@@ -185,30 +186,30 @@
 		     error);
 }
 
-bool child_ended(struct child *child)
+bool child_has_exited(struct child *child)
 {
 	if (!child->pid)
 		return true;
 	if (waitpid(child->pid, &child->status, WNOHANG) != child->pid)
 		return false;
-	remember(0, child->pid);
+	replace_running_pid(0, child->pid);
 	child->pid = 0;
 	return true;
 }
 
 bool child_signal(struct child *child, int number)
 {
-	return !child_ended(child) && kill(child->pid, number) == 0;
+	return !child_has_exited(child) && kill(child->pid, number) == 0;
 }
 
 bool child_wait(struct child *child, guint timeout_ms)
 {
-	gint64 end_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
+	gint64 deadline_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
 
-	while (!child_ended(child)) {
-		if (g_get_monotonic_time() >= end_us)
+	while (!child_has_exited(child)) {
+		if (g_get_monotonic_time() >= deadline_us)
 			return false;
-		g_usleep(POLL_US);
+		g_usleep(WAIT_POLL_INTERVAL_US);
 	}
 	return true;
 }
@@ -219,7 +220,7 @@
 		return;
 	if (child_signal(child, SIGKILL)) {
 		waitpid(child->pid, &child->status, 0);
-		remember(0, child->pid);
+		replace_running_pid(0, child->pid);
 	}
 	g_free(child->name);
 	g_free(child->address);
@@ -227,37 +228,37 @@
 }
 
 /* Async-signal-safe. */
-void child_end_all(void)
+void child_kill_all(void)
 {
 	pid_t pid;
 	int i;
 
-	for (i = 0; i < CHILD_LIMIT; i++)
-		if (running[i])
-			kill(running[i], SIGKILL);
-	for (i = 0; i < CHILD_LIMIT; i++) {
-		pid = running[i];
+	for (i = 0; i < CHILDREN_MAX; i++)
+		if (running_pids[i])
+			kill(running_pids[i], SIGKILL);
+	for (i = 0; i < CHILDREN_MAX; i++) {
+		pid = running_pids[i];
 		if (!pid)
 			continue;
 		waitpid(pid, NULL, 0);
-		running[i] = 0;
+		running_pids[i] = 0;
 	}
 }
 
-static void on_end_signal(int number)
+static void on_termination_signal(int number)
 {
-	child_end_all();
+	child_kill_all();
 	_exit(128 + number);
 }
 
-void child_guard(void)
+void child_install_exit_handlers(void)
 {
-	struct sigaction action = { .sa_handler = on_end_signal };
+	struct sigaction action = { .sa_handler = on_termination_signal };
 
 	sigaction(SIGINT, &action, NULL);
 	sigaction(SIGTERM, &action, NULL);
 	sigaction(SIGHUP, &action, NULL);
-	atexit(child_end_all);
+	atexit(child_kill_all);
 }
 
 static bool port_is_free(guint16 port)
@@ -281,39 +282,40 @@
  * process takes ports from a block of its own, marked as taken by an abstract
  * socket that ends with the process.
  */
-static guint take_block(void)
+static guint reserve_port_block(void)
 {
 	struct sockaddr_un name = { .sun_family = AF_UNIX };
-	guint first = g_random_int_range(0, BLOCKS);
+	guint first = g_random_int_range(0, PORT_BLOCK_COUNT);
 	guint block;
 	int length;
-	int mark;
+	int marker;
 	guint i;
 
-	for (i = 0; i < BLOCKS; i++) {
-		block = (first + i) % BLOCKS;
-		mark = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
+	for (i = 0; i < PORT_BLOCK_COUNT; i++) {
+		block = (first + i) % PORT_BLOCK_COUNT;
+		marker = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
 		length =
 			g_snprintf(name.sun_path + 1, sizeof(name.sun_path) - 1,
 				   "auburnstile-ports-%u", block);
-		if (!bind(mark, (struct sockaddr *)&name,
+		if (!bind(marker, (struct sockaddr *)&name,
 			  offsetof(struct sockaddr_un, sun_path) + 1 + length))
 			return block;
-		close(mark);
+		close(marker);
 	}
 	return first;
 }
 
-guint16 child_free_port(void)
+guint16 child_pick_free_port(void)
 {
-	static guint block = BLOCKS;
+	static guint block = PORT_BLOCK_COUNT;
 	static guint next;
 	guint16 port;
 
-	if (block == BLOCKS)
-		block = take_block();
+	if (block == PORT_BLOCK_COUNT)
+		block = reserve_port_block();
 	do {
-		port = PORT_FIRST + block * BLOCK_PORTS + next++ % BLOCK_PORTS;
+		port = FIRST_PORT + block * PORTS_PER_BLOCK +
+		       next++ % PORTS_PER_BLOCK;
 	} while (!port_is_free(port));
 	return port;
 }
@@ -324,7 +326,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-struct http_wait {
+struct http_result {
 	GBytes *body;
 	GError *error;
 	bool done;
@@ -332,7 +334,7 @@
 
 static void on_http_done(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct http_wait *wait = data;
+	struct http_result *wait = data;
 
 	wait->body = soup_session_send_and_read_finish(SOUP_SESSION(source),
 						       result, &wait->error);
@@ -340,8 +342,8 @@
 }
 
 /* Turns the default main loop, so that a load under way goes on. */
-static void http_run(SoupMessage *message, guint timeout_ms,
-		     struct http_wait *wait)
+static void http_run_request(SoupMessage *message, guint timeout_ms,
+			     struct http_result *wait)
 {
 	GCancellable *cancellable = g_cancellable_new();
 	SoupSession *session = soup_session_new();
@@ -360,9 +362,9 @@
 
 bool child_http_send(SoupMessage *message, guint timeout_ms, GError **error)
 {
-	struct http_wait wait = { 0 };
+	struct http_result wait = { 0 };
 
-	http_run(message, timeout_ms, &wait);
+	http_run_request(message, timeout_ms, &wait);
 	if (wait.body)
 		g_bytes_unref(wait.body);
 	if (!wait.error)
@@ -374,13 +376,13 @@
 	return false;
 }
 
-static char *http_text(SoupMessage *message, const char *url, guint timeout_ms,
-		       guint *status, GError **error)
+static char *http_read_text(SoupMessage *message, const char *url,
+			    guint timeout_ms, guint *status, GError **error)
 {
-	struct http_wait wait = { 0 };
+	struct http_result wait = { 0 };
 	char *text = NULL;
 
-	http_run(message, timeout_ms, &wait);
+	http_run_request(message, timeout_ms, &wait);
 	if (wait.error)
 		aub_error_set(error, AUB_ERROR_CLOSED, "http", url, "%s",
 			      wait.error->message);
@@ -422,5 +424,5 @@
 							 sent);
 		g_bytes_unref(sent);
 	}
-	return http_text(message, url, timeout_ms, status, error);
+	return http_read_text(message, url, timeout_ms, status, error);
 }
--- a/tools/common/child.h
+++ b/tools/common/child.h
@@ -2,7 +2,7 @@
  * Child processes of tests, proofs and the demonstration.
  *
  * Every child ends with its parent: by PR_SET_PDEATHSIG if the parent dies,
- * and by child_end_all() when it ends in order or on a signal. To be used
+ * and by child_kill_all() when it ends in order or on a signal. To be used
  * from the main thread only.
  */
 #ifndef TOOL_CHILD_H
@@ -38,7 +38,7 @@
 bool child_signal(struct child *child, int number);
 
 /* True once it has ended. Never waits. */
-bool child_ended(struct child *child);
+bool child_has_exited(struct child *child);
 
 /* Wait up to `timeout_ms`; false when it still runs. */
 bool child_wait(struct child *child, guint timeout_ms);
@@ -47,22 +47,22 @@
 void child_free(struct child *child);
 
 /* SIGKILL all that run and wait for them; they stay to be freed. */
-void child_end_all(void);
+void child_kill_all(void);
 
 /* End all children, then this process, on SIGINT, SIGTERM and at exit. */
-void child_guard(void);
+void child_install_exit_handlers(void);
 
 /* Path of a program of the build folder; owned by the caller. */
 char *child_program_path(const char *program);
 
 /* For a child's setup function: it ends when its parent does. */
-void child_in_setup(void);
+void child_setup(void);
 
 /*
  * A loopback port that was free a moment ago, never the same twice. Below
  * the range from which the system takes ports for outgoing connections.
  */
-guint16 child_free_port(void);
+guint16 child_pick_free_port(void);
 
 /*
  * One HTTP request, waited for up to `timeout_ms` while the default main loop
--- a/tools/common/tool.c
+++ b/tools/common/tool.c
@@ -50,7 +50,7 @@
 	return true;
 }
 
-char *tool_json_text(JsonNode *root)
+char *tool_json_serialize(JsonNode *root)
 {
 	char *text = json_to_string(root, FALSE);
 
@@ -60,7 +60,7 @@
 
 void tool_answer_json(SoupServerMessage *message, guint status, JsonNode *root)
 {
-	char *text = tool_json_text(root);
+	char *text = tool_json_serialize(root);
 
 	soup_server_message_set_status(message, status, NULL);
 	soup_server_message_set_response(message, "application/json",
@@ -75,7 +75,7 @@
 					 SOUP_MEMORY_COPY, text, strlen(text));
 }
 
-JsonObject *tool_body_json(SoupServerMessage *message)
+JsonObject *tool_request_json(SoupServerMessage *message)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
 	JsonParser *parser = json_parser_new();
@@ -92,7 +92,7 @@
 	return object;
 }
 
-static JsonNode *scalar(JsonObject *object, const char *name)
+static JsonNode *find_scalar(JsonObject *object, const char *name)
 {
 	JsonNode *node = NULL;
 
@@ -101,27 +101,27 @@
 	return node && JSON_NODE_HOLDS_VALUE(node) ? node : NULL;
 }
 
-gint64 tool_json_int(JsonObject *object, const char *name, gint64 otherwise)
+gint64 tool_json_int(JsonObject *object, const char *name, gint64 fallback)
 {
-	JsonNode *node = scalar(object, name);
+	JsonNode *node = find_scalar(object, name);
 
-	return node ? json_node_get_int(node) : otherwise;
+	return node ? json_node_get_int(node) : fallback;
 }
 
-double tool_json_double(JsonObject *object, const char *name, double otherwise)
+double tool_json_double(JsonObject *object, const char *name, double fallback)
 {
-	JsonNode *node = scalar(object, name);
+	JsonNode *node = find_scalar(object, name);
 
-	return node ? json_node_get_double(node) : otherwise;
+	return node ? json_node_get_double(node) : fallback;
 }
 
 const char *tool_json_string(JsonObject *object, const char *name,
-			     const char *otherwise)
+			     const char *fallback)
 {
-	JsonNode *node = scalar(object, name);
+	JsonNode *node = find_scalar(object, name);
 	const char *text = node ? json_node_get_string(node) : NULL;
 
-	return text ? text : otherwise;
+	return text ? text : fallback;
 }
 
 void tool_socket_reset_on_close(GSocket *socket)
@@ -132,7 +132,7 @@
 		   sizeof(linger));
 }
 
-void tool_drop(SoupServerMessage *message, bool reset)
+void tool_close_connection(SoupServerMessage *message, bool reset)
 {
 	GSocket *socket = soup_server_message_get_socket(message);
 	GIOStream *stream;
--- a/tools/common/tool.h
+++ b/tools/common/tool.h
@@ -26,22 +26,22 @@
 		      const char *text);
 
 /* Serialize and free `root`; the text is owned by the caller. */
-char *tool_json_text(JsonNode *root);
+char *tool_json_serialize(JsonNode *root);
 
 /* The body of a request as a JSON object, owned by the caller, or NULL. */
-JsonObject *tool_body_json(SoupServerMessage *message);
+JsonObject *tool_request_json(SoupServerMessage *message);
 
 /* Members of an object, or `otherwise` where absent or of another type. */
-gint64 tool_json_int(JsonObject *object, const char *name, gint64 otherwise);
-double tool_json_double(JsonObject *object, const char *name, double otherwise);
+gint64 tool_json_int(JsonObject *object, const char *name, gint64 fallback);
+double tool_json_double(JsonObject *object, const char *name, double fallback);
 const char *tool_json_string(JsonObject *object, const char *name,
-			     const char *otherwise);
+			     const char *fallback);
 
 /*
  * End the connection of a message whose answer will never be sent, in order
  * or (`reset`) with an RST.
  */
-void tool_drop(SoupServerMessage *message, bool reset);
+void tool_close_connection(SoupServerMessage *message, bool reset);
 
 /* End a connection of one's own in the same two ways. */
 void tool_socket_reset_on_close(GSocket *socket);
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -76,16 +76,16 @@
 
 static void show_progress(const struct demo *demo, const char *what)
 {
-	struct load_figures figures = { 0 };
+	struct load_stats figures = { 0 };
 	double seconds = 0;
 
 	if (demo->load) {
-		load_get_figures(demo->load, &figures);
+		load_get_stats(demo->load, &figures);
 		seconds = (g_get_monotonic_time() - demo->start_us) / 1e6;
 	}
 	printf("%6.1f s  %-28s sent %5u  whole %5u  not run %3u  unknown %3u\n",
-	       seconds, what, figures.requests, figures.told[LOAD_RUN],
-	       figures.told[LOAD_NOT_RUN], figures.told[LOAD_UNKNOWN]);
+	       seconds, what, figures.requests, figures.outcomes[LOAD_RUN],
+	       figures.outcomes[LOAD_NOT_RUN], figures.outcomes[LOAD_UNKNOWN]);
 	fflush(stdout);
 }
 
@@ -177,7 +177,7 @@
 		left_ms = (end_us - g_get_monotonic_time()) / 1000;
 		if (left_ms <= 0)
 			return;
-		fleet_run_ms(MIN(left_ms, 1000));
+		fleet_run_main_loop_ms(MIN(left_ms, 1000));
 		show_progress(demo, what);
 	}
 }
@@ -199,7 +199,7 @@
 		.seconds = END_MS / 1000.0,
 		.callers = 24,
 		.deadline_ms = 5000,
-		.repeat = true,
+		.retry = true,
 		.body_bytes = 200,
 		.seed = 1,
 	};
@@ -218,7 +218,7 @@
 	ok = ok && zone_command(demo, "in");
 	run_until(demo, END_MS, "zone back");
 	while (!load_done(demo->load))
-		fleet_run_ms(20);
+		fleet_run_main_loop_ms(20);
 	demo->zone_after_return =
 		zone_requests(demo, &last_us) - demo->zone_before_return;
 	return ok;
@@ -228,7 +228,7 @@
 			const struct load_service *service)
 {
 	const GPtrArray *requests = load_requests(demo->load);
-	guint told[LOAD_TOLD_COUNT] = { 0 };
+	guint told[LOAD_OUTCOME_COUNT] = { 0 };
 	guint count = 0;
 	guint i;
 
@@ -237,7 +237,7 @@
 
 		if (request->service != service)
 			continue;
-		told[request->told]++;
+		told[request->outcome]++;
 		count++;
 	}
 	printf("  %-26s %-6s %8u %8u %8u %8u\n", service->path,
@@ -246,7 +246,7 @@
 }
 
 static void print_table(const struct demo *demo,
-			const struct load_figures *figures)
+			const struct load_stats *figures)
 {
 	char *reasons = load_reasons_text(demo->load);
 	guint i;
@@ -258,7 +258,7 @@
 	printf("\n  latency ms: p50 %.1f, p99 %.1f, p99.9 %.1f, max %.1f; "
 	       "repeats by callers: %u\n",
 	       figures->p50_ms, figures->p99_ms, figures->p999_ms,
-	       figures->max_ms, figures->repeats);
+	       figures->max_ms, figures->retries);
 	if (*reasons)
 		printf("  tries told otherwise than run: %s\n", reasons);
 	g_free(reasons);
@@ -271,10 +271,10 @@
 static bool report(struct demo *demo)
 {
 	JsonNode *oracle = fleet_oracle(demo->fleet);
-	struct load_verdict verdict;
-	struct load_figures figures;
+	struct load_comparison verdict;
+	struct load_stats figures;
 
-	load_get_figures(demo->load, &figures);
+	load_get_stats(demo->load, &figures);
 	load_compare(demo->load,
 		     json_object_get_object_member(json_node_get_object(oracle),
 						   "nonces"),
@@ -283,13 +283,13 @@
 	print_table(demo, &figures);
 	printf("demo: requests=%u whole=%u wrong=%u twice=%u not_run=%u "
 	       "unknown=%u zone_out_last_new_ms=%" G_GINT64_FORMAT "\n",
-	       figures.requests, figures.told[LOAD_RUN],
-	       figures.told[LOAD_WRONG], verdict.twice,
-	       figures.told[LOAD_NOT_RUN],
-	       figures.told[LOAD_UNKNOWN] + figures.told[LOAD_ERROR],
+	       figures.requests, figures.outcomes[LOAD_RUN],
+	       figures.outcomes[LOAD_INVALID], verdict.executed_more_than_once,
+	       figures.outcomes[LOAD_NOT_RUN],
+	       figures.outcomes[LOAD_UNKNOWN] + figures.outcomes[LOAD_ERROR],
 	       MAX(demo->last_new_us, 0) / 1000);
-	return !figures.told[LOAD_WRONG] && !verdict.twice &&
-	       figures.told[LOAD_RUN] &&
+	return !figures.outcomes[LOAD_INVALID] && !verdict.executed_more_than_once &&
+	       figures.outcomes[LOAD_RUN] &&
 	       demo->last_new_us <= LAST_NEW_LIMIT_MS * AUB_MS &&
 	       demo->zone_after_return > 0;
 }
@@ -324,10 +324,10 @@
 	bool ok;
 
 	argp_parse(&parser, argc, argv, 0, NULL, &demo);
-	child_guard();
+	child_install_exit_handlers();
 	ok = start(&demo);
 	if (ok) {
-		demo.entries = fleet_entries(demo.fleet);
+		demo.entries = fleet_entry_addresses(demo.fleet);
 		ok = run_load(&demo);
 		ok = report(&demo) && ok;
 	}
--- a/tools/fault-proxy.c
+++ b/tools/fault-proxy.c
@@ -45,7 +45,7 @@
 		     const char *path, GHashTable *query, gpointer data)
 {
 	struct program *program = data;
-	JsonObject *body = tool_body_json(message);
+	JsonObject *body = tool_request_json(message);
 	guint found = 0;
 	gint64 port;
 	guint i;
--- a/tools/fleet/fleet.c
+++ b/tools/fleet/fleet.c
@@ -6,7 +6,7 @@
 #include <signal.h>
 #include <string.h>
 
-#define READY_POLL_MS 25
+#define READY_POLL_INTERVAL_MS 25
 
 static void free_member(void *data)
 {
@@ -17,7 +17,7 @@
 	g_free(member->name);
 	g_free(member->zone);
 	g_free(member->callers);
-	g_free(member->callers_via);
+	g_free(member->callers_proxy);
 	g_free(member->inner);
 	g_free(member->admin);
 	g_free(member->control_inner);
@@ -26,13 +26,13 @@
 	g_free(member);
 }
 
-static char *loopback(guint16 port)
+static char *loopback_address(guint16 port)
 {
 	return g_strdup_printf("127.0.0.1:%u", port);
 }
 
-static char *path_in(const struct fleet *fleet, const char *name,
-		     const char *suffix)
+static char *folder_path(const struct fleet *fleet, const char *name,
+			 const char *suffix)
 {
 	char *file = g_strconcat(name, suffix, NULL);
 	char *path = g_build_filename(fleet->folder, file, NULL);
@@ -54,8 +54,8 @@
 		return false;
 	fleet->token = g_strdup_printf("token-%08x%08x", g_random_int(),
 				       g_random_int());
-	fleet->token_file = path_in(fleet, "token", "");
-	fleet->inventory_file = path_in(fleet, "inventory", ".toml");
+	fleet->token_file = folder_path(fleet, "token", "");
+	fleet->inventory_file = folder_path(fleet, "inventory", ".toml");
 	return write_file(fleet->token_file, fleet->token, error) &&
 	       write_file(fleet->inventory_file, fleet->options.inventory,
 			  error);
@@ -64,7 +64,7 @@
 static bool start_store(struct fleet *fleet, GError **error)
 {
 	const char *arguments[] = { "--seed", "1", NULL };
-	char *log = path_in(fleet, "store", ".log");
+	char *log = folder_path(fleet, "store", ".log");
 
 	fleet->store =
 		child_start("standin-store", arguments, true, log, error);
@@ -73,7 +73,7 @@
 }
 
 /* One --listen of the upstreams' process, from the inventory's entry. */
-static char *listen_text(const struct fleet *fleet, guint16 handle)
+static char *format_listen_option(const struct fleet *fleet, guint16 handle)
 {
 	const struct aub_upstream *upstream =
 		aub_upstream_at(fleet->inventory, handle);
@@ -93,7 +93,7 @@
 {
 	GPtrArray *arguments = g_ptr_array_new_with_free_func(g_free);
 	const char *const *more = fleet->options.upstream_options;
-	char *log = path_in(fleet, "upstreams", ".log");
+	char *log = folder_path(fleet, "upstreams", ".log");
 	double mean_us = fleet->options.mean_us;
 	guint i;
 
@@ -104,7 +104,7 @@
 	for (; more && *more; more++)
 		g_ptr_array_add(arguments, g_strdup(*more));
 	for (i = 0; i < fleet->inventory->upstreams->len; i++)
-		g_ptr_array_add(arguments, listen_text(fleet, i));
+		g_ptr_array_add(arguments, format_listen_option(fleet, i));
 	g_ptr_array_add(arguments, NULL);
 	fleet->upstreams = child_start("standin-upstream",
 				       (const char *const *)arguments->pdata,
@@ -118,7 +118,7 @@
 static bool start_proxy(struct fleet *fleet, GError **error)
 {
 	GPtrArray *arguments = g_ptr_array_new_with_free_func(g_free);
-	char *log = path_in(fleet, "proxy", ".log");
+	char *log = folder_path(fleet, "proxy", ".log");
 	struct fleet_member *member;
 	guint i;
 
@@ -140,9 +140,10 @@
 						member->store_url +
 							strlen("http://"),
 						fleet->store->address));
-		g_ptr_array_add(arguments, g_strdup_printf("--route=%s=%s",
-							   member->callers_via,
-							   member->callers));
+		g_ptr_array_add(arguments,
+				g_strdup_printf("--route=%s=%s",
+						member->callers_proxy,
+						member->callers));
 	}
 	g_ptr_array_add(arguments, NULL);
 	fleet->proxy = child_start("fault-proxy",
@@ -162,18 +163,19 @@
 
 	member->zone = g_strdup(zone);
 	member->name = g_strdup_printf("%s-e%u", zone, number / zones->len + 1);
-	member->callers = loopback(child_free_port());
-	member->callers_via = fleet->options.proxies ?
-				      loopback(child_free_port()) :
-				      g_strdup(member->callers);
-	member->inner = loopback(child_free_port());
-	member->admin = loopback(child_free_port());
-	member->control_inner = loopback(child_free_port());
-	member->control_admin = loopback(child_free_port());
+	member->callers = loopback_address(child_pick_free_port());
+	member->callers_proxy =
+		fleet->options.proxies ?
+			loopback_address(child_pick_free_port()) :
+			g_strdup(member->callers);
+	member->inner = loopback_address(child_pick_free_port());
+	member->admin = loopback_address(child_pick_free_port());
+	member->control_inner = loopback_address(child_pick_free_port());
+	member->control_admin = loopback_address(child_pick_free_port());
 	member->store_url =
 		fleet->options.proxies ?
 			g_strdup_printf("http://127.0.0.1:%u",
-					child_free_port()) :
+					child_pick_free_port()) :
 			g_strdup_printf("http://%s", fleet->store->address);
 	g_ptr_array_add(fleet->members, member);
 }
@@ -185,7 +187,7 @@
 
 	for (i = 0; i < fleet->inventory->upstreams->len; i++) {
 		port = fleet->options.proxies ?
-			       child_free_port() :
+			       child_pick_free_port() :
 			       aub_upstream_at(fleet->inventory, i)->port;
 		g_array_append_val(fleet->upstream_ports, port);
 	}
@@ -256,7 +258,7 @@
 }
 
 /* Seeds: the first three members' controls. */
-static char *peers_text(const struct fleet *fleet)
+static char *format_peers(const struct fleet *fleet)
 {
 	GString *text = g_string_new("[");
 	struct fleet_member *member;
@@ -274,7 +276,7 @@
 static char *control_settings(const struct fleet *fleet,
 			      const struct fleet_member *member)
 {
-	char *peers = peers_text(fleet);
+	char *peers = format_peers(fleet);
 	char *text =
 		g_strdup_printf("name = \"%s\"\n"
 				"zone = \"%s\"\n"
@@ -310,14 +312,14 @@
 }
 
 /* Takes `settings` over. */
-static struct child *start_part(const struct fleet *fleet,
-				const struct fleet_member *member,
-				const char *program, const char *part,
-				char *settings, GError **error)
-{
-	char *name = g_strconcat(member->name, part, NULL);
-	char *file = path_in(fleet, name, ".toml");
-	char *log = path_in(fleet, name, ".log");
+static struct child *start_process(const struct fleet *fleet,
+				   const struct fleet_member *member,
+				   const char *program, const char *process,
+				   char *settings, GError **error)
+{
+	char *name = g_strconcat(member->name, process, NULL);
+	char *file = folder_path(fleet, name, ".toml");
+	char *log = folder_path(fleet, name, ".log");
 	const char *arguments[] = { "--settings", file, NULL };
 	struct child *child = NULL;
 
@@ -335,9 +337,9 @@
 {
 	if (!member->control)
 		member->control =
-			start_part(fleet, member, "auburnstile-control",
-				   "-control", control_settings(fleet, member),
-				   error);
+			start_process(fleet, member, "auburnstile-control",
+				      "-control",
+				      control_settings(fleet, member), error);
 	return member->control != NULL;
 }
 
@@ -348,8 +350,9 @@
 		return false;
 	if (!member->entry)
 		member->entry =
-			start_part(fleet, member, "auburnstile-entry", "-entry",
-				   entry_settings(fleet, member), error);
+			start_process(fleet, member, "auburnstile-entry",
+				      "-entry", entry_settings(fleet, member),
+				      error);
 	return member->entry != NULL;
 }
 
@@ -368,7 +371,7 @@
 	return fleet->members->pdata[index];
 }
 
-static bool answers(const char *address, const char *path)
+static bool returns_ok(const char *address, const char *path)
 {
 	char *url = g_strdup_printf("http://%s%s", address, path);
 	guint status = 0;
@@ -380,43 +383,43 @@
 
 bool fleet_member_ready(const struct fleet_member *member)
 {
-	return answers(member->admin, "/readyz");
+	return returns_ok(member->admin, "/readyz");
 }
 
 bool fleet_wait_control(const struct fleet_member *member, guint timeout_ms,
 			GError **error)
 {
-	gint64 end_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
+	gint64 deadline_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
 
-	while (!answers(member->control_admin, "/healthz")) {
-		if (g_get_monotonic_time() > end_us) {
+	while (!returns_ok(member->control_admin, "/healthz")) {
+		if (g_get_monotonic_time() > deadline_us) {
 			aub_error_set(error, AUB_ERROR_TIMEOUT,
 				      "wait for control", member->name,
 				      "not ready in %u ms", timeout_ms);
 			return false;
 		}
-		fleet_run_ms(READY_POLL_MS);
+		fleet_run_main_loop_ms(READY_POLL_INTERVAL_MS);
 	}
 	return true;
 }
 
 bool fleet_wait_ready(struct fleet *fleet, guint timeout_ms, GError **error)
 {
-	gint64 end_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
+	gint64 deadline_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
 	struct fleet_member *member;
 	guint i;
 
 	for (i = 0; i < fleet->members->len; i++) {
 		member = fleet->members->pdata[i];
 		while (member->entry && !fleet_member_ready(member)) {
-			if (g_get_monotonic_time() > end_us ||
-			    child_ended(member->entry)) {
+			if (g_get_monotonic_time() > deadline_us ||
+			    child_has_exited(member->entry)) {
 				aub_error_set(error, AUB_ERROR_TIMEOUT,
 					      "wait until ready", member->name,
 					      "not ready in %u ms", timeout_ms);
 				return false;
 			}
-			fleet_run_ms(READY_POLL_MS);
+			fleet_run_main_loop_ms(READY_POLL_INTERVAL_MS);
 		}
 	}
 	return true;
@@ -433,53 +436,55 @@
 	*child = NULL;
 }
 
-void fleet_signal(struct fleet_member *member, enum fleet_part part, int number)
+void fleet_signal(struct fleet_member *member, enum fleet_process process,
+		  int number)
 {
-	if (part & FLEET_ENTRY)
+	if (process & FLEET_ENTRY)
 		signal_child(&member->entry, number);
-	if (part & FLEET_CONTROL)
+	if (process & FLEET_CONTROL)
 		signal_child(&member->control, number);
 }
 
-static gboolean on_woken(gpointer data)
+static gboolean on_timeout(gpointer data)
 {
 	*(bool *)data = true;
 	return G_SOURCE_REMOVE;
 }
 
-void fleet_run_ms(guint ms)
+void fleet_run_main_loop_ms(guint ms)
 {
-	bool woken = false;
+	bool elapsed = false;
 
-	g_timeout_add(ms, on_woken, &woken);
-	while (!woken)
+	g_timeout_add(ms, on_timeout, &elapsed);
+	while (!elapsed)
 		g_main_context_iteration(NULL, TRUE);
 }
 
-static bool stop_child(struct child **child, gint64 end_us)
+static bool stop_child(struct child **child, gint64 deadline_us)
 {
 	bool ok;
 
 	if (!*child)
 		return true;
-	while (!child_ended(*child) && g_get_monotonic_time() < end_us)
-		fleet_run_ms(5);
-	ok = child_ended(*child) && (*child)->status == 0;
+	while (!child_has_exited(*child) &&
+	       g_get_monotonic_time() < deadline_us)
+		fleet_run_main_loop_ms(5);
+	ok = child_has_exited(*child) && (*child)->status == 0;
 	child_free(*child);
 	*child = NULL;
 	return ok;
 }
 
-bool fleet_stop(struct fleet_member *member, enum fleet_part part,
+bool fleet_stop(struct fleet_member *member, enum fleet_process process,
 		guint timeout_ms)
 {
-	gint64 end_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
+	gint64 deadline_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
 	bool ok = true;
 
-	fleet_signal(member, part, SIGTERM);
-	if (part & FLEET_ENTRY)
-		ok = stop_child(&member->entry, end_us);
-	if (part & FLEET_CONTROL)
-		ok = stop_child(&member->control, end_us) && ok;
+	fleet_signal(member, process, SIGTERM);
+	if (process & FLEET_ENTRY)
+		ok = stop_child(&member->entry, deadline_us);
+	if (process & FLEET_CONTROL)
+		ok = stop_child(&member->control, deadline_us) && ok;
 	return ok;
 }
--- a/tools/fleet/fleet.h
+++ b/tools/fleet/fleet.h
@@ -23,7 +23,7 @@
 	char *admin;
 	char *control_inner;
 	char *control_admin;
-	char *callers_via; /* the proxy before `callers`, or the same */
+	char *callers_proxy; /* the proxy before `callers`, or the same */
 	char *store_url; /* through the proxy, when there is one */
 	struct child *entry; /* NULL when not running */
 	struct child *control;
@@ -81,13 +81,13 @@
 #pragma GCC diagnostic pop
 
 /* Which of a member's two processes is meant. */
-enum fleet_part { FLEET_ENTRY = 1, FLEET_CONTROL = 2, FLEET_BOTH = 3 };
+enum fleet_process { FLEET_ENTRY = 1, FLEET_CONTROL = 2, FLEET_BOTH = 3 };
 
 /* Send a signal. SIGKILL is waited for; the part can be started again. */
-void fleet_signal(struct fleet_member *member, enum fleet_part part,
+void fleet_signal(struct fleet_member *member, enum fleet_process process,
 		  int number);
 /* SIGTERM, then wait; true when all ended in time with status 0. */
-bool fleet_stop(struct fleet_member *member, enum fleet_part part,
+bool fleet_stop(struct fleet_member *member, enum fleet_process process,
 		guint timeout_ms);
 
 /*
@@ -108,8 +108,8 @@
 		 const char *inventory, GError **error);
 
 /* The same through the first member, repeated while it is refused. */
-bool fleet_apply_patiently(struct fleet *fleet, const char *inventory,
-			   guint timeout_ms, GError **error);
+bool fleet_apply_with_retry(struct fleet *fleet, const char *inventory,
+			    guint timeout_ms, GError **error);
 
 /* The member that owns a service, as a control says; NULL if unknown. */
 struct fleet_member *fleet_owner(struct fleet *fleet, const char *service);
@@ -122,17 +122,17 @@
 bool fleet_proxy_fault(struct fleet *fleet, const char *json);
 
 /* The same, for one upstream's stand-in or for the proxy before it. */
-bool fleet_one_upstream_fault(struct fleet *fleet, guint16 upstream,
+bool fleet_single_upstream_fault(struct fleet *fleet, guint16 upstream,
+				 const char *json);
+bool fleet_single_proxy_fault(struct fleet *fleet, guint16 upstream,
 			      const char *json);
-bool fleet_one_proxy_fault(struct fleet *fleet, guint16 upstream,
-			   const char *json);
 
 /* The same for the proxy between callers and a member's entry. */
 bool fleet_callers_proxy_fault(struct fleet *fleet,
 			       const struct fleet_member *member,
 			       const char *json);
 /* For the load: the proxy's address for an entry's. `context`: the fleet. */
-const char *fleet_via(const char *address, void *context);
+const char *fleet_connect_address(const char *address, void *context);
 
 /* What really ran. Owned by the caller; ends the program if unreachable. */
 JsonNode *fleet_oracle(struct fleet *fleet);
@@ -140,10 +140,10 @@
 				  guint16 upstream);
 
 /* NULL-terminated callers' addresses of all members; free with g_free(). */
-const char **fleet_entries(const struct fleet *fleet);
+const char **fleet_entry_addresses(const struct fleet *fleet);
 
 /* Run the main loop for a while. */
-void fleet_run_ms(guint ms);
+void fleet_run_main_loop_ms(guint ms);
 
 G_END_DECLS
 
--- a/tools/fleet/fleet_talk.c
+++ b/tools/fleet/fleet_client.c
@@ -10,15 +10,15 @@
 
 #define ADMIN_TIMEOUT_MS 15000
 #define FAULT_TIMEOUT_MS 5000
-#define APPLY_AGAIN_MS 200
-#define OWNER_POLL_MS 50
+#define APPLY_RETRY_INTERVAL_MS 200
+#define OWNER_POLL_INTERVAL_MS 50
 
-static void end_with_parent(gpointer data)
+static void on_ctl_setup(gpointer data)
 {
-	child_in_setup();
+	child_setup();
 }
 
-struct ctl_wait {
+struct ctl_result {
 	char *output;
 	GError *error;
 	bool ok;
@@ -27,7 +27,7 @@
 
 static void on_ctl_done(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct ctl_wait *wait = data;
+	struct ctl_result *wait = data;
 
 	wait->ok = g_subprocess_communicate_utf8_finish(G_SUBPROCESS(source),
 							result, &wait->output,
@@ -38,7 +38,7 @@
 /* Turns the main loop meanwhile, so that a load under way goes on. */
 static char *wait_output(GSubprocess *process, int *status, GError **error)
 {
-	struct ctl_wait wait = { 0 };
+	struct ctl_result wait = { 0 };
 
 	g_subprocess_communicate_utf8_async(process, NULL, NULL, on_ctl_done,
 					    &wait);
@@ -61,7 +61,7 @@
 	GSubprocess *process;
 	char *output = NULL;
 
-	g_subprocess_launcher_set_child_setup(launcher, end_with_parent, NULL,
+	g_subprocess_launcher_set_child_setup(launcher, on_ctl_setup, NULL,
 					      NULL);
 	g_ptr_array_add(command, child_program_path("auburnstilectl"));
 	g_ptr_array_add(command,
@@ -166,19 +166,19 @@
 	return status == 200;
 }
 
-bool fleet_apply_patiently(struct fleet *fleet, const char *inventory,
-			   guint timeout_ms, GError **error)
+bool fleet_apply_with_retry(struct fleet *fleet, const char *inventory,
+			    guint timeout_ms, GError **error)
 {
-	gint64 end_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
+	gint64 deadline_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
 	GError *cause = NULL;
 
 	while (!fleet_apply(fleet, fleet_member(fleet, 0), inventory, &cause)) {
-		if (g_get_monotonic_time() > end_us) {
+		if (g_get_monotonic_time() > deadline_us) {
 			g_propagate_error(error, cause);
 			return false;
 		}
 		g_clear_error(&cause);
-		fleet_run_ms(APPLY_AGAIN_MS);
+		fleet_run_main_loop_ms(APPLY_RETRY_INTERVAL_MS);
 	}
 	return true;
 }
@@ -230,20 +230,20 @@
 
 bool fleet_wait_owners(struct fleet *fleet, guint timeout_ms, GError **error)
 {
-	gint64 end_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
+	gint64 deadline_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
 	const char *service;
 	guint i;
 
 	for (i = 0; i < fleet->inventory->services->len; i++) {
 		service = aub_service_at(fleet->inventory, i)->name;
 		while (!fleet_owner(fleet, service)) {
-			if (g_get_monotonic_time() > end_us) {
+			if (g_get_monotonic_time() > deadline_us) {
 				aub_error_set(error, AUB_ERROR_TIMEOUT,
 					      "wait for an owner", service,
 					      "none in %u ms", timeout_ms);
 				return false;
 			}
-			fleet_run_ms(OWNER_POLL_MS);
+			fleet_run_main_loop_ms(OWNER_POLL_INTERVAL_MS);
 		}
 	}
 	return true;
@@ -276,8 +276,8 @@
 }
 
 /* The fault's object with the port put in front. */
-static bool post_to_port(const struct child *child, guint16 port,
-			 const char *json)
+static bool post_fault_to_port(const struct child *child, guint16 port,
+			       const char *json)
 {
 	char *text = g_strdup_printf("{\"port\":%u,%s", port, json + 1);
 	bool ok = post_fault(child, text);
@@ -286,33 +286,34 @@
 	return ok;
 }
 
-bool fleet_one_upstream_fault(struct fleet *fleet, guint16 upstream,
-			      const char *json)
+bool fleet_single_upstream_fault(struct fleet *fleet, guint16 upstream,
+				 const char *json)
 {
-	return post_to_port(fleet->upstreams,
-			    g_array_index(fleet->upstream_ports, guint16,
-					  upstream),
-			    json);
+	return post_fault_to_port(fleet->upstreams,
+				  g_array_index(fleet->upstream_ports, guint16,
+						upstream),
+				  json);
 }
 
-bool fleet_one_proxy_fault(struct fleet *fleet, guint16 upstream,
-			   const char *json)
+bool fleet_single_proxy_fault(struct fleet *fleet, guint16 upstream,
+			      const char *json)
 {
-	return post_to_port(fleet->proxy,
-			    aub_upstream_at(fleet->inventory, upstream)->port,
-			    json);
+	return post_fault_to_port(
+		fleet->proxy, aub_upstream_at(fleet->inventory, upstream)->port,
+		json);
 }
 
 bool fleet_callers_proxy_fault(struct fleet *fleet,
 			       const struct fleet_member *member,
 			       const char *json)
 {
-	const char *colon = strrchr(member->callers_via, ':');
+	const char *colon = strrchr(member->callers_proxy, ':');
 
-	return post_to_port(fleet->proxy, strtoul(colon + 1, NULL, 10), json);
+	return post_fault_to_port(fleet->proxy, strtoul(colon + 1, NULL, 10),
+				  json);
 }
 
-const char *fleet_via(const char *address, void *context)
+const char *fleet_connect_address(const char *address, void *context)
 {
 	struct fleet *fleet = context;
 	struct fleet_member *member;
@@ -321,7 +322,7 @@
 	for (i = 0; i < fleet->members->len; i++) {
 		member = fleet_member(fleet, i);
 		if (!strcmp(member->callers, address))
-			return member->callers_via;
+			return member->callers_proxy;
 	}
 	return address;
 }
@@ -354,7 +355,7 @@
 	return json_array_get_object_element(list, upstream);
 }
 
-const char **fleet_entries(const struct fleet *fleet)
+const char **fleet_entry_addresses(const struct fleet *fleet)
 {
 	const char **entries = g_new0(const char *, fleet->members->len + 1);
 	guint i;
--- a/tools/fleet/fleet_inventory.c
+++ b/tools/fleet/fleet_inventory.c
@@ -39,7 +39,7 @@
 		service->hedge_percent, service->slots ? service->slots : 2,
 		service->cold_slots ? service->cold_slots : 1,
 		service->probe_cost_us ? service->probe_cost_us : 1000);
-	if (service->once)
+	if (service->at_most_once)
 		g_string_append_printf(
 			text,
 			"once = [{ method = \"POST\", path = \"%s\", "
@@ -51,7 +51,7 @@
 				       "  { name = \"%s-%u\", vm = \"vm-%u\", "
 				       "address = \"127.0.0.1:%u\" },\n",
 				       service->name, i + 1, ++*vm,
-				       child_free_port());
+				       child_pick_free_port());
 	g_string_append(text, "]\n\n");
 }
 
--- a/tools/fleet/fleet_inventory.h
+++ b/tools/fleet/fleet_inventory.h
@@ -12,7 +12,7 @@
 	const char *name;
 	const char *path;
 	guint upstreams; /* dealt out over the zones in turn */
-	bool once; /* its POSTs run at most once, under a key */
+	bool at_most_once; /* its POSTs run at most once, under a key */
 	guint slots;
 	guint cold_slots;
 	guint cold_ms;
--- a/tools/load/load.c
+++ b/tools/load/load.c
@@ -6,25 +6,27 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define CONNECTIONS 128 /* of one caller to one entry at most */
+#define CONNECTIONS_PER_ENTRY_MAX 128 /* of one caller to one entry at most */
 
-static const char *const told_names[LOAD_TOLD_COUNT] = {
-	[LOAD_OPEN] = "open",	    [LOAD_RUN] = "run",
+static const char *const outcome_names[LOAD_OUTCOME_COUNT] = {
+	[LOAD_PENDING] = "open",    [LOAD_RUN] = "run",
 	[LOAD_NOT_RUN] = "not-run", [LOAD_UNKNOWN] = "unknown",
-	[LOAD_ERROR] = "error",	    [LOAD_WRONG] = "wrong",
+	[LOAD_ERROR] = "error",	    [LOAD_INVALID] = "wrong",
 };
 
-const char *load_told_name(enum load_told told)
+const char *load_outcome_name(enum load_outcome outcome)
 {
-	return told_names[told];
+	return outcome_names[outcome];
 }
 
-const char *load_via(const struct load *load, const char *address)
+const char *load_connect_address(const struct load *load, const char *address)
 {
 	const struct load_options *options = &load->options;
 
-	return options->via ? options->via(address, options->via_context) :
-			      address;
+	return options->connect_address ?
+		       options->connect_address(address,
+						options->connect_context) :
+		       address;
 }
 
 const GPtrArray *load_requests(const struct load *load)
@@ -32,7 +34,7 @@
 	return load->requests;
 }
 
-const GPtrArray *load_samples(const struct load *load)
+const GPtrArray *load_failure_samples(const struct load *load)
 {
 	return load->samples;
 }
@@ -59,8 +61,8 @@
 	caller->load = load;
 	caller->session = soup_session_new_with_options(
 		"max-conns", 4096, "max-conns-per-host",
-		connections ? connections : CONNECTIONS, "idle-timeout", 60,
-		"timeout", 0, NULL);
+		connections ? connections : CONNECTIONS_PER_ENTRY_MAX,
+		"idle-timeout", 60, "timeout", 0, NULL);
 	caller->lookups = g_new0(struct load_lookup, count);
 	for (i = 0; i < count; i++)
 		load_lookup_init(&caller->lookups[i], caller,
@@ -98,7 +100,7 @@
 {
 	guint i;
 
-	aub_timer_cancel(load->timers, load->arrival);
+	aub_timer_cancel(load->timers, load->arrival_timer);
 	for (i = 0; i < load->callers->len; i++)
 		abort_caller(load->callers->pdata[i]);
 	/* Cancelled calls end in the main loop and look at their owners. */
@@ -122,7 +124,8 @@
 	if (options->requests && load->requests->len >= options->requests)
 		return true;
 	return options->seconds > 0 &&
-	       load->next_us - load->started_us >= options->seconds * 1e6;
+	       load->next_arrival_us - load->started_us >=
+		       options->seconds * 1e6;
 }
 
 static void on_arrival(void *context, gint64 now_us)
@@ -130,10 +133,10 @@
 	struct load *load = context;
 	struct load_request *request;
 
-	load->arrival = 0;
+	load->arrival_timer = 0;
 	request = load_request_new(load, load->requests->len);
 	g_ptr_array_add(load->requests, request);
-	load->open++;
+	load->pending++;
 	load_request_start(request);
 	schedule_arrival(load);
 }
@@ -144,29 +147,30 @@
 	double gap_s =
 		-log(1 - g_rand_double(load->random)) / load->options.rate;
 
-	load->next_us += (gint64)(gap_s * 1e6);
+	load->next_arrival_us += (gint64)(gap_s * 1e6);
 	if (arrivals_over(load))
 		return;
-	load->arrival = aub_timer_at(load->timers, "arrival", load->next_us,
-				     on_arrival, load);
+	load->arrival_timer =
+		aub_timer_at(load->timers, "arrival", load->next_arrival_us,
+			     on_arrival, load);
 }
 
 void load_start(struct load *load)
 {
 	load->started_us = g_get_monotonic_time();
-	load->next_us = load->started_us;
+	load->next_arrival_us = load->started_us;
 	schedule_arrival(load);
 }
 
 void load_stop_arrivals(struct load *load)
 {
-	aub_timer_cancel(load->timers, load->arrival);
-	load->arrival = 0;
+	aub_timer_cancel(load->timers, load->arrival_timer);
+	load->arrival_timer = 0;
 }
 
 bool load_done(const struct load *load)
 {
-	return !load->arrival && !load->open;
+	return !load->arrival_timer && !load->pending;
 }
 
 void load_run(struct load *load)
@@ -178,10 +182,10 @@
 
 static int compare_times(const void *a, const void *b)
 {
-	gint64 one = *(const gint64 *)a;
-	gint64 two = *(const gint64 *)b;
+	gint64 first = *(const gint64 *)a;
+	gint64 second = *(const gint64 *)b;
 
-	return (one > two) - (one < two);
+	return (first > second) - (first < second);
 }
 
 static double quantile_ms(const GArray *sorted, double quantile)
@@ -194,59 +198,61 @@
 	return g_array_index(sorted, gint64, index) / 1000.0;
 }
 
-void load_get_figures(const struct load *load, struct load_figures *figures)
+void load_get_stats(const struct load *load, struct load_stats *stats)
 {
 	GArray *times = g_array_new(FALSE, FALSE, sizeof(gint64));
 	const struct load_request *request;
 	guint i;
 
-	*figures = (struct load_figures){ .requests = load->requests->len,
-					  .repeats = load->repeats };
+	*stats = (struct load_stats){ .requests = load->requests->len,
+				      .retries = load->retries };
 	for (i = 0; i < load->requests->len; i++) {
 		request = load->requests->pdata[i];
-		figures->told[request->told]++;
-		if (request->told != LOAD_RUN)
+		stats->outcomes[request->outcome]++;
+		if (request->outcome != LOAD_RUN)
 			continue;
-		figures->failed += request->status >= 500;
+		stats->failed += request->status >= 500;
 		g_array_append_val(times, request->latency_us);
 	}
 	g_array_sort(times, compare_times);
-	figures->p50_ms = quantile_ms(times, 0.5);
-	figures->p99_ms = quantile_ms(times, 0.99);
-	figures->p999_ms = quantile_ms(times, 0.999);
-	figures->max_ms = quantile_ms(times, 1);
+	stats->p50_ms = quantile_ms(times, 0.5);
+	stats->p99_ms = quantile_ms(times, 0.99);
+	stats->p999_ms = quantile_ms(times, 0.999);
+	stats->max_ms = quantile_ms(times, 1);
 	g_array_unref(times);
 }
 
-static void compare_one(const struct load_request *request, JsonArray *runs,
-			struct load_verdict *verdict)
+static void compare_request(const struct load_request *request, JsonArray *runs,
+			    struct load_comparison *comparison)
 {
 	gint64 started = runs ? json_array_get_int_element(runs, 0) : 0;
 	gint64 completed = runs ? json_array_get_int_element(runs, 1) : 0;
 
-	verdict->twice += request->service->keyed && started > 1;
-	verdict->false_not_run += request->told == LOAD_NOT_RUN && started;
-	verdict->false_run += request->told == LOAD_RUN &&
-			      request->status < 500 && !completed;
-	verdict->unknown_not_started +=
-		request->told == LOAD_UNKNOWN && !started;
+	comparison->executed_more_than_once +=
+		request->service->keyed && started > 1;
+	comparison->false_not_run +=
+		request->outcome == LOAD_NOT_RUN && started;
+	comparison->false_run += request->outcome == LOAD_RUN &&
+				 request->status < 500 && !completed;
+	comparison->unknown_not_started +=
+		request->outcome == LOAD_UNKNOWN && !started;
 }
 
 void load_compare(const struct load *load, JsonObject *nonces,
-		  struct load_verdict *verdict)
+		  struct load_comparison *comparison)
 {
 	const struct load_request *request;
 	JsonArray *runs;
 	guint i;
 
-	*verdict = (struct load_verdict){ 0 };
+	*comparison = (struct load_comparison){ 0 };
 	for (i = 0; i < load->requests->len; i++) {
 		request = load->requests->pdata[i];
 		runs = NULL;
 		if (json_object_has_member(nonces, request->nonce))
 			runs = json_object_get_array_member(nonces,
 							    request->nonce);
-		compare_one(request, runs, verdict);
+		compare_request(request, runs, comparison);
 	}
 }
 
@@ -273,7 +279,7 @@
 		json_builder_add_double_value(builder, value);
 }
 
-static void add_told(const struct load *load, JsonBuilder *builder)
+static void add_outcomes(const struct load *load, JsonBuilder *builder)
 {
 	const struct load_request *request;
 	guint i;
@@ -284,7 +290,7 @@
 		request = load->requests->pdata[i];
 		json_builder_set_member_name(builder, request->nonce);
 		json_builder_add_string_value(builder,
-					      told_names[request->told]);
+					      outcome_names[request->outcome]);
 	}
 	json_builder_end_object(builder);
 	json_builder_set_member_name(builder, "samples");
@@ -297,24 +303,24 @@
 JsonNode *load_result(const struct load *load)
 {
 	JsonBuilder *builder = json_builder_new();
-	struct load_figures figures;
+	struct load_stats stats;
 	JsonNode *root;
 
-	load_get_figures(load, &figures);
+	load_get_stats(load, &stats);
 	json_builder_begin_object(builder);
-	add_number(builder, "requests", figures.requests);
-	add_number(builder, "whole", figures.told[LOAD_RUN]);
-	add_number(builder, "wrong", figures.told[LOAD_WRONG]);
-	add_number(builder, "not_run", figures.told[LOAD_NOT_RUN]);
-	add_number(builder, "unknown", figures.told[LOAD_UNKNOWN]);
-	add_number(builder, "errors", figures.told[LOAD_ERROR]);
-	add_number(builder, "failed", figures.failed);
-	add_number(builder, "repeats", figures.repeats);
-	add_number(builder, "p50_ms", figures.p50_ms);
-	add_number(builder, "p99_ms", figures.p99_ms);
-	add_number(builder, "p999_ms", figures.p999_ms);
-	add_number(builder, "max_ms", figures.max_ms);
-	add_told(load, builder);
+	add_number(builder, "requests", stats.requests);
+	add_number(builder, "whole", stats.outcomes[LOAD_RUN]);
+	add_number(builder, "wrong", stats.outcomes[LOAD_INVALID]);
+	add_number(builder, "not_run", stats.outcomes[LOAD_NOT_RUN]);
+	add_number(builder, "unknown", stats.outcomes[LOAD_UNKNOWN]);
+	add_number(builder, "errors", stats.outcomes[LOAD_ERROR]);
+	add_number(builder, "failed", stats.failed);
+	add_number(builder, "repeats", stats.retries);
+	add_number(builder, "p50_ms", stats.p50_ms);
+	add_number(builder, "p99_ms", stats.p99_ms);
+	add_number(builder, "p999_ms", stats.p999_ms);
+	add_number(builder, "max_ms", stats.max_ms);
+	add_outcomes(load, builder);
 	json_builder_end_object(builder);
 	root = json_builder_get_root(builder);
 	g_object_unref(builder);
--- a/tools/load/load.h
+++ b/tools/load/load.h
@@ -34,8 +34,8 @@
 	guint connections; /* of a caller to one entry at most */
 	guint callers; /* that keep addresses of their own */
 	guint deadline_ms; /* of a request, repeats included */
-	guint try_ms; /* of one try; 0: the deadline */
-	bool repeat; /* false: the first thing told is final */
+	guint attempt_timeout_ms; /* of one try; 0: the deadline */
+	bool retry; /* false: the first thing told is final */
 	guint body_bytes; /* of a keyed request */
 	guint32 seed;
 	const char *prefix; /* of nonces, "" by default */
@@ -43,19 +43,19 @@
 	 * Where to connect instead of an entry's address, for a proxy on the
 	 * way; borrowed. NULL: to the address itself.
 	 */
-	const char *(*via)(const char *address, void *context);
-	void *via_context;
+	const char *(*connect_address)(const char *address, void *context);
+	void *connect_context;
 };
 
 /* What a request was told in the end. */
-enum load_told {
-	LOAD_OPEN, /* not ended yet */
+enum load_outcome {
+	LOAD_PENDING, /* not ended yet */
 	LOAD_RUN,
 	LOAD_NOT_RUN,
 	LOAD_UNKNOWN,
 	LOAD_ERROR, /* nothing definite before its deadline */
-	LOAD_WRONG, /* an answer that isn't whole or isn't its own */
-	LOAD_TOLD_COUNT
+	LOAD_INVALID, /* an answer that isn't whole or isn't its own */
+	LOAD_OUTCOME_COUNT
 };
 
 struct load_request {
@@ -69,11 +69,11 @@
 	gint64 arrived_us;
 	gint64 deadline_us;
 	gint64 latency_us;
-	guint tries;
-	guint refusals; /* tries whose connection failed */
-	guint unknowns; /* answers of "unknown" so far */
-	bool doubt; /* a try was lost: it may have run */
-	enum load_told told;
+	guint attempts;
+	guint connection_failures; /* tries whose connection failed */
+	guint unknown_answers; /* answers of "unknown" so far */
+	bool maybe_executed; /* a try was lost: it may have run */
+	enum load_outcome outcome;
 	guint status; /* HTTP, of the last answer */
 	char *reason; /* Auburnstile-Reason of the last answer, or NULL */
 	GCancellable *cancellable; /* of the try in flight */
@@ -96,40 +96,40 @@
 /* Runs the main loop until it is done. */
 void load_run(struct load *load);
 
-struct load_figures {
+struct load_stats {
 	guint requests;
-	guint told[LOAD_TOLD_COUNT];
+	guint outcomes[LOAD_OUTCOME_COUNT];
 	guint failed; /* run, but with a server error */
-	guint repeats; /* tries beyond the first */
+	guint retries; /* tries beyond the first */
 	double p50_ms;
 	double p99_ms;
 	double p999_ms;
 	double max_ms;
 };
 /* Figures of now; quantiles over the requests told "run". */
-void load_get_figures(const struct load *load, struct load_figures *figures);
+void load_get_stats(const struct load *load, struct load_stats *stats);
 
 /* What the upstreams ran against what the callers were told. */
-struct load_verdict {
-	guint twice; /* keyed and started more than once */
+struct load_comparison {
+	guint executed_more_than_once; /* keyed and started more than once */
 	guint false_not_run; /* told "not run" and started */
 	guint false_run; /* told "run" and never completed */
 	guint unknown_not_started; /* told "unknown", never started */
 };
 /* `nonces` is the oracle's member of that name. */
 void load_compare(const struct load *load, JsonObject *nonces,
-		  struct load_verdict *verdict);
+		  struct load_comparison *comparison);
 
 /* Result as JSON: the figures, what each nonce was told, samples of wrong. */
 JsonNode *load_result(const struct load *load);
 
-const char *load_told_name(enum load_told told);
+const char *load_outcome_name(enum load_outcome outcome);
 
 /* "REASON COUNT, ..." of what was not "run", tries included; g_free(). */
 char *load_reasons_text(const struct load *load);
 
 /* What was wrong or unanswered, of char *, the first few; borrowed. */
-const GPtrArray *load_samples(const struct load *load);
+const GPtrArray *load_failure_samples(const struct load *load);
 
 /* All requests so far, of struct load_request; borrowed. */
 const GPtrArray *load_requests(const struct load *load);
--- a/tools/load/load_internal.h
+++ b/tools/load/load_internal.h
@@ -15,11 +15,11 @@
 	GPtrArray *samples; /* of char *, what was wrong */
 	GHashTable *reasons; /* of refusals and unknowns -> how often */
 	guint total_weight;
-	guint open;
-	guint repeats;
+	guint pending;
+	guint retries;
 	gint64 started_us;
-	gint64 next_us;
-	guint arrival; /* timer handle, 0 when arrivals ended */
+	gint64 next_arrival_us;
+	guint arrival_timer; /* timer handle, 0 when arrivals ended */
 };
 
 /* Which addresses one caller uses for one service. */
@@ -30,10 +30,10 @@
 	char *grant;
 	gint64 valid_until_us; /* 0: ask */
 	GPtrArray *waiting; /* of struct load_request, borrowed */
-	guint asked; /* rotates over those that can be asked */
-	bool asking;
-	guint timer; /* timer handle of the next attempt to ask */
-	guint ask_timer; /* timer handle that ends the one in flight */
+	guint next_entry_index; /* rotates over those that can be asked */
+	bool query_in_flight;
+	guint retry_timer; /* timer handle of the next attempt to ask */
+	guint query_timer; /* timer handle that ends the one in flight */
 	GCancellable *cancellable;
 };
 
@@ -50,16 +50,17 @@
 void load_lookup_init(struct load_lookup *lookup, struct load_caller *caller,
 		      const struct load_service *service, guint first);
 void load_lookup_clear(struct load_lookup *lookup);
-struct load_lookup *load_lookup_of(const struct load_request *request);
+struct load_lookup *load_request_lookup(const struct load_request *request);
 
 /* Calls load_request_send() now or when the addresses are known. */
-void load_lookup_wait(struct load_lookup *lookup, struct load_request *request);
-void load_lookup_forget(struct load_lookup *lookup,
+void load_lookup_resolve(struct load_lookup *lookup,
+			 struct load_request *request);
+void load_lookup_remove(struct load_lookup *lookup,
 			struct load_request *request);
-void load_lookup_stale(struct load_lookup *lookup);
+void load_lookup_invalidate(struct load_lookup *lookup);
 
 /* Where to connect for an entry's address; borrowed. */
-const char *load_via(const struct load *load, const char *address);
+const char *load_connect_address(const struct load *load, const char *address);
 
 struct load_request *load_request_new(struct load *load, guint number);
 void load_request_start(struct load_request *request);
--- a/tools/load/lookup.c
+++ b/tools/load/lookup.c
@@ -6,8 +6,9 @@
 
 #include "common/tool.h"
 
-#define ASK_TIMEOUT_US (1500 * AUB_MS)
-#define ASK_AGAIN_US (30 * AUB_MS) /* between entries that don't answer */
+#define LOOKUP_TIMEOUT_US (1500 * AUB_MS)
+#define LOOKUP_RETRY_DELAY_US \
+	(30 * AUB_MS) /* between entries that don't answer */
 
 void load_lookup_init(struct load_lookup *lookup, struct load_caller *caller,
 		      const struct load_service *service, guint first)
@@ -16,15 +17,15 @@
 	lookup->service = service;
 	lookup->addresses = g_ptr_array_new_with_free_func(g_free);
 	lookup->waiting = g_ptr_array_new();
-	lookup->asked = first;
+	lookup->next_entry_index = first;
 }
 
 void load_lookup_clear(struct load_lookup *lookup)
 {
 	struct aub_timer_service *timers = lookup->caller->load->timers;
 
-	aub_timer_cancel(timers, lookup->timer);
-	aub_timer_cancel(timers, lookup->ask_timer);
+	aub_timer_cancel(timers, lookup->retry_timer);
+	aub_timer_cancel(timers, lookup->query_timer);
 	if (lookup->cancellable)
 		g_cancellable_cancel(lookup->cancellable);
 	g_clear_object(&lookup->cancellable);
@@ -33,42 +34,43 @@
 	g_free(lookup->grant);
 }
 
-struct load_lookup *load_lookup_of(const struct load_request *request)
+struct load_lookup *load_request_lookup(const struct load_request *request)
 {
 	gsize index = request->service - request->load->options.services;
 
 	return &request->caller->lookups[index];
 }
 
-void load_lookup_stale(struct load_lookup *lookup)
+void load_lookup_invalidate(struct load_lookup *lookup)
 {
 	lookup->valid_until_us = 0;
 }
 
 /* An entry to ask: those of the settings and those last told, in turn. */
-static const char *next_entry(struct load_lookup *lookup)
+static const char *pick_query_entry(struct load_lookup *lookup)
 {
 	const char *const *entries = lookup->caller->load->options.entries;
-	guint known = g_strv_length((char **)entries);
-	guint turn = lookup->asked++ % (known + lookup->addresses->len);
+	guint configured = g_strv_length((char **)entries);
+	guint position = lookup->next_entry_index++ %
+			 (configured + lookup->addresses->len);
 
-	if (turn < known)
-		return entries[turn];
-	return lookup->addresses->pdata[turn - known];
+	if (position < configured)
+		return entries[position];
+	return lookup->addresses->pdata[position - configured];
 }
 
-static void start_asking(struct load_lookup *lookup);
+static void start_query(struct load_lookup *lookup);
 
-static void on_ask_again(void *context, gint64 now_us)
+static void on_retry_due(void *context, gint64 now_us)
 {
 	struct load_lookup *lookup = context;
 
-	lookup->timer = 0;
-	start_asking(lookup);
+	lookup->retry_timer = 0;
+	start_query(lookup);
 }
 
 /* False where the answer names no address. */
-static bool read_answer(struct load_lookup *lookup, JsonObject *answer)
+static bool read_addresses(struct load_lookup *lookup, JsonObject *answer)
 {
 	JsonArray *list = NULL;
 	const char *address;
@@ -104,7 +106,7 @@
 	g_ptr_array_unref(waiting);
 }
 
-static bool parse_answer(struct load_lookup *lookup, GBytes *body)
+static bool parse_addresses(struct load_lookup *lookup, GBytes *body)
 {
 	JsonParser *parser = json_parser_new();
 	JsonNode *root = NULL;
@@ -114,96 +116,102 @@
 				       g_bytes_get_size(body), NULL))
 		root = json_parser_get_root(parser);
 	if (root && JSON_NODE_HOLDS_OBJECT(root))
-		ok = read_answer(lookup, json_node_get_object(root));
+		ok = read_addresses(lookup, json_node_get_object(root));
 	g_object_unref(parser);
 	return ok;
 }
 
-struct ask {
+struct lookup_query {
 	struct load_lookup *lookup; /* NULL-safe through the cancellable */
 	GCancellable *cancellable; /* owned reference */
 	SoupMessage *message; /* owned reference */
 };
 
-static void on_answered(GObject *source, GAsyncResult *result, gpointer data)
+static void on_query_done(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct ask *ask = data;
-	struct load_lookup *lookup = ask->lookup;
+	struct lookup_query *lookup_query = data;
+	struct load_lookup *lookup = lookup_query->lookup;
 	GBytes *body = soup_session_send_and_read_finish(SOUP_SESSION(source),
 							 result, NULL);
-	bool current = lookup->cancellable == ask->cancellable;
+	bool current = lookup->cancellable == lookup_query->cancellable;
 	bool ok = false;
 
 	if (current) {
 		aub_timer_cancel(lookup->caller->load->timers,
-				 lookup->ask_timer);
-		lookup->ask_timer = 0;
+				 lookup->query_timer);
+		lookup->query_timer = 0;
 		g_clear_object(&lookup->cancellable);
-		lookup->asking = false;
-		ok = body && soup_message_get_status(ask->message) == 200 &&
-		     parse_answer(lookup, body);
+		lookup->query_in_flight = false;
+		ok = body &&
+		     soup_message_get_status(lookup_query->message) == 200 &&
+		     parse_addresses(lookup, body);
 	}
 	if (current && !ok)
-		lookup->timer =
+		lookup->retry_timer =
 			aub_timer_at(lookup->caller->load->timers, "ask again",
-				     g_get_monotonic_time() + ASK_AGAIN_US,
-				     on_ask_again, lookup);
+				     g_get_monotonic_time() +
+					     LOOKUP_RETRY_DELAY_US,
+				     on_retry_due, lookup);
 	if (ok)
 		release_waiting(lookup);
 	if (body)
 		g_bytes_unref(body);
-	g_object_unref(ask->message);
-	g_object_unref(ask->cancellable);
-	g_free(ask);
+	g_object_unref(lookup_query->message);
+	g_object_unref(lookup_query->cancellable);
+	g_free(lookup_query);
 }
 
-static void on_ask_timeout(void *context, gint64 now_us)
+static void on_query_timeout(void *context, gint64 now_us)
 {
 	struct load_lookup *lookup = context;
 
-	lookup->ask_timer = 0;
+	lookup->query_timer = 0;
 	g_cancellable_cancel(lookup->cancellable);
 }
 
-static void start_asking(struct load_lookup *lookup)
+static void start_query(struct load_lookup *lookup)
 {
 	struct load *load = lookup->caller->load;
-	struct ask *ask;
+	struct lookup_query *lookup_query;
 	char *url;
 
-	if (lookup->asking || !lookup->waiting->len)
+	if (lookup->query_in_flight || !lookup->waiting->len)
 		return;
 	url = g_strdup_printf("http://%s/.auburnstile/addresses?service=%s",
-			      load_via(load, next_entry(lookup)),
+			      load_connect_address(load,
+						   pick_query_entry(lookup)),
 			      lookup->service->name);
-	ask = g_new0(struct ask, 1);
-	ask->lookup = lookup;
-	ask->message = soup_message_new("GET", url);
-	ask->cancellable = g_cancellable_new();
-	lookup->cancellable = g_object_ref(ask->cancellable);
-	lookup->asking = true;
-	lookup->ask_timer =
+	lookup_query = g_new0(struct lookup_query, 1);
+	lookup_query->lookup = lookup;
+	lookup_query->message = soup_message_new("GET", url);
+	lookup_query->cancellable = g_cancellable_new();
+	lookup->cancellable = g_object_ref(lookup_query->cancellable);
+	lookup->query_in_flight = true;
+	lookup->query_timer =
 		aub_timer_at(load->timers, "ask timeout",
-			     g_get_monotonic_time() + ASK_TIMEOUT_US,
-			     on_ask_timeout, lookup);
-	soup_session_send_and_read_async(lookup->caller->session, ask->message,
-					 G_PRIORITY_DEFAULT, ask->cancellable,
-					 on_answered, ask);
+			     g_get_monotonic_time() + LOOKUP_TIMEOUT_US,
+			     on_query_timeout, lookup);
+	soup_session_send_and_read_async(lookup->caller->session,
+					 lookup_query->message,
+					 G_PRIORITY_DEFAULT,
+					 lookup_query->cancellable,
+					 on_query_done, lookup_query);
 	g_free(url);
 }
 
-void load_lookup_wait(struct load_lookup *lookup, struct load_request *request)
+void load_lookup_resolve(struct load_lookup *lookup,
+			 struct load_request *request)
 {
 	if (g_get_monotonic_time() < lookup->valid_until_us) {
 		load_request_send(request);
 		return;
 	}
 	g_ptr_array_add(lookup->waiting, request);
-	if (!lookup->timer)
-		start_asking(lookup);
+	if (!lookup->retry_timer)
+		start_query(lookup);
 }
 
-void load_lookup_forget(struct load_lookup *lookup,
+void load_lookup_remove(struct load_lookup *lookup,
 			struct load_request *request)
 {
 	g_ptr_array_remove_fast(lookup->waiting, request);
--- a/tools/load/request.c
+++ b/tools/load/request.c
@@ -9,19 +9,20 @@
 
 #include <string.h>
 
-#define LOST_AGAIN_US (20 * AUB_MS) /* wait after a lost try */
-#define NOT_RUN_AGAIN_US (100 * AUB_MS) /* where the answer names no time */
-#define UNKNOWN_LIMIT 3 /* answers of "unknown" before it is believed */
-#define SAMPLE_LIMIT 10
-#define GRACE_US (300 * AUB_MS) /* for the system to say so itself */
+#define LOST_RETRY_DELAY_US (20 * AUB_MS) /* wait after a lost try */
+#define NOT_RUN_RETRY_DELAY_US \
+	(100 * AUB_MS) /* where the answer names no time */
+#define UNKNOWN_ANSWERS_MAX 3 /* answers of "unknown" before it is believed */
+#define SAMPLES_MAX 10
+#define DEADLINE_GRACE_US (300 * AUB_MS) /* for the system to say so itself */
 
 static const struct load_service *pick_service(struct load *load)
 {
 	const struct load_service *service = load->options.services;
-	guint turn = g_rand_int_range(load->random, 0, load->total_weight);
+	guint position = g_rand_int_range(load->random, 0, load->total_weight);
 
-	while (turn >= service->weight)
-		turn -= service++->weight;
+	while (position >= service->weight)
+		position -= service++->weight;
 	return service;
 }
 
@@ -73,34 +74,35 @@
 	g_free(request);
 }
 
-static void finish(struct load_request *request, enum load_told told)
+static void finish(struct load_request *request, enum load_outcome outcome)
 {
 	aub_timer_cancel(request->load->timers, request->timer);
 	request->timer = 0;
-	load_lookup_forget(load_lookup_of(request), request);
-	request->told = told;
+	load_lookup_remove(load_request_lookup(request), request);
+	request->outcome = outcome;
 	request->latency_us = g_get_monotonic_time() - request->arrived_us;
-	request->load->open--;
+	request->load->pending--;
 }
 
 static void add_sample(struct load_request *request, const char *why)
 {
 	GPtrArray *samples = request->load->samples;
 
-	if (samples->len < SAMPLE_LIMIT)
+	if (samples->len < SAMPLES_MAX)
 		g_ptr_array_add(
 			samples,
 			g_strdup_printf("%s: %s (status %u, %u tries, %u "
 					"lost, last through %s)",
 					request->nonce, why, request->status,
-					request->tries, request->refusals,
+					request->attempts,
+					request->connection_failures,
 					request->entry ? request->entry : "-"));
 }
 
-static void finish_wrong(struct load_request *request, const char *why)
+static void finish_invalid(struct load_request *request, const char *why)
 {
 	add_sample(request, why);
-	finish(request, LOAD_WRONG);
+	finish(request, LOAD_INVALID);
 }
 
 static void finish_error(struct load_request *request, const char *why)
@@ -109,24 +111,24 @@
 	finish(request, LOAD_ERROR);
 }
 
-static void on_again(void *context, gint64 now_us)
+static void on_retry(void *context, gint64 now_us)
 {
 	struct load_request *request = context;
 
 	request->timer = 0;
-	load_lookup_wait(load_lookup_of(request), request);
+	load_lookup_resolve(load_request_lookup(request), request);
 }
 
 /* True when another try was scheduled before the deadline. */
-static bool again(struct load_request *request, gint64 delay_us)
+static bool schedule_retry(struct load_request *request, gint64 delay_us)
 {
 	gint64 at_us = g_get_monotonic_time() + delay_us;
 
-	if (!request->load->options.repeat || at_us >= request->deadline_us)
+	if (!request->load->options.retry || at_us >= request->deadline_us)
 		return false;
-	request->load->repeats++;
+	request->load->retries++;
 	request->timer = aub_timer_at(request->load->timers, "again", at_us,
-				      on_again, request);
+				      on_retry, request);
 	return true;
 }
 
@@ -137,7 +139,8 @@
 					    name);
 }
 
-static bool same_checksum(const char *expected, const void *data, gsize length)
+static bool checksum_matches(const char *expected, const void *data,
+			     gsize length)
 {
 	char *sum =
 		g_compute_checksum_for_data(G_CHECKSUM_SHA256, data, length);
@@ -148,8 +151,8 @@
 }
 
 /* NULL for a whole answer of its own, or what is wrong with it. */
-static const char *find_fault(const struct load_request *request,
-			      SoupMessage *message, GBytes *body)
+static const char *find_response_error(const struct load_request *request,
+				       SoupMessage *message, GBytes *body)
 {
 	const char *nonce = response_header(message, "X-Nonce");
 	const char *sent = request->body ? request->body : "";
@@ -163,24 +166,24 @@
 		return "another request's header";
 	if (!own)
 		return "another request's body";
-	if (!same_checksum(response_header(message, "X-Body-Sha256"), data,
-			   length))
+	if (!checksum_matches(response_header(message, "X-Body-Sha256"), data,
+			      length))
 		return "body's checksum differs";
-	if (!same_checksum(response_header(message, "X-Request-Sha256"), sent,
-			   strlen(sent)))
+	if (!checksum_matches(response_header(message, "X-Request-Sha256"),
+			      sent, strlen(sent)))
 		return "the request's body arrived otherwise";
 	return NULL;
 }
 
-static void told_run(struct load_request *request, SoupMessage *message,
-		     GBytes *body)
+static void handle_run(struct load_request *request, SoupMessage *message,
+		       GBytes *body)
 {
 	const char *fault = NULL;
 
 	if (request->status < 300)
-		fault = find_fault(request, message, body);
+		fault = find_response_error(request, message, body);
 	if (fault)
-		finish_wrong(request, fault);
+		finish_invalid(request, fault);
 	else
 		finish(request, LOAD_RUN);
 }
@@ -195,42 +198,44 @@
 	text = response_header(message, "Retry-After");
 	if (text)
 		return MAX(g_ascii_strtoll(text, NULL, 10), 1) * AUB_SECOND;
-	return NOT_RUN_AGAIN_US;
+	return NOT_RUN_RETRY_DELAY_US;
 }
 
-static void told_not_run(struct load_request *request, SoupMessage *message)
+static void handle_not_run(struct load_request *request, SoupMessage *message)
 {
 	bool final = request->status < 500 && request->status != 429;
 
-	if (!final && again(request, retry_after_us(message)))
+	if (!final && schedule_retry(request, retry_after_us(message)))
 		return;
 	/* Of a GET whose earlier try was lost, this told of the last only. */
-	finish(request,
-	       request->doubt && !request->key ? LOAD_UNKNOWN : LOAD_NOT_RUN);
+	finish(request, request->maybe_executed && !request->key ?
+				LOAD_UNKNOWN :
+				LOAD_NOT_RUN);
 }
 
-static void told_unknown(struct load_request *request)
+static void handle_unknown(struct load_request *request)
 {
-	request->doubt = true;
-	if (++request->unknowns < UNKNOWN_LIMIT &&
-	    again(request, LOST_AGAIN_US))
+	request->maybe_executed = true;
+	if (++request->unknown_answers < UNKNOWN_ANSWERS_MAX &&
+	    schedule_retry(request, LOST_RETRY_DELAY_US))
 		return;
 	finish(request, LOAD_UNKNOWN);
 }
 
-static void lost(struct load_request *request, const GError *error)
+static void handle_lost_attempt(struct load_request *request,
+				const GError *error)
 {
 	bool refused = g_error_matches(error, G_IO_ERROR,
 				       G_IO_ERROR_CONNECTION_REFUSED);
 
-	load_lookup_stale(load_lookup_of(request));
-	request->refusals++;
+	load_lookup_invalidate(load_request_lookup(request));
+	request->connection_failures++;
 	if (!refused)
-		request->doubt = true;
+		request->maybe_executed = true;
 	/* Nothing was ever sent under the key: a new grant may be used. */
-	if (refused && !request->doubt)
+	if (refused && !request->maybe_executed)
 		g_clear_pointer(&request->key, g_free);
-	if (again(request, LOST_AGAIN_US))
+	if (schedule_retry(request, LOST_RETRY_DELAY_US))
 		return;
 	finish_error(request, error->message);
 }
@@ -245,8 +250,8 @@
 	g_hash_table_replace(reasons, name, GUINT_TO_POINTER(count + 1));
 }
 
-static void answered(struct load_request *request, SoupMessage *message,
-		     GBytes *body)
+static void handle_response(struct load_request *request, SoupMessage *message,
+			    GBytes *body)
 {
 	const char *outcome = response_header(message, "Auburnstile-Outcome");
 
@@ -255,54 +260,54 @@
 		g_strdup(response_header(message, "Auburnstile-Reason"));
 	request->status = soup_message_get_status(message);
 	if (response_header(message, "Auburnstile-Addresses-Stale"))
-		load_lookup_stale(load_lookup_of(request));
+		load_lookup_invalidate(load_request_lookup(request));
 	if (outcome && strcmp(outcome, "run") != 0)
 		count_reason(request, outcome);
 	if (!g_strcmp0(outcome, "run"))
-		told_run(request, message, body);
+		handle_run(request, message, body);
 	else if (!g_strcmp0(outcome, "not-run"))
-		told_not_run(request, message);
+		handle_not_run(request, message);
 	else if (!g_strcmp0(outcome, "unknown"))
-		told_unknown(request);
+		handle_unknown(request);
 	else
-		finish_wrong(request, "no outcome");
+		finish_invalid(request, "no outcome");
 }
 
 /* The cancellable tells whether the request still waits for this try. */
-struct
-try {
+struct attempt {
 	struct load_request *request;
 	GCancellable *cancellable; /* owned reference */
 	SoupMessage *message; /* owned reference */
 };
 
-static void on_try_done(GObject *source, GAsyncResult *result, gpointer data)
+static void on_attempt_done(GObject *source, GAsyncResult *result,
+			    gpointer data)
 {
-	struct try *try = data;
-	struct load_request *request = try->request;
+	struct attempt *attempt = data;
+	struct load_request *request = attempt->request;
 	GError *error = NULL;
 	GBytes *body = soup_session_send_and_read_finish(SOUP_SESSION(source),
 							 result, &error);
 
-	if (request->cancellable == try->cancellable) {
+	if (request->cancellable == attempt->cancellable) {
 		g_clear_object(&request->cancellable);
 		g_clear_object(&request->message);
 		aub_timer_cancel(request->load->timers, request->timer);
 		request->timer = 0;
 		if (error)
-			lost(request, error);
+			handle_lost_attempt(request, error);
 		else
-			answered(request, try->message, body);
+			handle_response(request, attempt->message, body);
 	}
 	if (body)
 		g_bytes_unref(body);
 	g_clear_error(&error);
-	g_object_unref(try->message);
-	g_object_unref(try->cancellable);
-	g_free(try);
+	g_object_unref(attempt->message);
+	g_object_unref(attempt->cancellable);
+	g_free(attempt);
 }
 
-static void on_try_timeout(void *context, gint64 now_us)
+static void on_attempt_timeout(void *context, gint64 now_us)
 {
 	struct load_request *request = context;
 
@@ -317,23 +322,23 @@
  */
 static const char *pick_entry(const struct load_request *request)
 {
-	const GPtrArray *addresses = load_lookup_of(request)->addresses;
-	guint turn = request->doubt ? request->tries / 2 : 0;
+	const GPtrArray *addresses = load_request_lookup(request)->addresses;
+	guint position = request->maybe_executed ? request->attempts / 2 : 0;
 
-	if (!request->service->keyed && !request->doubt)
-		turn = request->refusals;
+	if (!request->service->keyed && !request->maybe_executed)
+		position = request->connection_failures;
 
-	return addresses->pdata[turn % addresses->len];
+	return addresses->pdata[position % addresses->len];
 }
 
-static void set_headers(struct load_request *request, gint64 left_us)
+static void set_headers(struct load_request *request, gint64 remaining_us)
 {
 	SoupMessageHeaders *headers =
 		soup_message_get_request_headers(request->message);
 	char deadline[24];
 
 	g_snprintf(deadline, sizeof(deadline), "%" G_GINT64_FORMAT,
-		   left_us / AUB_MS);
+		   remaining_us / AUB_MS);
 	soup_message_headers_replace(headers, "X-Nonce", request->nonce);
 	soup_message_headers_replace(headers, "Auburnstile-Deadline-Ms",
 				     deadline);
@@ -345,7 +350,8 @@
 static void make_message(struct load_request *request)
 {
 	char *url = g_strdup_printf("http://%s%s?n=%s",
-				    load_via(request->load, request->entry),
+				    load_connect_address(request->load,
+							 request->entry),
 				    request->service->path, request->nonce);
 	GBytes *body;
 
@@ -357,55 +363,59 @@
 							 "text/plain", body);
 		g_bytes_unref(body);
 	}
-	if (request->doubt)
+	if (request->maybe_executed)
 		soup_message_add_flags(request->message,
 				       SOUP_MESSAGE_NEW_CONNECTION);
 	g_free(url);
 }
 
-static gint64 try_time_us(const struct load_request *request, gint64 left_us)
+static gint64 attempt_time_us(const struct load_request *request,
+			      gint64 remaining_us)
 {
-	guint try_ms = request->load->options.try_ms;
+	guint attempt_timeout_ms = request->load->options.attempt_timeout_ms;
 
-	left_us += GRACE_US;
-	return try_ms ? MIN(left_us, try_ms * AUB_MS) : left_us;
+	remaining_us += DEADLINE_GRACE_US;
+	return attempt_timeout_ms ?
+		       MIN(remaining_us, attempt_timeout_ms * AUB_MS) :
+		       remaining_us;
 }
 
 void load_request_send(struct load_request *request)
 {
 	struct load *load = request->load;
 	gint64 now_us = g_get_monotonic_time();
-	gint64 left_us = request->deadline_us - now_us;
-	struct try *try;
+	gint64 remaining_us = request->deadline_us - now_us;
+	struct attempt *attempt;
 
-	if (left_us < AUB_MS) {
+	if (remaining_us < AUB_MS) {
 		finish_error(request, "no time left");
 		return;
 	}
 	if (request->service->keyed && !request->key)
-		request->key = g_strconcat(load_lookup_of(request)->grant, "/",
-					   request->nonce, NULL);
+		request->key = g_strconcat(load_request_lookup(request)->grant,
+					   "/", request->nonce, NULL);
 	g_free(request->entry);
 	request->entry = g_strdup(pick_entry(request));
-	request->tries++;
+	request->attempts++;
 	make_message(request);
-	set_headers(request, left_us);
+	set_headers(request, remaining_us);
 	request->cancellable = g_cancellable_new();
-	try = g_new0(struct try, 1);
-	try->request = request;
-	try->message = g_object_ref(request->message);
-	try->cancellable = g_object_ref(request->cancellable);
+	attempt = g_new0(struct attempt, 1);
+	attempt->request = request;
+	attempt->message = g_object_ref(request->message);
+	attempt->cancellable = g_object_ref(request->cancellable);
 	aub_timer_cancel(load->timers, request->timer);
-	request->timer = aub_timer_at(load->timers, "try timeout",
-				      now_us + try_time_us(request, left_us),
-				      on_try_timeout, request);
+	request->timer =
+		aub_timer_at(load->timers, "try timeout",
+			     now_us + attempt_time_us(request, remaining_us),
+			     on_attempt_timeout, request);
 	soup_session_send_and_read_async(request->caller->session,
 					 request->message, G_PRIORITY_DEFAULT,
-					 request->cancellable, on_try_done,
-					 try);
+					 request->cancellable, on_attempt_done,
+					 attempt);
 }
 
-static void on_never_asked(void *context, gint64 now_us)
+static void on_lookup_deadline(void *context, gint64 now_us)
 {
 	struct load_request *request = context;
 
@@ -419,6 +429,6 @@
 
 	request->timer =
 		aub_timer_at(load->timers, "never asked", request->deadline_us,
-			     on_never_asked, request);
-	load_lookup_wait(load_lookup_of(request), request);
+			     on_lookup_deadline, request);
+	load_lookup_resolve(load_request_lookup(request), request);
 }
--- a/tools/platform/store.c
+++ b/tools/platform/store.c
@@ -43,11 +43,11 @@
 	GPtrArray *changes; /* of struct change */
 	GPtrArray *connections; /* of struct connection */
 	gint64 revision;
-	gint64 forgotten; /* history up to this is gone */
+	gint64 compacted_revision; /* history up to this is gone */
 	enum platform_store_fault fault;
 	guint delay_ms;
-	guint page;
-	bool deaf;
+	guint page_size;
+	bool watch_events_suppressed;
 	guint64 calls;
 };
 
@@ -61,8 +61,8 @@
 	guint timer;
 	bool watching;
 	char *watch_kind;
-	gint64 watch_from;
-	bool silent; /* its call is never answered */
+	gint64 watch_revision;
+	bool unanswered; /* its call is never answered */
 };
 
 static void object_free(void *data)
@@ -122,7 +122,7 @@
 	return NULL;
 }
 
-static gint by_name(gconstpointer a, gconstpointer b)
+static gint compare_by_name(gconstpointer a, gconstpointer b)
 {
 	return strcmp((*(struct object *const *)a)->name,
 		      (*(struct object *const *)b)->name);
@@ -130,8 +130,8 @@
 
 static void answer_watches(struct platform_store *store);
 
-static void changed(struct platform_store *store, struct object *object,
-		    bool removed)
+static void record_change(struct platform_store *store, struct object *object,
+			  bool removed)
 {
 	struct change *change = g_new0(struct change, 1);
 	char *text = object_text(object);
@@ -155,7 +155,7 @@
 	object->finalizers = g_strdup("[]");
 	object->created = store->revision + 1;
 	g_ptr_array_add(store->objects, object);
-	g_ptr_array_sort(store->objects, by_name);
+	g_ptr_array_sort(store->objects, compare_by_name);
 	return object;
 }
 
@@ -171,7 +171,7 @@
 	g_free(object->spec);
 	object->spec = g_strdup(spec);
 	object->revision = ++store->revision;
-	changed(store, object, false);
+	record_change(store, object, false);
 	answer_watches(store);
 	return store->revision;
 }
@@ -186,7 +186,7 @@
 	g_free(object->status);
 	object->status = g_strdup(status);
 	object->revision = ++store->revision;
-	changed(store, object, false);
+	record_change(store, object, false);
 	answer_watches(store);
 	return store->revision;
 }
@@ -210,9 +210,9 @@
 	if (strcmp(object->finalizers, "[]") != 0) {
 		object->deleting = true;
 		object->revision = store->revision;
-		changed(store, object, false);
+		record_change(store, object, false);
 	} else {
-		changed(store, object, true);
+		record_change(store, object, true);
 		g_ptr_array_remove(store->objects, object);
 	}
 	answer_watches(store);
@@ -277,8 +277,8 @@
 	struct platform_store *store = connection->store;
 	GString *answer;
 
-	if (store->fault == PLATFORM_STORE_LOSES) {
-		connection->silent = true;
+	if (store->fault == PLATFORM_STORE_LOSE_ANSWERS) {
+		connection->unanswered = true;
 		g_free(body);
 		return;
 	}
@@ -305,7 +305,7 @@
 		const struct change *change =
 			g_ptr_array_index(store->changes, i);
 
-		if (change->revision <= connection->watch_from ||
+		if (change->revision <= connection->watch_revision ||
 		    strcmp(change->kind, connection->watch_kind) != 0)
 			continue;
 		g_string_append_printf(text, "%s%s", count++ ? "," : "",
@@ -326,7 +326,7 @@
 		const struct change *change =
 			g_ptr_array_index(store->changes, i);
 
-		if (change->revision > connection->watch_from &&
+		if (change->revision > connection->watch_revision &&
 		    !strcmp(change->kind, connection->watch_kind))
 			return true;
 	}
@@ -335,14 +335,14 @@
 
 static void answer_watches(struct platform_store *store)
 {
-	if (store->deaf)
+	if (store->watch_events_suppressed)
 		return;
 	for (guint i = 0; i < store->connections->len; i++) {
 		struct connection *connection =
 			g_ptr_array_index(store->connections, i);
 
 		if (connection->watching && has_events(connection) &&
-		    store->fault == PLATFORM_STORE_WELL) {
+		    store->fault == PLATFORM_STORE_NO_FAULT) {
 			aub_timer_cancel(store->timers, connection->timer);
 			connection->timer = 0;
 			reply_events(connection);
@@ -367,19 +367,19 @@
 	return value;
 }
 
-static void do_watch(struct connection *connection, const char *kind,
-		     gint64 from)
+static void handle_watch(struct connection *connection, const char *kind,
+			 gint64 from_revision)
 {
 	struct platform_store *store = connection->store;
 	gint64 wait_ms = MAX(query_number(connection->target, "wait_ms"), 0);
 
-	if (from < store->forgotten) {
+	if (from_revision < store->compacted_revision) {
 		reply(connection, 410, g_strdup("{}"));
 		return;
 	}
 	g_free(connection->watch_kind);
 	connection->watch_kind = g_strdup(kind);
-	connection->watch_from = from;
+	connection->watch_revision = from_revision;
 	connection->watching = true;
 	if (has_events(connection)) {
 		reply_events(connection);
@@ -391,7 +391,7 @@
 			     on_watch_end, connection);
 }
 
-static void do_list(struct connection *connection, const char *kind)
+static void handle_list(struct connection *connection, const char *kind)
 {
 	struct platform_store *store = connection->store;
 	char *after = aub_http_query(connection->target, "after");
@@ -406,7 +406,7 @@
 		if (strcmp(object->kind, kind) != 0 ||
 		    (after && strcmp(object->name, after) <= 0))
 			continue;
-		if (count == store->page) {
+		if (count == store->page_size) {
 			more = true;
 			continue;
 		}
@@ -433,8 +433,8 @@
  * POST creates, PUT replaces; both may name the revision they expect. With
  * `part` "status" only that is replaced.
  */
-static void do_write(struct connection *connection, const char *kind,
-		     const char *name, const char *part)
+static void handle_write(struct connection *connection, const char *kind,
+			 const char *name, const char *part)
 {
 	struct platform_store *store = connection->store;
 	char *text = platform_body_text(connection->body->str,
@@ -482,14 +482,14 @@
 	g_free(text);
 }
 
-static void do_call(struct connection *connection)
+static void handle_call(struct connection *connection)
 {
 	struct platform_store *store = connection->store;
 	char *path =
 		g_strndup(connection->target, strcspn(connection->target, "?"));
 	char **parts = g_strsplit(path, "/", -1); /* "", objects, KIND, NAME */
 	guint count = g_strv_length(parts);
-	gint64 from = query_number(connection->target, "watch");
+	gint64 from_revision = query_number(connection->target, "watch");
 
 	if (count < 3 || strcmp(parts[1], "objects") != 0) {
 		reply(connection, 404, g_strdup("{}"));
@@ -497,17 +497,17 @@
 		platform_store_remove(store, parts[2], parts[3]);
 		reply(connection, 200, g_strdup("{}"));
 	} else if (connection->method != HTTP_GET) {
-		do_write(connection, parts[2], count >= 4 ? parts[3] : "",
-			 count == 5 ? parts[4] : "spec");
+		handle_write(connection, parts[2], count >= 4 ? parts[3] : "",
+			     count == 5 ? parts[4] : "spec");
 	} else if (count == 4) {
 		struct object *object = object_find(store, parts[2], parts[3]);
 
 		reply(connection, object ? 200 : 404,
 		      object ? object_text(object) : g_strdup("{}"));
-	} else if (from >= 0) {
-		do_watch(connection, parts[2], from);
+	} else if (from_revision >= 0) {
+		handle_watch(connection, parts[2], from_revision);
 	} else {
-		do_list(connection, parts[2]);
+		handle_list(connection, parts[2]);
 	}
 	g_strfreev(parts);
 	g_free(path);
@@ -537,25 +537,25 @@
 
 	store->calls++;
 	switch (store->fault) {
-	case PLATFORM_STORE_BUSY:
+	case PLATFORM_STORE_UNAVAILABLE:
 		reply(connection, 503, g_strdup("{}"));
 		break;
-	case PLATFORM_STORE_LIMITED:
+	case PLATFORM_STORE_RATE_LIMITED:
 		reply(connection, 429, g_strdup("{}"));
 		break;
 	case PLATFORM_STORE_RESET:
 		aub_http_stream_reset(connection->stream);
 		connection_free(connection);
 		break;
-	case PLATFORM_STORE_SILENT:
-		connection->silent = true;
+	case PLATFORM_STORE_UNRESPONSIVE:
+		connection->unanswered = true;
 		break;
-	case PLATFORM_STORE_NONSENSE:
+	case PLATFORM_STORE_MALFORMED:
 		reply(connection, 200, g_strdup("{\"items\": 7, [}"));
 		break;
-	case PLATFORM_STORE_WELL:
-	case PLATFORM_STORE_LOSES:
-		do_call(connection);
+	case PLATFORM_STORE_NO_FAULT:
+	case PLATFORM_STORE_LOSE_ANSWERS:
+		handle_call(connection);
 		break;
 	}
 }
@@ -572,7 +572,7 @@
 	.ended = on_ended,
 };
 
-static void on_acceptable(void *context, guint events)
+static void on_connections_waiting(void *context, guint events)
 {
 	struct platform_store *store = context;
 	int fd;
@@ -591,7 +591,7 @@
 }
 
 /* Freeing one moves the last into its place, so the list is walked back. */
-static void cut_connections(struct platform_store *store, bool only_watches)
+static void close_connections(struct platform_store *store, bool only_watches)
 {
 	for (guint i = store->connections->len; i > 0; i--) {
 		struct connection *connection =
@@ -609,13 +609,13 @@
 
 	store->poller = poller;
 	store->timers = timers;
-	store->page = 500;
+	store->page_size = 500;
 	store->objects = g_ptr_array_new_with_free_func(object_free);
 	store->changes = g_ptr_array_new_with_free_func(change_free);
 	store->connections = g_ptr_array_new();
 	store->listener = aub_tcp_listen_any(&store->address);
 	store->watch = aub_poller_add(poller, store->listener, EPOLLIN,
-				      on_acceptable, store);
+				      on_connections_waiting, store);
 	return store;
 }
 
@@ -623,7 +623,7 @@
 {
 	if (!store)
 		return;
-	cut_connections(store, false);
+	close_connections(store, false);
 	aub_poll_watch_remove(store->watch);
 	close(store->listener);
 	g_ptr_array_unref(store->connections);
@@ -643,12 +643,13 @@
 {
 	store->fault = fault;
 	if (fault == PLATFORM_STORE_RESET)
-		cut_connections(store, false);
+		close_connections(store, false);
 }
 
-void platform_store_set_deaf(struct platform_store *store, bool deaf)
+void platform_store_suppress_watch_events(struct platform_store *store,
+					  bool suppress)
 {
-	store->deaf = deaf;
+	store->watch_events_suppressed = suppress;
 }
 
 void platform_store_set_delay(struct platform_store *store, guint ms)
@@ -656,20 +657,20 @@
 	store->delay_ms = ms;
 }
 
-void platform_store_forget_history(struct platform_store *store)
+void platform_store_compact(struct platform_store *store)
 {
 	g_ptr_array_set_size(store->changes, 0);
-	store->forgotten = store->revision + 1;
+	store->compacted_revision = store->revision + 1;
 	store->revision++;
-	cut_connections(store, true);
+	close_connections(store, true);
 }
 
-void platform_store_set_page(struct platform_store *store, guint objects)
+void platform_store_set_page_size(struct platform_store *store, guint objects)
 {
-	store->page = objects;
+	store->page_size = objects;
 }
 
-guint64 platform_store_calls(const struct platform_store *store)
+guint64 platform_store_call_count(const struct platform_store *store)
 {
 	return store->calls;
 }
--- a/tools/platform/store.h
+++ b/tools/platform/store.h
@@ -14,13 +14,13 @@
 struct platform_store;
 
 enum platform_store_fault {
-	PLATFORM_STORE_WELL,
-	PLATFORM_STORE_BUSY, /* 503 to every call */
-	PLATFORM_STORE_LIMITED, /* 429 to every call */
+	PLATFORM_STORE_NO_FAULT,
+	PLATFORM_STORE_UNAVAILABLE, /* 503 to every call */
+	PLATFORM_STORE_RATE_LIMITED, /* 429 to every call */
 	PLATFORM_STORE_RESET, /* connections are reset */
-	PLATFORM_STORE_SILENT, /* calls are read and never answered */
-	PLATFORM_STORE_LOSES, /* calls are done and never answered */
-	PLATFORM_STORE_NONSENSE /* answers that are no JSON */
+	PLATFORM_STORE_UNRESPONSIVE, /* calls are read and never answered */
+	PLATFORM_STORE_LOSE_ANSWERS, /* calls are done and never answered */
+	PLATFORM_STORE_MALFORMED /* answers that are no JSON */
 };
 
 struct platform_store *platform_store_new(struct aub_poller *poller,
@@ -48,13 +48,14 @@
 /* Answers take this long. */
 void platform_store_set_delay(struct platform_store *store, guint ms);
 /* Watches that wait hear nothing of changes, as before a compaction. */
-void platform_store_set_deaf(struct platform_store *store, bool deaf);
+void platform_store_suppress_watch_events(struct platform_store *store,
+					  bool suppress);
 /* Watches from before now get 410; those that wait are cut. */
-void platform_store_forget_history(struct platform_store *store);
+void platform_store_compact(struct platform_store *store);
 /* Objects a listing's page. */
-void platform_store_set_page(struct platform_store *store, guint objects);
+void platform_store_set_page_size(struct platform_store *store, guint objects);
 
-guint64 platform_store_calls(const struct platform_store *store);
+guint64 platform_store_call_count(const struct platform_store *store);
 
 G_END_DECLS
 
--- a/tools/platform/upstream.c
+++ b/tools/platform/upstream.c
@@ -20,17 +20,17 @@
 	struct aub_poll_watch *watch;
 	GPtrArray *connections; /* of struct connection */
 	enum platform_answer answer;
-	enum platform_answer once;
-	bool has_once;
-	guint work_ms;
+	enum platform_answer next_answer;
+	bool has_next_answer;
+	guint service_time_ms;
 	gsize body_bytes;
 	guint warmup_ms;
 	guint runs;
 	guint cancelled;
 	guint probes;
 	guint accepted;
-	guint64 body_read;
-	platform_upstream_run *on_run;
+	guint64 body_bytes_read_max;
+	platform_upstream_run_callback *on_run;
 	void *on_run_context;
 	GHashTable *headers; /* of the last request, names in lower case */
 };
@@ -43,9 +43,9 @@
 	enum platform_answer answer; /* to the request that it runs */
 	bool probe;
 	bool running;
-	bool answered; /* early */
+	bool early_answer_sent; /* early */
 	guint timer;
-	guint64 read;
+	guint64 body_bytes_read;
 };
 
 static void connection_free(struct connection *connection)
@@ -62,10 +62,10 @@
 	g_free(connection);
 }
 
-static void put(struct connection *connection, const char *format, ...)
+static void write_format(struct connection *connection, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
 
-static void put(struct connection *connection, const char *format, ...)
+static void write_format(struct connection *connection, const char *format, ...)
 {
 	va_list arguments;
 	char *text;
@@ -77,7 +77,7 @@
 	g_free(text);
 }
 
-static void put_body(struct connection *connection, gsize bytes)
+static void write_body(struct connection *connection, gsize bytes)
 {
 	char *body = g_malloc(bytes + 1);
 
@@ -86,48 +86,50 @@
 	g_free(body);
 }
 
-static void put_head(struct connection *connection, guint status,
-		     const char *id, bool stamped)
+static void write_head(struct connection *connection, guint status,
+		       const char *id, bool stamped)
 {
-	put(connection, "HTTP/1.1 %u X\r\nRequest-Id: %s\r\n", status, id);
+	write_format(connection, "HTTP/1.1 %u X\r\nRequest-Id: %s\r\n", status,
+		     id);
 	if (stamped)
-		put(connection, "Response-Stamp: stamp-of-%s\r\n", id);
-	put(connection, "Instance-Load: %u,0,2,100\r\n",
-	    connection->upstream->connections->len);
+		write_format(connection, "Response-Stamp: stamp-of-%s\r\n", id);
+	write_format(connection, "Instance-Load: %u,0,2,100\r\n",
+		     connection->upstream->connections->len);
 }
 
-static void put_whole(struct connection *connection, guint status,
-		      const char *id, bool stamped, gsize bytes)
+static void write_complete(struct connection *connection, guint status,
+			   const char *id, bool stamped, gsize bytes)
 {
-	put_head(connection, status, id, stamped);
-	put(connection, "Content-Length: %zu\r\n\r\n", bytes);
-	put_body(connection, bytes);
+	write_head(connection, status, id, stamped);
+	write_format(connection, "Content-Length: %zu\r\n\r\n", bytes);
+	write_body(connection, bytes);
 }
 
-static void put_chunked(struct connection *connection, gsize bytes)
+static void write_chunked(struct connection *connection, gsize bytes)
 {
-	put_head(connection, 200, connection->request_id, true);
-	put(connection, "Transfer-Encoding: chunked\r\n\r\n%zx\r\n", bytes);
-	put_body(connection, bytes);
-	put(connection, "\r\n0\r\n\r\n");
+	write_head(connection, 200, connection->request_id, true);
+	write_format(connection, "Transfer-Encoding: chunked\r\n\r\n%zx\r\n",
+		     bytes);
+	write_body(connection, bytes);
+	write_format(connection, "\r\n0\r\n\r\n");
 }
 
-static void reset(struct connection *connection)
+static void reset_connection(struct connection *connection)
 {
 	aub_http_stream_reset(connection->stream);
 	connection_free(connection);
 }
 
-static void put_not_run(struct connection *connection, guint status)
+static void write_not_run(struct connection *connection, guint status)
 {
-	put(connection,
-	    "HTTP/1.1 %u X\r\nRequest-Id: %s\r\nNot-Executed: 1\r\n"
-	    "Content-Length: 0\r\n\r\n",
-	    status, connection->request_id);
+	write_format(connection,
+		     "HTTP/1.1 %u X\r\nRequest-Id: %s\r\nNot-Executed: 1\r\n"
+		     "Content-Length: 0\r\n\r\n",
+		     status, connection->request_id);
 }
 
 /* Write the answer; false if the connection is gone after it. */
-static bool answer_write(struct connection *connection,
+static bool write_answer(struct connection *connection,
 			 enum platform_answer answer)
 {
 	const struct platform_upstream *upstream = connection->upstream;
@@ -136,82 +138,85 @@
 
 	switch (answer) {
 	case PLATFORM_ANSWER_CHUNKED:
-		put_chunked(connection, bytes);
+		write_chunked(connection, bytes);
 		break;
 	case PLATFORM_ANSWER_UNFRAMED:
-		put_head(connection, 200, id, true);
-		put(connection, "Connection: close\r\n\r\n");
-		put_body(connection, bytes);
+		write_head(connection, 200, id, true);
+		write_format(connection, "Connection: close\r\n\r\n");
+		write_body(connection, bytes);
 		aub_http_stream_finish(connection->stream);
 		return false;
 	case PLATFORM_ANSWER_TRUNCATED:
-		put_head(connection, 200, id, true);
-		put(connection, "Content-Length: %zu\r\n\r\n", bytes + 100);
-		put_body(connection, bytes);
+		write_head(connection, 200, id, true);
+		write_format(connection, "Content-Length: %zu\r\n\r\n",
+			     bytes + 100);
+		write_body(connection, bytes);
 		aub_http_stream_finish(connection->stream);
 		return false;
 	case PLATFORM_ANSWER_RESET:
-		reset(connection);
+		reset_connection(connection);
 		return false;
-	case PLATFORM_ANSWER_NEVER:
+	case PLATFORM_ANSWER_NONE:
 		return false;
 	case PLATFORM_ANSWER_GARBAGE:
-		put(connection, "\x01\x02 this is no answer\r\n\r\n");
+		write_format(connection, "\x01\x02 this is no answer\r\n\r\n");
 		break;
-	case PLATFORM_ANSWER_TWICE:
-		put_whole(connection, 200, id, true, bytes);
-		put_whole(connection, 200, id, true, bytes + 1);
+	case PLATFORM_ANSWER_DUPLICATED:
+		write_complete(connection, 200, id, true, bytes);
+		write_complete(connection, 200, id, true, bytes + 1);
 		break;
-	case PLATFORM_ANSWER_FOREIGN_FIRST:
-		put_whole(connection, 200, "another-request", true, bytes + 7);
-		put_whole(connection, 200, id, true, bytes);
+	case PLATFORM_ANSWER_MISMATCHED_FIRST:
+		write_complete(connection, 200, "another-request", true,
+			       bytes + 7);
+		write_complete(connection, 200, id, true, bytes);
 		break;
 	case PLATFORM_ANSWER_UNSTAMPED:
-		put_whole(connection, 200, id, false, bytes);
+		write_complete(connection, 200, id, false, bytes);
 		break;
 	case PLATFORM_ANSWER_FAILED:
-		put_whole(connection, 500, id, true, bytes);
+		write_complete(connection, 500, id, true, bytes);
 		break;
-	case PLATFORM_ANSWER_FULL:
-		put_not_run(connection, 503);
+	case PLATFORM_ANSWER_OVERLOADED:
+		write_not_run(connection, 503);
 		break;
 	case PLATFORM_ANSWER_MISDIRECTED:
-		put_not_run(connection, 421);
+		write_not_run(connection, 421);
 		break;
-	case PLATFORM_ANSWER_WHOLE:
-	case PLATFORM_ANSWER_EARLY:
-		put_whole(connection, 200, id, true, bytes);
+	case PLATFORM_ANSWER_COMPLETE:
+	case PLATFORM_ANSWER_EARLY_ERROR:
+		write_complete(connection, 200, id, true, bytes);
 		break;
 	}
 	return true;
 }
 
-static enum platform_answer next_answer(struct platform_upstream *upstream)
+static enum platform_answer take_answer(struct platform_upstream *upstream)
 {
-	if (!upstream->has_once)
+	if (!upstream->has_next_answer)
 		return upstream->answer;
-	upstream->has_once = false;
-	return upstream->once;
+	upstream->has_next_answer = false;
+	return upstream->next_answer;
 }
 
-static void on_worked(void *context, gint64 now_us)
+static void on_service_done(void *context, gint64 now_us)
 {
 	struct connection *connection = context;
 
 	connection->timer = 0;
 	connection->running = false;
-	if (!answer_write(connection, connection->answer))
+	if (!write_answer(connection, connection->answer))
 		return;
 	aub_http_stream_flush(connection->stream);
 	aub_http_stream_resume(connection->stream);
 }
 
-static bool is_run(const struct platform_upstream *upstream)
+static bool will_run(const struct platform_upstream *upstream)
 {
-	enum platform_answer answer =
-		upstream->has_once ? upstream->once : upstream->answer;
+	enum platform_answer answer = upstream->has_next_answer ?
+					      upstream->next_answer :
+					      upstream->answer;
 
-	return answer != PLATFORM_ANSWER_FULL &&
+	return answer != PLATFORM_ANSWER_OVERLOADED &&
 	       answer != PLATFORM_ANSWER_MISDIRECTED;
 }
 
@@ -220,34 +225,36 @@
 	struct platform_upstream *upstream = connection->upstream;
 
 	upstream->probes++;
-	put(connection,
-	    "HTTP/1.1 200 OK\r\nInstance-Id: %s\r\nInstance-Load: 0,0,2,100\r\n",
-	    upstream->id);
+	write_format(
+		connection,
+		"HTTP/1.1 200 OK\r\nInstance-Id: %s\r\nInstance-Load: 0,0,2,100\r\n",
+		upstream->id);
 	if (upstream->warmup_ms)
-		put(connection, "Warmup-Remaining-Ms: %u\r\n",
-		    upstream->warmup_ms);
-	put(connection, "Content-Length: 0\r\n\r\n");
+		write_format(connection, "Warmup-Remaining-Ms: %u\r\n",
+			     upstream->warmup_ms);
+	write_format(connection, "Content-Length: 0\r\n\r\n");
 	aub_http_stream_flush(connection->stream);
 	aub_http_stream_resume(connection->stream);
 }
 
-static void run(struct connection *connection)
+static void start_request(struct connection *connection)
 {
 	struct platform_upstream *upstream = connection->upstream;
 
-	if (is_run(upstream)) {
+	if (will_run(upstream)) {
 		upstream->runs++;
 		if (upstream->on_run)
 			upstream->on_run(connection->request_id,
 					 upstream->on_run_context);
 	}
 	/* What it said of a run that has begun would not be true later. */
-	connection->answer = next_answer(upstream);
+	connection->answer = take_answer(upstream);
 	connection->running = true;
-	connection->timer = aub_timer_at(upstream->timers, "work",
-					 aub_timer_now(upstream->timers) +
-						 upstream->work_ms * AUB_MS,
-					 on_worked, connection);
+	connection->timer =
+		aub_timer_at(upstream->timers, "work",
+			     aub_timer_now(upstream->timers) +
+				     upstream->service_time_ms * AUB_MS,
+			     on_service_done, connection);
 }
 
 static void on_head(const struct aub_http_head *head, void *context)
@@ -259,7 +266,7 @@
 	g_free(connection->request_id);
 	connection->request_id = g_strdup(id ? id : "");
 	connection->probe = !strcmp(head->target, "/health");
-	connection->read = 0;
+	connection->body_bytes_read = 0;
 	if (connection->probe)
 		return;
 	g_hash_table_remove_all(upstream->headers);
@@ -272,11 +279,11 @@
 				    g_ascii_strdown(header->name, -1),
 				    g_strdup(header->value));
 	}
-	if (upstream->answer != PLATFORM_ANSWER_EARLY)
+	if (upstream->answer != PLATFORM_ANSWER_EARLY_ERROR)
 		return;
 	upstream->runs++;
-	connection->answered = true;
-	put_whole(connection, 400, connection->request_id, true, 3);
+	connection->early_answer_sent = true;
+	write_complete(connection, 400, connection->request_id, true, 3);
 	aub_http_stream_flush(connection->stream);
 }
 
@@ -284,9 +291,10 @@
 {
 	struct connection *connection = context;
 
-	connection->read += length;
-	connection->upstream->body_read =
-		MAX(connection->upstream->body_read, connection->read);
+	connection->body_bytes_read += length;
+	connection->upstream->body_bytes_read_max =
+		MAX(connection->upstream->body_bytes_read_max,
+		    connection->body_bytes_read);
 }
 
 static void on_complete(void *context)
@@ -295,8 +303,8 @@
 
 	if (connection->probe)
 		answer_probe(connection);
-	else if (!connection->answered)
-		run(connection);
+	else if (!connection->early_answer_sent)
+		start_request(connection);
 }
 
 static void on_ended(enum aub_stream_end end, bool midway, void *context)
@@ -311,7 +319,7 @@
 	.ended = on_ended,
 };
 
-static void on_acceptable(void *context, guint events)
+static void on_connections_waiting(void *context, guint events)
 {
 	struct platform_upstream *upstream = context;
 	int fd;
@@ -329,10 +337,11 @@
 	}
 }
 
-static void listen_on(struct platform_upstream *upstream)
+static void watch_listener(struct platform_upstream *upstream)
 {
-	upstream->watch = aub_poller_add(upstream->poller, upstream->listener,
-					 EPOLLIN, on_acceptable, upstream);
+	upstream->watch =
+		aub_poller_add(upstream->poller, upstream->listener, EPOLLIN,
+			       on_connections_waiting, upstream);
 }
 
 struct platform_upstream *platform_upstream_new(
@@ -346,16 +355,16 @@
 	upstream->timers = timers;
 	upstream->id = g_strdup(id);
 	upstream->body_bytes = 20;
-	upstream->work_ms = 5;
+	upstream->service_time_ms = 5;
 	upstream->connections = g_ptr_array_new();
 	upstream->headers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	upstream->listener = aub_tcp_listen_any(&upstream->address);
-	listen_on(upstream);
+	watch_listener(upstream);
 	return upstream;
 }
 
-static void close_all(struct platform_upstream *upstream)
+static void close_listener_and_connections(struct platform_upstream *upstream)
 {
 	/* Freeing one moves the last into its place: walk back. */
 	for (guint i = upstream->connections->len; i > 0; i--)
@@ -372,7 +381,7 @@
 {
 	if (!upstream)
 		return;
-	close_all(upstream);
+	close_listener_and_connections(upstream);
 	g_ptr_array_unref(upstream->connections);
 	g_hash_table_unref(upstream->headers);
 	g_free(upstream->address);
@@ -396,19 +405,21 @@
 	upstream->answer = answer;
 }
 
-void platform_upstream_answer_once(struct platform_upstream *upstream,
-				   enum platform_answer answer)
+void platform_upstream_set_next_answer(struct platform_upstream *upstream,
+				       enum platform_answer answer)
 {
-	upstream->once = answer;
-	upstream->has_once = true;
+	upstream->next_answer = answer;
+	upstream->has_next_answer = true;
 }
 
-void platform_upstream_set_work(struct platform_upstream *upstream, guint ms)
+void platform_upstream_set_service_time(struct platform_upstream *upstream,
+					guint ms)
 {
-	upstream->work_ms = ms;
+	upstream->service_time_ms = ms;
 }
 
-void platform_upstream_set_body(struct platform_upstream *upstream, gsize bytes)
+void platform_upstream_set_body_bytes(struct platform_upstream *upstream,
+				      gsize bytes)
 {
 	upstream->body_bytes = bytes;
 }
@@ -421,16 +432,17 @@
 void platform_upstream_set_down(struct platform_upstream *upstream, bool down)
 {
 	if (down) {
-		close_all(upstream);
+		close_listener_and_connections(upstream);
 		return;
 	}
 	upstream->listener = aub_tcp_listen(upstream->address, NULL);
 	g_assert(upstream->listener >= 0);
-	listen_on(upstream);
+	watch_listener(upstream);
 }
 
-void platform_upstream_on_run(struct platform_upstream *upstream,
-			      platform_upstream_run *callback, void *context)
+void platform_upstream_set_run_callback(
+	struct platform_upstream *upstream,
+	platform_upstream_run_callback *callback, void *context)
 {
 	upstream->on_run = callback;
 	upstream->on_run_context = context;
@@ -456,9 +468,10 @@
 	return upstream->accepted;
 }
 
-guint64 platform_upstream_body_read(const struct platform_upstream *upstream)
+guint64 platform_upstream_body_bytes_read(
+	const struct platform_upstream *upstream)
 {
-	return upstream->body_read;
+	return upstream->body_bytes_read_max;
 }
 
 const char *platform_upstream_header(const struct platform_upstream *upstream,
--- a/tools/proofs.c
+++ b/tools/proofs.c
@@ -61,7 +61,7 @@
 	guint i;
 
 	argp_parse(&parser, argc, argv, 0, NULL, &options);
-	child_guard();
+	child_install_exit_handlers();
 	for (i = 0; i < G_N_ELEMENTS(tables); i++)
 		proof_run_table(tables[i], options.only, options.sure,
 				options.seed, options.keep_logs, &passed,
--- a/tools/proofs/cold.c
+++ b/tools/proofs/cold.c
@@ -36,15 +36,15 @@
 		.rate = rate,
 		.seconds = rate < FULL_RATE ? 2 * COLD_SECONDS : COLD_SECONDS,
 		.deadline_ms = 4000,
-		.try_ms = 1000,
+		.attempt_timeout_ms = 1000,
 		.callers = 24,
-		.repeat = true,
+		.retry = true,
 	};
 
 	if (!proof_start(run, &fleet))
 		return false;
 	proof_load(run, &options);
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	return true;
 }
 
@@ -64,8 +64,8 @@
 {
 	if (!start_cold(run, 6, FULL_RATE))
 		return;
-	fleet_one_upstream_fault(run->fleet, 0, "{\"crash_ms\":200}");
-	fleet_one_upstream_fault(run->fleet, 1, "{\"crash_ms\":400}");
+	fleet_single_upstream_fault(run->fleet, 0, "{\"crash_ms\":200}");
+	fleet_single_upstream_fault(run->fleet, 1, "{\"crash_ms\":400}");
 	end_cold(run);
 }
 
@@ -74,9 +74,9 @@
 {
 	if (!start_cold(run, 6, FULL_RATE))
 		return;
-	fleet_one_upstream_fault(run->fleet, 0, "{\"cold\":1}");
-	fleet_run_ms(700);
-	fleet_one_upstream_fault(run->fleet, 3, "{\"cold\":1}");
+	fleet_single_upstream_fault(run->fleet, 0, "{\"cold\":1}");
+	fleet_run_main_loop_ms(700);
+	fleet_single_upstream_fault(run->fleet, 3, "{\"cold\":1}");
 	end_cold(run);
 }
 
@@ -90,9 +90,9 @@
 	owner = proof_owner(run, "calendar");
 	if (!owner)
 		return;
-	fleet_one_upstream_fault(run->fleet, 0, "{\"crash_ms\":200}");
-	fleet_one_upstream_fault(run->fleet, 1, "{\"crash_ms\":200}");
-	fleet_run_ms(500);
+	fleet_single_upstream_fault(run->fleet, 0, "{\"crash_ms\":200}");
+	fleet_single_upstream_fault(run->fleet, 1, "{\"crash_ms\":200}");
+	fleet_run_main_loop_ms(500);
 	fleet_signal(owner, FLEET_BOTH, SIGKILL);
 	end_cold(run);
 }
@@ -108,12 +108,12 @@
 	if (!owner)
 		return;
 	fleet_store_fault(run->fleet, "{\"down\":\"hang\"}");
-	fleet_one_upstream_fault(run->fleet, 0, "{\"crash_ms\":200}");
-	fleet_run_ms(400);
+	fleet_single_upstream_fault(run->fleet, 0, "{\"crash_ms\":200}");
+	fleet_run_main_loop_ms(400);
 	fleet_signal(owner, FLEET_BOTH, SIGSTOP);
-	fleet_run_ms(3000);
-	fleet_one_upstream_fault(run->fleet, 1, "{\"crash_ms\":100}");
-	fleet_run_ms(200);
+	fleet_run_main_loop_ms(3000);
+	fleet_single_upstream_fault(run->fleet, 1, "{\"crash_ms\":100}");
+	fleet_run_main_loop_ms(200);
 	fleet_signal(owner, FLEET_BOTH, SIGCONT);
 	end_cold(run);
 }
--- a/tools/proofs/common.c
+++ b/tools/proofs/common.c
@@ -19,7 +19,7 @@
 	{ .name = "fees",
 	  .path = "/fees",
 	  .upstreams = 4,
-	  .once = true,
+	  .at_most_once = true,
 	  .queue_limit = 100 },
 };
 
@@ -44,7 +44,7 @@
 		.service_count = G_N_ELEMENTS(mixed_services),
 		.rate = rate,
 		.seconds = seconds,
-		.repeat = repeat,
+		.retry = repeat,
 		.body_bytes = 300,
 	};
 
@@ -59,8 +59,8 @@
 		.rate = rate,
 		.seconds = seconds,
 		.deadline_ms = 12000,
-		.try_ms = 1500,
-		.repeat = true,
+		.attempt_timeout_ms = 1500,
+		.retry = true,
 		.body_bytes = 300,
 	};
 
--- a/tools/proofs/config.c
+++ b/tools/proofs/config.c
@@ -97,7 +97,7 @@
 		while (look(&witness) < version &&
 		       g_get_monotonic_time() - start_us <
 			       IN_FORCE_MS * AUB_MS * 2)
-			fleet_run_ms(POLL_MS);
+			fleet_run_main_loop_ms(POLL_MS);
 		slowest_us = MAX(slowest_us, g_get_monotonic_time() - start_us);
 	}
 	fleet_store_fault(run->fleet, "{\"clear\":1}");
@@ -142,7 +142,7 @@
 {
 	if (!mixed_start(run, true, 0))
 		return;
-	fleet_run_ms(1500);
+	fleet_run_main_loop_ms(1500);
 	fleet_proxy_fault(run->fleet, "{\"silence_open\":1}");
 	changes_now(run, NO_FAULT, NO_FAULT);
 }
@@ -159,7 +159,7 @@
 		return;
 	version = zone_change(run, 0, "out");
 	proof_need(run, version > 0, "an accepted change");
-	fleet_run_ms(1000);
+	fleet_run_main_loop_ms(1000);
 	look(&witness);
 	fleet_store_fault(run->fleet, "{\"stale\":1}");
 	for (i = 0; i < run->fleet->members->len; i++) {
@@ -168,10 +168,10 @@
 		if (!fleet_start_member(run->fleet, fleet_member(run->fleet, i),
 					&error))
 			g_error("restart: %s", error->message);
-		fleet_run_ms(800);
+		fleet_run_main_loop_ms(800);
 		look(&witness);
 	}
-	fleet_run_ms(2000);
+	fleet_run_main_loop_ms(2000);
 	proof_figure(run, "version", version);
 	proof_figure(run, "lowest", look(&witness));
 	proof_figure(run, "reverts", witness.reverts);
--- a/tools/proofs/crash.c
+++ b/tools/proofs/crash.c
@@ -49,7 +49,7 @@
 
 		if (member != without)
 			refused += send_once(run, member);
-		fleet_run_ms(SEND_PAUSE_MS);
+		fleet_run_main_loop_ms(SEND_PAUSE_MS);
 	}
 	return refused;
 }
@@ -64,14 +64,14 @@
 	proof_figure(run, "fell_over", proof_oracle_sum(run, "fell_over"));
 	proof_figure(run, "refused_at_once", refused);
 	proof_figure(run, "beside_served_percent",
-		     100.0 * run->told.told[LOAD_RUN] / run->told.requests);
+		     100.0 * run->outcome.outcomes[LOAD_RUN] / run->outcome.requests);
 	proof_need(run, crashes > 0, "crashes");
 	proof_need(run, refused > 0, "refusals");
 	proof_check(run, crashes <= CRASHES_MOST,
 		    "more upstreams went down than the goal allows");
 	proof_check(run,
-		    run->told.told[LOAD_RUN] >=
-			    HARMLESS_LEAST * run->told.requests,
+		    run->outcome.outcomes[LOAD_RUN] >=
+			    HARMLESS_LEAST * run->outcome.requests,
 		    "requests that ran beside it were not served");
 }
 
@@ -83,7 +83,7 @@
 	if (!mixed_start(run, false, 0))
 		return;
 	mixed_load(run, MIXED_RATE, 5, true);
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	refused = send_many(run, SENDS, NULL);
 	end_crash(run, refused);
 }
@@ -103,9 +103,9 @@
 	if (!owner)
 		return;
 	mixed_load(run, MIXED_RATE, 8, true);
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	refused = send_many(run, SENDS / 2, NULL);
-	fleet_run_ms(1500);
+	fleet_run_main_loop_ms(1500);
 	fleet_signal(owner, FLEET_BOTH, SIGKILL);
 	refused += send_many(run, SENDS, owner);
 	end_crash(run, refused);
--- a/tools/proofs/leave.c
+++ b/tools/proofs/leave.c
@@ -19,7 +19,7 @@
 	int status = -1;
 
 	mixed_load(run, MIXED_RATE, 7, true);
-	fleet_run_ms(1500);
+	fleet_run_main_loop_ms(1500);
 	commanded_us = g_get_monotonic_time();
 	g_free(fleet_ctl(run->fleet, fleet_member(run->fleet, 0), arguments,
 			 &status, &error));
@@ -78,9 +78,9 @@
 		return;
 	upstream = proof_upstream(run, LEAVING);
 	mixed_load(run, MIXED_RATE, 7, true);
-	fleet_run_ms(1500);
+	fleet_run_main_loop_ms(1500);
 	told_us = g_get_monotonic_time();
-	fleet_one_upstream_fault(run->fleet, upstream, "{\"draining\":1}");
+	fleet_single_upstream_fault(run->fleet, upstream, "{\"draining\":1}");
 	mixed_end(run);
 	last_us = tool_json_int(fleet_oracle_upstream(run->oracle, run->fleet,
 						      upstream),
--- a/tools/proofs/measuring.c
+++ b/tools/proofs/measuring.c
@@ -62,7 +62,7 @@
 		.service_count = 1,
 		.rate = 300,
 		.seconds = 6,
-		.repeat = true,
+		.retry = true,
 	};
 	gint64 began_us;
 	gint64 before_us;
@@ -74,7 +74,7 @@
 	began_us = g_get_monotonic_time();
 	before_us = probe_us(run);
 	proof_load(run, &load);
-	fleet_run_ms(1500);
+	fleet_run_main_loop_ms(1500);
 	if (fault)
 		fault(run);
 	proof_end_load(run);
@@ -102,10 +102,10 @@
 
 		if (owner) {
 			fleet_signal(owner, FLEET_BOTH, SIGKILL);
-			fleet_run_ms(500);
+			fleet_run_main_loop_ms(500);
 			fleet_start_member(run->fleet, owner, NULL);
 		}
-		fleet_run_ms(1000);
+		fleet_run_main_loop_ms(1000);
 	}
 }
 
@@ -133,7 +133,7 @@
 	if (!owner)
 		return;
 	fleet_signal(owner, FLEET_BOTH, SIGSTOP);
-	fleet_run_ms(2000);
+	fleet_run_main_loop_ms(2000);
 	fleet_signal(owner, FLEET_BOTH, SIGCONT);
 }
 
@@ -147,11 +147,11 @@
 {
 	struct fleet_member *owner = proof_owner(run, "portal");
 
-	fleet_one_upstream_fault(run->fleet, 0, "{\"crash_ms\":300}");
-	fleet_one_upstream_fault(run->fleet, 1, "{\"cold\":1}");
+	fleet_single_upstream_fault(run->fleet, 0, "{\"crash_ms\":300}");
+	fleet_single_upstream_fault(run->fleet, 1, "{\"cold\":1}");
 	fleet_upstream_fault(run->fleet, "{\"slow_factor\":10,"
 					 "\"slow_ms\":1000}");
-	fleet_run_ms(800);
+	fleet_run_main_loop_ms(800);
 	if (owner)
 		fleet_signal(owner, FLEET_BOTH, SIGKILL);
 }
--- a/tools/proofs/not_run.c
+++ b/tools/proofs/not_run.c
@@ -16,7 +16,7 @@
 		return;
 	mixed_load(run, 600, MS_LOAD, false);
 	mixed_end(run);
-	proof_need(run, run->told.told[LOAD_NOT_RUN] > 50, "refusals");
+	proof_need(run, run->outcome.outcomes[LOAD_NOT_RUN] > 50, "refusals");
 }
 
 /* Upstreams refuse, fail, crash and spoil answers; some never answer. */
@@ -25,7 +25,7 @@
 	if (!mixed_start(run, false, 0))
 		return;
 	mixed_load(run, MIXED_RATE, MS_LOAD, false);
-	fleet_run_ms(300);
+	fleet_run_main_loop_ms(300);
 	fleet_upstream_fault(run->fleet,
 			     "{\"shed\":3,\"fail_fast\":1,\"truncate\":2,"
 			     "\"wrong_length\":2,\"reset_middle\":2,"
@@ -41,12 +41,12 @@
 	if (!mixed_start(run, true, 0))
 		return;
 	mixed_load(run, MIXED_RATE, MS_LOAD, false);
-	fleet_run_ms(400);
+	fleet_run_main_loop_ms(400);
 	fleet_proxy_fault(run->fleet, "{\"refuse\":1,\"reset\":1}");
-	fleet_run_ms(700);
+	fleet_run_main_loop_ms(700);
 	fleet_proxy_fault(run->fleet, "{\"refuse\":0}");
 	mixed_end(run);
-	proof_need(run, run->told.told[LOAD_NOT_RUN] > 20, "refusals");
+	proof_need(run, run->outcome.outcomes[LOAD_NOT_RUN] > 20, "refusals");
 }
 
 /* The owner of both services dies, then another entry stops in order. */
@@ -60,9 +60,9 @@
 	if (!owner)
 		return;
 	mixed_load(run, MIXED_RATE, MS_LOAD, false);
-	fleet_run_ms(400);
+	fleet_run_main_loop_ms(400);
 	fleet_signal(owner, FLEET_BOTH, SIGKILL);
-	fleet_run_ms(600);
+	fleet_run_main_loop_ms(600);
 	owner = fleet_member(run->fleet,
 			     owner == fleet_member(run->fleet, 0) ? 1 : 0);
 	fleet_signal(owner, FLEET_BOTH, SIGTERM);
@@ -75,12 +75,12 @@
 	if (!mixed_start(run, false, 0))
 		return;
 	mixed_load(run, MIXED_RATE, MS_LOAD, false);
-	fleet_run_ms(300);
+	fleet_run_main_loop_ms(300);
 	fleet_upstream_fault(run->fleet, "{\"slow_factor\":200,"
 					 "\"slow_ms\":400}");
 	mixed_end(run);
 	proof_need(run,
-		   run->told.told[LOAD_UNKNOWN] + run->told.told[LOAD_NOT_RUN] >
+		   run->outcome.outcomes[LOAD_UNKNOWN] + run->outcome.outcomes[LOAD_NOT_RUN] >
 			   20,
 		   "missed deadlines");
 }
@@ -102,7 +102,7 @@
 		.seconds = 2 * MS_LOAD,
 		.deadline_ms = 1500,
 		.body_bytes = 300,
-		.via = through,
+		.connect_address = through,
 	};
 	struct fleet_member *owner;
 	guint i;
@@ -110,15 +110,15 @@
 	if (!mixed_start(run, false, 0))
 		return NULL;
 	owner = proof_owner(run, "calendar");
-	for (i = 0; owner && !options.via_context; i++)
+	for (i = 0; owner && !options.connect_context; i++)
 		if (fleet_member(run->fleet, i) != owner &&
 		    fleet_member(run->fleet, i) !=
 			    fleet_owner(run->fleet, "fees"))
-			options.via_context = fleet_member(run->fleet, i);
+			options.connect_context = fleet_member(run->fleet, i);
 	if (!owner)
 		return NULL;
 	proof_load(run, &options);
-	fleet_run_ms(600);
+	fleet_run_main_loop_ms(600);
 	return owner;
 }
 
@@ -145,10 +145,10 @@
 	if (!owner)
 		return;
 	fleet_signal(owner, FLEET_BOTH, SIGSTOP);
-	fleet_run_ms(2500);
+	fleet_run_main_loop_ms(2500);
 	fleet_signal(owner, FLEET_BOTH, SIGCONT);
 	mixed_end(run);
-	proof_need(run, run->told.told[LOAD_UNKNOWN] > 0, "lost relays");
+	proof_need(run, run->outcome.outcomes[LOAD_UNKNOWN] > 0, "lost relays");
 }
 
 const struct proof proofs_not_run[] = {
--- a/tools/proofs/once.c
+++ b/tools/proofs/once.c
@@ -17,13 +17,13 @@
 	guint undecided;
 
 	mixed_end(run);
-	undecided = run->told.told[LOAD_UNKNOWN] + run->told.told[LOAD_ERROR];
+	undecided = run->outcome.outcomes[LOAD_UNKNOWN] + run->outcome.outcomes[LOAD_ERROR];
 	proof_figure(run, "undecided_percent",
-		     run->told.requests ?
-			     100.0 * undecided / run->told.requests :
+		     run->outcome.requests ?
+			     100.0 * undecided / run->outcome.requests :
 			     0);
-	proof_figure(run, "repeats", run->told.repeats);
-	proof_check(run, !run->told.told[LOAD_ERROR],
+	proof_figure(run, "repeats", run->outcome.retries);
+	proof_check(run, !run->outcome.outcomes[LOAD_ERROR],
 		    "a repeat got no definite answer");
 }
 
@@ -37,7 +37,7 @@
 	if (!owner)
 		return NULL;
 	keyed_load(run, KEYED_RATE, KEYED_SECONDS);
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	return owner;
 }
 
@@ -52,7 +52,7 @@
 	fleet_upstream_fault(run->fleet, "{\"crash_after\":2}");
 	end_keyed(run);
 	proof_need(run, proof_oracle_sum(run, "crashes") >= 4, "crashes");
-	proof_need(run, run->told.repeats > 0, "repeats");
+	proof_need(run, run->outcome.retries > 0, "repeats");
 }
 
 /* Answers are lost on the way from the upstream: cut, spoiled, never sent. */
@@ -62,10 +62,10 @@
 		return;
 	fleet_upstream_fault(run->fleet, "{\"reset_middle\":3,\"truncate\":3,"
 					 "\"wrong_length\":3,\"never\":1}");
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	fleet_proxy_fault(run->fleet, "{\"reset\":1}");
 	end_keyed(run);
-	proof_need(run, run->told.repeats > 0, "repeats");
+	proof_need(run, run->outcome.retries > 0, "repeats");
 }
 
 /* Until another member owns the service, as the controls say. */
@@ -77,7 +77,7 @@
 	while (owner == was || !owner) {
 		if (g_get_monotonic_time() - start_us > FAILOVER_LIMIT_US)
 			break;
-		fleet_run_ms(20);
+		fleet_run_main_loop_ms(20);
 		owner = fleet_owner(run->fleet, "fees");
 	}
 	proof_figure(run, "failover_ms",
@@ -95,7 +95,7 @@
 	fleet_signal(owner, FLEET_BOTH, SIGKILL);
 	wait_failover(run, owner);
 	end_keyed(run);
-	proof_need(run, run->told.repeats > 0, "repeats");
+	proof_need(run, run->outcome.retries > 0, "repeats");
 }
 
 /* It comes back at once under the same address, remembering nothing. */
@@ -110,7 +110,7 @@
 	if (!fleet_start_member(run->fleet, owner, &error))
 		g_error("restart: %s", error->message);
 	end_keyed(run);
-	proof_need(run, run->told.repeats > 0, "repeats");
+	proof_need(run, run->outcome.retries > 0, "repeats");
 }
 
 /*
@@ -124,10 +124,10 @@
 	if (!owner)
 		return;
 	fleet_signal(owner, FLEET_BOTH, SIGSTOP);
-	fleet_run_ms(6000);
+	fleet_run_main_loop_ms(6000);
 	fleet_signal(owner, FLEET_BOTH, SIGCONT);
 	end_keyed(run);
-	proof_need(run, run->told.repeats > 0, "repeats");
+	proof_need(run, run->outcome.retries > 0, "repeats");
 }
 
 /* A planned stop hands the keys over: no repeat may be left undecided. */
@@ -139,7 +139,7 @@
 		return;
 	fleet_signal(owner, FLEET_BOTH, SIGTERM);
 	end_keyed(run);
-	proof_check(run, !run->told.told[LOAD_UNKNOWN],
+	proof_check(run, !run->outcome.outcomes[LOAD_UNKNOWN],
 		    "a planned stop left requests unknown");
 }
 
@@ -151,10 +151,10 @@
 	if (!owner)
 		return;
 	fleet_store_fault(run->fleet, "{\"down\":\"hang\"}");
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	fleet_signal(owner, FLEET_BOTH, SIGKILL);
 	end_keyed(run);
-	proof_need(run, run->told.repeats > 0, "repeats");
+	proof_need(run, run->outcome.retries > 0, "repeats");
 }
 
 const struct proof proofs_once[] = {
--- a/tools/proofs/proof.c
+++ b/tools/proofs/proof.c
@@ -53,7 +53,7 @@
 	ok = run->fleet && fleet_start(run->fleet, &error) &&
 	     fleet_wait_control(fleet_member(run->fleet, 0), READY_MS,
 				&error) &&
-	     fleet_apply_patiently(run->fleet, inventory, READY_MS, &error) &&
+	     fleet_apply_with_retry(run->fleet, inventory, READY_MS, &error) &&
 	     fleet_wait_ready(run->fleet, READY_MS, &error) &&
 	     fleet_wait_owners(run->fleet, READY_MS, &error);
 	if (!ok) {
@@ -67,7 +67,7 @@
 void proof_load(struct proof_run *run, struct load_options *options)
 {
 	g_free(run->entries);
-	run->entries = fleet_entries(run->fleet);
+	run->entries = fleet_entry_addresses(run->fleet);
 	options->entries = run->entries;
 	options->seed = run->seed;
 	if (!options->callers)
@@ -89,7 +89,7 @@
 
 	for (i = 0; i < requests->len; i++) {
 		request = requests->pdata[i];
-		if (request->told == LOAD_RUN)
+		if (request->outcome == LOAD_RUN)
 			continue;
 		if (!first)
 			first = request;
@@ -114,34 +114,34 @@
 	JsonObject *nonces;
 
 	while (!load_done(run->load))
-		fleet_run_ms(20);
+		fleet_run_main_loop_ms(20);
 	run->oracle = fleet_oracle(run->fleet);
 	nonces =
 		json_object_get_object_member(json_node_get_object(run->oracle),
 					      "nonces");
-	load_get_figures(run->load, &run->told);
+	load_get_stats(run->load, &run->outcome);
 	load_compare(run->load, nonces, &run->verdict);
-	proof_figure(run, "requests", run->told.requests);
-	proof_figure(run, "whole", run->told.told[LOAD_RUN]);
-	proof_figure(run, "wrong", run->told.told[LOAD_WRONG]);
-	proof_figure(run, "twice", run->verdict.twice);
-	proof_figure(run, "not_run", run->told.told[LOAD_NOT_RUN]);
+	proof_figure(run, "requests", run->outcome.requests);
+	proof_figure(run, "whole", run->outcome.outcomes[LOAD_RUN]);
+	proof_figure(run, "wrong", run->outcome.outcomes[LOAD_INVALID]);
+	proof_figure(run, "twice", run->verdict.executed_more_than_once);
+	proof_figure(run, "not_run", run->outcome.outcomes[LOAD_NOT_RUN]);
 	proof_figure(run, "false_not_run", run->verdict.false_not_run);
-	proof_figure(run, "unknown", run->told.told[LOAD_UNKNOWN]);
-	proof_figure(run, "unanswered", run->told.told[LOAD_ERROR]);
-	proof_figure(run, "p99_ms", run->told.p99_ms);
+	proof_figure(run, "unknown", run->outcome.outcomes[LOAD_UNKNOWN]);
+	proof_figure(run, "unanswered", run->outcome.outcomes[LOAD_ERROR]);
+	proof_figure(run, "p99_ms", run->outcome.p99_ms);
 	proof_unserved(run);
 	proof_reasons(run);
 }
 
 void proof_check_load(struct proof_run *run)
 {
-	proof_check(run, !run->told.told[LOAD_WRONG], "wrong answers");
-	proof_check(run, !run->verdict.twice, "ran twice");
+	proof_check(run, !run->outcome.outcomes[LOAD_INVALID], "wrong answers");
+	proof_check(run, !run->verdict.executed_more_than_once, "ran twice");
 	proof_check(run, !run->verdict.false_not_run,
 		    "told not-run and had run");
 	proof_check(run, !run->verdict.false_run, "told run and had not");
-	proof_need(run, run->told.told[LOAD_RUN] > 0, "any whole answer");
+	proof_need(run, run->outcome.outcomes[LOAD_RUN] > 0, "any whole answer");
 }
 
 gint64 proof_oracle_sum(const struct proof_run *run, const char *name)
@@ -181,7 +181,7 @@
 
 static void print_samples(const struct proof_run *run)
 {
-	const GPtrArray *samples = load_samples(run->load);
+	const GPtrArray *samples = load_failure_samples(run->load);
 	guint i;
 
 	for (i = 0; i < samples->len; i++)
--- a/tools/proofs/proof.h
+++ b/tools/proofs/proof.h
@@ -46,8 +46,8 @@
 	const char **entries;
 	GString *figures; /* shown in the line */
 	GString *broken; /* "" while it holds */
-	struct load_figures told;
-	struct load_verdict verdict;
+	struct load_stats outcome;
+	struct load_comparison verdict;
 	JsonNode *oracle; /* after the load */
 };
 
--- a/tools/proofs/retries.c
+++ b/tools/proofs/retries.c
@@ -50,7 +50,7 @@
 			continue;
 		json = g_strdup_printf("{\"calls\":\"http://%s/s%u/\"}",
 				       member->callers, service - 1);
-		fleet_one_upstream_fault(run->fleet, i, json);
+		fleet_single_upstream_fault(run->fleet, i, json);
 		g_free(json);
 	}
 }
@@ -61,7 +61,7 @@
 
 	for (guint i = 0; i < inventory->upstreams->len; i++)
 		if (aub_upstream_at(inventory, i)->service == LEAF)
-			fleet_one_upstream_fault(run->fleet, i, fault);
+			fleet_single_upstream_fault(run->fleet, i, fault);
 }
 
 static gint64 requests_of(const struct proof_run *run, guint16 service)
@@ -106,10 +106,10 @@
 	fail_leaf(run, fault);
 	proof_load(run, &load);
 	proof_end_load(run);
-	attempts = (double)requests_of(run, LEAF) / run->told.requests;
+	attempts = (double)requests_of(run, LEAF) / run->outcome.requests;
 	proof_figure(run, "leaf_attempts_per_call", attempts);
 	proof_figure(run, "root_attempts_per_call",
-		     (double)requests_of(run, DEPTH - 1) / run->told.requests);
+		     (double)requests_of(run, DEPTH - 1) / run->outcome.requests);
 	proof_need(run, requests_of(run, LEAF) > 0, "calls at the leaf");
 	proof_check(run, attempts <= ATTEMPTS_MOST,
 		    "the leaf was asked more often than the goal allows");
--- a/tools/proofs/stop.c
+++ b/tools/proofs/stop.c
@@ -13,8 +13,8 @@
 	mixed_end(run);
 	proof_figure(run, "stopped_in_order", in_order);
 	proof_check(run, in_order == stops, "a stop took too long or failed");
-	proof_check(run, !run->told.told[LOAD_ERROR], "cut off");
-	proof_check(run, !run->told.told[LOAD_UNKNOWN], "left unknown");
+	proof_check(run, !run->outcome.outcomes[LOAD_ERROR], "cut off");
+	proof_check(run, !run->outcome.outcomes[LOAD_UNKNOWN], "left unknown");
 }
 
 /* Every member in turn is stopped and started again under load. */
@@ -28,7 +28,7 @@
 	if (!mixed_start(run, false, 0))
 		return;
 	mixed_load(run, MIXED_RATE, 25, true);
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	for (i = 0; i < run->fleet->members->len; i++) {
 		member = fleet_member(run->fleet, i);
 		in_order += fleet_stop(member, FLEET_BOTH, STOP_MS);
@@ -55,7 +55,7 @@
 	if (!owner)
 		return;
 	mixed_load(run, 60, 4, true);
-	fleet_run_ms(1000);
+	fleet_run_main_loop_ms(1000);
 	in_order = fleet_stop(owner, FLEET_BOTH, STOP_MS);
 	end_stops(run, in_order, 1);
 }
--- a/tools/proofs/whole.c
+++ b/tools/proofs/whole.c
@@ -12,7 +12,7 @@
 /* Share of requests that got their whole answer, in per cent. */
 static double whole_percent(const struct proof_run *run)
 {
-	return 100.0 * run->told.told[LOAD_RUN] / MAX(run->told.requests, 1);
+	return 100.0 * run->outcome.outcomes[LOAD_RUN] / MAX(run->outcome.requests, 1);
 }
 
 static void end_whole(struct proof_run *run, double least_percent)
@@ -29,7 +29,7 @@
 	if (!mixed_start(run, false, 0))
 		return;
 	mixed_load(run, MIXED_RATE, WHOLE_SECONDS, true);
-	fleet_run_ms(300);
+	fleet_run_main_loop_ms(300);
 	fleet_upstream_fault(run->fleet, "{\"truncate\":5,\"wrong_length\":5,"
 					 "\"reset_middle\":5}");
 	end_whole(run, 80);
@@ -41,9 +41,9 @@
 	if (!mixed_start(run, false, 0))
 		return;
 	mixed_load(run, MIXED_RATE, WHOLE_SECONDS, true);
-	fleet_run_ms(300);
+	fleet_run_main_loop_ms(300);
 	fleet_upstream_fault(run->fleet, "{\"late\":2,\"late_ms\":700}");
-	fleet_run_ms(700);
+	fleet_run_main_loop_ms(700);
 	fleet_upstream_fault(run->fleet, "{\"port\":0,\"slow_factor\":15,"
 					 "\"slow_ms\":300}");
 	end_whole(run, 80);
@@ -58,9 +58,9 @@
 	if (!mixed_start(run, true, 0))
 		return;
 	mixed_load(run, MIXED_RATE, WHOLE_SECONDS, true);
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	fleet_proxy_fault(run->fleet, "{\"silence_open\":1}");
-	fleet_run_ms(1000);
+	fleet_run_main_loop_ms(1000);
 	fleet_proxy_fault(run->fleet, "{\"silence_open\":1}");
 	end_whole(run, 80);
 }
@@ -81,12 +81,12 @@
 	if (!mixed_start(run, true, 0))
 		return;
 	mixed_load(run, MIXED_RATE, WHOLE_SECONDS, true);
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	fleet_proxy_fault(run->fleet, "{\"throttle\":20000}");
-	fleet_run_ms(500);
+	fleet_run_main_loop_ms(500);
 	fleet_proxy_fault(run->fleet, "{\"throttle\":0,\"truncate_down\":600,"
 				      "\"cut\":1}");
-	fleet_run_ms(300);
+	fleet_run_main_loop_ms(300);
 	fleet_proxy_fault(run->fleet, "{\"clear\":1,\"cut\":1}");
 	end_whole(run, 50);
 }
@@ -103,22 +103,22 @@
 		.rate = 150,
 		.seconds = WHOLE_SECONDS,
 		.deadline_ms = 4000,
-		.try_ms = 700,
-		.repeat = true,
-		.via = fleet_via,
+		.attempt_timeout_ms = 700,
+		.retry = true,
+		.connect_address = fleet_connect_address,
 	};
 	guint i;
 
 	if (!mixed_start(run, true, 0))
 		return;
-	options.via_context = run->fleet;
+	options.connect_context = run->fleet;
 	proof_load(run, &options);
 	for (i = 0; i < 2; i++) {
-		fleet_run_ms(800);
+		fleet_run_main_loop_ms(800);
 		silence_callers(run);
 	}
 	end_whole(run, 95);
-	proof_need(run, run->told.repeats > 0, "repeats");
+	proof_need(run, run->outcome.retries > 0, "repeats");
 }
 
 /*
@@ -133,8 +133,8 @@
 		.rate = 60,
 		.seconds = 7,
 		.deadline_ms = 3000,
-		.try_ms = 1000,
-		.repeat = true,
+		.attempt_timeout_ms = 1000,
+		.retry = true,
 	};
 	struct fleet_member *owner;
 
@@ -144,7 +144,7 @@
 	if (!owner)
 		return;
 	proof_load(run, &options);
-	fleet_run_ms(1000);
+	fleet_run_main_loop_ms(1000);
 	fleet_signal(owner, FLEET_BOTH, SIGKILL);
 	end_whole(run, 95);
 }
--- a/tools/proofs/zone.c
+++ b/tools/proofs/zone.c
@@ -72,13 +72,13 @@
 	if (!mixed_start(run, true, 0))
 		return;
 	mixed_load(run, MIXED_RATE, 11, true);
-	fleet_run_ms(800);
+	fleet_run_main_loop_ms(800);
 	if (fault)
 		fault(run, true);
-	fleet_run_ms(200);
+	fleet_run_main_loop_ms(200);
 	command_us = g_get_monotonic_time();
 	proof_need(run, zone_command(run, "out"), "an accepted zone out");
-	fleet_run_ms(6000);
+	fleet_run_main_loop_ms(6000);
 	before = zone_requests(run, &last_us);
 	proof_figure(run, "last_new_ms", MAX(last_us - command_us, 0) / 1000.0);
 	proof_check(run, last_us - command_us < LIMIT_MS * AUB_MS,
@@ -150,7 +150,7 @@
 	fleet_signal(fleet_member(run->fleet, 5), FLEET_BOTH,
 		     on ? SIGSTOP : SIGCONT);
 	if (!on)
-		fleet_run_ms(300);
+		fleet_run_main_loop_ms(300);
 }
 
 static void member_frozen(struct proof_run *run)
@@ -172,7 +172,7 @@
 		fleet_signal(fleet_member(run->fleet, frozen_control),
 			     FLEET_CONTROL, SIGCONT);
 		frozen_control = NO_MEMBER;
-		fleet_run_ms(500);
+		fleet_run_main_loop_ms(500);
 		return;
 	}
 	owner = proof_owner(run, "calendar");
--- a/tools/proxy/proxy.c
+++ b/tools/proxy/proxy.c
@@ -8,8 +8,8 @@
 #include <netinet/tcp.h>
 #include <string.h>
 
-#define CHUNK_BYTES 16384
-#define BUFFER_BYTES 262144 /* held back for one way at most */
+#define READ_CHUNK_BYTES 16384
+#define FLOW_BUFFER_BYTES 262144 /* held back for one way at most */
 
 struct chunk {
 	gint64 due_us;
@@ -23,26 +23,26 @@
 /* One way of a pair. */
 struct flow {
 	struct proxy_pair *pair;
-	enum proxy_way way;
+	enum proxy_direction direction;
 	GSocket *from; /* borrowed */
 	GSocket *to; /* borrowed */
-	GSource *reading;
-	GSource *writing;
-	GSource *timer;
+	GSource *read_source;
+	GSource *write_source;
+	GSource *delay_timer;
 	GQueue chunks; /* of struct chunk, owned */
-	gsize buffered;
+	gsize buffered_bytes;
 	gint64 last_due_us;
-	gint64 passed; /* bytes taken in */
-	bool ended; /* `from` will send no more */
-	bool closed; /* `to` was told so */
+	gint64 received_bytes; /* bytes taken in */
+	bool eof; /* `from` will send no more */
+	bool shutdown_sent; /* `to` was told so */
 };
 
 struct proxy_pair {
 	struct proxy_route *route;
-	GSocket *ends[PROXY_WAYS]; /* the connecting end, the target's */
-	struct flow flows[PROXY_WAYS];
-	GSource *connecting;
-	bool silent; /* for good */
+	GSocket *ends[PROXY_DIRECTIONS]; /* the connecting end, the target's */
+	struct flow flows[PROXY_DIRECTIONS];
+	GSource *connect_source;
+	bool blackhole; /* for good */
 };
 
 static void source_clear(GSource **source)
@@ -58,33 +58,34 @@
 {
 	struct proxy_pair *pair = data;
 	struct flow *flow;
-	int way;
-
-	source_clear(&pair->connecting);
-	for (way = 0; way < PROXY_WAYS; way++) {
-		flow = &pair->flows[way];
-		source_clear(&flow->reading);
-		source_clear(&flow->writing);
-		source_clear(&flow->timer);
+	int direction;
+
+	source_clear(&pair->connect_source);
+	for (direction = 0; direction < PROXY_DIRECTIONS; direction++) {
+		flow = &pair->flows[direction];
+		source_clear(&flow->read_source);
+		source_clear(&flow->write_source);
+		source_clear(&flow->delay_timer);
 		g_queue_clear_full(&flow->chunks, g_free);
-		g_socket_close(pair->ends[way], NULL);
-		g_object_unref(pair->ends[way]);
+		g_socket_close(pair->ends[direction], NULL);
+		g_object_unref(pair->ends[direction]);
 	}
 	g_free(pair);
 }
 
-static void pair_end(struct proxy_pair *pair, bool reset)
+static void pair_close(struct proxy_pair *pair, bool reset)
 {
-	int way;
+	int direction;
 
-	for (way = 0; reset && way < PROXY_WAYS; way++)
-		tool_socket_reset_on_close(pair->ends[way]);
+	for (direction = 0; reset && direction < PROXY_DIRECTIONS; direction++)
+		tool_socket_reset_on_close(pair->ends[direction]);
 	g_ptr_array_remove_fast(pair->route->pairs, pair);
 }
 
-static bool is_silent(const struct flow *flow)
+static bool is_blackholed(const struct flow *flow)
 {
-	return flow->pair->silent || flow->pair->route->fault.silent[flow->way];
+	return flow->pair->blackhole ||
+	       flow->pair->route->fault.blackhole[flow->direction];
 }
 
 static void flow_read(struct flow *flow);
@@ -95,7 +96,7 @@
 {
 	struct flow *flow = data;
 
-	source_clear(&flow->writing);
+	source_clear(&flow->write_source);
 	flow_write(flow);
 	return G_SOURCE_REMOVE;
 }
@@ -104,24 +105,24 @@
 {
 	struct flow *flow = data;
 
-	source_clear(&flow->timer);
+	source_clear(&flow->delay_timer);
 	flow_write(flow);
 	return G_SOURCE_REMOVE;
 }
 
 static void wait_writable(struct flow *flow)
 {
-	flow->writing = g_socket_create_source(flow->to, G_IO_OUT, NULL);
-	g_source_set_callback(flow->writing, G_SOURCE_FUNC(on_writable), flow,
-			      NULL);
-	g_source_attach(flow->writing, NULL);
+	flow->write_source = g_socket_create_source(flow->to, G_IO_OUT, NULL);
+	g_source_set_callback(flow->write_source, G_SOURCE_FUNC(on_writable),
+			      flow, NULL);
+	g_source_attach(flow->write_source, NULL);
 }
 
 static void wait_due(struct flow *flow, gint64 delay_us)
 {
-	flow->timer = g_timeout_source_new((guint)(delay_us / 1000 + 1));
-	g_source_set_callback(flow->timer, on_due, flow, NULL);
-	g_source_attach(flow->timer, NULL);
+	flow->delay_timer = g_timeout_source_new((guint)(delay_us / 1000 + 1));
+	g_source_set_callback(flow->delay_timer, on_due, flow, NULL);
+	g_source_attach(flow->delay_timer, NULL);
 }
 
 /* After the last byte, passes the close on; false when the pair is gone. */
@@ -129,13 +130,14 @@
 {
 	struct proxy_pair *pair = flow->pair;
 
-	if (!flow->ended || flow->closed || is_silent(flow))
+	if (!flow->eof || flow->shutdown_sent || is_blackholed(flow))
 		return true;
-	flow->closed = true;
+	flow->shutdown_sent = true;
 	g_socket_shutdown(flow->to, FALSE, TRUE, NULL);
-	if (!pair->flows[PROXY_UP].closed || !pair->flows[PROXY_DOWN].closed)
+	if (!pair->flows[PROXY_UP].shutdown_sent ||
+	    !pair->flows[PROXY_DOWN].shutdown_sent)
 		return true;
-	pair_end(pair, false);
+	pair_close(pair, false);
 	return false;
 }
 
@@ -144,16 +146,17 @@
 {
 	struct chunk *chunk;
 	GError *error = NULL;
-	gint64 early_us;
+	gint64 remaining_us;
 	gssize sent;
 
-	if (flow->writing || flow->timer || flow->pair->connecting)
+	if (flow->write_source || flow->delay_timer ||
+	    flow->pair->connect_source)
 		return true;
 	while (!g_queue_is_empty(&flow->chunks)) {
 		chunk = g_queue_peek_head(&flow->chunks);
-		early_us = chunk->due_us - g_get_monotonic_time();
-		if (early_us > 0) {
-			wait_due(flow, early_us);
+		remaining_us = chunk->due_us - g_get_monotonic_time();
+		if (remaining_us > 0) {
+			wait_due(flow, remaining_us);
 			return true;
 		}
 		sent = g_socket_send(flow->to, chunk->data + chunk->sent,
@@ -166,11 +169,11 @@
 			if (blocked)
 				wait_writable(flow);
 			else
-				pair_end(flow->pair, true);
+				pair_close(flow->pair, true);
 			return blocked;
 		}
 		chunk->sent += sent;
-		flow->buffered -= sent;
+		flow->buffered_bytes -= sent;
 		if (chunk->sent == chunk->length)
 			g_free(g_queue_pop_head(&flow->chunks));
 	}
@@ -179,20 +182,20 @@
 }
 
 /* Puts bytes in line; false when the truncation ended the pair. */
-static bool flow_take(struct flow *flow, const char *data, gsize length)
+static bool flow_enqueue(struct flow *flow, const char *data, gsize length)
 {
 	struct proxy_route *route = flow->pair->route;
-	gint64 limit = route->fault.truncate[flow->way];
-	gint64 throttle = route->fault.throttle;
+	gint64 limit = route->fault.truncate_bytes[flow->direction];
+	gint64 throttle_bytes_per_s = route->fault.throttle_bytes_per_s;
 	gint64 now = g_get_monotonic_time();
 	struct chunk *chunk;
 
-	if (is_silent(flow))
+	if (is_blackholed(flow))
 		return true;
-	if (limit >= 0 && flow->passed + (gint64)length >= limit) {
-		length = MAX(limit - flow->passed, 0);
+	if (limit >= 0 && flow->received_bytes + (gint64)length >= limit) {
+		length = MAX(limit - flow->received_bytes, 0);
 		g_socket_send(flow->to, data, length, NULL, NULL);
-		pair_end(flow->pair, false);
+		pair_close(flow->pair, false);
 		return false;
 	}
 	chunk = g_malloc(sizeof(*chunk) + length);
@@ -200,13 +203,14 @@
 	chunk->length = length;
 	chunk->sent = 0;
 	chunk->due_us = now + route->fault.delay_ms * (gint64)1000;
-	if (throttle)
-		chunk->due_us = MAX(chunk->due_us, flow->last_due_us) +
-				(gint64)length * G_USEC_PER_SEC / throttle;
+	if (throttle_bytes_per_s)
+		chunk->due_us =
+			MAX(chunk->due_us, flow->last_due_us) +
+			(gint64)length * G_USEC_PER_SEC / throttle_bytes_per_s;
 	flow->last_due_us = chunk->due_us;
-	flow->passed += length;
-	route->bytes[flow->way] += length;
-	flow->buffered += length;
+	flow->received_bytes += length;
+	route->bytes[flow->direction] += length;
+	flow->buffered_bytes += length;
 	g_queue_push_tail(&flow->chunks, chunk);
 	return flow_write(flow);
 }
@@ -215,7 +219,7 @@
 			    gpointer data)
 {
 	struct flow *flow = data;
-	char buffer[CHUNK_BYTES];
+	char buffer[READ_CHUNK_BYTES];
 	GError *error = NULL;
 	gssize got =
 		g_socket_receive(socket, buffer, sizeof(buffer), NULL, &error);
@@ -225,16 +229,16 @@
 		g_error_free(error);
 		return G_SOURCE_CONTINUE;
 	}
-	if (got > 0 && flow_take(flow, buffer, got) &&
-	    flow->buffered < BUFFER_BYTES)
+	if (got > 0 && flow_enqueue(flow, buffer, got) &&
+	    flow->buffered_bytes < FLOW_BUFFER_BYTES)
 		return G_SOURCE_CONTINUE;
 	if (got > 0)
 		return G_SOURCE_REMOVE;
-	source_clear(&flow->reading);
+	source_clear(&flow->read_source);
 	g_clear_error(&error);
-	flow->ended = true;
-	if (got < 0 && !is_silent(flow))
-		pair_end(flow->pair, true);
+	flow->eof = true;
+	if (got < 0 && !is_blackholed(flow))
+		pair_close(flow->pair, true);
 	else if (g_queue_is_empty(&flow->chunks))
 		flow_drained(flow);
 	return G_SOURCE_REMOVE;
@@ -243,15 +247,15 @@
 /* Reads on, unless too much is held back already. */
 static void flow_read(struct flow *flow)
 {
-	if (flow->ended || flow->buffered >= BUFFER_BYTES)
+	if (flow->eof || flow->buffered_bytes >= FLOW_BUFFER_BYTES)
 		return;
-	if (flow->reading && !g_source_is_destroyed(flow->reading))
+	if (flow->read_source && !g_source_is_destroyed(flow->read_source))
 		return;
-	source_clear(&flow->reading);
-	flow->reading = g_socket_create_source(flow->from, G_IO_IN, NULL);
-	g_source_set_callback(flow->reading, G_SOURCE_FUNC(on_readable), flow,
-			      NULL);
-	g_source_attach(flow->reading, NULL);
+	source_clear(&flow->read_source);
+	flow->read_source = g_socket_create_source(flow->from, G_IO_IN, NULL);
+	g_source_set_callback(flow->read_source, G_SOURCE_FUNC(on_readable),
+			      flow, NULL);
+	g_source_attach(flow->read_source, NULL);
 }
 
 static gboolean on_connected(GSocket *socket, GIOCondition condition,
@@ -259,9 +263,9 @@
 {
 	struct proxy_pair *pair = data;
 
-	source_clear(&pair->connecting);
+	source_clear(&pair->connect_source);
 	if (!g_socket_check_connect_result(socket, NULL)) {
-		pair_end(pair, true);
+		pair_close(pair, true);
 		return G_SOURCE_REMOVE;
 	}
 	flow_read(&pair->flows[PROXY_DOWN]);
@@ -277,44 +281,44 @@
 	if (!g_socket_connect(target, pair->route->target, NULL, &error) &&
 	    !g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING)) {
 		g_error_free(error);
-		pair_end(pair, true);
+		pair_close(pair, true);
 		return;
 	}
 	g_clear_error(&error);
-	pair->connecting = g_socket_create_source(target, G_IO_OUT, NULL);
-	g_source_set_callback(pair->connecting, G_SOURCE_FUNC(on_connected),
+	pair->connect_source = g_socket_create_source(target, G_IO_OUT, NULL);
+	g_source_set_callback(pair->connect_source, G_SOURCE_FUNC(on_connected),
 			      pair, NULL);
-	g_source_attach(pair->connecting, NULL);
+	g_source_attach(pair->connect_source, NULL);
 }
 
 static void pair_start(struct proxy_route *route, GSocket *accepted)
 {
 	struct proxy_pair *pair = g_new0(struct proxy_pair, 1);
 	struct flow *flow;
-	int way;
+	int direction;
 
 	pair->route = route;
 	pair->ends[PROXY_UP] = accepted;
 	pair->ends[PROXY_DOWN] =
 		g_socket_new(g_socket_address_get_family(route->target),
 			     G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
-	for (way = 0; way < PROXY_WAYS; way++) {
-		flow = &pair->flows[way];
+	for (direction = 0; direction < PROXY_DIRECTIONS; direction++) {
+		flow = &pair->flows[direction];
 		flow->pair = pair;
-		flow->way = way;
-		flow->from = pair->ends[way];
-		flow->to = pair->ends[!way];
+		flow->direction = direction;
+		flow->from = pair->ends[direction];
+		flow->to = pair->ends[!direction];
 		g_queue_init(&flow->chunks);
-		g_socket_set_blocking(pair->ends[way], FALSE);
-		g_socket_set_option(pair->ends[way], IPPROTO_TCP, TCP_NODELAY,
-				    1, NULL);
+		g_socket_set_blocking(pair->ends[direction], FALSE);
+		g_socket_set_option(pair->ends[direction], IPPROTO_TCP,
+				    TCP_NODELAY, 1, NULL);
 	}
 	g_ptr_array_add(route->pairs, pair);
 	pair_connect(pair);
 }
 
-static gboolean on_incoming(GSocket *socket, GIOCondition condition,
-			    gpointer data)
+static gboolean on_connection_ready(GSocket *socket, GIOCondition condition,
+				    gpointer data)
 {
 	struct proxy_route *route = data;
 	GSocket *accepted = g_socket_accept(socket, NULL, NULL);
@@ -348,17 +352,17 @@
 		g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(bound));
 	g_object_unref(route->listen);
 	route->listen = bound;
-	route->accepting =
+	route->accept_source =
 		g_socket_create_source(route->listener, G_IO_IN, NULL);
-	g_source_set_callback(route->accepting, G_SOURCE_FUNC(on_incoming),
-			      route, NULL);
-	g_source_attach(route->accepting, NULL);
+	g_source_set_callback(route->accept_source,
+			      G_SOURCE_FUNC(on_connection_ready), route, NULL);
+	g_source_attach(route->accept_source, NULL);
 	return true;
 }
 
-static void route_refuse(struct proxy_route *route)
+static void route_stop_listening(struct proxy_route *route)
 {
-	source_clear(&route->accepting);
+	source_clear(&route->accept_source);
 	if (route->listener)
 		g_socket_close(route->listener, NULL);
 	g_clear_object(&route->listener);
@@ -370,8 +374,8 @@
 	struct proxy_route *route = g_new0(struct proxy_route, 1);
 
 	route->pairs = g_ptr_array_new_with_free_func(pair_free);
-	route->fault.truncate[PROXY_UP] = -1;
-	route->fault.truncate[PROXY_DOWN] = -1;
+	route->fault.truncate_bytes[PROXY_UP] = -1;
+	route->fault.truncate_bytes[PROXY_DOWN] = -1;
 	route->listen = tool_address_parse(listen, error);
 	if (route->listen)
 		route->target = tool_address_parse(target, error);
@@ -385,36 +389,36 @@
 {
 	struct proxy_route *route = data;
 
-	route_refuse(route);
+	route_stop_listening(route);
 	g_ptr_array_unref(route->pairs);
 	g_clear_object(&route->listen);
 	g_clear_object(&route->target);
 	g_free(route);
 }
 
-static void apply_silence(struct proxy_route *route, const char *text)
+static void apply_blackhole(struct proxy_route *route, const char *text)
 {
 	bool both = !strcmp(text, "both");
 
-	route->fault.silent[PROXY_UP] = both || !strcmp(text, "up");
-	route->fault.silent[PROXY_DOWN] = both || !strcmp(text, "down");
+	route->fault.blackhole[PROXY_UP] = both || !strcmp(text, "up");
+	route->fault.blackhole[PROXY_DOWN] = both || !strcmp(text, "down");
 }
 
-static void silence_open(struct proxy_route *route)
+static void blackhole_open_pairs(struct proxy_route *route)
 {
 	struct proxy_pair *pair;
 	guint i;
 
 	for (i = 0; i < route->pairs->len; i++) {
 		pair = route->pairs->pdata[i];
-		pair->silent = true;
+		pair->blackhole = true;
 	}
 }
 
-static void end_open(struct proxy_route *route, bool reset)
+static void close_open_pairs(struct proxy_route *route, bool reset)
 {
 	while (route->pairs->len)
-		pair_end(route->pairs->pdata[0], reset);
+		pair_close(route->pairs->pdata[0], reset);
 }
 
 void proxy_route_apply(struct proxy_route *route, JsonObject *body)
@@ -423,25 +427,28 @@
 	GError *error = NULL;
 
 	if (tool_json_int(body, "clear", 0))
-		*fault = (struct proxy_fault){ .truncate = { -1, -1 } };
+		*fault = (struct proxy_fault){ .truncate_bytes = { -1, -1 } };
 	fault->delay_ms = tool_json_int(body, "delay_ms", fault->delay_ms);
-	fault->throttle = tool_json_int(body, "throttle", fault->throttle);
-	fault->truncate[PROXY_UP] =
-		tool_json_int(body, "truncate_up", fault->truncate[PROXY_UP]);
-	fault->truncate[PROXY_DOWN] =
+	fault->throttle_bytes_per_s =
+		tool_json_int(body, "throttle", fault->throttle_bytes_per_s);
+	fault->truncate_bytes[PROXY_UP] =
+		tool_json_int(body, "truncate_up",
+			      fault->truncate_bytes[PROXY_UP]);
+	fault->truncate_bytes[PROXY_DOWN] =
 		tool_json_int(body, "truncate_down",
-			      fault->truncate[PROXY_DOWN]);
+			      fault->truncate_bytes[PROXY_DOWN]);
 	if (json_object_has_member(body, "silence"))
-		apply_silence(route, tool_json_string(body, "silence", "none"));
+		apply_blackhole(route,
+				tool_json_string(body, "silence", "none"));
 	if (tool_json_int(body, "silence_open", 0))
-		silence_open(route);
+		blackhole_open_pairs(route);
 	if (tool_json_int(body, "cut", 0))
-		end_open(route, false);
+		close_open_pairs(route, false);
 	if (tool_json_int(body, "reset", 0))
-		end_open(route, true);
+		close_open_pairs(route, true);
 	fault->refuse = tool_json_int(body, "refuse", fault->refuse) != 0;
 	if (fault->refuse) {
-		route_refuse(route);
+		route_stop_listening(route);
 	} else if (!route->listener && !route_listen(route, &error)) {
 		g_warning("listen on port %u: %s", route->port, error->message);
 		g_error_free(error);
--- a/tools/proxy/proxy.h
+++ b/tools/proxy/proxy.h
@@ -13,13 +13,14 @@
 G_BEGIN_DECLS
 
 /* Which way bytes go: up is from the connecting end to the target. */
-enum proxy_way { PROXY_UP, PROXY_DOWN, PROXY_WAYS };
+enum proxy_direction { PROXY_UP, PROXY_DOWN, PROXY_DIRECTIONS };
 
 struct proxy_fault {
 	guint delay_ms; /* of every byte, each way */
-	bool silent[PROXY_WAYS]; /* swallow bytes and closes */
-	gint64 truncate[PROXY_WAYS]; /* close after so many bytes; -1: never */
-	gint64 throttle; /* bytes a second, each way; 0: no limit */
+	bool blackhole[PROXY_DIRECTIONS]; /* swallow bytes and closes */
+	gint64 truncate_bytes[PROXY_DIRECTIONS]; /* close after so many bytes;
+						    -1: never */
+	gint64 throttle_bytes_per_s; /* bytes a second, each way; 0: no limit */
 	bool refuse; /* new connections */
 };
 
@@ -28,11 +29,11 @@
 	GSocketAddress *target;
 	guint16 port; /* that it listens on */
 	GSocket *listener; /* NULL while it refuses */
-	GSource *accepting;
+	GSource *accept_source;
 	GPtrArray *pairs; /* of struct proxy_pair, owned */
 	struct proxy_fault fault;
 	guint64 accepted;
-	guint64 bytes[PROXY_WAYS];
+	guint64 bytes[PROXY_DIRECTIONS];
 };
 
 /* Both addresses as "ip:port"; listens at once. Owned by the caller. */
@@ -44,7 +45,7 @@
  * Change faults as a JSON object says; absent members keep their value:
  *   delay_ms, throttle, refuse, truncate_up, truncate_down (-1: never),
  *   silence "none"|"up"|"down"|"both"  all connections, new ones too
- *   silence_open 1   those open now stay open and swallow everything
+ *   blackhole_open_pairs 1   those open now stay open and swallow everything
  *   cut 1, reset 1   close those open now, in order or by RST
  *   clear 1          take everything back (open silent ones stay silent)
  */
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -80,7 +80,7 @@
 	while (!all_have(run, version)) {
 		if (g_get_monotonic_time() > end_us)
 			return false;
-		fleet_run_ms(10);
+		fleet_run_main_loop_ms(10);
 	}
 	return true;
 }
@@ -160,11 +160,11 @@
 		g_clear_error(&error);
 		return false;
 	}
-	fleet_run_ms(1500);
+	fleet_run_main_loop_ms(1500);
 	for (i = 0; i < nodes; i++)
 		g_ptr_array_add(run->entries,
 				slopes_entry_new(member(run, i), 1000 + i));
-	fleet_run_ms(3000);
+	fleet_run_main_loop_ms(3000);
 	run->inventory = slopes_inventory(services, upstreams);
 	body = apply_text(run->inventory, 0);
 	if (!slopes_post(run->fleet, member(run, 0), "/v1/config/apply", body,
@@ -189,7 +189,7 @@
 
 	for (i = 0; i < nodes; i++) {
 		slopes_sample_read(member(run, i), &samples[i]);
-		fleet_run_ms(1);
+		fleet_run_main_loop_ms(1);
 	}
 	return samples;
 }
@@ -233,7 +233,7 @@
 			change(run, done % run->row.nodes);
 			done++;
 		}
-		fleet_run_ms(20);
+		fleet_run_main_loop_ms(20);
 	}
 	run->row.store_calls_per_s =
 		(slopes_store_calls(run->fleet) - calls) * 1e6 /
@@ -290,7 +290,7 @@
 		guint services, guint upstreams, double changes_per_s)
 {
 	if (open_fleet(run, nodes, services, upstreams)) {
-		fleet_run_ms(SETTLE_MS);
+		fleet_run_main_loop_ms(SETTLE_MS);
 		measure(run, changes_per_s);
 		if (!strcmp(scenario, "nodes"))
 			time_changes(run);
@@ -310,7 +310,7 @@
 	for (i = 0; i < count; i++)
 		fleet_signal(member(run, first + i * step), FLEET_CONTROL,
 			     SIGKILL);
-	fleet_run_ms(200);
+	fleet_run_main_loop_ms(200);
 	for (i = 0; i < count; i++)
 		fleet_start_control(run->fleet, member(run, first + i * step),
 				    NULL);
@@ -323,17 +323,17 @@
 
 	if (!open_fleet(run, nodes, FULL_SERVICES, FULL_UPSTREAMS))
 		goto out;
-	fleet_run_ms(SETTLE_MS);
+	fleet_run_main_loop_ms(SETTLE_MS);
 	calls = slopes_store_calls(run->fleet);
-	fleet_run_ms(10000);
+	fleet_run_main_loop_ms(10000);
 	printf("restart\tnone\t%u nodes\t%.0f store calls in 10 s\n", nodes,
 	       slopes_store_calls(run->fleet) - calls);
 	calls = slopes_store_calls(run->fleet);
 	restart(run, 0, 8, nodes / 8);
-	fleet_run_ms(10000);
+	fleet_run_main_loop_ms(10000);
 	printf("restart\tzone\t%u nodes\t%.0f store calls in 10 s\n", nodes,
 	       slopes_store_calls(run->fleet) - calls);
-	fleet_run_ms(5000);
+	fleet_run_main_loop_ms(5000);
 	restart(run, 1, 3, nodes / 3);
 	printf("restart\tthird\t%u nodes\tin force after %.0f ms\n", nodes,
 	       change(run, 0));
@@ -466,7 +466,7 @@
 
 	argp_parse(&argp, argc, argv, 0, NULL, &run);
 	nodes = run.row.nodes;
-	child_guard();
+	child_install_exit_handlers();
 	if (run.entry_only)
 		return slopes_calls(stdout) ? 0 : 1;
 	run.out = fopen("build/slopes.tsv", "w");
--- a/tools/slopes/slopes_calls.c
+++ b/tools/slopes/slopes_calls.c
@@ -50,10 +50,10 @@
 	return usage;
 }
 
-static struct load_figures run_load(struct fleet *fleet, bool keyed,
+static struct load_stats run_load(struct fleet *fleet, bool keyed,
 				    double rate, double seconds)
 {
-	const char **entries = fleet_entries(fleet);
+	const char **entries = fleet_entry_addresses(fleet);
 	struct load_service service = {
 		.name = "calls", .path = "/calls/", .weight = 1, .keyed = keyed
 	};
@@ -67,16 +67,16 @@
 		.connections = 64,
 		.callers = 8,
 		.deadline_ms = 4000,
-		.repeat = true,
+		.retry = true,
 		.body_bytes = 200,
 		.seed = 1,
 		.prefix = prefix,
 	};
-	struct load_figures figures;
+	struct load_stats figures;
 	struct load *load = load_new(&options);
 
 	load_run(load);
-	load_get_figures(load, &figures);
+	load_get_stats(load, &figures);
 	load_free(load);
 	g_free(prefix);
 	g_free(entries);
@@ -97,7 +97,7 @@
 	for (i = 0; i < G_N_ELEMENTS(rates); i++) {
 		struct usage before = usage_of(pid);
 		gint64 began_us = g_get_monotonic_time();
-		struct load_figures figures =
+		struct load_stats figures =
 			run_load(fleet, keyed, rates[i], RUN_S);
 		double seconds =
 			(double)(g_get_monotonic_time() - began_us) / 1e6;
@@ -109,7 +109,7 @@
 		fprintf(out,
 			"entry\t%s\t%.0f\t%u\t%u\t%.1f\t%.1f\t%.2f\t%.2f\n",
 			keyed ? "keyed" : "plain", x[i], figures.requests,
-			figures.told[LOAD_RUN], y[i], after.resident_mb,
+			figures.outcomes[LOAD_RUN], y[i], after.resident_mb,
 			figures.p50_ms, figures.p99_ms);
 	}
 	line = slopes_fit(x, y, G_N_ELEMENTS(rates));
@@ -137,7 +137,7 @@
 		if (connection)
 			g_ptr_array_add(open, connection);
 	}
-	fleet_run_ms(1000);
+	fleet_run_main_loop_ms(1000);
 	fprintf(out, "entry\tidle connections\t%u\t%.2f kB each\n", open->len,
 		(usage_of(member->entry->pid).resident_mb - before) * 1024 /
 			MAX(open->len, 1));
@@ -150,7 +150,7 @@
 	struct fleet_service service = { .name = "calls",
 					 .path = "/calls",
 					 .upstreams = UPSTREAMS,
-					 .once = true,
+					 .at_most_once = true,
 					 .slots = SLOTS,
 					 .cold_slots = SLOTS,
 					 .cold_ms = 500,
@@ -164,12 +164,12 @@
 	bool up = fleet && fleet_start(fleet, &error);
 
 	if (up)
-		fleet_run_ms(1500);
+		fleet_run_main_loop_ms(1500);
 	up = up &&
 	     fleet_apply(fleet, fleet_member(fleet, 0), inventory, &error) &&
 	     fleet_wait_ready(fleet, 15000, &error);
 	if (up) {
-		fleet_run_ms(3000);
+		fleet_run_main_loop_ms(3000);
 		run_load(fleet, false, 100, WARM_S);
 		over_calls(fleet, false, out);
 		over_calls(fleet, true, out);
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -85,7 +85,7 @@
 		soak_upstream_start(&soak->upstreams[i]);
 	}
 	for (guint i = 0; i < PORTS; i++)
-		soak->ports[i] = child_free_port();
+		soak->ports[i] = child_pick_free_port();
 	for (guint i = 0; i < GATEWAYS; i++) {
 		soak->gateways[i].soak = soak;
 		soak->gateways[i].number = i;
@@ -195,7 +195,7 @@
 	guint failed = 0;
 
 	argp_parse(&argp, argc, argv, 0, NULL, &arguments);
-	child_guard();
+	child_install_exit_handlers();
 	for (guint i = 0; i < arguments.runs; i++)
 		failed += !soak_run(arguments.seed + i, &arguments);
 	g_print("%u passed, %u failed\n", arguments.runs - failed, failed);
--- a/tools/soak/soak_faults.c
+++ b/tools/soak/soak_faults.c
@@ -35,7 +35,7 @@
 {
 	switch (g_rand_int_range(soak->random, 0, 4)) {
 	case 0:
-		platform_store_forget_history(soak->store);
+		platform_store_compact(soak->store);
 		return;
 	case 1:
 		platform_store_set_delay(soak->store,
@@ -46,8 +46,8 @@
 		platform_store_set_fault(
 			soak->store,
 			(enum platform_store_fault)g_rand_int_range(
-				soak->random, PLATFORM_STORE_BUSY,
-				PLATFORM_STORE_NONSENSE + 1));
+				soak->random, PLATFORM_STORE_UNAVAILABLE,
+				PLATFORM_STORE_MALFORMED + 1));
 		break;
 	}
 	if (!soak->store_mend_us)
@@ -70,10 +70,10 @@
 			(guint)g_rand_int_range(soak->random, 5, 400);
 		break;
 	case 1:
-		upstream->route->fault.silent[PROXY_UP] = true;
+		upstream->route->fault.blackhole[PROXY_UP] = true;
 		break;
 	case 2:
-		upstream->route->fault.silent[PROXY_DOWN] = true;
+		upstream->route->fault.blackhole[PROXY_DOWN] = true;
 		break;
 	case 3:
 		platform_upstream_set_down(upstream->it, true);
@@ -87,7 +87,7 @@
 		platform_upstream_set_answer(
 			upstream->it,
 			(enum platform_answer)g_rand_int_range(
-				soak->random, 0, PLATFORM_ANSWER_EARLY));
+				soak->random, 0, PLATFORM_ANSWER_EARLY_ERROR));
 		break;
 	}
 }
@@ -136,7 +136,7 @@
 
 static void store_mend(struct soak *soak)
 {
-	platform_store_set_fault(soak->store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(soak->store, PLATFORM_STORE_NO_FAULT);
 	platform_store_set_delay(soak->store, 0);
 	soak->store_mend_us = 0;
 	soak->store_well_us = soak_now(soak);
--- a/tools/soak/soak_rollout.c
+++ b/tools/soak/soak_rollout.c
@@ -137,7 +137,7 @@
 	rollout->later += rollout->rolled_back_us != 0;
 	check_exposure(rollout, id);
 	if (rollout->bad && g_rand_double(rollout->random) < FAILING_SHARE)
-		platform_upstream_answer_once(upstream->it,
+		platform_upstream_set_next_answer(upstream->it,
 					      PLATFORM_ANSWER_FAILED);
 }
 
--- a/tools/soak/soak_upstreams.c
+++ b/tools/soak/soak_upstreams.c
@@ -62,9 +62,9 @@
 				upstream->number, upstream->generation);
 	upstream->it =
 		platform_upstream_new(soak->poller, soak->timers, upstream->id);
-	platform_upstream_set_body(upstream->it, BODY_BYTES);
-	platform_upstream_set_work(upstream->it, WORK_MS);
-	platform_upstream_on_run(upstream->it, on_run, upstream);
+	platform_upstream_set_body_bytes(upstream->it, BODY_BYTES);
+	platform_upstream_set_service_time(upstream->it, WORK_MS);
+	platform_upstream_set_run_callback(upstream->it, on_run, upstream);
 	upstream->route =
 		proxy_route_new("127.0.0.1:0",
 				platform_upstream_address(upstream->it),
