--- a/tools/standin-store.c
+++ b/tools/standin-store.c
@@ -13,9 +13,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define VALUE_LIMIT 1048576 /* bytes of a value */
-#define WAIT_LIMIT_MS 60000 /* longest a watch waits */
-#define HISTORY_LIMIT 64 /* old versions kept of an object */
+#define VALUE_BYTES_MAX 1048576 /* bytes of a value */
+#define WATCH_WAIT_MAX_MS 60000 /* longest a watch waits */
+#define REVISIONS_PER_OBJECT_MAX 64 /* old versions kept of an object */
 
 static const char objects_path[] = "/v1/objects";
 
@@ -39,14 +39,14 @@
 	[CALL_WATCH] = "watch",
 };
 
-enum down { DOWN_NO, DOWN_REFUSE, DOWN_HANG };
+enum down { DOWN_NONE, DOWN_REFUSE, DOWN_HANG };
 
 /* Counts run down by one a call; -1 means always. */
 struct fault {
 	guint delay_ms;
 	guint jitter_ms; /* up to this much more */
 	enum down down;
-	guint stale; /* reads see the object so many writes ago */
+	guint stale_writes; /* reads see the object so many writes ago */
 	gint64 lose_answers; /* writes that take effect unanswered */
 	gint64 reset; /* calls whose connection is reset */
 };
@@ -71,7 +71,7 @@
 };
 
 /* A call put off by the delay. */
-struct delayed {
+struct delayed_call {
 	struct store *store;
 	SoupServerMessage *message; /* owned reference */
 };
@@ -95,14 +95,14 @@
 
 /* The revision `back` writes ago, or the oldest known. */
 static const struct revision *object_revision(const struct object *object,
-					      guint back)
+					      guint writes_ago)
 {
 	guint last = object->revisions->len - 1;
 
-	return object->revisions->pdata[last - MIN(back, last)];
+	return object->revisions->pdata[last - MIN(writes_ago, last)];
 }
 
-static bool spend(gint64 *count)
+static bool consume_count(gint64 *count)
 {
 	if (!*count)
 		return false;
@@ -147,7 +147,7 @@
 	json_builder_end_object(builder);
 }
 
-static gint by_version(gconstpointer a, gconstpointer b)
+static gint compare_by_version(gconstpointer a, gconstpointer b)
 {
 	const struct object *const *first = a;
 	const struct object *const *second = b;
@@ -159,7 +159,7 @@
 
 /* Array of objects below `prefix` newer than `since`, oldest first. */
 static guint build_objects(struct store *store, JsonBuilder *builder,
-			   const char *prefix, guint64 since, guint back)
+			   const char *prefix, guint64 since, guint writes_ago)
 {
 	GPtrArray *found = g_ptr_array_new();
 	const struct revision *revision;
@@ -170,16 +170,16 @@
 
 	g_hash_table_iter_init(&iter, store->objects);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&object)) {
-		revision = object_revision(object, back);
+		revision = object_revision(object, writes_ago);
 		if (revision->version > since &&
 		    g_str_has_prefix(object->key, prefix))
 			g_ptr_array_add(found, object);
 	}
-	g_ptr_array_sort(found, by_version);
+	g_ptr_array_sort(found, compare_by_version);
 	json_builder_begin_array(builder);
 	for (i = 0; i < found->len; i++)
 		build_object(builder, found->pdata[i],
-			     object_revision(found->pdata[i], back));
+			     object_revision(found->pdata[i], writes_ago));
 	json_builder_end_array(builder);
 	count = found->len;
 	g_ptr_array_unref(found);
@@ -196,7 +196,7 @@
 		tool_answer_text(message, 404, "no such object\n");
 		return;
 	}
-	revision = object_revision(object, store->fault.stale);
+	revision = object_revision(object, store->fault.stale_writes);
 	set_version(message, revision->version);
 	soup_server_message_set_status(message, 200, NULL);
 	soup_server_message_set_response(message, "application/octet-stream",
@@ -210,7 +210,7 @@
 	GHashTable *query = NULL;
 
 	build_objects(store, builder, query_text(message, "prefix", &query), 0,
-		      store->fault.stale);
+		      store->fault.stale_writes);
 	tool_answer_json(message, 200, json_builder_get_root(builder));
 	g_object_unref(builder);
 	g_hash_table_unref(query);
@@ -227,7 +227,7 @@
 	g_free(watch);
 }
 
-static void watch_end(struct watch *watch)
+static void watch_remove(struct watch *watch)
 {
 	g_ptr_array_remove_fast(watch->store->watches, watch);
 }
@@ -259,11 +259,11 @@
 	watch->timer = 0;
 	watch_answer(watch, true);
 	soup_server_message_unpause(watch->message);
-	watch_end(watch);
+	watch_remove(watch);
 	return G_SOURCE_REMOVE;
 }
 
-static void wake_watches(struct store *store)
+static void notify_watches(struct store *store)
 {
 	struct watch *watch;
 	guint i;
@@ -273,7 +273,7 @@
 		if (!watch_answer(watch, false))
 			continue;
 		soup_server_message_unpause(watch->message);
-		watch_end(watch);
+		watch_remove(watch);
 	}
 }
 
@@ -293,11 +293,11 @@
 	g_hash_table_unref(query);
 	g_ptr_array_add(store->watches, watch);
 	if (watch_answer(watch, wait_ms <= 0)) {
-		watch_end(watch);
+		watch_remove(watch);
 		return;
 	}
 	soup_server_message_pause(message);
-	watch->timer = g_timeout_add(CLAMP(wait_ms, 1, WAIT_LIMIT_MS),
+	watch->timer = g_timeout_add(CLAMP(wait_ms, 1, WATCH_WAIT_MAX_MS),
 				     on_watch_due, watch);
 }
 
@@ -317,7 +317,7 @@
 	revision->value = g_strndup(body->data ? body->data : "", body->length);
 	revision->length = body->length;
 	g_ptr_array_add(object->revisions, revision);
-	if (object->revisions->len > HISTORY_LIMIT)
+	if (object->revisions->len > REVISIONS_PER_OBJECT_MAX)
 		g_ptr_array_remove_index(object->revisions, 0);
 }
 
@@ -334,11 +334,11 @@
 		tool_answer_text(message, 400, "needs a key and If-Match\n");
 		return;
 	}
-	if (body->length > VALUE_LIMIT ||
+	if (body->length > VALUE_BYTES_MAX ||
 	    !g_utf8_validate(body->data ? body->data : "", body->length,
 			     NULL)) {
 		tool_answer_text(message,
-				 body->length > VALUE_LIMIT ? 413 : 400,
+				 body->length > VALUE_BYTES_MAX ? 413 : 400,
 				 "value too large or not UTF-8\n");
 		return;
 	}
@@ -348,9 +348,9 @@
 		return;
 	}
 	write_object(store, object, key, body);
-	wake_watches(store);
-	if (spend(&store->fault.lose_answers)) {
-		tool_drop(message, false);
+	notify_watches(store);
+	if (consume_count(&store->fault.lose_answers)) {
+		tool_close_connection(message, false);
 		return;
 	}
 	set_version(message, store->version);
@@ -391,30 +391,30 @@
 		store->calls[CALL_GET]++;
 }
 
-static gboolean on_delay_over(gpointer data)
+static gboolean on_delay_elapsed(gpointer data)
 {
-	struct delayed *delayed = data;
+	struct delayed_call *delayed_call = data;
 
 	/* Unpaused first: a watch may pause it again for its own wait. */
-	soup_server_message_unpause(delayed->message);
-	answer_call(delayed->store, delayed->message);
-	g_object_unref(delayed->message);
-	g_free(delayed);
+	soup_server_message_unpause(delayed_call->message);
+	answer_call(delayed_call->store, delayed_call->message);
+	g_object_unref(delayed_call->message);
+	g_free(delayed_call);
 	return G_SOURCE_REMOVE;
 }
 
 static void delay_call(struct store *store, SoupServerMessage *message)
 {
-	struct delayed *delayed = g_new0(struct delayed, 1);
+	struct delayed_call *delayed_call = g_new0(struct delayed_call, 1);
 	guint delay_ms = store->fault.delay_ms;
 
 	if (store->fault.jitter_ms)
 		delay_ms += g_rand_int_range(store->random, 0,
 					     store->fault.jitter_ms);
-	delayed->store = store;
-	delayed->message = g_object_ref(message);
+	delayed_call->store = store;
+	delayed_call->message = g_object_ref(message);
 	soup_server_message_pause(message);
-	g_timeout_add(delay_ms, on_delay_over, delayed);
+	g_timeout_add(delay_ms, on_delay_elapsed, delayed_call);
 }
 
 static void on_call(SoupServer *server, SoupServerMessage *message,
@@ -428,8 +428,8 @@
 	} else if (store->fault.down == DOWN_HANG) {
 		soup_server_message_pause(message);
 		g_ptr_array_add(store->hanging, g_object_ref(message));
-	} else if (spend(&store->fault.reset)) {
-		tool_drop(message, true);
+	} else if (consume_count(&store->fault.reset)) {
+		tool_close_connection(message, true);
 	} else if (store->fault.delay_ms || store->fault.jitter_ms) {
 		delay_call(store, message);
 	} else {
@@ -438,17 +438,17 @@
 }
 
 /* Calls that hung and waiting watches end without an answer. */
-static void drop_waiting(struct store *store)
+static void drop_pending(struct store *store)
 {
 	struct watch *watch;
 	guint i;
 
 	for (i = 0; i < store->hanging->len; i++)
-		tool_drop(store->hanging->pdata[i], false);
+		tool_close_connection(store->hanging->pdata[i], false);
 	g_ptr_array_set_size(store->hanging, 0);
 	for (i = 0; i < store->watches->len; i++) {
 		watch = store->watches->pdata[i];
-		tool_drop(watch->message, false);
+		tool_close_connection(watch->message, false);
 	}
 	g_ptr_array_set_size(store->watches, 0);
 }
@@ -459,7 +459,7 @@
 {
 	struct store *store = data;
 	struct fault *fault = &store->fault;
-	JsonObject *body = tool_body_json(message);
+	JsonObject *body = tool_request_json(message);
 	const char *down;
 
 	if (!body) {
@@ -470,7 +470,7 @@
 		*fault = (struct fault){ 0 };
 	fault->delay_ms = tool_json_int(body, "delay_ms", fault->delay_ms);
 	fault->jitter_ms = tool_json_int(body, "jitter_ms", fault->jitter_ms);
-	fault->stale = tool_json_int(body, "stale", fault->stale);
+	fault->stale_writes = tool_json_int(body, "stale", fault->stale_writes);
 	fault->lose_answers =
 		tool_json_int(body, "lose_answers", fault->lose_answers);
 	fault->reset = tool_json_int(body, "reset", fault->reset);
@@ -478,9 +478,9 @@
 	if (down)
 		fault->down = !strcmp(down, "refuse") ? DOWN_REFUSE :
 			      !strcmp(down, "hang")   ? DOWN_HANG :
-							DOWN_NO;
+							DOWN_NONE;
 	if (down || tool_json_int(body, "clear", 0))
-		drop_waiting(store);
+		drop_pending(store);
 	json_object_unref(body);
 	tool_answer_text(message, 200, "");
 }
@@ -540,7 +540,7 @@
 
 static void store_clear(struct store *store)
 {
-	drop_waiting(store);
+	drop_pending(store);
 	g_object_unref(store->server);
 	g_ptr_array_unref(store->watches);
 	g_ptr_array_unref(store->hanging);
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -24,32 +24,34 @@
 	const char *help;
 };
 
-#define ROW(field, kind, text)                                                 \
+#define OPTION_ROW(field, kind, text)                                          \
 	{                                                                      \
 #field, kind, G_STRUCT_OFFSET(struct upstream_options, field), \
 			text                                                   \
 	}
 
-static const struct option_row rows[] = {
-	ROW(slots, OPTION_UINT, "requests run at once"),
-	ROW(cold_slots, OPTION_UINT, "requests borne at once while cold"),
-	ROW(connections, OPTION_UINT, "open connections at most"),
-	ROW(cold_ms, OPTION_UINT, "how long it stays cold"),
-	ROW(cold_factor, OPTION_DOUBLE, "service takes longer while cold"),
-	ROW(fall_ms, OPTION_UINT, "refuses so long after a crash"),
-	ROW(mean_us, OPTION_DOUBLE, "mean service time"),
-	ROW(sigma, OPTION_DOUBLE, "of the service time's logarithm"),
-	ROW(connect_us, OPTION_UINT, "cost of a new connection"),
-	ROW(probe_us, OPTION_UINT, "cost of a probe"),
-	ROW(body_bytes, OPTION_UINT, "size of an answer at least"),
-	ROW(shed, OPTION_BOOL, "beyond the slots refuse, don't queue"),
+static const struct option_row option_rows[] = {
+	OPTION_ROW(slots, OPTION_UINT, "requests run at once"),
+	OPTION_ROW(cold_slots, OPTION_UINT,
+		   "requests borne at once while cold"),
+	OPTION_ROW(connections, OPTION_UINT, "open connections at most"),
+	OPTION_ROW(cold_ms, OPTION_UINT, "how long it stays cold"),
+	OPTION_ROW(cold_factor, OPTION_DOUBLE,
+		   "service takes longer while cold"),
+	OPTION_ROW(fall_ms, OPTION_UINT, "refuses so long after a crash"),
+	OPTION_ROW(mean_us, OPTION_DOUBLE, "mean service time"),
+	OPTION_ROW(sigma, OPTION_DOUBLE, "of the service time's logarithm"),
+	OPTION_ROW(connect_us, OPTION_UINT, "cost of a new connection"),
+	OPTION_ROW(probe_us, OPTION_UINT, "cost of a probe"),
+	OPTION_ROW(body_bytes, OPTION_UINT, "size of an answer at least"),
+	OPTION_ROW(shed, OPTION_BOOL, "beyond the slots refuse, don't queue"),
 };
 
-#define FIRST_ROW_KEY 1000 /* argp keys of `rows` start here */
+#define FIRST_OPTION_ROW_KEY 1000 /* argp keys of `rows` start here */
 
 struct program {
 	struct upstream_options defaults;
-	struct upstream_world *world;
+	struct upstream_shared *shared;
 	GPtrArray *upstreams; /* of struct upstream, owned */
 	GPtrArray *wanted; /* of struct upstream_options, owned */
 	const char *control;
@@ -60,8 +62,8 @@
 	guint32 seed;
 };
 
-static void set_row(struct upstream_options *options,
-		    const struct option_row *row, const char *text)
+static void set_option(struct upstream_options *options,
+		       const struct option_row *row, const char *text)
 {
 	void *field = (char *)options + row->offset;
 
@@ -79,17 +81,17 @@
 	gsize length = equals ? equals - pair : 0;
 	guint i;
 
-	for (i = 0; equals && i < G_N_ELEMENTS(rows); i++) {
-		if (strlen(rows[i].name) != length ||
-		    memcmp(rows[i].name, pair, length) != 0)
+	for (i = 0; equals && i < G_N_ELEMENTS(option_rows); i++) {
+		if (strlen(option_rows[i].name) != length ||
+		    memcmp(option_rows[i].name, pair, length) != 0)
 			continue;
-		set_row(options, &rows[i], equals + 1);
+		set_option(options, &option_rows[i], equals + 1);
 		return true;
 	}
 	return false;
 }
 
-static void want(struct program *program, const char *host, guint16 port)
+static void add_wanted(struct program *program, const char *host, guint16 port)
 {
 	struct upstream_options *options;
 
@@ -100,7 +102,7 @@
 }
 
 /* IP:PORT[,name=value...]; the strings live as long as the program. */
-static bool want_listed(struct program *program, const char *text)
+static bool add_listen_argument(struct program *program, const char *text)
 {
 	char **parts = g_strsplit(text, ",", -1);
 	char *colon = strrchr(parts[0], ':');
@@ -109,9 +111,10 @@
 	guint i;
 
 	if (ok) {
-		want(program,
-		     g_intern_string(strndupa(parts[0], colon - parts[0])),
-		     strtoul(colon + 1, NULL, 10));
+		add_wanted(program,
+			   g_intern_string(
+				   strndupa(parts[0], colon - parts[0])),
+			   strtoul(colon + 1, NULL, 10));
 		options = program->wanted->pdata[program->wanted->len - 1];
 		for (i = 1; ok && parts[i]; i++)
 			ok = set_by_name(options, parts[i]);
@@ -126,7 +129,7 @@
 
 	switch (key) {
 	case 'l':
-		if (!want_listed(program, argument))
+		if (!add_listen_argument(program, argument))
 			argp_error(state, "bad --listen %s", argument);
 		return 0;
 	case 'c':
@@ -150,10 +153,11 @@
 	default:
 		break;
 	}
-	if (key < FIRST_ROW_KEY ||
-	    key >= FIRST_ROW_KEY + (int)G_N_ELEMENTS(rows))
+	if (key < FIRST_OPTION_ROW_KEY ||
+	    key >= FIRST_OPTION_ROW_KEY + (int)G_N_ELEMENTS(option_rows))
 		return ARGP_ERR_UNKNOWN;
-	set_row(&program->defaults, &rows[key - FIRST_ROW_KEY], argument);
+	set_option(&program->defaults, &option_rows[key - FIRST_OPTION_ROW_KEY],
+		   argument);
 	return 0;
 }
 
@@ -174,12 +178,14 @@
 
 	memcpy(table, fixed_options, sizeof(fixed_options));
 	table += G_N_ELEMENTS(fixed_options);
-	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
-		names[i] = g_strdelimit(g_strdup(rows[i].name), "_", '-');
-		table[i] = (struct argp_option){ .name = names[i],
-						 .key = FIRST_ROW_KEY + i,
-						 .arg = "N",
-						 .doc = rows[i].help };
+	for (i = 0; i < G_N_ELEMENTS(option_rows); i++) {
+		names[i] =
+			g_strdelimit(g_strdup(option_rows[i].name), "_", '-');
+		table[i] =
+			(struct argp_option){ .name = names[i],
+					      .key = FIRST_OPTION_ROW_KEY + i,
+					      .arg = "N",
+					      .doc = option_rows[i].help };
 	}
 }
 
@@ -187,7 +193,7 @@
 		     const char *path, GHashTable *query, gpointer data)
 {
 	struct program *program = data;
-	JsonObject *body = tool_body_json(message);
+	JsonObject *body = tool_request_json(message);
 	guint found = 0;
 	gint64 port;
 	guint i;
@@ -202,21 +208,21 @@
 
 		if (port && upstream->options.port != port)
 			continue;
-		upstream_apply(upstream, body);
+		upstream_apply_faults(upstream, body);
 		found++;
 	}
 	json_object_unref(body);
 	tool_answer_text(message, found ? 200 : 404, "");
 }
 
-static void build_runs(struct upstream_world *world, JsonBuilder *builder)
+static void build_runs(struct upstream_shared *shared, JsonBuilder *builder)
 {
 	struct upstream_run *run;
 	GHashTableIter iter;
 	const char *nonce;
 
 	json_builder_begin_object(builder);
-	g_hash_table_iter_init(&iter, world->runs);
+	g_hash_table_iter_init(&iter, shared->runs);
 	while (g_hash_table_iter_next(&iter, (void **)&nonce, (void **)&run)) {
 		json_builder_set_member_name(builder, nonce);
 		json_builder_begin_array(builder);
@@ -242,11 +248,11 @@
 	json_builder_set_member_name(builder, "upstreams");
 	json_builder_begin_array(builder);
 	for (i = 0; i < program->upstreams->len; i++)
-		upstream_build(program->upstreams->pdata[i], builder);
+		upstream_build_stats(program->upstreams->pdata[i], builder);
 	json_builder_end_array(builder);
 	if (!query || !g_hash_table_contains(query, "short")) {
 		json_builder_set_member_name(builder, "nonces");
-		build_runs(program->world, builder);
+		build_runs(program->shared, builder);
 	}
 	json_builder_end_object(builder);
 	tool_answer_json(message, 200, json_builder_get_root(builder));
@@ -261,7 +267,7 @@
 	struct upstream_run *run;
 	GHashTableIter iter;
 
-	g_hash_table_iter_init(&iter, program->world->runs);
+	g_hash_table_iter_init(&iter, program->shared->runs);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&run))
 		*run = (struct upstream_run){ 0 };
 	tool_answer_text(message, 200, "");
@@ -273,14 +279,14 @@
 	guint i;
 
 	for (i = 0; i < program->count; i++)
-		want(program, program->host, program->first_port + i);
+		add_wanted(program, program->host, program->first_port + i);
 	for (i = 0; i < program->wanted->len; i++) {
 		upstream = upstream_new(program->wanted->pdata[i],
-					program->world, error);
+					program->shared, error);
 		if (!upstream)
 			return false;
 		if (program->cold)
-			upstream_turn_cold(upstream);
+			upstream_start_cold(upstream);
 		g_ptr_array_add(program->upstreams, upstream);
 	}
 	return true;
@@ -301,7 +307,7 @@
 	soup_server_add_handler(control, "/fault", on_fault, program, NULL);
 	soup_server_add_handler(control, "/oracle", on_oracle, program, NULL);
 	soup_server_add_handler(control, "/forget", on_forget, program, NULL);
-	program->world = upstream_world_new(program->seed);
+	program->shared = upstream_shared_new(program->seed);
 	program->upstreams = g_ptr_array_new_with_free_func(free_upstream);
 	if (start_all(program, &error) &&
 	    tool_listen(control, program->control, &port, &error)) {
@@ -317,15 +323,15 @@
 	}
 	g_ptr_array_unref(program->upstreams);
 	g_object_unref(control);
-	upstream_world_free(program->world);
+	upstream_shared_free(program->shared);
 	return status;
 }
 
 int main(int argc, char **argv)
 {
 	struct argp_option options[G_N_ELEMENTS(fixed_options) +
-				   G_N_ELEMENTS(rows) + 1] = { { 0 } };
-	char *names[G_N_ELEMENTS(rows)];
+				   G_N_ELEMENTS(option_rows) + 1] = { { 0 } };
+	char *names[G_N_ELEMENTS(option_rows)];
 	const struct argp parser = {
 		.options = options,
 		.parser = parse_option,
@@ -353,7 +359,7 @@
 	fill_options(options, names);
 	argp_parse(&parser, argc, argv, 0, NULL, &program);
 	status = run(&program);
-	for (i = 0; i < G_N_ELEMENTS(rows); i++)
+	for (i = 0; i < G_N_ELEMENTS(option_rows); i++)
 		g_free(names[i]);
 	g_ptr_array_unref(program.wanted);
 	return status;
--- a/tools/upstream/upstream.c
+++ b/tools/upstream/upstream.c
@@ -12,45 +12,45 @@
 #include <string.h>
 #include <sys/socket.h>
 
-static const char *const fault_names[UPSTREAM_FAULTS] = {
-	[UPSTREAM_FAIL_FAST] = "fail_fast",
-	[UPSTREAM_TRUNCATE] = "truncate",
-	[UPSTREAM_WRONG_LENGTH] = "wrong_length",
-	[UPSTREAM_RESET_MIDDLE] = "reset_middle",
-	[UPSTREAM_NEVER] = "never",
-	[UPSTREAM_LATE] = "late",
-	[UPSTREAM_CRASH_AFTER] = "crash_after",
-	[UPSTREAM_SHED] = "shed",
+static const char *const fault_names[UPSTREAM_FAULT_COUNT] = {
+	[UPSTREAM_FAULT_FAIL_FAST] = "fail_fast",
+	[UPSTREAM_FAULT_TRUNCATE] = "truncate",
+	[UPSTREAM_FAULT_WRONG_LENGTH] = "wrong_length",
+	[UPSTREAM_FAULT_RESET_MIDDLE] = "reset_middle",
+	[UPSTREAM_FAULT_NO_ANSWER] = "never",
+	[UPSTREAM_FAULT_LATE_ANSWER] = "late",
+	[UPSTREAM_FAULT_CRASH_AFTER] = "crash_after",
+	[UPSTREAM_FAULT_SHED] = "shed",
 };
 
-struct upstream_world *upstream_world_new(guint32 seed)
+struct upstream_shared *upstream_shared_new(guint32 seed)
 {
-	struct upstream_world *world = g_new0(struct upstream_world, 1);
+	struct upstream_shared *shared = g_new0(struct upstream_shared, 1);
 
-	world->random = g_rand_new_with_seed(seed);
-	world->runs =
+	shared->random = g_rand_new_with_seed(seed);
+	shared->runs =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	return world;
+	return shared;
 }
 
-void upstream_world_free(struct upstream_world *world)
+void upstream_shared_free(struct upstream_shared *shared)
 {
-	g_rand_free(world->random);
-	g_hash_table_unref(world->runs);
-	g_free(world);
+	g_rand_free(shared->random);
+	g_hash_table_unref(shared->runs);
+	g_free(shared);
 }
 
-static struct upstream_run *world_run(struct upstream_world *world,
-				      const char *nonce)
+static struct upstream_run *find_run(struct upstream_shared *shared,
+				     const char *nonce)
 {
 	struct upstream_run *run;
 
 	if (!nonce)
 		return NULL;
-	run = g_hash_table_lookup(world->runs, nonce);
+	run = g_hash_table_lookup(shared->runs, nonce);
 	if (!run) {
 		run = g_new0(struct upstream_run, 1);
-		g_hash_table_insert(world->runs, g_strdup(nonce), run);
+		g_hash_table_insert(shared->runs, g_strdup(nonce), run);
 	}
 	return run;
 }
@@ -60,7 +60,7 @@
 	return g_get_monotonic_time() < upstream->cold_until_us;
 }
 
-void upstream_turn_cold(struct upstream *upstream)
+void upstream_start_cold(struct upstream *upstream)
 {
 	upstream->cold_until_us = g_get_monotonic_time() +
 				  upstream->options.cold_ms * (gint64)1000;
@@ -72,22 +72,22 @@
 
 	if (job->timer)
 		g_source_remove(job->timer);
-	if (job->watch) {
-		g_source_destroy(job->watch);
-		g_source_unref(job->watch);
+	if (job->close_watch) {
+		g_source_destroy(job->close_watch);
+		g_source_unref(job->close_watch);
 	}
-	upstream_call_forget(job);
+	upstream_call_cancel(job);
 	g_object_unref(job->message);
 	g_free(job->nonce);
 	g_free(job);
 }
 
-static guint inside(const struct upstream *upstream)
+static guint in_flight(const struct upstream *upstream)
 {
 	return upstream->running->len + upstream->queue.length;
 }
 
-static bool spend(gint64 *count)
+static bool consume_count(gint64 *count)
 {
 	if (!*count)
 		return false;
@@ -96,22 +96,25 @@
 	return true;
 }
 
-/* The first fault due that spoils a whole run; UPSTREAM_FAULTS for none. */
-static enum upstream_fault next_fault(struct upstream *upstream)
+/* The first fault due that spoils a whole run; UPSTREAM_FAULT_COUNT for none.
+ */
+static enum upstream_fault take_fault(struct upstream *upstream)
 {
 	int fault;
 
-	for (fault = UPSTREAM_TRUNCATE; fault < UPSTREAM_SHED; fault++)
-		if (spend(&upstream->faults[fault]))
+	for (fault = UPSTREAM_FAULT_TRUNCATE; fault < UPSTREAM_FAULT_SHED;
+	     fault++)
+		if (consume_count(&upstream->faults[fault]))
 			return fault;
-	return UPSTREAM_FAULTS;
+	return UPSTREAM_FAULT_COUNT;
 }
 
 /* Lognormal with the mean asked for, by the Box-Muller transform. */
-static double service_us(struct upstream *upstream, bool new_connection)
+static double draw_service_time_us(struct upstream *upstream,
+				   bool new_connection)
 {
 	const struct upstream_options *options = &upstream->options;
-	GRand *random = upstream->world->random;
+	GRand *random = upstream->shared->random;
 	double u = 1 - g_rand_double(random);
 	double v = g_rand_double(random);
 	double normal = sqrt(-2 * log(u)) * cos(2 * G_PI * v);
@@ -150,7 +153,7 @@
 	}
 }
 
-static void end_job(struct upstream_job *job)
+static void finish_job(struct upstream_job *job)
 {
 	struct upstream *upstream = job->upstream;
 
@@ -159,59 +162,59 @@
 }
 
 /* Late and lost answers keep no slot: only their connection stays. */
-static gboolean on_late(gpointer data)
+static gboolean on_delayed_answer(gpointer data)
 {
 	struct upstream_job *job = data;
 
 	job->timer = 0;
 	upstream_answer(job);
-	g_ptr_array_remove_fast(job->upstream->late, job);
+	g_ptr_array_remove_fast(job->upstream->unanswered, job);
 	return G_SOURCE_REMOVE;
 }
 
-static void note_busy(struct upstream_job *job)
+static void record_busy_time(struct upstream_job *job)
 {
 	job->upstream->oracle.busy_us +=
 		g_get_monotonic_time() - job->started_us;
 }
 
-static gboolean on_served(gpointer data)
+static gboolean on_service_done(gpointer data)
 {
 	struct upstream_job *job = data;
 	struct upstream *upstream = job->upstream;
 	guint index;
 
 	job->timer = 0;
-	note_busy(job);
+	record_busy_time(job);
 	upstream->oracle.completed++;
 	if (job->run)
 		job->run->completed++;
 	switch (job->fault) {
-	case UPSTREAM_NEVER:
-	case UPSTREAM_LATE:
+	case UPSTREAM_FAULT_NO_ANSWER:
+	case UPSTREAM_FAULT_LATE_ANSWER:
 		if (g_ptr_array_find(upstream->running, job, &index))
 			g_ptr_array_steal_index_fast(upstream->running, index);
-		g_ptr_array_add(upstream->late, job);
-		if (job->fault == UPSTREAM_LATE)
-			job->timer =
-				g_timeout_add(upstream->late_ms, on_late, job);
+		g_ptr_array_add(upstream->unanswered, job);
+		if (job->fault == UPSTREAM_FAULT_LATE_ANSWER)
+			job->timer = g_timeout_add(upstream->answer_delay_ms,
+						   on_delayed_answer, job);
 		run_queue(upstream);
 		return G_SOURCE_REMOVE;
-	case UPSTREAM_CRASH_AFTER:
+	case UPSTREAM_FAULT_CRASH_AFTER:
 		upstream_crash(upstream, upstream->options.fall_ms);
 		return G_SOURCE_REMOVE;
 	default:
-		if (upstream->calls) {
+		if (upstream->call_url) {
 			upstream_call(job);
 			return G_SOURCE_REMOVE;
 		}
 		upstream_answer(job);
-		end_job(job);
+		finish_job(job);
 		return G_SOURCE_REMOVE;
 	}
 }
 
-void upstream_called(struct upstream_job *job, guint status)
+void upstream_call_done(struct upstream_job *job, guint status)
 {
 	if (status == SOUP_STATUS_OK) {
 		upstream_answer(job);
@@ -220,26 +223,26 @@
 		tool_answer_text(job->message, status, "call failed\n");
 		soup_server_message_unpause(job->message);
 	}
-	end_job(job);
+	finish_job(job);
 }
 
 static void start_job(struct upstream_job *job)
 {
 	struct upstream *upstream = job->upstream;
 	struct upstream_oracle *oracle = &upstream->oracle;
-	double time_us = service_us(upstream, job->new_connection);
+	double time_us = draw_service_time_us(upstream, job->new_connection);
 
 	job->started = true;
 	job->started_us = g_get_monotonic_time();
-	job->fault = next_fault(upstream);
+	job->fault = take_fault(upstream);
 	oracle->started++;
 	oracle->last_started_us = g_get_monotonic_time();
 	if (job->run)
 		job->run->started++;
 	g_ptr_array_add(upstream->running, job);
 	oracle->max_running = MAX(oracle->max_running, upstream->running->len);
-	job->timer =
-		g_timeout_add((guint)(time_us / 1000 + 0.5), on_served, job);
+	job->timer = g_timeout_add((guint)(time_us / 1000 + 0.5),
+				   on_service_done, job);
 	if (soup_message_headers_get_one(
 		    soup_server_message_get_request_headers(job->message),
 		    "X-Test-Crash"))
@@ -258,22 +261,22 @@
 	got = recv(g_socket_get_fd(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 	if (got > 0)
 		return G_SOURCE_REMOVE;
-	tool_drop(job->message, false);
+	tool_close_connection(job->message, false);
 	if (g_queue_remove(&upstream->queue, job)) {
 		job_free(job);
 		return G_SOURCE_REMOVE;
 	}
-	if (g_ptr_array_remove_fast(upstream->late, job))
+	if (g_ptr_array_remove_fast(upstream->unanswered, job))
 		return G_SOURCE_REMOVE;
-	note_busy(job);
+	record_busy_time(job);
 	upstream->oracle.cancelled++;
 	if (job->run)
 		job->run->cancelled++;
-	end_job(job);
+	finish_job(job);
 	return G_SOURCE_REMOVE;
 }
 
-static bool has_ended(GSocket *socket)
+static bool is_closed_by_peer(GSocket *socket)
 {
 	char byte;
 
@@ -283,12 +286,12 @@
 }
 
 /* libsoup 3.2 neither closes nor frees what the other end closed. */
-static void forget_ended(GPtrArray *sockets)
+static void release_closed_sockets(GPtrArray *sockets)
 {
 	for (guint i = sockets->len; i > 0; i--) {
 		GSocket *socket = sockets->pdata[i - 1];
 
-		if (!has_ended(socket))
+		if (!is_closed_by_peer(socket))
 			continue;
 		g_socket_close(socket, NULL);
 		g_ptr_array_remove_index_fast(sockets, i - 1);
@@ -297,13 +300,13 @@
 
 static bool count_connection(struct upstream *upstream, GSocket *socket)
 {
-	static const char mark[] = "upstream-seen";
+	static const char seen_key[] = "upstream-seen";
 
-	if (g_object_get_data(G_OBJECT(socket), mark))
+	if (g_object_get_data(G_OBJECT(socket), seen_key))
 		return false;
-	g_object_set_data(G_OBJECT(socket), mark, upstream);
+	g_object_set_data(G_OBJECT(socket), seen_key, upstream);
 	if (upstream->sockets->len >= upstream->options.connections / 2)
-		forget_ended(upstream->sockets);
+		release_closed_sockets(upstream->sockets);
 	g_ptr_array_add(upstream->sockets, g_object_ref(socket));
 	upstream->oracle.connections++;
 	return true;
@@ -322,31 +325,32 @@
 	job->upstream = upstream;
 	job->message = g_object_ref(message);
 	job->nonce = g_strdup(soup_message_headers_get_one(headers, "X-Nonce"));
-	job->run = world_run(upstream->world, job->nonce);
+	job->run = find_run(upstream->shared, job->nonce);
 	job->new_connection = new_connection;
-	job->fault = UPSTREAM_FAULTS;
+	job->fault = UPSTREAM_FAULT_COUNT;
 	if (deadline)
 		job->deadline_us = g_get_monotonic_time() +
 				   g_ascii_strtoll(deadline, NULL, 10) * 1000;
-	job->watch =
+	job->close_watch =
 		g_socket_create_source(soup_server_message_get_socket(message),
 				       G_IO_IN, NULL);
-	g_source_set_callback(job->watch, G_SOURCE_FUNC(on_readable), job,
+	g_source_set_callback(job->close_watch, G_SOURCE_FUNC(on_readable), job,
 			      NULL);
-	g_source_attach(job->watch, NULL);
+	g_source_attach(job->close_watch, NULL);
 	soup_server_message_pause(message);
 	return job;
 }
 
 /* True when the request was turned away at the door. */
-static bool turn_away(struct upstream *upstream, SoupServerMessage *message)
+static bool reject_request(struct upstream *upstream,
+			   SoupServerMessage *message)
 {
 	if (upstream->sockets->len > upstream->options.connections) {
 		upstream->oracle.refused++;
-		tool_drop(message, true);
+		tool_close_connection(message, true);
 		return true;
 	}
-	if (spend(&upstream->faults[UPSTREAM_FAIL_FAST])) {
+	if (consume_count(&upstream->faults[UPSTREAM_FAULT_FAIL_FAST])) {
 		upstream_add_state(upstream, message);
 		tool_answer_text(message, 500, "failed\n");
 		return true;
@@ -355,7 +359,7 @@
 		upstream_refuse(upstream, message, "draining\n");
 		return true;
 	}
-	if (spend(&upstream->faults[UPSTREAM_SHED]) ||
+	if (consume_count(&upstream->faults[UPSTREAM_FAULT_SHED]) ||
 	    (upstream->options.shed &&
 	     upstream->running->len >= upstream->options.slots)) {
 		upstream_refuse(upstream, message, "busy\n");
@@ -365,8 +369,8 @@
 }
 
 /* On standard error: which requests were inside, and since when cold. */
-static void report_fall(const struct upstream *upstream,
-			const struct upstream_job *newest)
+static void log_overload(const struct upstream *upstream,
+			 const struct upstream_job *newest)
 {
 	gint64 cold_us = upstream->options.cold_ms * (gint64)1000;
 	gint64 since_us =
@@ -398,21 +402,22 @@
 	struct upstream_job *job;
 
 	oracle->requests++;
-	oracle->last_new_us = g_get_monotonic_time();
-	if (turn_away(upstream, message))
+	oracle->last_request_us = g_get_monotonic_time();
+	if (reject_request(upstream, message))
 		return;
 	job = job_new(upstream, message, new_connection);
 	if (upstream->running->len < upstream->options.slots)
 		start_job(job);
 	else
 		g_queue_push_tail(&upstream->queue, job);
-	oracle->max_inside = MAX(oracle->max_inside, inside(upstream));
+	oracle->max_in_flight = MAX(oracle->max_in_flight, in_flight(upstream));
 	if (!upstream_is_cold(upstream))
 		return;
-	oracle->max_cold = MAX(oracle->max_cold, inside(upstream));
-	if (inside(upstream) > upstream->options.cold_slots) {
-		oracle->fell_over++;
-		report_fall(upstream, job);
+	oracle->max_in_flight_cold =
+		MAX(oracle->max_in_flight_cold, in_flight(upstream));
+	if (in_flight(upstream) > upstream->options.cold_slots) {
+		oracle->overload_crashes++;
+		log_overload(upstream, job);
 		upstream_crash(upstream, upstream->options.fall_ms);
 	}
 }
@@ -427,7 +432,7 @@
 {
 	struct probe *probe = data;
 	struct upstream *upstream = probe->upstream;
-	bool cold = upstream_is_cold(upstream) && !upstream->mislead;
+	bool cold = upstream_is_cold(upstream) && !upstream->report_warm;
 	JsonBuilder *builder = json_builder_new();
 
 	json_builder_begin_object(builder);
@@ -438,7 +443,7 @@
 					       cold		  ? "cold" :
 								    "warm");
 	json_builder_set_member_name(builder, "busy");
-	json_builder_add_int_value(builder, inside(upstream));
+	json_builder_add_int_value(builder, in_flight(upstream));
 	json_builder_set_member_name(builder, "slots");
 	json_builder_add_int_value(builder, upstream->options.slots);
 	json_builder_end_object(builder);
@@ -481,19 +486,19 @@
 		upstream->server = server;
 	else
 		g_object_unref(server);
-	upstream->boot_id = g_rand_int(upstream->world->random) | 1;
+	upstream->boot_id = g_rand_int(upstream->shared->random) | 1;
 	g_free(address);
 	return ok;
 }
 
-static void drop_jobs(GPtrArray *jobs)
+static void abort_jobs(GPtrArray *jobs)
 {
 	struct upstream_job *job;
 	guint i;
 
 	for (i = 0; i < jobs->len; i++) {
 		job = jobs->pdata[i];
-		tool_drop(job->message, true);
+		tool_close_connection(job->message, true);
 	}
 	g_ptr_array_set_size(jobs, 0);
 }
@@ -503,11 +508,11 @@
 {
 	struct upstream_job *job;
 
-	drop_jobs(upstream->running);
-	drop_jobs(upstream->late);
+	abort_jobs(upstream->running);
+	abort_jobs(upstream->unanswered);
 	while (!g_queue_is_empty(&upstream->queue)) {
 		job = g_queue_pop_head(&upstream->queue);
-		tool_drop(job->message, true);
+		tool_close_connection(job->message, true);
 		job_free(job);
 	}
 	if (upstream->server)
@@ -527,7 +532,7 @@
 		return G_SOURCE_CONTINUE;
 	}
 	upstream->restart_timer = 0;
-	upstream_turn_cold(upstream);
+	upstream_start_cold(upstream);
 	return G_SOURCE_REMOVE;
 }
 
@@ -535,7 +540,7 @@
 {
 	struct upstream *upstream = data;
 
-	upstream->crash_idle = 0;
+	upstream->crash_source = 0;
 	upstream->oracle.crashes++;
 	close_server(upstream);
 	upstream->restart_timer =
@@ -545,24 +550,24 @@
 
 void upstream_crash(struct upstream *upstream, guint refuse_ms)
 {
-	if (upstream->crash_idle || upstream->restart_timer)
+	if (upstream->crash_source || upstream->restart_timer)
 		return;
 	upstream->refuse_ms = refuse_ms;
-	upstream->crash_idle =
+	upstream->crash_source =
 		g_idle_add_full(G_PRIORITY_HIGH, on_crash, upstream, NULL);
 }
 
 struct upstream *upstream_new(const struct upstream_options *options,
-			      struct upstream_world *world, GError **error)
+			      struct upstream_shared *shared, GError **error)
 {
 	struct upstream *upstream = g_new0(struct upstream, 1);
 
 	upstream->options = *options;
-	upstream->world = world;
+	upstream->shared = shared;
 	upstream->slow_factor = 1;
 	upstream->sockets = g_ptr_array_new_with_free_func(g_object_unref);
 	upstream->running = g_ptr_array_new_with_free_func(job_free);
-	upstream->late = g_ptr_array_new_with_free_func(job_free);
+	upstream->unanswered = g_ptr_array_new_with_free_func(job_free);
 	g_queue_init(&upstream->queue);
 	if (!open_server(upstream, error)) {
 		upstream_free(upstream);
@@ -575,18 +580,18 @@
 {
 	if (upstream->restart_timer)
 		g_source_remove(upstream->restart_timer);
-	if (upstream->crash_idle)
-		g_source_remove(upstream->crash_idle);
+	if (upstream->crash_source)
+		g_source_remove(upstream->crash_source);
 	close_server(upstream);
 	g_ptr_array_unref(upstream->running);
 	g_ptr_array_unref(upstream->sockets);
-	g_ptr_array_unref(upstream->late);
+	g_ptr_array_unref(upstream->unanswered);
 	g_clear_object(&upstream->session);
-	g_free(upstream->calls);
+	g_free(upstream->call_url);
 	g_free(upstream);
 }
 
-void upstream_apply(struct upstream *upstream, JsonObject *body)
+void upstream_apply_faults(struct upstream *upstream, JsonObject *body)
 {
 	gint64 now = g_get_monotonic_time();
 	int i;
@@ -595,26 +600,27 @@
 		memset(upstream->faults, 0, sizeof(upstream->faults));
 		upstream->slow_until_us = 0;
 		upstream->draining = false;
-		upstream->mislead = false;
+		upstream->report_warm = false;
 	}
-	for (i = 0; i < UPSTREAM_FAULTS; i++)
+	for (i = 0; i < UPSTREAM_FAULT_COUNT; i++)
 		upstream->faults[i] = tool_json_int(body, fault_names[i],
 						    upstream->faults[i]);
-	upstream->late_ms = tool_json_int(body, "late_ms", upstream->late_ms);
+	upstream->answer_delay_ms =
+		tool_json_int(body, "late_ms", upstream->answer_delay_ms);
 	upstream->draining =
 		tool_json_int(body, "draining", upstream->draining) != 0;
-	upstream->mislead =
-		tool_json_int(body, "mislead", upstream->mislead) != 0;
+	upstream->report_warm =
+		tool_json_int(body, "mislead", upstream->report_warm) != 0;
 	upstream->slow_factor =
 		tool_json_double(body, "slow_factor", upstream->slow_factor);
 	if (json_object_has_member(body, "slow_ms"))
 		upstream->slow_until_us =
 			now + tool_json_int(body, "slow_ms", 0) * 1000;
 	if (tool_json_int(body, "cold", 0))
-		upstream_turn_cold(upstream);
+		upstream_start_cold(upstream);
 	if (json_object_has_member(body, "calls")) {
-		g_free(upstream->calls);
-		upstream->calls =
+		g_free(upstream->call_url);
+		upstream->call_url =
 			g_strdup(tool_json_string(body, "calls", NULL));
 	}
 	if (json_object_has_member(body, "crash_ms"))
@@ -627,7 +633,7 @@
 	json_builder_add_int_value(builder, value);
 }
 
-void upstream_build(struct upstream *upstream, JsonBuilder *builder)
+void upstream_build_stats(struct upstream *upstream, JsonBuilder *builder)
 {
 	const struct upstream_oracle *oracle = &upstream->oracle;
 
@@ -643,16 +649,16 @@
 	add_int(builder, "completed", oracle->completed);
 	add_int(builder, "cancelled", oracle->cancelled);
 	add_int(builder, "refused", oracle->refused);
-	add_int(builder, "fell_over", oracle->fell_over);
+	add_int(builder, "fell_over", oracle->overload_crashes);
 	add_int(builder, "crashes", oracle->crashes);
 	add_int(builder, "connections", oracle->connections);
 	add_int(builder, "probes", oracle->probes);
 	add_int(builder, "probe_us", oracle->probe_us);
 	add_int(builder, "busy_us", oracle->busy_us);
 	add_int(builder, "max_running", oracle->max_running);
-	add_int(builder, "max_inside", oracle->max_inside);
-	add_int(builder, "max_cold", oracle->max_cold);
-	add_int(builder, "last_new_us", oracle->last_new_us);
+	add_int(builder, "max_inside", oracle->max_in_flight);
+	add_int(builder, "max_cold", oracle->max_in_flight_cold);
+	add_int(builder, "last_new_us", oracle->last_request_us);
 	add_int(builder, "last_started_us", oracle->last_started_us);
 	json_builder_end_object(builder);
 }
--- a/tools/upstream/upstream.h
+++ b/tools/upstream/upstream.h
@@ -31,15 +31,15 @@
 
 /* Faults that spoil answers. Counts run down; -1 means always. */
 enum upstream_fault {
-	UPSTREAM_FAIL_FAST, /* 500 at once */
-	UPSTREAM_TRUNCATE, /* closes before Content-Length is reached */
-	UPSTREAM_WRONG_LENGTH, /* sends more than Content-Length */
-	UPSTREAM_RESET_MIDDLE, /* RST after half of the body */
-	UPSTREAM_NEVER, /* runs it and never answers */
-	UPSTREAM_LATE, /* answers late_ms after the end */
-	UPSTREAM_CRASH_AFTER, /* runs it to the end and dies unanswered */
-	UPSTREAM_SHED, /* refuses, not run */
-	UPSTREAM_FAULTS
+	UPSTREAM_FAULT_FAIL_FAST, /* 500 at once */
+	UPSTREAM_FAULT_TRUNCATE, /* closes before Content-Length is reached */
+	UPSTREAM_FAULT_WRONG_LENGTH, /* sends more than Content-Length */
+	UPSTREAM_FAULT_RESET_MIDDLE, /* RST after half of the body */
+	UPSTREAM_FAULT_NO_ANSWER, /* runs it and never answers */
+	UPSTREAM_FAULT_LATE_ANSWER, /* answers answer_delay_ms after the end */
+	UPSTREAM_FAULT_CRASH_AFTER, /* runs it to the end and dies unanswered */
+	UPSTREAM_FAULT_SHED, /* refuses, not run */
+	UPSTREAM_FAULT_COUNT
 };
 
 /* How often each nonce really ran, over all upstreams of a process. */
@@ -50,7 +50,7 @@
 };
 
 /* What upstreams of one process share. */
-struct upstream_world {
+struct upstream_shared {
 	GRand *random;
 	GHashTable *runs; /* nonce -> struct upstream_run */
 };
@@ -62,39 +62,41 @@
 	guint64 completed;
 	guint64 cancelled;
 	guint64 refused; /* told "not run" */
-	guint64 fell_over;
+	guint64 overload_crashes;
 	guint64 crashes;
 	guint64 connections;
 	guint64 probes;
 	guint64 probe_us;
 	guint64 busy_us; /* slots spent on work, cancelled work too */
 	guint max_running;
-	guint max_inside; /* running and queued */
-	guint max_cold; /* inside while cold */
-	gint64 last_new_us; /* last new request, refused ones included */
+	guint max_in_flight; /* running and queued */
+	guint max_in_flight_cold; /* inside while cold */
+	gint64 last_request_us; /* last new request, refused ones included */
 	gint64 last_started_us;
 };
 
 struct upstream {
 	struct upstream_options options;
-	struct upstream_world *world; /* borrowed */
+	struct upstream_shared *shared; /* borrowed */
 	SoupServer *server; /* NULL while it refuses connections */
 	guint64 boot_id;
 	gint64 cold_until_us;
 	bool draining;
-	bool mislead; /* says "warm" while cold */
+	bool report_warm; /* says "warm" while cold */
 	double slow_factor;
 	gint64 slow_until_us;
-	guint late_ms;
-	gint64 faults[UPSTREAM_FAULTS];
-	char *calls; /* URL called for each request, or NULL; nonce appended */
+	guint answer_delay_ms;
+	gint64 faults[UPSTREAM_FAULT_COUNT];
+	char *call_url; /* URL called for each request, or NULL; nonce appended
+			 */
 	SoupSession *session; /* for that; made when first needed */
 	GPtrArray *running; /* of struct upstream_job, owned */
-	GPtrArray *late; /* of struct upstream_job, owned: served, waiting */
+	GPtrArray *
+		unanswered; /* of struct upstream_job, owned: served, waiting */
 	GQueue queue; /* of struct upstream_job, owned */
 	GPtrArray *sockets; /* of GSocket: open connections, owned */
 	guint restart_timer;
-	guint crash_idle;
+	guint crash_source;
 	guint refuse_ms; /* of the crash that is due */
 	struct upstream_oracle oracle;
 };
@@ -105,7 +107,7 @@
 struct upstream_job {
 	struct upstream *upstream; /* borrowed */
 	SoupServerMessage *message; /* owned reference */
-	GSource *watch; /* sees the other end close */
+	GSource *close_watch; /* sees the other end close */
 	struct upstream_run *run; /* borrowed; NULL without a nonce */
 	char *nonce;
 	struct upstream_call *call; /* under way, or NULL */
@@ -114,19 +116,19 @@
 	bool new_connection;
 	bool started;
 	gint64 started_us;
-	enum upstream_fault fault; /* UPSTREAM_FAULTS: none */
+	enum upstream_fault fault; /* UPSTREAM_FAULT_COUNT: none */
 };
 
 /* Owned by the caller; listens at once. `options` is copied. */
 struct upstream *upstream_new(const struct upstream_options *options,
-			      struct upstream_world *world, GError **error);
+			      struct upstream_shared *shared, GError **error);
 void upstream_free(struct upstream *upstream);
 
-struct upstream_world *upstream_world_new(guint32 seed);
-void upstream_world_free(struct upstream_world *world);
+struct upstream_shared *upstream_shared_new(guint32 seed);
+void upstream_shared_free(struct upstream_shared *shared);
 
 bool upstream_is_cold(const struct upstream *upstream);
-void upstream_turn_cold(struct upstream *upstream);
+void upstream_start_cold(struct upstream *upstream);
 
 /*
  * Soon: drop all connections, refuse new ones for `refuse_ms`, come back
@@ -135,15 +137,15 @@
 void upstream_crash(struct upstream *upstream, guint refuse_ms);
 
 /* Change faults and state as a JSON object says (names as in the enums). */
-void upstream_apply(struct upstream *upstream, JsonObject *body);
+void upstream_apply_faults(struct upstream *upstream, JsonObject *body);
 
 /* Its figures as a JSON object, appended to `builder`. */
-void upstream_build(struct upstream *upstream, JsonBuilder *builder);
+void upstream_build_stats(struct upstream *upstream, JsonBuilder *builder);
 
-/* Call another service for a served job; upstream_called() ends it. */
+/* Call another service for a served job; upstream_call_done() ends it. */
 void upstream_call(struct upstream_job *job);
-void upstream_called(struct upstream_job *job, guint status);
-void upstream_call_forget(struct upstream_job *job);
+void upstream_call_done(struct upstream_job *job, guint status);
+void upstream_call_cancel(struct upstream_job *job);
 
 /* Send the answer of a finished job, spoiled by its fault. */
 void upstream_answer(struct upstream_job *job);
--- a/tools/upstream/upstream_answer.c
+++ b/tools/upstream/upstream_answer.c
@@ -14,7 +14,7 @@
 	const char *state = "warm";
 	char boot[24];
 
-	if (upstream_is_cold(upstream) && !upstream->mislead)
+	if (upstream_is_cold(upstream) && !upstream->report_warm)
 		state = "cold";
 	if (upstream->draining)
 		state = "draining";
@@ -74,8 +74,8 @@
 }
 
 /* Writes as much as the socket takes; the answers here are small. */
-static void write_raw(struct upstream_job *job, const char *body, gsize claimed,
-		      gsize sent, bool reset)
+static void write_raw(struct upstream_job *job, const char *body,
+		      gsize claimed_length, gsize sent, bool reset)
 {
 	GString *text = g_string_new("HTTP/1.1 200 OK\r\n");
 	GSocket *socket = soup_server_message_get_socket(job->message);
@@ -84,13 +84,13 @@
 					     job->message),
 				     append_header, text);
 	g_string_append_printf(text, "Content-Length: %" G_GSIZE_FORMAT "\r\n",
-			       claimed);
+			       claimed_length);
 	g_string_append(text, "\r\n");
 	g_string_append_len(text, body, sent);
 	if (socket)
 		g_socket_send(socket, text->str, text->len, NULL, NULL);
 	g_string_free(text, TRUE);
-	tool_drop(job->message, reset);
+	tool_close_connection(job->message, reset);
 }
 
 void upstream_answer(struct upstream_job *job)
@@ -101,13 +101,13 @@
 	upstream_add_state(job->upstream, job->message);
 	add_checks(job, body);
 	switch (job->fault) {
-	case UPSTREAM_TRUNCATE:
+	case UPSTREAM_FAULT_TRUNCATE:
 		write_raw(job, body, length, length / 2, false);
 		break;
-	case UPSTREAM_WRONG_LENGTH:
+	case UPSTREAM_FAULT_WRONG_LENGTH:
 		write_raw(job, body, length / 2, length, false);
 		break;
-	case UPSTREAM_RESET_MIDDLE:
+	case UPSTREAM_FAULT_RESET_MIDDLE:
 		write_raw(job, body, length, length / 2, true);
 		break;
 	default:
--- a/tools/upstream/upstream_call.c
+++ b/tools/upstream/upstream_call.c
@@ -11,8 +11,8 @@
 	SoupMessage *message;
 };
 
-static void pass_on(const struct upstream_job *job, SoupMessage *message,
-		    const char *from, const char *to)
+static void copy_header(const struct upstream_job *job, SoupMessage *message,
+			const char *from, const char *to)
 {
 	const char *value = soup_message_headers_get_one(
 		soup_server_message_get_request_headers(job->message), from);
@@ -34,7 +34,8 @@
 						 NULL);
 	if (job) {
 		job->call = NULL;
-		upstream_called(job, body ? status : SOUP_STATUS_BAD_GATEWAY);
+		upstream_call_done(job,
+				   body ? status : SOUP_STATUS_BAD_GATEWAY);
 	}
 	if (body)
 		g_bytes_unref(body);
@@ -56,20 +57,21 @@
 						      NULL);
 	call->job = job;
 	call->cancellable = g_cancellable_new();
-	url = g_strconcat(upstream->calls, job->nonce, NULL);
+	url = g_strconcat(upstream->call_url, job->nonce, NULL);
 	call->message = soup_message_new("GET", url);
 	g_free(url);
 	job->call = call;
-	pass_on(job, call->message, "X-Nonce", "X-Nonce");
-	pass_on(job, call->message, "X-Deadline-Ms", "Auburnstile-Deadline-Ms");
-	pass_on(job, call->message, "Auburnstile-Retry-Budget",
-		"Auburnstile-Retry-Budget");
+	copy_header(job, call->message, "X-Nonce", "X-Nonce");
+	copy_header(job, call->message, "X-Deadline-Ms",
+		    "Auburnstile-Deadline-Ms");
+	copy_header(job, call->message, "Auburnstile-Retry-Budget",
+		    "Auburnstile-Retry-Budget");
 	soup_session_send_and_read_async(upstream->session, call->message,
 					 G_PRIORITY_DEFAULT, call->cancellable,
 					 on_called, call);
 }
 
-void upstream_call_forget(struct upstream_job *job)
+void upstream_call_cancel(struct upstream_job *job)
 {
 	if (!job->call)
 		return;
