--- a/tests/test_load.cc
+++ b/tests/test_load.cc
@@ -1,6 +1,6 @@
 /*
- * The callers' load must see what it is there to see: answers of another
- * request, broken bodies, missing outcomes, and lies against the oracle.
+ * Tests that the load detects invalid responses: those of another request,
+ * corrupt bodies, missing outcomes, and outcomes that contradict the oracle.
  */
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
 
 using Handler = std::function<void(SoupServerMessage *, const std::string &)>;
 
-/* An entry that answers as the test says. */
+/* An entry whose responses are set by the test. */
 class FakeEntry
 {
       public:
@@ -211,8 +211,8 @@
 		set_header(m, "Auburnstile-Outcome", "unknown");
 	};
 	/*
-	 * Tries at 0, 1 and 2 s of 2.5: no try is in the air when time is up,
-	 * however busy the machine.
+	 * Attempts at 0, 1 and 2 s of 2.5 s: none is in flight when the
+	 * deadline passes, even if the machine is slow.
 	 */
 	Outcome refused = run(refuse, true, "{\"k-1-0\":[1,0,1]}", 2500);
 	Outcome unknown = run(unknown_answer, true, "{\"k-1-0\":[2,2,0]}");
--- a/tests/test_proxy.cc
+++ b/tests/test_proxy.cc
@@ -1,6 +1,6 @@
 /*
- * The fault-injecting proxy does what proofs rely on: each fault shows at the
- * caller's end, and taking it back lets the next call through.
+ * Tests that each fault of the proxy is visible to the client, and that
+ * clearing it lets the next call through.
  */
 #include <gtest/gtest.h>
 
@@ -53,7 +53,7 @@
 		json_node_unref(root);
 	}
 
-	/* "" when no whole answer came within the time. */
+	/* Returns the body, or "" if no complete response arrived in time. */
 	std::string call(guint timeout_ms = 5000)
 	{
 		std::string url =
--- a/tools/bare-relay.c
+++ b/tools/bare-relay.c
@@ -1,6 +1,6 @@
 /*
- * A bare relay: libsoup's server, one libsoup client, no decisions. The
- * yardstick for the time that an entry adds to a call.
+ * A minimal relay: libsoup's server and one libsoup client, without any
+ * balancing. It is the baseline for the latency that an entry adds to a call.
  */
 #include "common/tool.h"
 
@@ -90,8 +90,8 @@
 }
 
 static const struct argp_option options[] = {
-	{ "listen", 'l', "IP:PORT", 0, "address", 0 },
-	{ "target", 't', "IP:PORT", 0, "where requests go", 0 },
+	{ "listen", 'l', "IP:PORT", 0, "address to listen on", 0 },
+	{ "target", 't', "IP:PORT", 0, "where requests are sent", 0 },
 	{ 0 },
 };
 
@@ -119,7 +119,7 @@
 static const struct argp argp = {
 	.options = options,
 	.parser = parse_option,
-	.doc = "A bare relay, the yardstick for an entry's added time.",
+	.doc = "A minimal relay, the baseline for the latency that an entry adds.",
 };
 
 int main(int argc, char **argv)
--- a/tools/caller-load.c
+++ b/tools/caller-load.c
@@ -1,6 +1,6 @@
 /*
- * Callers' load from the command line: see load/load.h for what it does.
- * Ends with 0 when no answer was wrong.
+ * Runs a load of callers from the command line; see load/load.h. Exits with 0
+ * if no response was invalid and the result was written.
  */
 #include "common/tool.h"
 #include "load/load.h"
@@ -11,12 +11,14 @@
 
 struct program {
 	struct load_options options;
-	GPtrArray *entries; /* of char *, NULL at its end once parsed */
+	GPtrArray *entries; /* of char *; NULL is appended after parsing */
 	GArray *services; /* of struct load_service */
-	const char *out;
+	const char *output_path;
 };
 
-/* NAME:/PATH:WEIGHT[:keyed]; strings live as long as the program. */
+/*
+ * Parses NAME:/PATH:WEIGHT[:keyed]. The strings are interned and never freed.
+ */
 static bool add_service(struct program *program, const char *text)
 {
 	char **parts = g_strsplit(text, ":", 4);
@@ -35,19 +37,24 @@
 }
 
 static const struct argp_option option_table[] = {
-	{ "entry", 'e', "IP:PORT", 0, "an entry to ask (repeatable)", 0 },
-	{ "service", 's', "NAME:/PATH:WEIGHT[:keyed]", 0, "what to send", 0 },
-	{ "rate", 'r', "N", 0, "arrivals a second", 0 },
-	{ "seconds", 't', "N", 0, "length of the load", 0 },
+	{ "entry", 'e', "IP:PORT", 0,
+	  "an entry for address lookups (repeatable)", 0 },
+	{ "service", 's', "NAME:/PATH:WEIGHT[:keyed]", 0,
+	  "service and its share (repeatable)", 0 },
+	{ "rate", 'r', "N", 0, "mean arrivals per second", 0 },
+	{ "seconds", 't', "N", 0, "duration of the load", 0 },
 	{ "requests", 'n', "N", 0, "number of requests", 0 },
-	{ "connections", 'c', "N", 0, "to one entry at most", 0 },
-	{ "callers", 'k', "N", 0, "that keep their own addresses", 0 },
-	{ "deadline-ms", 'd', "N", 0, "of a request with its repeats", 0 },
-	{ "try-ms", 'y', "N", 0, "of one try", 0 },
-	{ "no-repeat", 'R', NULL, 0, "the first thing told is final", 0 },
-	{ "body-bytes", 'b', "N", 0, "of a keyed request", 0 },
-	{ "seed", 'S', "N", 0, "of arrivals and of the mix", 0 },
-	{ "prefix", 'p', "TEXT", 0, "of nonces", 0 },
+	{ "connections", 'c', "N", 0, "maximum of a caller to one entry", 0 },
+	{ "callers", 'k', "N", 0, "number of callers", 0 },
+	{ "deadline-ms", 'd', "N", 0, "of a request, including its retries",
+	  0 },
+	{ "try-ms", 'y', "N", 0, "time limit of one attempt", 0 },
+	{ "no-repeat", 'R', NULL, 0, "do not retry", 0 },
+	{ "body-bytes", 'b', "N", 0, "minimum body size of a keyed request",
+	  0 },
+	{ "seed", 'S', "N", 0, "seed of the arrivals and the mix of services",
+	  0 },
+	{ "prefix", 'p', "TEXT", 0, "prefix of the nonces", 0 },
 	{ "out", 'o', "FILE", 0, "result as JSON (default: stdout)", 0 },
 	{ 0 }
 };
@@ -99,14 +106,15 @@
 		options->prefix = argument;
 		break;
 	case 'o':
-		program->out = argument;
+		program->output_path = argument;
 		break;
 	case ARGP_KEY_END:
 		if (!program->entries->len || !program->services->len)
 			argp_error(state, "needs --entry and --service");
 		if (options->rate <= 0 ||
 		    (!options->requests && options->seconds <= 0))
-			argp_error(state, "needs --rate and a length");
+			argp_error(state,
+				   "needs --rate, and --requests or --seconds");
 		break;
 	default:
 		return ARGP_ERR_UNKNOWN;
@@ -117,7 +125,7 @@
 static const struct argp parser = {
 	.options = option_table,
 	.parser = parse_option,
-	.doc = "Callers' load that checks every answer.",
+	.doc = "Load of callers that validates every response.",
 };
 
 static bool write_result(const struct program *program, struct load *load)
@@ -126,8 +134,9 @@
 	GError *error = NULL;
 	bool ok = true;
 
-	if (program->out)
-		ok = g_file_set_contents(program->out, text, -1, &error);
+	if (program->output_path)
+		ok = g_file_set_contents(program->output_path, text, -1,
+					 &error);
 	else
 		puts(text);
 	if (!ok) {
--- a/tools/common/child.c
+++ b/tools/common/child.c
@@ -17,14 +17,14 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define CHILDREN_MAX 256 /* children at a time; a handler walks the table */
+#define CHILDREN_MAX 256 /* the signal handler walks the whole table */
 #define FIRST_PORT 21000
 #define PORTS_PER_BLOCK 500
 #define PORT_BLOCK_COUNT 22
 #define LISTENING_TIMEOUT_MS 10000
 #define WAIT_POLL_INTERVAL_US 2000UL
 
-/* Pids for the signal handler, which must not allocate or lock. */
+/* Read by a signal handler, which must not allocate memory or take locks. */
 static volatile pid_t running_pids[CHILDREN_MAX];
 
 static void replace_running_pid(pid_t pid, pid_t old_pid)
@@ -60,7 +60,10 @@
 	return path;
 }
 
-/* A terminal's Ctrl-C goes to all; the parent ends its children itself. */
+/*
+ * A terminal sends Ctrl-C's SIGINT to the whole process group. Children ignore
+ * it, since the parent ends them itself.
+ */
 void child_setup(void)
 {
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -86,7 +89,10 @@
 	dup2(STDERR_FILENO, STDOUT_FILENO);
 }
 
-/* Reads up to the first line's end; NULL after the time or at the end. */
+/*
+ * Returns the first line read from `file`, without its newline; the caller
+ * frees it. Returns NULL on a timeout, an error or end of file.
+ */
 static char *read_line(int file, guint timeout_ms)
 {
 	gint64 deadline_us = g_get_monotonic_time() + timeout_ms * (gint64)1000;
@@ -108,7 +114,10 @@
 	}
 }
 
-/* What it wrote to its log, for the error's text; owned by the caller. */
+/*
+ * Returns the log file's text for an error message, or NULL if it cannot be
+ * read; the caller frees it.
+ */
 static char *read_log(const char *log)
 {
 	char *text = NULL;
@@ -129,9 +138,9 @@
 		child->address = g_strdup(line + strlen("listening "));
 	else
 		aub_error_set(error, AUB_ERROR_UNAVAILABLE, "start program",
-			      child->name, "did not come up: %s",
+			      child->name, "did not start listening: %s",
 			      log_output && *log_output ? log_output :
-							  "it says nothing");
+							  "no output");
 	g_free(log_output);
 	g_free(line);
 	return ok;
@@ -197,9 +206,9 @@
 	return true;
 }
 
-bool child_signal(struct child *child, int number)
+bool child_signal(struct child *child, int signal_number)
 {
-	return !child_has_exited(child) && kill(child->pid, number) == 0;
+	return !child_has_exited(child) && kill(child->pid, signal_number) == 0;
 }
 
 bool child_wait(struct child *child, guint timeout_ms)
@@ -227,7 +236,7 @@
 	g_free(child);
 }
 
-/* Async-signal-safe. */
+/* Called from a signal handler: uses async-signal-safe functions only. */
 void child_kill_all(void)
 {
 	pid_t pid;
@@ -245,10 +254,10 @@
 	}
 }
 
-static void on_termination_signal(int number)
+static void on_termination_signal(int signal_number)
 {
 	child_kill_all();
-	_exit(128 + number);
+	_exit(128 + signal_number);
 }
 
 void child_install_exit_handlers(void)
@@ -277,10 +286,12 @@
 }
 
 /*
- * Failure: two test programs run at once, one's killed entry leaves its port
- * to the other's upstream, and callers of the first reach the second. Each
- * process takes ports from a block of its own, marked as taken by an abstract
- * socket that ends with the process.
+ * Reserves a block of ports for this process and returns its index. Without
+ * separate blocks, a port freed when one test program's entry is killed could
+ * be taken by an upstream of another test program that runs concurrently, and
+ * the callers of the first would reach that upstream. An abstract socket, which
+ * the kernel removes when the process ends, marks the block as taken. If all
+ * blocks are taken, a random one is shared.
  */
 static guint reserve_port_block(void)
 {
@@ -341,7 +352,7 @@
 	wait->done = true;
 }
 
-/* Turns the default main loop, so that a load under way goes on. */
+/* Runs the default main loop, so that a load in progress continues. */
 static void http_run_request(SoupMessage *message, guint timeout_ms,
 			     struct http_result *wait)
 {
--- a/tools/common/child.h
+++ b/tools/common/child.h
@@ -1,9 +1,9 @@
 /*
  * Child processes of tests, proofs and the demonstration.
  *
- * Every child ends with its parent: by PR_SET_PDEATHSIG if the parent dies,
- * and by child_kill_all() when it ends in order or on a signal. To be used
- * from the main thread only.
+ * Every child ends together with its parent: PR_SET_PDEATHSIG ends it if the
+ * parent dies, and child_kill_all() ends it when the parent exits normally or
+ * on a signal. These functions may be called from the main thread only.
  */
 #ifndef TOOL_CHILD_H
 #define TOOL_CHILD_H
@@ -15,65 +15,78 @@
 G_BEGIN_DECLS
 
 struct child {
-	GPid pid; /* 0 once it has been waited for */
+	GPid pid; /* 0 after the child has been reaped */
 	char *name;
-	char *address; /* of its "listening ip:port" line, or NULL */
-	int status; /* as from waitpid(), once it ended */
+	char *address; /* from its "listening ip:port" line, or NULL */
+	int status; /* as set by waitpid(); valid after it has exited */
 };
 
 /*
- * Start a program of the build folder (that of the running program, or the
- * environment's BUILD). `arguments` ends with NULL and leaves the program
- * out. With `listening`, waits up to 10 s for its line. `log` (may be NULL)
- * takes its standard error and is appended to. NULL on error.
+ * Starts a program of the build folder: the folder of the running program, or
+ * the one named by the environment variable BUILD. `arguments` ends with NULL
+ * and does not include the program's name. If `listening` is true, waits up to
+ * 10 s for the child's "listening ip:port" line and sets its address. If `log`
+ * is not NULL, standard error is appended to that file. Returns NULL and sets
+ * `error` on failure; the caller frees the result with child_free().
  */
 struct child *child_start(const char *program, const char *const *arguments,
 			  bool listening, const char *log, GError **error);
-/* The same; what it writes to standard output goes to `log`, too. */
+/* Like child_start(), but standard output is appended to `log` as well. */
 struct child *child_start_output(const char *program,
 				 const char *const *arguments, const char *log,
 				 GError **error);
 
-/* Send a signal; false when it has ended. */
-bool child_signal(struct child *child, int number);
+/* Sends a signal. Returns false if the child has exited. */
+bool child_signal(struct child *child, int signal_number);
 
-/* True once it has ended. Never waits. */
+/* Returns whether the child has exited. Does not block. */
 bool child_has_exited(struct child *child);
 
-/* Wait up to `timeout_ms`; false when it still runs. */
+/* Waits up to `timeout_ms`. Returns false if the child is still running. */
 bool child_wait(struct child *child, guint timeout_ms);
 
-/* SIGKILL if it still runs, wait for it, and free. NULL is ignored. */
+/*
+ * Kills the child if it is still running, reaps it and frees it. NULL is
+ * allowed.
+ */
 void child_free(struct child *child);
 
-/* SIGKILL all that run and wait for them; they stay to be freed. */
+/*
+ * Kills and reaps all running children. They have still to be freed with
+ * child_free().
+ */
 void child_kill_all(void);
 
-/* End all children, then this process, on SIGINT, SIGTERM and at exit. */
+/* Makes SIGINT, SIGTERM, SIGHUP and a normal exit kill all children first. */
 void child_install_exit_handlers(void);
 
-/* Path of a program of the build folder; owned by the caller. */
+/* Returns the path of a program of the build folder; the caller frees it. */
 char *child_program_path(const char *program);
 
-/* For a child's setup function: it ends when its parent does. */
+/* Child setup: the child is killed when its parent dies, and ignores SIGINT. */
 void child_setup(void);
 
 /*
- * A loopback port that was free a moment ago, never the same twice. Below
- * the range from which the system takes ports for outgoing connections.
+ * Returns a loopback port that was free when it was checked; a process gets
+ * each port only once until its block of 500 is used up. The ports lie below
+ * the range from which the kernel assigns ports to outgoing connections.
  */
 guint16 child_pick_free_port(void);
 
 /*
- * One HTTP request, waited for up to `timeout_ms` while the default main loop
- * turns. `token` and `body` may be NULL. The body of the answer is owned by the
- * caller; NULL on error.
+ * Sends an HTTP request and waits up to `timeout_ms` for the response while the
+ * default main loop runs. `token` (sent as a bearer token) and `body` (JSON)
+ * may be NULL. Returns the response's body, which the caller frees, or NULL
+ * with `error` set. `status` may be NULL.
  */
 char *child_http(const char *method, const char *url, const char *token,
 		 const char *body, guint timeout_ms, guint *status,
 		 GError **error);
 
-/* The same for a message of one's own; its answer's headers stay with it. */
+/*
+ * Sends a message that the caller has built; its response's status and headers
+ * are read from `message`. Returns false and sets `error` on failure.
+ */
 bool child_http_send(SoupMessage *message, guint timeout_ms, GError **error);
 
 G_END_DECLS
--- a/tools/common/tool.c
+++ b/tools/common/tool.c
@@ -1,4 +1,4 @@
-/* Helpers of the test programs; see tool.h. */
+/* Functions shared by the helper programs; see tool.h. */
 #include "tool.h"
 
 #include <auburnstile/error.h>
--- a/tools/fault-proxy.c
+++ b/tools/fault-proxy.c
@@ -1,5 +1,6 @@
 /*
- * A TCP proxy with faults, many routes in one process; see proxy/proxy.h.
+ * A TCP proxy that injects faults, with many routes in one process; see
+ * proxy/proxy.h.
  *
  *   POST /fault  {"port": listening port (0 or absent: all), ...}
  *   GET  /stats  connections and bytes of each route
@@ -12,13 +13,15 @@
 
 struct program {
 	GPtrArray *routes; /* of struct proxy_route, owned */
-	GPtrArray *wanted; /* of char *: "LISTEN=TARGET", borrowed */
-	const char *control;
+	GPtrArray *route_arguments; /* of char *: "LISTEN=TARGET", borrowed */
+	const char *control_address;
 };
 
 static const struct argp_option option_table[] = {
-	{ "route", 'r', "IP:PORT=IP:PORT", 0, "listen there, send here", 0 },
-	{ "control", 'c', "IP:PORT", 0, "faults and figures", 0 },
+	{ "route", 'r', "IP:PORT=IP:PORT", 0,
+	  "listen on the first, forward to the second", 0 },
+	{ "control", 'c', "IP:PORT", 0, "listen here for /fault and /stats",
+	  0 },
 	{ 0 }
 };
 
@@ -27,9 +30,9 @@
 	struct program *program = state->input;
 
 	if (key == 'c')
-		program->control = argument;
+		program->control_address = argument;
 	else if (key == 'r' && strchr(argument, '='))
-		g_ptr_array_add(program->wanted, argument);
+		g_ptr_array_add(program->route_arguments, argument);
 	else
 		return ARGP_ERR_UNKNOWN;
 	return 0;
@@ -38,7 +41,7 @@
 static const struct argp parser = {
 	.options = option_table,
 	.parser = parse_option,
-	.doc = "TCP proxy that breaks connections on purpose.",
+	.doc = "TCP proxy that injects faults.",
 };
 
 static void on_fault(SoupServer *server, SoupServerMessage *message,
@@ -103,8 +106,8 @@
 	char **parts;
 	guint i;
 
-	for (i = 0; i < program->wanted->len; i++) {
-		parts = g_strsplit(program->wanted->pdata[i], "=", 2);
+	for (i = 0; i < program->route_arguments->len; i++) {
+		parts = g_strsplit(program->route_arguments->pdata[i], "=", 2);
 		route = proxy_route_new(parts[0], parts[1], error);
 		g_strfreev(parts);
 		if (!route)
@@ -116,22 +119,22 @@
 
 int main(int argc, char **argv)
 {
-	struct program program = { .control = "127.0.0.1:0" };
+	struct program program = { .control_address = "127.0.0.1:0" };
 	SoupServer *control = soup_server_new(NULL, NULL);
 	GError *error = NULL;
 	guint16 port = 0;
 	int status = 1;
 
-	program.wanted = g_ptr_array_new();
+	program.route_arguments = g_ptr_array_new();
 	program.routes = g_ptr_array_new_with_free_func(proxy_route_free);
 	argp_parse(&parser, argc, argv, 0, NULL, &program);
 	soup_server_add_handler(control, "/fault", on_fault, &program, NULL);
 	soup_server_add_handler(control, "/stats", on_stats, &program, NULL);
 	if (open_routes(&program, &error) &&
-	    tool_listen(control, program.control, &port, &error)) {
+	    tool_listen(control, program.control_address, &port, &error)) {
 		printf("listening %.*s:%u\n",
-		       (int)strcspn(program.control, ":"), program.control,
-		       port);
+		       (int)strcspn(program.control_address, ":"),
+		       program.control_address, port);
 		fflush(stdout);
 		tool_run_until_signal(NULL);
 		status = 0;
@@ -140,7 +143,7 @@
 		g_error_free(error);
 	}
 	g_ptr_array_unref(program.routes);
-	g_ptr_array_unref(program.wanted);
+	g_ptr_array_unref(program.route_arguments);
 	g_object_unref(control);
 	return status;
 }
--- a/tools/fleet/fleet.c
+++ b/tools/fleet/fleet.c
@@ -1,4 +1,4 @@
-/* The fleet's life: folder, settings, processes; see fleet.h. */
+/* Sets up a fleet's folder, settings and processes; see fleet.h. */
 #include "fleet/fleet.h"
 
 #include <auburnstile/error.h>
@@ -72,7 +72,7 @@
 	return fleet->store != NULL;
 }
 
-/* One --listen of the upstreams' process, from the inventory's entry. */
+/* Returns the stand-in's --listen option for one upstream of the inventory. */
 static char *format_listen_option(const struct fleet *fleet, guint16 handle)
 {
 	const struct aub_upstream *upstream =
@@ -114,7 +114,10 @@
 	return fleet->upstreams != NULL;
 }
 
-/* Routes before each upstream, and before store and callers of each member. */
+/*
+ * Starts the proxy with a route to each upstream, and for each member one to
+ * the store and one to the entry for callers.
+ */
 static bool start_proxy(struct fleet *fleet, GError **error)
 {
 	GPtrArray *arguments = g_ptr_array_new_with_free_func(g_free);
@@ -154,15 +157,15 @@
 	return fleet->proxy != NULL;
 }
 
-static void add_member(struct fleet *fleet, guint number)
+static void add_member(struct fleet *fleet, guint index)
 {
 	const GArray *zones = fleet->inventory->zones;
 	struct fleet_member *member = g_new0(struct fleet_member, 1);
 	const char *zone =
-		aub_zone_at(fleet->inventory, number % zones->len)->name;
+		aub_zone_at(fleet->inventory, index % zones->len)->name;
 
 	member->zone = g_strdup(zone);
-	member->name = g_strdup_printf("%s-e%u", zone, number / zones->len + 1);
+	member->name = g_strdup_printf("%s-e%u", zone, index / zones->len + 1);
 	member->callers = loopback_address(child_pick_free_port());
 	member->callers_proxy =
 		fleet->options.proxies ?
@@ -257,7 +260,10 @@
 	g_free(fleet);
 }
 
-/* Seeds: the first three members' controls. */
+/*
+ * Returns the settings' list of peers: the first three members' controls are
+ * the seeds.
+ */
 static char *format_peers(const struct fleet *fleet)
 {
 	GString *text = g_string_new("[");
@@ -311,13 +317,16 @@
 						       "auburnstile");
 }
 
-/* Takes `settings` over. */
+/*
+ * Starts a process with a settings file and a log of its own, both named after
+ * the member and `suffix`. Frees `settings`.
+ */
 static struct child *start_process(const struct fleet *fleet,
 				   const struct fleet_member *member,
-				   const char *program, const char *process,
+				   const char *program, const char *suffix,
 				   char *settings, GError **error)
 {
-	char *name = g_strconcat(member->name, process, NULL);
+	char *name = g_strconcat(member->name, suffix, NULL);
 	char *file = folder_path(fleet, name, ".toml");
 	char *log = folder_path(fleet, name, ".log");
 	const char *arguments[] = { "--settings", file, NULL };
@@ -425,24 +434,24 @@
 	return true;
 }
 
-static void signal_child(struct child **child, int number)
+static void signal_child(struct child **child, int signal_number)
 {
 	if (!*child)
 		return;
-	child_signal(*child, number);
-	if (number != SIGKILL)
+	child_signal(*child, signal_number);
+	if (signal_number != SIGKILL)
 		return;
 	child_free(*child);
 	*child = NULL;
 }
 
 void fleet_signal(struct fleet_member *member, enum fleet_process process,
-		  int number)
+		  int signal_number)
 {
 	if (process & FLEET_ENTRY)
-		signal_child(&member->entry, number);
+		signal_child(&member->entry, signal_number);
 	if (process & FLEET_CONTROL)
-		signal_child(&member->control, number);
+		signal_child(&member->control, signal_number);
 }
 
 static gboolean on_timeout(gpointer data)
--- a/tools/fleet/fleet.h
+++ b/tools/fleet/fleet.h
@@ -1,9 +1,10 @@
 /*
- * A whole fleet of real processes on loopback: the stand-in store, stand-in
- * upstreams, and members (an entry and its control each) in zones.
+ * A complete fleet of processes on the loopback interface: the stand-in store,
+ * stand-in upstreams, and members (one entry and one control each) in zones.
  *
- * Settings, logs and the token file are in a temporary folder that goes with
- * the fleet. Every child ends with this process (see common/child.h).
+ * Settings, logs and the token file are kept in a temporary folder, which is
+ * removed together with the fleet. Every child process ends with this process
+ * (see common/child.h).
  */
 #ifndef TOOL_FLEET_H
 #define TOOL_FLEET_H
@@ -18,25 +19,31 @@
 struct fleet_member {
 	char *name;
 	char *zone;
-	char *callers; /* addresses, "ip:port" */
+	char *callers; /* the entry's listener for callers; "ip:port" here and
+			  below */
 	char *inner;
 	char *admin;
 	char *control_inner;
 	char *control_admin;
-	char *callers_proxy; /* the proxy before `callers`, or the same */
-	char *store_url; /* through the proxy, when there is one */
-	struct child *entry; /* NULL when not running */
+	char *callers_proxy; /* of the proxy in front of `callers`; equals it if
+				there is none */
+	char *store_url; /* leads through the proxy if there is one */
+	struct child *entry; /* NULL while it is not running */
 	struct child *control;
 };
 
 struct fleet_options {
-	const char *inventory; /* TOML; its addresses get upstreams */
-	guint members; /* spread over the zones in turn */
+	const char *inventory; /* TOML; an upstream is started at each of its
+				  addresses */
+	guint members; /* how many; assigned to the zones in rotation */
 	guint32 seed;
-	double mean_us; /* of upstreams' service time; 0: 20 ms */
-	bool proxies; /* before store, upstreams, and entries' callers */
-	const char *const *upstream_options; /* more of them, NULL at end */
-	const char *policy; /* of the entries; NULL: the product's own */
+	double mean_us; /* mean service time of the upstreams; 0: 20 ms */
+	bool proxies; /* whether the fault proxy is put in front of the store,
+			 the upstreams and the entries' callers */
+	const char *const *upstream_options; /* additional command line options;
+						NULL at the end */
+	const char *policy; /* balancing policy of the entries; NULL: the
+			       default, auburnstile */
 };
 
 struct fleet {
@@ -47,102 +54,153 @@
 	char *inventory_file;
 	struct aub_inventory *inventory;
 	struct child *store;
-	struct child *upstreams; /* its address is the control's */
-	struct child *proxy; /* NULL without proxies */
+	struct child *upstreams; /* one process; its address is that of its
+				    fault control */
+	struct child *proxy; /* NULL if options.proxies is false */
 	GPtrArray *members; /* of struct fleet_member, owned */
-	GArray *upstream_ports; /* guint16, of the stand-ins, by handle */
+	GArray *upstream_ports; /* guint16: port of each stand-in, by upstream
+				   handle */
 };
 
-/* Starts store, upstreams and proxies; members are made but not started. */
+/*
+ * Starts the store, the upstreams and the proxy. Members are created but not
+ * started. Returns NULL and sets `error` on failure.
+ */
 struct fleet *fleet_new(const struct fleet_options *options, GError **error);
 
-/* Ends every process and removes the folder; logs stay if `keep_logs`. */
+/*
+ * Ends every process and frees the fleet. The temporary folder with the logs is
+ * removed unless `keep_logs` is true.
+ */
 void fleet_free(struct fleet *fleet, bool keep_logs);
 
-/* Start one member's processes that don't run, or all members'. */
+/*
+ * Start those processes of one member, or of all members, that are not running.
+ * Return false and set `error` on failure.
+ */
 bool fleet_start_member(struct fleet *fleet, struct fleet_member *member,
 			GError **error);
 bool fleet_start(struct fleet *fleet, GError **error);
-/* The control alone. */
+/* Starts the member's control only. */
 bool fleet_start_control(struct fleet *fleet, struct fleet_member *member,
 			 GError **error);
 
-/* Wait until the entries that run say that they are ready. */
+/*
+ * Waits until all running entries report that they are ready. Returns false and
+ * sets AUB_ERROR_TIMEOUT if one does not in time or exits.
+ */
 bool fleet_wait_ready(struct fleet *fleet, guint timeout_ms, GError **error);
-/* Wait until a member's control answers operators. */
+/* Waits until a member's control answers on its admin address. */
 bool fleet_wait_control(const struct fleet_member *member, guint timeout_ms,
 			GError **error);
 bool fleet_member_ready(const struct fleet_member *member);
 
-/* In C a function and a struct may share a name; the C++ tests warn of it. */
+/*
+ * In C a function and a struct may have the same name; the C++ compiler of the
+ * tests warns about it (-Wshadow).
+ */
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wshadow"
 struct fleet_member *fleet_member(const struct fleet *fleet, guint index);
 #pragma GCC diagnostic pop
 
-/* Which of a member's two processes is meant. */
+/* One or both of a member's two processes. */
 enum fleet_process { FLEET_ENTRY = 1, FLEET_CONTROL = 2, FLEET_BOTH = 3 };
 
-/* Send a signal. SIGKILL is waited for; the part can be started again. */
+/*
+ * Sends a signal. After SIGKILL it also reaps the process, which can then be
+ * started again.
+ */
 void fleet_signal(struct fleet_member *member, enum fleet_process process,
-		  int number);
-/* SIGTERM, then wait; true when all ended in time with status 0. */
+		  int signal_number);
+/*
+ * Sends SIGTERM and waits. Returns true if all processes exited in time with
+ * status 0.
+ */
 bool fleet_stop(struct fleet_member *member, enum fleet_process process,
 		guint timeout_ms);
 
 /*
- * Run auburnstilectl against a member's control. `arguments` ends with
- * NULL. The output is owned by the caller; NULL when it can't be run.
- * `status` is its exit code.
+ * Runs auburnstilectl against a member's control while the main loop runs.
+ * `arguments` ends with NULL. Sets `status` to the exit code, or -1 if the
+ * program did not exit normally. Returns the output, which the caller frees, or
+ * NULL with `error` set if the program cannot be run.
  */
 char *fleet_ctl(struct fleet *fleet, const struct fleet_member *member,
 		const char *const *arguments, int *status, GError **error);
 
-/* Admin API of a member's control, as JSON; NULL on error. */
+/*
+ * Calls the admin API of a member's control. Returns the response as JSON,
+ * owned by the caller, or NULL with `error` set. `status` may be NULL.
+ */
 JsonNode *fleet_admin(struct fleet *fleet, const struct fleet_member *member,
 		      const char *method, const char *path, const char *body,
 		      guint *status, GError **error);
 
-/* Apply an inventory by the admin API. False when it was not accepted. */
+/*
+ * Applies an inventory through the admin API. Returns false and sets `error` if
+ * it is not accepted.
+ */
 bool fleet_apply(struct fleet *fleet, const struct fleet_member *member,
 		 const char *inventory, GError **error);
 
-/* The same through the first member, repeated while it is refused. */
+/*
+ * Applies an inventory through the first member, and retries until it is
+ * accepted or `timeout_ms` has passed.
+ */
 bool fleet_apply_with_retry(struct fleet *fleet, const char *inventory,
 			    guint timeout_ms, GError **error);
 
-/* The member that owns a service, as a control says; NULL if unknown. */
+/*
+ * Returns the member that owns a service according to a control; NULL if it has
+ * no owner or no control answers.
+ */
 struct fleet_member *fleet_owner(struct fleet *fleet, const char *service);
-/* Wait until every service of the inventory has an owner. */
+/* Waits until every service of the inventory has an owner. */
 bool fleet_wait_owners(struct fleet *fleet, guint timeout_ms, GError **error);
 
-/* Post a fault, JSON, to a stand-in. False when it was not taken. */
+/*
+ * Post a fault, a JSON object, to a stand-in; it applies to all upstreams or
+ * all routes. Return false if it is not accepted.
+ */
 bool fleet_store_fault(struct fleet *fleet, const char *json);
 bool fleet_upstream_fault(struct fleet *fleet, const char *json);
 bool fleet_proxy_fault(struct fleet *fleet, const char *json);
 
-/* The same, for one upstream's stand-in or for the proxy before it. */
+/*
+ * Post a fault to the stand-in of a single upstream, or to the proxy in front
+ * of it.
+ */
 bool fleet_single_upstream_fault(struct fleet *fleet, guint16 upstream,
 				 const char *json);
 bool fleet_single_proxy_fault(struct fleet *fleet, guint16 upstream,
 			      const char *json);
 
-/* The same for the proxy between callers and a member's entry. */
+/* Posts a fault to the proxy between callers and a member's entry. */
 bool fleet_callers_proxy_fault(struct fleet *fleet,
 			       const struct fleet_member *member,
 			       const char *json);
-/* For the load: the proxy's address for an entry's. `context`: the fleet. */
+/*
+ * load_options.connect_address: returns the proxy's address for an entry's
+ * address, or `address` itself if it is of no member. `context` is the fleet.
+ */
 const char *fleet_connect_address(const char *address, void *context);
 
-/* What really ran. Owned by the caller; ends the program if unreachable. */
+/*
+ * Returns what the upstreams executed (see tools/standin-upstream.c), owned by
+ * the caller. Ends the program if the stand-in cannot be reached.
+ */
 JsonNode *fleet_oracle(struct fleet *fleet);
 JsonObject *fleet_oracle_upstream(JsonNode *oracle, const struct fleet *fleet,
 				  guint16 upstream);
 
-/* NULL-terminated callers' addresses of all members; free with g_free(). */
+/*
+ * Returns the addresses for callers of all members, NULL at the end. The
+ * strings are borrowed; the array is freed with g_free().
+ */
 const char **fleet_entry_addresses(const struct fleet *fleet);
 
-/* Run the main loop for a while. */
+/* Runs the default main loop for `ms` milliseconds. */
 void fleet_run_main_loop_ms(guint ms);
 
 G_END_DECLS
--- a/tools/fleet/fleet_client.c
+++ b/tools/fleet/fleet_client.c
@@ -1,4 +1,4 @@
-/* Talking to a fleet's processes: operators, faults, the oracle. */
+/* Requests to a fleet's processes: admin API, faults, and the oracle. */
 #include "fleet/fleet.h"
 
 #include "common/tool.h"
@@ -35,7 +35,7 @@
 	wait->done = true;
 }
 
-/* Turns the main loop meanwhile, so that a load under way goes on. */
+/* Runs the main loop meanwhile, so that a load in progress continues. */
 static char *wait_output(GSubprocess *process, int *status, GError **error)
 {
 	struct ctl_result wait = { 0 };
@@ -275,7 +275,7 @@
 	return post_fault(fleet->proxy, json);
 }
 
-/* The fault's object with the port put in front. */
+/* Posts the fault with a "port" member inserted at the front of its object. */
 static bool post_fault_to_port(const struct child *child, guint16 port,
 			       const char *json)
 {
@@ -346,7 +346,7 @@
 JsonObject *fleet_oracle_upstream(JsonNode *oracle, const struct fleet *fleet,
 				  guint16 upstream)
 {
-	/* The stand-in keeps the order of its command line. */
+	/* The stand-in lists its upstreams in the order of its command line. */
 	JsonArray *list =
 		json_object_get_array_member(json_node_get_object(oracle),
 					     "upstreams");
--- a/tools/fleet/fleet_inventory.c
+++ b/tools/fleet/fleet_inventory.c
@@ -1,4 +1,4 @@
-/* Inventories made for a test: free ports, one VM for each upstream. */
+/* Inventories generated for tests: free ports, one VM for each upstream. */
 #include "fleet/fleet_inventory.h"
 
 #include "common/child.h"
--- a/tools/fleet/fleet_inventory.h
+++ b/tools/fleet/fleet_inventory.h
@@ -1,4 +1,4 @@
-/* Inventories made for a test; see fleet_inventory_text(). */
+/* Inventories generated for tests; see fleet_inventory_text(). */
 #ifndef TOOL_FLEET_INVENTORY_H
 #define TOOL_FLEET_INVENTORY_H
 
@@ -7,12 +7,16 @@
 
 G_BEGIN_DECLS
 
-/* Zeros stand for defaults: 2 slots, 1 while cold for 2 s, 2 s deadline. */
+/*
+ * 0 stands for the default: 2 slots, 1 slot while cold, cold for 2 s, a
+ * deadline of 2 s, a queue limit of 200, a probe budget of 10000 us and a probe
+ * cost of 1000 us.
+ */
 struct fleet_service {
 	const char *name;
 	const char *path;
-	guint upstreams; /* dealt out over the zones in turn */
-	bool at_most_once; /* its POSTs run at most once, under a key */
+	guint upstreams; /* how many; assigned to the zones in rotation */
+	bool at_most_once; /* its POSTs are non-idempotent and need a key */
 	guint slots;
 	guint cold_slots;
 	guint cold_ms;
@@ -23,7 +27,10 @@
 	guint probe_cost_us;
 };
 
-/* TOML with zones "z1", "z2"... and free ports. Owned by the caller. */
+/*
+ * Returns the inventory as TOML, with zones "z1", "z2"... and free ports. The
+ * caller frees it.
+ */
 char *fleet_inventory_text(const struct fleet_service *services, guint count,
 			   guint zones);
 
--- a/tools/load/load.c
+++ b/tools/load/load.c
@@ -1,12 +1,13 @@
 /*
- * Arrivals, figures, and the comparison with what upstreams ran; see load.h.
+ * Arrivals, statistics, and the comparison with what the upstreams executed;
+ * see load.h.
  */
 #include "load/load_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 
-#define CONNECTIONS_PER_ENTRY_MAX 128 /* of one caller to one entry at most */
+#define CONNECTIONS_PER_ENTRY_MAX 128
 
 static const char *const outcome_names[LOAD_OUTCOME_COUNT] = {
 	[LOAD_PENDING] = "open",    [LOAD_RUN] = "run",
@@ -103,7 +104,10 @@
 	aub_timer_cancel(load->timers, load->arrival_timer);
 	for (i = 0; i < load->callers->len; i++)
 		abort_caller(load->callers->pdata[i]);
-	/* Cancelled calls end in the main loop and look at their owners. */
+	/*
+	 * The callbacks of cancelled calls run in the main loop and access the
+	 * objects that are freed below.
+	 */
 	for (i = 0; i < 1000 && g_main_context_iteration(NULL, FALSE); i++)
 		;
 	g_ptr_array_unref(load->requests);
@@ -141,7 +145,10 @@
 	schedule_arrival(load);
 }
 
-/* Exponential gaps: arrivals don't wait for answers. */
+/*
+ * Schedules the next arrival after an exponentially distributed gap; arrivals
+ * do not wait for responses (open loop).
+ */
 static void schedule_arrival(struct load *load)
 {
 	double gap_s =
--- a/tools/load/load.h
+++ b/tools/load/load.h
@@ -1,11 +1,12 @@
 /*
- * Callers' load: open-loop arrivals of requests that are checked one by one.
+ * Load of callers: open-loop arrivals of requests, each of which is checked.
  *
- * A caller asks an entry which addresses to use, keeps the answer for its
- * time, sends there, and repeats: what was not run after the time it was
- * told, what was lost or unknown with the same key through the same and
- * another entry. What each request was told in the end is kept, to be
- * compared with what the upstreams really ran.
+ * A caller looks up at an entry which addresses to use, caches the answer for
+ * the time that it names, and sends its requests there. It retries a request
+ * that was not run after the time that the response names, and one that was
+ * lost or whose outcome is unknown with the same key, alternately through the
+ * same and another entry. The final outcome of each request is kept, to be
+ * compared with what the upstreams executed.
  */
 #ifndef TOOL_LOAD_H
 #define TOOL_LOAD_H
@@ -19,42 +20,47 @@
 
 struct load_service {
 	const char *name;
-	const char *path; /* of its requests; the nonce is appended */
-	guint weight; /* share of the arrivals */
-	bool keyed; /* POST under a key; otherwise GET */
+	const char
+		*path; /* of its requests; the nonce is appended as a query */
+	guint weight; /* share of the arrivals, relative to the other services
+		       */
+	bool keyed; /* POST with an idempotency key; otherwise GET */
 };
 
 struct load_options {
-	const char *const *entries; /* "ip:port" of some entries, NULL at end */
+	const char *const
+		*entries; /* "ip:port" of some entries, NULL at the end */
 	const struct load_service *services;
 	guint service_count;
-	double rate; /* arrivals a second */
-	guint requests; /* how many; 0: as many as `seconds` gives */
+	double rate; /* mean arrivals per second */
+	guint requests; /* number of requests; 0: limited by `seconds` only */
 	double seconds;
-	guint connections; /* of a caller to one entry at most */
-	guint callers; /* that keep addresses of their own */
-	guint deadline_ms; /* of a request, repeats included */
-	guint attempt_timeout_ms; /* of one try; 0: the deadline */
-	bool retry; /* false: the first thing told is final */
-	guint body_bytes; /* of a keyed request */
+	guint connections; /* maximum from one caller to one entry; 0: 128 */
+	guint callers; /* number of callers, each with its own addresses */
+	guint deadline_ms; /* of a request, including its retries */
+	guint attempt_timeout_ms; /* of one attempt; 0: until the deadline */
+	bool retry; /* false: the first response is final */
+	guint body_bytes; /* minimum size of the body of a keyed request */
 	guint32 seed;
-	const char *prefix; /* of nonces, "" by default */
+	const char *prefix; /* of the nonces; NULL: "" */
 	/*
-	 * Where to connect instead of an entry's address, for a proxy on the
-	 * way; borrowed. NULL: to the address itself.
+	 * Returns the address to connect to for an entry's address, to put a
+	 * proxy in between; the result is borrowed. NULL: connect to the
+	 * address itself.
 	 */
 	const char *(*connect_address)(const char *address, void *context);
 	void *connect_context;
 };
 
-/* What a request was told in the end. */
+/* The final outcome of a request. */
 enum load_outcome {
-	LOAD_PENDING, /* not ended yet */
+	LOAD_PENDING, /* not finished yet */
 	LOAD_RUN,
 	LOAD_NOT_RUN,
 	LOAD_UNKNOWN,
-	LOAD_ERROR, /* nothing definite before its deadline */
-	LOAD_INVALID, /* an answer that isn't whole or isn't its own */
+	LOAD_ERROR, /* no definite outcome before its deadline */
+	LOAD_INVALID, /* the response is incomplete or belongs to another
+			 request */
 	LOAD_OUTCOME_COUNT
 };
 
@@ -63,21 +69,24 @@
 	const struct load_service *service;
 	struct load_caller *caller; /* borrowed */
 	char *nonce;
-	char *key; /* NULL until the grant is known, and for GET */
+	char *key; /* idempotency key; NULL for GET and before the first attempt
+		    */
 	char *body; /* NULL for GET */
-	char *entry; /* address of the current or last try */
+	char *entry; /* address of the current or last attempt */
 	gint64 arrived_us;
 	gint64 deadline_us;
 	gint64 latency_us;
 	guint attempts;
-	guint connection_failures; /* tries whose connection failed */
-	guint unknown_answers; /* answers of "unknown" so far */
-	bool maybe_executed; /* a try was lost: it may have run */
+	guint connection_failures; /* attempts whose connection failed or was
+				      lost */
+	guint unknown_answers; /* responses with the outcome "unknown" so far */
+	bool maybe_executed; /* an attempt was lost or unknown: it may have been
+				executed */
 	enum load_outcome outcome;
-	guint status; /* HTTP, of the last answer */
-	char *reason; /* Auburnstile-Reason of the last answer, or NULL */
-	GCancellable *cancellable; /* of the try in flight */
-	SoupMessage *message; /* of the try in flight */
+	guint status; /* HTTP status of the last response */
+	char *reason; /* Auburnstile-Reason of the last response, or NULL */
+	GCancellable *cancellable; /* of the attempt in flight */
+	SoupMessage *message; /* of the attempt in flight */
 	guint timer;
 	bool timed_out;
 };
@@ -87,51 +96,70 @@
 struct load *load_new(const struct load_options *options);
 void load_free(struct load *load);
 
-/* Starts arrivals on the default main context. */
+/* Starts the arrivals on the default main context. */
 void load_start(struct load *load);
-/* No more arrivals; those under way go on. */
+/* Stops the arrivals; requests in flight continue. */
 void load_stop_arrivals(struct load *load);
-/* True when arrivals have ended and every request has. */
+/* Returns whether the arrivals have ended and every request has finished. */
 bool load_done(const struct load *load);
-/* Runs the main loop until it is done. */
+/* Starts the load and runs the main loop until it is done. */
 void load_run(struct load *load);
 
 struct load_stats {
 	guint requests;
 	guint outcomes[LOAD_OUTCOME_COUNT];
-	guint failed; /* run, but with a server error */
-	guint retries; /* tries beyond the first */
+	guint failed; /* outcome "run" with a status of 500 or more */
+	guint retries; /* attempts beyond the first of each request */
 	double p50_ms;
 	double p99_ms;
 	double p999_ms;
 	double max_ms;
 };
-/* Figures of now; quantiles over the requests told "run". */
+/*
+ * Returns statistics so far; the quantiles are those of requests with the
+ * outcome "run".
+ */
 void load_get_stats(const struct load *load, struct load_stats *stats);
 
-/* What the upstreams ran against what the callers were told. */
+/*
+ * Contradictions between what the upstreams executed and what the callers were
+ * told.
+ */
 struct load_comparison {
-	guint executed_more_than_once; /* keyed and started more than once */
-	guint false_not_run; /* told "not run" and started */
-	guint false_run; /* told "run" and never completed */
-	guint unknown_not_started; /* told "unknown", never started */
+	guint executed_more_than_once; /* keyed requests that were started more
+					  than once */
+	guint false_not_run; /* outcome "not run", but started */
+	guint false_run; /* outcome "run", but never completed */
+	guint unknown_not_started; /* outcome "unknown", but never started */
 };
-/* `nonces` is the oracle's member of that name. */
+/*
+ * Compares the outcomes with the oracle; `nonces` is the member of that name of
+ * the oracle's object.
+ */
 void load_compare(const struct load *load, JsonObject *nonces,
 		  struct load_comparison *comparison);
 
-/* Result as JSON: the figures, what each nonce was told, samples of wrong. */
+/*
+ * Returns the result as JSON, owned by the caller: the statistics, the outcome
+ * of each nonce, and samples of failures.
+ */
 JsonNode *load_result(const struct load *load);
 
 const char *load_outcome_name(enum load_outcome outcome);
 
-/* "REASON COUNT, ..." of what was not "run", tries included; g_free(). */
+/*
+ * Returns "OUTCOME/REASON COUNT, ..." for all responses whose outcome was not
+ * "run", including those that were retried. Freed with g_free().
+ */
 char *load_reasons_text(const struct load *load);
 
-/* What was wrong or unanswered, of char *, the first few; borrowed. */
+/*
+ * Returns descriptions (char *) of the first 10 requests that failed or got an
+ * invalid response; borrowed.
+ */
 const GPtrArray *load_failure_samples(const struct load *load);
 
-/* All requests so far, of struct load_request; borrowed. */
+/* Returns all requests so far (struct load_request); borrowed. */
 const GPtrArray *load_requests(const struct load *load);
 
 G_END_DECLS
--- a/tools/load/load_internal.h
+++ b/tools/load/load_internal.h
@@ -1,4 +1,4 @@
-/* Inside the callers' load: see load.h. */
+/* Internals of the load of callers; see load.h. */
 #ifndef TOOL_LOAD_INTERNAL_H
 #define TOOL_LOAD_INTERNAL_H
 
@@ -12,39 +12,42 @@
 	GRand *random;
 	GPtrArray *requests; /* of struct load_request, owned */
 	GPtrArray *callers; /* of struct load_caller, owned */
-	GPtrArray *samples; /* of char *, what was wrong */
-	GHashTable *reasons; /* of refusals and unknowns -> how often */
+	GPtrArray *samples; /* of char *, descriptions of failed requests */
+	GHashTable *reasons; /* "OUTCOME/REASON" of responses -> count */
 	guint total_weight;
 	guint pending;
 	guint retries;
 	gint64 started_us;
 	gint64 next_arrival_us;
-	guint arrival_timer; /* timer handle, 0 when arrivals ended */
+	guint arrival_timer; /* timer handle; 0 once the arrivals have ended */
 };
 
-/* Which addresses one caller uses for one service. */
+/* The addresses that one caller uses for one service. */
 struct load_lookup {
 	struct load_caller *caller;
 	const struct load_service *service;
-	GPtrArray *addresses; /* of char *, owner first */
+	GPtrArray *addresses; /* of char *, the owner first */
 	char *grant;
-	gint64 valid_until_us; /* 0: ask */
-	GPtrArray *waiting; /* of struct load_request, borrowed */
-	guint next_entry_index; /* rotates over those that can be asked */
+	gint64 valid_until_us; /* 0: a new lookup is needed */
+	GPtrArray *waiting; /* of struct load_request, borrowed: wait for the
+			       addresses */
+	guint next_entry_index; /* rotates over the entries that can be queried
+				 */
 	bool query_in_flight;
-	guint retry_timer; /* timer handle of the next attempt to ask */
-	guint query_timer; /* timer handle that ends the one in flight */
+	guint retry_timer; /* timer handle of the next lookup attempt */
+	guint query_timer; /* timer handle that cancels the one in flight */
 	GCancellable *cancellable;
 };
 
 /*
- * Each has a session of its own: a session looks through all its requests at
- * every event, and one for all callers would spend the machine on that.
+ * Each caller has a session of its own: a session walks through all its
+ * requests at every event, which takes too much CPU time if all callers share
+ * one.
  */
 struct load_caller {
 	struct load *load;
 	SoupSession *session;
-	struct load_lookup *lookups; /* one a service */
+	struct load_lookup *lookups; /* one for each service */
 };
 
 void load_lookup_init(struct load_lookup *lookup, struct load_caller *caller,
@@ -52,14 +55,16 @@
 void load_lookup_clear(struct load_lookup *lookup);
 struct load_lookup *load_request_lookup(const struct load_request *request);
 
-/* Calls load_request_send() now or when the addresses are known. */
+/* Calls load_request_send() immediately or once the addresses are known. */
 void load_lookup_resolve(struct load_lookup *lookup,
 			 struct load_request *request);
+/* Removes a request from those that wait for the addresses. */
 void load_lookup_remove(struct load_lookup *lookup,
 			struct load_request *request);
+/* Makes the next request look the addresses up again. */
 void load_lookup_invalidate(struct load_lookup *lookup);
 
-/* Where to connect for an entry's address; borrowed. */
+/* Returns the address to connect to for an entry's address; borrowed. */
 const char *load_connect_address(const struct load *load, const char *address);
 
 struct load_request *load_request_new(struct load *load, guint number);
--- a/tools/load/lookup.c
+++ b/tools/load/lookup.c
@@ -1,6 +1,7 @@
 /*
- * Which addresses a caller uses: asked of any entry it knows of, kept for the
- * time the answer names, asked anew when told that they are stale.
+ * Looks up the addresses that a caller uses. Any entry that the caller knows
+ * can answer. The answer is cached for the time that it names, or until a
+ * response says that it is stale.
  */
 #include "load/load_internal.h"
 
@@ -8,7 +9,7 @@
 
 #define LOOKUP_TIMEOUT_US (1500 * AUB_MS)
 #define LOOKUP_RETRY_DELAY_US \
-	(30 * AUB_MS) /* between entries that don't answer */
+	(30 * AUB_MS) /* before the next entry is queried after a failure */
 
 void load_lookup_init(struct load_lookup *lookup, struct load_caller *caller,
 		      const struct load_service *service, guint first)
@@ -46,7 +47,10 @@
 	lookup->valid_until_us = 0;
 }
 
-/* An entry to ask: those of the settings and those last told, in turn. */
+/*
+ * Returns the entry to query next, in rotation: the configured ones, then those
+ * of the last answer.
+ */
 static const char *pick_query_entry(struct load_lookup *lookup)
 {
 	const char *const *entries = lookup->caller->load->options.entries;
@@ -69,7 +73,7 @@
 	start_query(lookup);
 }
 
-/* False where the answer names no address. */
+/* Returns false if the answer contains no address. */
 static bool read_addresses(struct load_lookup *lookup, JsonObject *answer)
 {
 	JsonArray *list = NULL;
@@ -122,7 +126,8 @@
 }
 
 struct lookup_query {
-	struct load_lookup *lookup; /* NULL-safe through the cancellable */
+	struct load_lookup *
+		lookup; /* valid; used only if `cancellable` is still its own */
 	GCancellable *cancellable; /* owned reference */
 	SoupMessage *message; /* owned reference */
 };
--- a/tools/load/request.c
+++ b/tools/load/request.c
@@ -1,20 +1,23 @@
 /*
- * The life of one caller's request: tries, checks of the answer, repeats.
+ * Lifecycle of a request of a caller: attempts, validation of the response,
+ * retries.
  *
- * A keyed request keeps its key over all tries, so that the system can tell
- * a repeat. It is repeated when lost or unknown, in turn through the same
- * entry and another one.
+ * A keyed request uses the same key in all attempts, by which the entries
+ * recognise a retry. After a lost attempt or an unknown outcome it is retried
+ * alternately through the same entry and another one.
  */
 #include "load/load_internal.h"
 
 #include <string.h>
 
-#define LOST_RETRY_DELAY_US (20 * AUB_MS) /* wait after a lost try */
+#define LOST_RETRY_DELAY_US (20 * AUB_MS)
 #define NOT_RUN_RETRY_DELAY_US \
-	(100 * AUB_MS) /* where the answer names no time */
-#define UNKNOWN_ANSWERS_MAX 3 /* answers of "unknown" before it is believed */
+	(100 * AUB_MS) /* if the response names no delay */
+#define UNKNOWN_ANSWERS_MAX 3 /* after so many the outcome is final */
 #define SAMPLES_MAX 10
-#define DEADLINE_GRACE_US (300 * AUB_MS) /* for the system to say so itself */
+#define DEADLINE_GRACE_US \
+	(300 *            \
+	 AUB_MS) /* for the entry's own response at the deadline to arrive */
 
 static const struct load_service *pick_service(struct load *load)
 {
@@ -91,8 +94,8 @@
 	if (samples->len < SAMPLES_MAX)
 		g_ptr_array_add(
 			samples,
-			g_strdup_printf("%s: %s (status %u, %u tries, %u "
-					"lost, last through %s)",
+			g_strdup_printf("%s: %s (status %u, %u attempts, "
+					"%u lost, last through %s)",
 					request->nonce, why, request->status,
 					request->attempts,
 					request->connection_failures,
@@ -119,7 +122,10 @@
 	load_lookup_resolve(load_request_lookup(request), request);
 }
 
-/* True when another try was scheduled before the deadline. */
+/*
+ * Schedules another attempt after `delay_us`. Returns false if retries are off
+ * or the deadline would pass before it.
+ */
 static bool schedule_retry(struct load_request *request, gint64 delay_us)
 {
 	gint64 at_us = g_get_monotonic_time() + delay_us;
@@ -150,7 +156,10 @@
 	return same;
 }
 
-/* NULL for a whole answer of its own, or what is wrong with it. */
+/*
+ * Returns what is wrong with a response, or NULL if it is complete and the
+ * request's own.
+ */
 static const char *find_response_error(const struct load_request *request,
 				       SoupMessage *message, GBytes *body)
 {
@@ -163,15 +172,15 @@
 
 	g_free(line);
 	if (!nonce || strcmp(nonce, request->nonce) != 0)
-		return "another request's header";
+		return "nonce header of another request";
 	if (!own)
-		return "another request's body";
+		return "body of another request";
 	if (!checksum_matches(response_header(message, "X-Body-Sha256"), data,
 			      length))
-		return "body's checksum differs";
+		return "response body does not match its checksum";
 	if (!checksum_matches(response_header(message, "X-Request-Sha256"),
 			      sent, strlen(sent)))
-		return "the request's body arrived otherwise";
+		return "the upstream received a different request body";
 	return NULL;
 }
 
@@ -207,7 +216,10 @@
 
 	if (!final && schedule_retry(request, retry_after_us(message)))
 		return;
-	/* Of a GET whose earlier try was lost, this told of the last only. */
+	/*
+	 * Without a key, "not run" refers to the last attempt only: if an
+	 * earlier one was lost, the outcome of the request is unknown.
+	 */
 	finish(request, request->maybe_executed && !request->key ?
 				LOAD_UNKNOWN :
 				LOAD_NOT_RUN);
@@ -232,7 +244,10 @@
 	request->connection_failures++;
 	if (!refused)
 		request->maybe_executed = true;
-	/* Nothing was ever sent under the key: a new grant may be used. */
+	/*
+	 * Nothing was ever sent with this key, so that the request may take a
+	 * new key with a new grant.
+	 */
 	if (refused && !request->maybe_executed)
 		g_clear_pointer(&request->key, g_free);
 	if (schedule_retry(request, LOST_RETRY_DELAY_US))
@@ -270,10 +285,14 @@
 	else if (!g_strcmp0(outcome, "unknown"))
 		handle_unknown(request);
 	else
-		finish_invalid(request, "no outcome");
+		finish_invalid(request,
+			       "unknown or missing Auburnstile-Outcome");
 }
 
-/* The cancellable tells whether the request still waits for this try. */
+/*
+ * A request waits for this attempt only while its cancellable is that of the
+ * attempt.
+ */
 struct attempt {
 	struct load_request *request;
 	GCancellable *cancellable; /* owned reference */
@@ -317,8 +336,9 @@
 }
 
 /*
- * Owner first; a repeat alternates between the last entry and the next. A
- * key that was never sent goes only to the entry that its grant names.
+ * Returns the entry for the next attempt: the owner first; a retry alternates
+ * between the last entry and the next. A key that was never sent goes to the
+ * entry named by its grant only.
  */
 static const char *pick_entry(const struct load_request *request)
 {
@@ -388,7 +408,8 @@
 	struct attempt *attempt;
 
 	if (remaining_us < AUB_MS) {
-		finish_error(request, "no time left");
+		finish_error(request,
+			     "deadline passed before the next attempt");
 		return;
 	}
 	if (request->service->keyed && !request->key)
@@ -420,7 +441,7 @@
 	struct load_request *request = context;
 
 	request->timer = 0;
-	finish_error(request, "addresses never known");
+	finish_error(request, "deadline passed during the address lookup");
 }
 
 void load_request_start(struct load_request *request)
--- a/tools/platform/body.c
+++ b/tools/platform/body.c
@@ -1,6 +1,4 @@
-/*
- * JSON to msgpack and back, by json-glib and msgpack-c.
- */
+/* Converts JSON to msgpack and back with json-glib and msgpack-c. */
 #include "platform/body.h"
 
 #include <json-glib/json-glib.h>
--- a/tools/platform/body.h
+++ b/tools/platform/body.h
@@ -1,6 +1,6 @@
 /*
- * Bodies of the platform: written as JSON where a person reads them, and sent
- * as msgpack.
+ * Message bodies of the platform's API: written as JSON in the code and sent as
+ * msgpack.
  */
 #ifndef TOOLS_PLATFORM_BODY_H
 #define TOOLS_PLATFORM_BODY_H
@@ -9,9 +9,15 @@
 
 G_BEGIN_DECLS
 
-/* Text that is no JSON is sent as it is. */
+/*
+ * Returns JSON text as msgpack; text that is no valid JSON is returned
+ * unchanged. The caller unreferences the result.
+ */
 GBytes *platform_body_pack(const char *text, gsize length);
-/* JSON of a body; g_free; NULL where it is not msgpack. */
+/*
+ * Returns a msgpack body as JSON text, freed with g_free(), or NULL if it is
+ * not valid msgpack.
+ */
 char *platform_body_text(const void *data, gsize length);
 
 G_END_DECLS
--- a/tools/platform/store.c
+++ b/tools/platform/store.c
@@ -1,5 +1,5 @@
 /*
- * The stand-in store: one listener, one table, one list of changes.
+ * The stand-in store: one listener, a table of objects and a list of changes.
  */
 #include "platform/store.h"
 
@@ -21,7 +21,7 @@
 	char *name;
 	char *spec;
 	char *status;
-	char *finalizers; /* a JSON list */
+	char *finalizers; /* a JSON array */
 	gint64 revision;
 	gint64 created;
 	bool deleting;
@@ -39,11 +39,12 @@
 	int listener;
 	struct aub_poll_watch *watch;
 	char *address;
-	GPtrArray *objects; /* of struct object, by kind and name */
-	GPtrArray *changes; /* of struct change */
-	GPtrArray *connections; /* of struct connection */
+	GPtrArray *objects; /* of struct object, sorted by name */
+	GPtrArray *changes; /* of struct change, oldest first */
+	GPtrArray *connections; /* of struct connection, each owned by itself */
 	gint64 revision;
-	gint64 compacted_revision; /* history up to this is gone */
+	gint64 compacted_revision; /* the history before this revision has been
+				      dropped */
 	enum platform_store_fault fault;
 	guint delay_ms;
 	guint page_size;
@@ -57,7 +58,7 @@
 	guint method;
 	char *target;
 	GString *body;
-	GString *answer; /* waits for its delay */
+	GString *answer; /* the response while it is delayed */
 	guint timer;
 	bool watching;
 	char *watch_kind;
@@ -239,7 +240,7 @@
 	return count;
 }
 
-/* `answer` is taken over. */
+/* Takes ownership of `answer`. */
 static void send_now(struct connection *connection, GString *answer)
 {
 	aub_http_stream_write(connection->stream, answer->str, answer->len);
@@ -271,7 +272,10 @@
 	return answer;
 }
 
-/* `body` is JSON and taken over. */
+/*
+ * Sends a response after the configured delay. `body` is JSON; takes ownership
+ * of it.
+ */
 static void reply(struct connection *connection, guint status, char *body)
 {
 	struct platform_store *store = connection->store;
@@ -430,8 +434,8 @@
 }
 
 /*
- * POST creates, PUT replaces; both may name the revision they expect. With
- * `part` "status" only that is replaced.
+ * POST creates an object, PUT replaces one; PUT may name the revision that it
+ * expects. If `part` is "status", only the status is replaced.
  */
 static void handle_write(struct connection *connection, const char *kind,
 			 const char *name, const char *part)
@@ -487,7 +491,8 @@
 	struct platform_store *store = connection->store;
 	char *path =
 		g_strndup(connection->target, strcspn(connection->target, "?"));
-	char **parts = g_strsplit(path, "/", -1); /* "", objects, KIND, NAME */
+	char **parts =
+		g_strsplit(path, "/", -1); /* "", "objects", KIND, NAME, PART */
 	guint count = g_strv_length(parts);
 	gint64 from_revision = query_number(connection->target, "watch");
 
@@ -590,7 +595,10 @@
 	}
 }
 
-/* Freeing one moves the last into its place, so the list is walked back. */
+/*
+ * Closes all connections, or only those of waiting watches. Freeing a
+ * connection moves the last one into its place, hence the walk from the end.
+ */
 static void close_connections(struct platform_store *store, bool only_watches)
 {
 	for (guint i = store->connections->len; i > 0; i--) {
--- a/tools/platform/store.h
+++ b/tools/platform/store.h
@@ -1,7 +1,7 @@
 /*
- * A stand-in for the platform's store, in the process that uses it: objects
- * by kind and name, revisions, conditional updates, finalizers, watches with
- * history, and the ways in which it fails. Runs on the default main context.
+ * A stand-in for the platform's store that runs in the process that uses it:
+ * objects by kind and name, revisions, conditional updates, finalizers, watches
+ * with a history, and faults. Uses the poller and timers that it is given.
  */
 #ifndef TOOLS_PLATFORM_STORE_H
 #define TOOLS_PLATFORM_STORE_H
@@ -18,9 +18,11 @@
 	PLATFORM_STORE_UNAVAILABLE, /* 503 to every call */
 	PLATFORM_STORE_RATE_LIMITED, /* 429 to every call */
 	PLATFORM_STORE_RESET, /* connections are reset */
-	PLATFORM_STORE_UNRESPONSIVE, /* calls are read and never answered */
-	PLATFORM_STORE_LOSE_ANSWERS, /* calls are done and never answered */
-	PLATFORM_STORE_MALFORMED /* answers that are no JSON */
+	PLATFORM_STORE_UNRESPONSIVE, /* calls are read, not executed and never
+					answered */
+	PLATFORM_STORE_LOSE_ANSWERS, /* calls are executed but never answered */
+	PLATFORM_STORE_MALFORMED /* responses whose body is no valid JSON or
+				    msgpack */
 };
 
 struct platform_store *platform_store_new(struct aub_poller *poller,
@@ -28,31 +30,43 @@
 void platform_store_free(struct platform_store *store);
 const char *platform_store_address(const struct platform_store *store);
 
-/* What an operator or an upstream writes; returns the new revision. */
+/*
+ * Writes the spec of an object, as an operator or an upstream does, and creates
+ * the object if needed. `spec` is JSON. Returns the revision of the store.
+ */
 gint64 platform_store_put(struct platform_store *store, const char *kind,
 			  const char *name, const char *spec);
-/* The same of its status, which has to be there. */
+/* Writes the status of an object; does nothing if there is no such object. */
 gint64 platform_store_put_status(struct platform_store *store, const char *kind,
 				 const char *name, const char *status);
+/* The status of an object; borrowed; NULL if there is no such object. */
 const char *platform_store_status(struct platform_store *store,
 				  const char *kind, const char *name);
+/* Deletes an object, or marks it as deleting while it has finalizers. */
 void platform_store_remove(struct platform_store *store, const char *kind,
 			   const char *name);
-/* The spec of an object; borrowed; NULL if there is none. */
+/*
+ * Returns the spec of an object, borrowed, or NULL if there is no such object.
+ */
 const char *platform_store_get(struct platform_store *store, const char *kind,
 			       const char *name);
 guint platform_store_count(struct platform_store *store, const char *kind);
 
 void platform_store_set_fault(struct platform_store *store,
 			      enum platform_store_fault fault);
-/* Answers take this long. */
+/* Delays every response by `ms`. */
 void platform_store_set_delay(struct platform_store *store, guint ms);
-/* Watches that wait hear nothing of changes, as before a compaction. */
+/*
+ * While set, waiting watches are not sent any changes, as before a compaction.
+ */
 void platform_store_suppress_watch_events(struct platform_store *store,
 					  bool suppress);
-/* Watches from before now get 410; those that wait are cut. */
+/*
+ * Compacts the history: watches from an earlier revision get 410, and the
+ * connections of waiting ones are closed.
+ */
 void platform_store_compact(struct platform_store *store);
-/* Objects a listing's page. */
+/* Sets how many objects a page of a listing has at most. */
 void platform_store_set_page_size(struct platform_store *store, guint objects);
 
 guint64 platform_store_call_count(const struct platform_store *store);
--- a/tools/platform/upstream.c
+++ b/tools/platform/upstream.c
@@ -1,6 +1,4 @@
-/*
- * The stand-in upstream.
- */
+/* The stand-in upstream; see upstream.h. */
 #include "platform/upstream.h"
 
 #include <auburnstile/internal/tcp.h>
@@ -18,7 +16,7 @@
 	char *address;
 	int listener;
 	struct aub_poll_watch *watch;
-	GPtrArray *connections; /* of struct connection */
+	GPtrArray *connections; /* of struct connection, each owned by itself */
 	enum platform_answer answer;
 	enum platform_answer next_answer;
 	bool has_next_answer;
@@ -40,10 +38,11 @@
 	struct aub_http_stream *stream;
 	char *request_id;
 	char *expected;
-	enum platform_answer answer; /* to the request that it runs */
+	enum platform_answer answer; /* to the request that is executing */
 	bool probe;
 	bool running;
-	bool early_answer_sent; /* early */
+	bool early_answer_sent; /* the response was sent before the body was
+				   complete */
 	guint timer;
 	guint64 body_bytes_read;
 };
@@ -128,7 +127,10 @@
 		     status, connection->request_id);
 }
 
-/* Write the answer; false if the connection is gone after it. */
+/*
+ * Writes the answer. Returns false if the stream must not be used any more or
+ * no response was written.
+ */
 static bool write_answer(struct connection *connection,
 			 enum platform_answer answer)
 {
@@ -247,7 +249,11 @@
 			upstream->on_run(connection->request_id,
 					 upstream->on_run_context);
 	}
-	/* What it said of a run that has begun would not be true later. */
+	/*
+	 * The answer is fixed when the execution starts: a change of the
+	 * setting meanwhile would contradict whether it was counted as
+	 * executed.
+	 */
 	connection->answer = take_answer(upstream);
 	connection->running = true;
 	connection->timer =
@@ -366,7 +372,10 @@
 
 static void close_listener_and_connections(struct platform_upstream *upstream)
 {
-	/* Freeing one moves the last into its place: walk back. */
+	/*
+	 * Freeing a connection moves the last one into its place, hence the
+	 * walk from the end.
+	 */
 	for (guint i = upstream->connections->len; i > 0; i--)
 		connection_free(
 			g_ptr_array_index(upstream->connections, i - 1));
--- a/tools/platform/upstream.h
+++ b/tools/platform/upstream.h
@@ -1,6 +1,7 @@
 /*
- * A stand-in upstream of the platform, in the process that uses it. What it
- * does with the next requests is scripted; what it ran is recorded.
+ * A stand-in upstream that speaks the protocol of the platform and runs in the
+ * process that uses it. Its behaviour for the next requests can be set; what it
+ * executed is recorded.
  */
 #ifndef TOOLS_PLATFORM_UPSTREAM_H
 #define TOOLS_PLATFORM_UPSTREAM_H
@@ -15,18 +16,23 @@
 enum platform_answer {
 	PLATFORM_ANSWER_COMPLETE,
 	PLATFORM_ANSWER_CHUNKED,
-	PLATFORM_ANSWER_UNFRAMED, /* ends with the connection */
-	PLATFORM_ANSWER_TRUNCATED, /* ends before its announced length */
-	PLATFORM_ANSWER_RESET, /* runs, then resets the connection */
-	PLATFORM_ANSWER_NONE, /* runs and says nothing */
-	PLATFORM_ANSWER_GARBAGE, /* bytes that are no answer */
-	PLATFORM_ANSWER_DUPLICATED, /* a second answer after the first */
-	PLATFORM_ANSWER_MISMATCHED_FIRST, /* another request's, then its own */
-	PLATFORM_ANSWER_UNSTAMPED, /* success without the upstream's mark */
-	PLATFORM_ANSWER_FAILED, /* 500, run */
-	PLATFORM_ANSWER_OVERLOADED, /* 503, not run */
-	PLATFORM_ANSWER_MISDIRECTED, /* 421, not run */
-	PLATFORM_ANSWER_EARLY_ERROR, /* 400 before the body is in; keeps on */
+	PLATFORM_ANSWER_UNFRAMED, /* no length; the end of the connection ends
+				     it */
+	PLATFORM_ANSWER_TRUNCATED, /* the connection closes before
+				      Content-Length bytes */
+	PLATFORM_ANSWER_RESET, /* executed; the connection is reset without a
+				  response */
+	PLATFORM_ANSWER_NONE, /* executed; no response is sent */
+	PLATFORM_ANSWER_GARBAGE, /* bytes that are no HTTP response */
+	PLATFORM_ANSWER_DUPLICATED, /* the response, then a second one */
+	PLATFORM_ANSWER_MISMATCHED_FIRST, /* the response of another request,
+					     then its own */
+	PLATFORM_ANSWER_UNSTAMPED, /* 200 without the Response-Stamp header */
+	PLATFORM_ANSWER_FAILED, /* 500, executed */
+	PLATFORM_ANSWER_OVERLOADED, /* 503, not executed */
+	PLATFORM_ANSWER_MISDIRECTED, /* 421, not executed */
+	PLATFORM_ANSWER_EARLY_ERROR, /* 400 before the body has been read;
+					keep-alive */
 };
 
 struct platform_upstream *platform_upstream_new(
@@ -37,35 +43,50 @@
 const char *platform_upstream_address(const struct platform_upstream *upstream);
 const char *platform_upstream_id(const struct platform_upstream *upstream);
 
-/* All answers from now on. */
+/* Sets the answer to all requests from now on. */
 void platform_upstream_set_answer(struct platform_upstream *upstream,
 				  enum platform_answer answer);
-/* Only the next one; then as set. */
+/* Sets the answer to the next request only. */
 void platform_upstream_set_next_answer(struct platform_upstream *upstream,
 				       enum platform_answer answer);
+/* How long a request executes. */
 void platform_upstream_set_service_time(struct platform_upstream *upstream,
 					guint ms);
+/* Size of the body of a response. */
 void platform_upstream_set_body_bytes(struct platform_upstream *upstream,
 				      gsize bytes);
+/* Warmup-Remaining-Ms in the answers to probes; 0: none. */
 void platform_upstream_set_warmup(struct platform_upstream *upstream, guint ms);
-/* Refuse connections, as after a crash; or take them again. */
+/*
+ * Closes all connections and refuses new ones, as after a crash, or accepts
+ * connections again.
+ */
 void platform_upstream_set_down(struct platform_upstream *upstream, bool down);
 
-/* Called for each request that it begins to run. */
+/*
+ * Sets a callback that is called with the Request-Id whenever a request starts
+ * to execute.
+ */
 typedef void platform_upstream_run_callback(const char *id, void *context);
 void platform_upstream_set_run_callback(
 	struct platform_upstream *upstream,
 	platform_upstream_run_callback *callback, void *context);
 
-/* Requests that it began to run, and those whose connection closed on it. */
+/*
+ * Number of requests that started to execute, and of those whose connection
+ * closed before their answer.
+ */
 guint platform_upstream_runs(const struct platform_upstream *upstream);
 guint platform_upstream_cancelled(const struct platform_upstream *upstream);
 guint platform_upstream_probes(const struct platform_upstream *upstream);
 guint platform_upstream_connections(const struct platform_upstream *upstream);
-/* Most bytes of a body that it has read. */
+/* Largest number of bytes read of one request body. */
 guint64 platform_upstream_body_bytes_read(
 	const struct platform_upstream *upstream);
-/* Value of a header of the last request; borrowed; NULL if it had none. */
+/*
+ * Returns the value of a header of the last request, borrowed, or NULL if it is
+ * absent.
+ */
 const char *platform_upstream_header(const struct platform_upstream *upstream,
 				     const char *name);
 
--- a/tools/proxy/proxy.c
+++ b/tools/proxy/proxy.c
@@ -1,4 +1,4 @@
-/* The proxy's connections; see proxy.h. */
+/* Connections of the proxy; see proxy.h. */
 #include "proxy/proxy.h"
 
 #include "common/tool.h"
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define READ_CHUNK_BYTES 16384
-#define FLOW_BUFFER_BYTES 262144 /* held back for one way at most */
+#define FLOW_BUFFER_BYTES 262144 /* maximum queued for one direction */
 
 struct chunk {
 	gint64 due_us;
@@ -20,7 +20,7 @@
 
 struct proxy_pair;
 
-/* One way of a pair. */
+/* One direction of a pair. */
 struct flow {
 	struct proxy_pair *pair;
 	enum proxy_direction direction;
@@ -32,17 +32,18 @@
 	GQueue chunks; /* of struct chunk, owned */
 	gsize buffered_bytes;
 	gint64 last_due_us;
-	gint64 received_bytes; /* bytes taken in */
-	bool eof; /* `from` will send no more */
-	bool shutdown_sent; /* `to` was told so */
+	gint64 received_bytes;
+	bool eof; /* no more bytes will arrive from `from` */
+	bool shutdown_sent; /* the end was passed on to `to` */
 };
 
 struct proxy_pair {
 	struct proxy_route *route;
-	GSocket *ends[PROXY_DIRECTIONS]; /* the connecting end, the target's */
+	GSocket *ends[PROXY_DIRECTIONS]; /* the client's socket, the target's
+					    socket */
 	struct flow flows[PROXY_DIRECTIONS];
 	GSource *connect_source;
-	bool blackhole; /* for good */
+	bool blackhole; /* set by silence_open; stays set */
 };
 
 static void source_clear(GSource **source)
@@ -125,7 +126,10 @@
 	g_source_attach(flow->delay_timer, NULL);
 }
 
-/* After the last byte, passes the close on; false when the pair is gone. */
+/*
+ * Passes the end of a flow on after its last byte. Returns false if this closed
+ * the pair.
+ */
 static bool flow_drained(struct flow *flow)
 {
 	struct proxy_pair *pair = flow->pair;
@@ -141,7 +145,7 @@
 	return false;
 }
 
-/* Sends what is due. False when the pair is gone. */
+/* Sends the chunks that are due. Returns false if the pair has been closed. */
 static bool flow_write(struct flow *flow)
 {
 	struct chunk *chunk;
@@ -181,7 +185,10 @@
 	return flow_drained(flow);
 }
 
-/* Puts bytes in line; false when the truncation ended the pair. */
+/*
+ * Queues received bytes. Returns false if the truncation fault or an error has
+ * closed the pair.
+ */
 static bool flow_enqueue(struct flow *flow, const char *data, gsize length)
 {
 	struct proxy_route *route = flow->pair->route;
@@ -244,7 +251,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Reads on, unless too much is held back already. */
+/* Reads on unless the buffer is full. */
 static void flow_read(struct flow *flow)
 {
 	if (flow->eof || flow->buffered_bytes >= FLOW_BUFFER_BYTES)
@@ -278,7 +285,8 @@
 	GSocket *target = pair->ends[PROXY_DOWN];
 	GError *error = NULL;
 
-	if (!g_socket_connect(target, pair->route->target, NULL, &error) &&
+	if (!g_socket_connect(target, pair->route->target_address, NULL,
+			      &error) &&
 	    !g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING)) {
 		g_error_free(error);
 		pair_close(pair, true);
@@ -300,7 +308,7 @@
 	pair->route = route;
 	pair->ends[PROXY_UP] = accepted;
 	pair->ends[PROXY_DOWN] =
-		g_socket_new(g_socket_address_get_family(route->target),
+		g_socket_new(g_socket_address_get_family(route->target_address),
 			     G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
 	for (direction = 0; direction < PROXY_DIRECTIONS; direction++) {
 		flow = &pair->flows[direction];
@@ -335,14 +343,15 @@
 	GSocketAddress *bound;
 
 	route->listener =
-		g_socket_new(g_socket_address_get_family(route->listen),
+		g_socket_new(g_socket_address_get_family(route->listen_address),
 			     G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP,
 			     error);
 	if (!route->listener)
 		return false;
 	g_socket_set_listen_backlog(route->listener, 1024);
 	g_socket_set_blocking(route->listener, FALSE);
-	if (!g_socket_bind(route->listener, route->listen, TRUE, error) ||
+	if (!g_socket_bind(route->listener, route->listen_address, TRUE,
+			   error) ||
 	    !g_socket_listen(route->listener, error))
 		return false;
 	bound = g_socket_get_local_address(route->listener, error);
@@ -350,8 +359,8 @@
 		return false;
 	route->port =
 		g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(bound));
-	g_object_unref(route->listen);
-	route->listen = bound;
+	g_object_unref(route->listen_address);
+	route->listen_address = bound;
 	route->accept_source =
 		g_socket_create_source(route->listener, G_IO_IN, NULL);
 	g_source_set_callback(route->accept_source,
@@ -368,18 +377,19 @@
 	g_clear_object(&route->listener);
 }
 
-struct proxy_route *proxy_route_new(const char *listen, const char *target,
-				    GError **error)
+struct proxy_route *proxy_route_new(const char *listen_address,
+				    const char *target_address, GError **error)
 {
 	struct proxy_route *route = g_new0(struct proxy_route, 1);
 
 	route->pairs = g_ptr_array_new_with_free_func(pair_free);
 	route->fault.truncate_bytes[PROXY_UP] = -1;
 	route->fault.truncate_bytes[PROXY_DOWN] = -1;
-	route->listen = tool_address_parse(listen, error);
-	if (route->listen)
-		route->target = tool_address_parse(target, error);
-	if (route->target && route_listen(route, error))
+	route->listen_address = tool_address_parse(listen_address, error);
+	if (route->listen_address)
+		route->target_address =
+			tool_address_parse(target_address, error);
+	if (route->target_address && route_listen(route, error))
 		return route;
 	proxy_route_free(route);
 	return NULL;
@@ -391,8 +401,8 @@
 
 	route_stop_listening(route);
 	g_ptr_array_unref(route->pairs);
-	g_clear_object(&route->listen);
-	g_clear_object(&route->target);
+	g_clear_object(&route->listen_address);
+	g_clear_object(&route->target_address);
 	g_free(route);
 }
 
@@ -450,7 +460,8 @@
 	if (fault->refuse) {
 		route_stop_listening(route);
 	} else if (!route->listener && !route_listen(route, &error)) {
-		g_warning("listen on port %u: %s", route->port, error->message);
+		g_warning("cannot listen on port %u: %s", route->port,
+			  error->message);
 		g_error_free(error);
 	}
 }
--- a/tools/proxy/proxy.h
+++ b/tools/proxy/proxy.h
@@ -1,7 +1,6 @@
 /*
- * A TCP proxy that breaks connections on purpose. One route listens on one
- * address and forwards to another; each has faults of its own. Runs on the
- * default main context.
+ * A TCP proxy that injects faults. A route listens on one address and forwards
+ * to another, and has faults of its own. Runs on the default main context.
  */
 #ifndef TOOL_PROXY_H
 #define TOOL_PROXY_H
@@ -12,23 +11,24 @@
 
 G_BEGIN_DECLS
 
-/* Which way bytes go: up is from the connecting end to the target. */
+/* Direction of bytes: up is from the client to the target. */
 enum proxy_direction { PROXY_UP, PROXY_DOWN, PROXY_DIRECTIONS };
 
 struct proxy_fault {
-	guint delay_ms; /* of every byte, each way */
-	bool blackhole[PROXY_DIRECTIONS]; /* swallow bytes and closes */
+	guint delay_ms; /* of every byte, in each direction */
+	bool blackhole[PROXY_DIRECTIONS]; /* discard bytes and do not pass
+					     closes on */
 	gint64 truncate_bytes[PROXY_DIRECTIONS]; /* close after so many bytes;
 						    -1: never */
-	gint64 throttle_bytes_per_s; /* bytes a second, each way; 0: no limit */
-	bool refuse; /* new connections */
+	gint64 throttle_bytes_per_s; /* in each direction; 0: no limit */
+	bool refuse; /* refuse new connections */
 };
 
 struct proxy_route {
-	GSocketAddress *listen;
-	GSocketAddress *target;
-	guint16 port; /* that it listens on */
-	GSocket *listener; /* NULL while it refuses */
+	GSocketAddress *listen_address;
+	GSocketAddress *target_address;
+	guint16 port; /* the one it listens on */
+	GSocket *listener; /* NULL while it refuses connections */
 	GSource *accept_source;
 	GPtrArray *pairs; /* of struct proxy_pair, owned */
 	struct proxy_fault fault;
@@ -36,18 +36,22 @@
 	guint64 bytes[PROXY_DIRECTIONS];
 };
 
-/* Both addresses as "ip:port"; listens at once. Owned by the caller. */
-struct proxy_route *proxy_route_new(const char *listen, const char *target,
-				    GError **error);
+/*
+ * Creates a route and starts to listen. Both addresses are "ip:port". Returns
+ * NULL and sets `error` on failure; the caller frees the result.
+ */
+struct proxy_route *proxy_route_new(const char *listen_address,
+				    const char *target_address, GError **error);
 void proxy_route_free(void *route);
 
 /*
- * Change faults as a JSON object says; absent members keep their value:
- *   delay_ms, throttle, refuse, truncate_up, truncate_down (-1: never),
- *   silence "none"|"up"|"down"|"both"  all connections, new ones too
- *   blackhole_open_pairs 1   those open now stay open and swallow everything
- *   cut 1, reset 1   close those open now, in order or by RST
- *   clear 1          take everything back (open silent ones stay silent)
+ * Changes faults according to a JSON object; absent members keep their values:
+ *   delay_ms, throttle (bytes per second), refuse,
+ *   truncate_up, truncate_down (bytes; -1: never),
+ *   silence "none"|"up"|"down"|"both"  discard, on all connections
+ *   silence_open 1   discard on the open connections, for good
+ *   cut 1, reset 1   close the open connections, normally or by RST
+ *   clear 1          clear all faults except silence_open
  */
 void proxy_route_apply(struct proxy_route *route, JsonObject *body);
 
--- a/tools/standin-store.c
+++ b/tools/standin-store.c
@@ -2,10 +2,10 @@
  * Stand-in for the platform's object API, in memory, for tests and the
  * demonstration. The protocol is the one in auburnstile/store_client.h.
  *
- * Versions rise over the whole store. `POST /fault` makes it slow, down,
- * stale on reads, or lose the answers of writes that took effect; `GET
- * /calls` counts the calls by kind, a waiting watch as one. Neither of the
- * two is touched by faults.
+ * Versions increase over the whole store. `POST /fault` makes it slow,
+ * unavailable, stale on reads, or lose the responses of writes that took
+ * effect; `GET /calls` returns the number of calls by kind, where a waiting
+ * watch counts as one. Faults do not affect these two.
  */
 #include "common/tool.h"
 
@@ -13,9 +13,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define VALUE_BYTES_MAX 1048576 /* bytes of a value */
-#define WATCH_WAIT_MAX_MS 60000 /* longest a watch waits */
-#define REVISIONS_PER_OBJECT_MAX 64 /* old versions kept of an object */
+#define VALUE_BYTES_MAX 1048576
+#define WATCH_WAIT_MAX_MS 60000
+#define REVISIONS_PER_OBJECT_MAX 64
 
 static const char objects_path[] = "/v1/objects";
 
@@ -41,13 +41,15 @@
 
 enum down { DOWN_NONE, DOWN_REFUSE, DOWN_HANG };
 
-/* Counts run down by one a call; -1 means always. */
+/*
+ * Counters are decremented by each call that they affect; -1 means all calls.
+ */
 struct fault {
 	guint delay_ms;
-	guint jitter_ms; /* up to this much more */
+	guint jitter_ms; /* random delay added to it, less than this */
 	enum down down;
-	guint stale_writes; /* reads see the object so many writes ago */
-	gint64 lose_answers; /* writes that take effect unanswered */
+	guint stale_writes; /* reads return the revision so many writes ago */
+	gint64 lose_answers; /* writes that take effect without a response */
 	gint64 reset; /* calls whose connection is reset */
 };
 
@@ -55,8 +57,8 @@
 	SoupServer *server;
 	GHashTable *objects; /* key -> struct object */
 	guint64 version;
-	GPtrArray *watches; /* of struct watch, owned by themselves */
-	GPtrArray *hanging; /* of SoupServerMessage, owned references */
+	GPtrArray *watches; /* of struct watch, owned */
+	GPtrArray *unanswered; /* of SoupServerMessage, owned references */
 	struct fault fault;
 	guint64 calls[CALL_KINDS];
 	GRand *random;
@@ -70,7 +72,7 @@
 	guint timer;
 };
 
-/* A call put off by the delay. */
+/* A call whose processing is delayed. */
 struct delayed_call {
 	struct store *store;
 	SoupServerMessage *message; /* owned reference */
@@ -93,7 +95,7 @@
 	g_free(object);
 }
 
-/* The revision `back` writes ago, or the oldest known. */
+/* Returns the revision `writes_ago` writes ago, or the oldest one kept. */
 static const struct revision *object_revision(const struct object *object,
 					      guint writes_ago)
 {
@@ -157,7 +159,10 @@
 	return (one > two) - (one < two);
 }
 
-/* Array of objects below `prefix` newer than `since`, oldest first. */
+/*
+ * Adds an array of the objects whose keys start with `prefix` and whose version
+ * is higher than `since`, oldest first. Returns their number.
+ */
 static guint build_objects(struct store *store, JsonBuilder *builder,
 			   const char *prefix, guint64 since, guint writes_ago)
 {
@@ -232,7 +237,10 @@
 	g_ptr_array_remove_fast(watch->store->watches, watch);
 }
 
-/* Answers when there is something new, or when `due`. */
+/*
+ * Sets the response of a watch if there are changes, or if `due` is true.
+ * Returns whether it did.
+ */
 static bool watch_answer(struct watch *watch, bool due)
 {
 	struct store *store = watch->store;
@@ -395,7 +403,10 @@
 {
 	struct delayed_call *delayed_call = data;
 
-	/* Unpaused first: a watch may pause it again for its own wait. */
+	/*
+	 * Unpaused before the call: a watch may pause the message again for its
+	 * own wait.
+	 */
 	soup_server_message_unpause(delayed_call->message);
 	answer_call(delayed_call->store, delayed_call->message);
 	g_object_unref(delayed_call->message);
@@ -427,7 +438,7 @@
 		tool_answer_text(message, 503, "down\n");
 	} else if (store->fault.down == DOWN_HANG) {
 		soup_server_message_pause(message);
-		g_ptr_array_add(store->hanging, g_object_ref(message));
+		g_ptr_array_add(store->unanswered, g_object_ref(message));
 	} else if (consume_count(&store->fault.reset)) {
 		tool_close_connection(message, true);
 	} else if (store->fault.delay_ms || store->fault.jitter_ms) {
@@ -437,15 +448,15 @@
 	}
 }
 
-/* Calls that hung and waiting watches end without an answer. */
+/* Closes the connections of unanswered calls and of waiting watches. */
 static void drop_pending(struct store *store)
 {
 	struct watch *watch;
 	guint i;
 
-	for (i = 0; i < store->hanging->len; i++)
-		tool_close_connection(store->hanging->pdata[i], false);
-	g_ptr_array_set_size(store->hanging, 0);
+	for (i = 0; i < store->unanswered->len; i++)
+		tool_close_connection(store->unanswered->pdata[i], false);
+	g_ptr_array_set_size(store->unanswered, 0);
 	for (i = 0; i < store->watches->len; i++) {
 		watch = store->watches->pdata[i];
 		tool_close_connection(watch->message, false);
@@ -453,7 +464,7 @@
 	g_ptr_array_set_size(store->watches, 0);
 }
 
-/* Absent members keep their value; {"clear":true} takes all faults back. */
+/* Absent members keep their values; {"clear": true} clears all faults. */
 static void on_fault(SoupServer *server, SoupServerMessage *message,
 		     const char *path, GHashTable *query, gpointer data)
 {
@@ -514,8 +525,9 @@
 };
 
 static const struct argp_option option_table[] = {
-	{ "listen", 'l', "IP:PORT", 0, "address (port 0: a free one)", 0 },
-	{ "seed", 's', "N", 0, "of the delays' jitter", 0 },
+	{ "listen", 'l', "IP:PORT", 0,
+	  "address to listen on (port 0: a free one)", 0 },
+	{ "seed", 's', "N", 0, "seed of the jitter of delays", 0 },
 	{ 0 }
 };
 
@@ -543,7 +555,7 @@
 	drop_pending(store);
 	g_object_unref(store->server);
 	g_ptr_array_unref(store->watches);
-	g_ptr_array_unref(store->hanging);
+	g_ptr_array_unref(store->unanswered);
 	g_hash_table_unref(store->objects);
 	g_rand_free(store->random);
 }
@@ -560,7 +572,7 @@
 	store.objects = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					      object_free);
 	store.watches = g_ptr_array_new_with_free_func(watch_free);
-	store.hanging = g_ptr_array_new_with_free_func(g_object_unref);
+	store.unanswered = g_ptr_array_new_with_free_func(g_object_unref);
 	store.random = g_rand_new_with_seed(options.seed);
 	soup_server_add_handler(store.server, "/v1", on_call, &store, NULL);
 	soup_server_add_handler(store.server, "/fault", on_fault, &store, NULL);
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -1,12 +1,13 @@
 /*
  * Stand-in upstreams, many in one process, for tests, the demonstration and
- * measurements.
+ * benchmarks.
  *
- * `--listen IP:PORT[,slots=N,...]` adds one with its own options; the other
- * options are the defaults of those that follow. The control address takes
+ * `--listen IP:PORT[,slots=N,...]` adds an upstream with its own options; the
+ * other options set the defaults of the upstreams that follow. The control
+ * address serves
  *   POST /fault   {"port": N (0 or absent: all), fault or state: value...}
- *   GET  /oracle  what really ran: figures of each, and runs of each nonce
- *   POST /forget  drop the record of nonces
+ *   GET  /oracle  what was executed: counters of each upstream and nonce
+ *   POST /forget  reset the counters of all nonces
  */
 #include "upstream/upstream.h"
 
@@ -16,7 +17,7 @@
 
 enum option_type { OPTION_UINT, OPTION_DOUBLE, OPTION_BOOL };
 
-/* Options of an upstream: on the command line and inside --listen. */
+/* An option of an upstream, on the command line or in --listen. */
 struct option_row {
 	const char *name;
 	enum option_type type;
@@ -31,29 +32,33 @@
 	}
 
 static const struct option_row option_rows[] = {
-	OPTION_ROW(slots, OPTION_UINT, "requests run at once"),
+	OPTION_ROW(slots, OPTION_UINT, "requests executed concurrently"),
 	OPTION_ROW(cold_slots, OPTION_UINT,
-		   "requests borne at once while cold"),
-	OPTION_ROW(connections, OPTION_UINT, "open connections at most"),
-	OPTION_ROW(cold_ms, OPTION_UINT, "how long it stays cold"),
+		   "running and queued requests tolerated while cold"),
+	OPTION_ROW(connections, OPTION_UINT, "maximum of open connections"),
+	OPTION_ROW(cold_ms, OPTION_UINT,
+		   "how long it stays cold after a start"),
 	OPTION_ROW(cold_factor, OPTION_DOUBLE,
-		   "service takes longer while cold"),
-	OPTION_ROW(fall_ms, OPTION_UINT, "refuses so long after a crash"),
+		   "factor of the service time while cold"),
+	OPTION_ROW(fall_ms, OPTION_UINT,
+		   "how long it refuses connections after a crash"),
 	OPTION_ROW(mean_us, OPTION_DOUBLE, "mean service time"),
-	OPTION_ROW(sigma, OPTION_DOUBLE, "of the service time's logarithm"),
+	OPTION_ROW(sigma, OPTION_DOUBLE,
+		   "standard deviation of the service time's logarithm"),
 	OPTION_ROW(connect_us, OPTION_UINT, "cost of a new connection"),
 	OPTION_ROW(probe_us, OPTION_UINT, "cost of a probe"),
-	OPTION_ROW(body_bytes, OPTION_UINT, "size of an answer at least"),
-	OPTION_ROW(shed, OPTION_BOOL, "beyond the slots refuse, don't queue"),
+	OPTION_ROW(body_bytes, OPTION_UINT, "minimum size of a response"),
+	OPTION_ROW(shed, OPTION_BOOL,
+		   "refuse requests beyond the slots, do not queue them"),
 };
 
-#define FIRST_OPTION_ROW_KEY 1000 /* argp keys of `rows` start here */
+#define FIRST_OPTION_ROW_KEY 1000 /* argp keys of `option_rows` start here */
 
 struct program {
 	struct upstream_options defaults;
 	struct upstream_shared *shared;
 	GPtrArray *upstreams; /* of struct upstream, owned */
-	GPtrArray *wanted; /* of struct upstream_options, owned */
+	GPtrArray *upstream_arguments; /* of struct upstream_options, owned */
 	const char *control;
 	const char *host;
 	guint first_port;
@@ -98,10 +103,13 @@
 	options = g_memdup2(&program->defaults, sizeof(*options));
 	options->host = host;
 	options->port = port;
-	g_ptr_array_add(program->wanted, options);
+	g_ptr_array_add(program->upstream_arguments, options);
 }
 
-/* IP:PORT[,name=value...]; the strings live as long as the program. */
+/*
+ * Parses IP:PORT[,name=value...]. Returns false if it is invalid. The host is
+ * interned and never freed.
+ */
 static bool add_listen_argument(struct program *program, const char *text)
 {
 	char **parts = g_strsplit(text, ",", -1);
@@ -115,7 +123,8 @@
 			   g_intern_string(
 				   strndupa(parts[0], colon - parts[0])),
 			   strtoul(colon + 1, NULL, 10));
-		options = program->wanted->pdata[program->wanted->len - 1];
+		options = program->upstream_arguments
+				  ->pdata[program->upstream_arguments->len - 1];
 		for (i = 1; ok && parts[i]; i++)
 			ok = set_by_name(options, parts[i]);
 	}
@@ -163,15 +172,20 @@
 
 static const struct argp_option fixed_options[] = {
 	{ "listen", 'l', "IP:PORT[,name=value...]", 0, "add an upstream", 0 },
-	{ "control", 'c', "IP:PORT", 0, "faults and the oracle", 0 },
-	{ "seed", 's', "N", 0, "of service times", 0 },
-	{ "host", 'h', "IP", 0, "with --first-port", 0 },
-	{ "first-port", 'p', "PORT", 0, "add --count upstreams from here", 0 },
-	{ "count", 'n', "N", 0, "with --first-port", 0 },
-	{ "cold", 'C', NULL, 0, "start cold", 0 },
+	{ "control", 'c', "IP:PORT", 0,
+	  "listen here for /fault, /oracle and /forget", 0 },
+	{ "seed", 's', "N", 0, "seed of the service times", 0 },
+	{ "host", 'h', "IP", 0, "address with --first-port", 0 },
+	{ "first-port", 'p', "PORT", 0,
+	  "add --count upstreams on ports from here", 0 },
+	{ "count", 'n', "N", 0, "number of upstreams with --first-port", 0 },
+	{ "cold", 'C', NULL, 0, "start all upstreams cold", 0 },
 };
 
-/* Writes argp's table: the fixed options, then one for each row. */
+/*
+ * Fills argp's table with the fixed options and one for each row. `names`
+ * receives the names of the rows, which the caller frees.
+ */
 static void fill_options(struct argp_option *table, char **names)
 {
 	guint i;
@@ -234,7 +248,10 @@
 	json_builder_end_object(builder);
 }
 
-/* nonces: {NONCE: [started, completed, cancelled]}; ?short=1 omits them. */
+/*
+ * Writes the counters of all upstreams, and "nonces": {NONCE: [started,
+ * completed, cancelled]} unless the query contains "short".
+ */
 static void on_oracle(SoupServer *server, SoupServerMessage *message,
 		      const char *path, GHashTable *query, gpointer data)
 {
@@ -259,7 +276,10 @@
 	g_object_unref(builder);
 }
 
-/* Jobs inside hold on to their record, so it is zeroed, not removed. */
+/*
+ * Resets the counters of all nonces. Jobs in progress have pointers to their
+ * counters, so that the entries are zeroed and not removed.
+ */
 static void on_forget(SoupServer *server, SoupServerMessage *message,
 		      const char *path, GHashTable *query, gpointer data)
 {
@@ -280,8 +300,8 @@
 
 	for (i = 0; i < program->count; i++)
 		add_wanted(program, program->host, program->first_port + i);
-	for (i = 0; i < program->wanted->len; i++) {
-		upstream = upstream_new(program->wanted->pdata[i],
+	for (i = 0; i < program->upstream_arguments->len; i++) {
+		upstream = upstream_new(program->upstream_arguments->pdata[i],
 					program->shared, error);
 		if (!upstream)
 			return false;
@@ -355,12 +375,12 @@
 	int status;
 	guint i;
 
-	program.wanted = g_ptr_array_new_with_free_func(g_free);
+	program.upstream_arguments = g_ptr_array_new_with_free_func(g_free);
 	fill_options(options, names);
 	argp_parse(&parser, argc, argv, 0, NULL, &program);
 	status = run(&program);
 	for (i = 0; i < G_N_ELEMENTS(option_rows); i++)
 		g_free(names[i]);
-	g_ptr_array_unref(program.wanted);
+	g_ptr_array_unref(program.upstream_arguments);
 	return status;
 }
--- a/tools/upstream/upstream.c
+++ b/tools/upstream/upstream.c
@@ -1,10 +1,10 @@
 /*
- * The life of requests inside a stand-in upstream; see upstream.h.
+ * Lifecycle of requests in a stand-in upstream; see upstream.h.
  *
- * While cold it bears `cold_slots` requests at once; one more and it falls
- * over: all its connections die, as in a crash. A closed connection cancels
- * its request. A request whose X-Deadline-Ms passed while it waited is
- * refused, not run.
+ * While cold it tolerates `cold_slots` running and queued requests; one more
+ * makes it crash, which closes all its connections. A closed connection cancels
+ * its request. A request whose X-Deadline-Ms passes while it is queued is
+ * refused as not run.
  */
 #include "upstream/upstream.h"
 
@@ -96,7 +96,9 @@
 	return true;
 }
 
-/* The first fault due that spoils a whole run; UPSTREAM_FAULT_COUNT for none.
+/*
+ * Returns the first pending fault that affects an executed request and counts
+ * it down, or UPSTREAM_FAULT_COUNT if there is none.
  */
 static enum upstream_fault take_fault(struct upstream *upstream)
 {
@@ -109,7 +111,10 @@
 	return UPSTREAM_FAULT_COUNT;
 }
 
-/* Lognormal with the mean asked for, by the Box-Muller transform. */
+/*
+ * Draws a service time in microseconds from a lognormal distribution with the
+ * configured mean, by the Box-Muller transform.
+ */
 static double draw_service_time_us(struct upstream *upstream,
 				   bool new_connection)
 {
@@ -133,7 +138,10 @@
 
 static void start_job(struct upstream_job *job);
 
-/* Runs what waits, and refuses what waited past its deadline. */
+/*
+ * Starts queued requests while slots are free, and refuses those whose deadline
+ * has passed.
+ */
 static void run_queue(struct upstream *upstream)
 {
 	struct upstream_job *job;
@@ -161,7 +169,10 @@
 	run_queue(upstream);
 }
 
-/* Late and lost answers keep no slot: only their connection stays. */
+/*
+ * Sends a delayed answer. Jobs that wait for it, or never answer, hold a
+ * connection but no slot.
+ */
 static gboolean on_delayed_answer(gpointer data)
 {
 	struct upstream_job *job = data;
@@ -249,7 +260,10 @@
 		upstream_crash(upstream, upstream->options.fall_ms);
 }
 
-/* The other end closed: the request is cancelled, its slot is free. */
+/*
+ * Cancels a request whose connection was closed by the client, and frees its
+ * slot.
+ */
 static gboolean on_readable(GSocket *socket, GIOCondition condition,
 			    gpointer data)
 {
@@ -285,7 +299,10 @@
 		     MSG_PEEK | MSG_DONTWAIT);
 }
 
-/* libsoup 3.2 neither closes nor frees what the other end closed. */
+/*
+ * libsoup 3.2 neither closes nor frees connections that the client has closed;
+ * without this they would count against the limit.
+ */
 static void release_closed_sockets(GPtrArray *sockets)
 {
 	for (guint i = sockets->len; i > 0; i--) {
@@ -341,7 +358,10 @@
 	return job;
 }
 
-/* True when the request was turned away at the door. */
+/*
+ * Rejects a request that is not to be queued or executed. Returns true if it
+ * did.
+ */
 static bool reject_request(struct upstream *upstream,
 			   SoupServerMessage *message)
 {
@@ -368,7 +388,10 @@
 	return false;
 }
 
-/* On standard error: which requests were inside, and since when cold. */
+/*
+ * Logs an overload crash to standard error: for how long the upstream had been
+ * cold, and which requests were running.
+ */
 static void log_overload(const struct upstream *upstream,
 			 const struct upstream_job *newest)
 {
@@ -384,7 +407,7 @@
 		g_string_append_printf(text, " %s",
 				       job->nonce ? job->nonce : "-");
 	}
-	g_printerr("port %u fell over, cold for %" G_GINT64_FORMAT
+	g_printerr("port %u crashed by overload, cold for %" G_GINT64_FORMAT
 		   " us, at %" G_GINT64_FORMAT ": newest %s, running%s\n",
 		   upstream->options.port, since_us, g_get_real_time(),
 		   newest->nonce ? newest->nonce : "-", text->str);
@@ -422,7 +445,7 @@
 	}
 }
 
-/* A probe's answer that waits for its cost to be paid. */
+/* A probe whose answer is delayed by the cost of the probe. */
 struct probe {
 	struct upstream *upstream;
 	SoupServerMessage *message; /* owned reference */
@@ -503,7 +526,10 @@
 	g_ptr_array_set_size(jobs, 0);
 }
 
-/* Everything inside dies unanswered; started work was begun, not ended. */
+/*
+ * Aborts all jobs without an answer and closes the listener. Jobs that had
+ * started count as started, but as neither completed nor cancelled.
+ */
 static void close_server(struct upstream *upstream)
 {
 	struct upstream_job *job;
@@ -526,8 +552,8 @@
 	GError *error = NULL;
 
 	if (!open_server(upstream, &error)) {
-		g_warning("restart of port %u: %s", upstream->options.port,
-			  error->message);
+		g_warning("cannot restart on port %u: %s",
+			  upstream->options.port, error->message);
 		g_error_free(error);
 		return G_SOURCE_CONTINUE;
 	}
--- a/tools/upstream/upstream.h
+++ b/tools/upstream/upstream.h
@@ -1,9 +1,9 @@
 /*
- * One stand-in upstream: slots, a queue, cold starts, faults, and a record
- * of what really ran. Many of them live in one process.
+ * A stand-in upstream: slots, a queue, cold starts, faults, and a record of
+ * what was executed. Many of them run in one process.
  *
- * The record is the oracle of the proofs: it is counted here, where work is
- * done, and never taken from what the system says of itself.
+ * The record is the oracle of the proofs: it is counted here, where the work is
+ * done, and never taken from what the load balancer reports.
  */
 #ifndef TOOL_UPSTREAM_H
 #define TOOL_UPSTREAM_H
@@ -15,63 +15,75 @@
 struct upstream_options {
 	const char *host;
 	guint16 port;
-	guint slots; /* requests it runs at once */
-	guint cold_slots; /* requests it bears at once while cold */
-	guint connections; /* most open at once; more are reset */
-	guint cold_ms; /* how long it stays cold */
-	double cold_factor; /* service time is longer by this while cold */
-	guint fall_ms; /* refuses connections so long after falling over */
-	double mean_us; /* of the lognormal service time */
-	double sigma; /* of its logarithm */
+	guint slots; /* requests it executes concurrently */
+	guint cold_slots; /* running and queued requests it tolerates while cold
+			   */
+	guint connections; /* maximum of open ones; further ones are reset */
+	guint cold_ms; /* how long it stays cold after a start */
+	double cold_factor; /* factor of the service time while cold */
+	guint fall_ms; /* how long it refuses connections after a crash */
+	double mean_us; /* mean of the lognormal service time */
+	double sigma; /* standard deviation of its logarithm */
 	guint connect_us; /* added to the first request of a connection */
-	guint probe_us; /* time a probe takes */
-	guint body_bytes; /* of an answer, at least */
-	bool shed; /* beyond the slots: refuse instead of queueing */
+	guint probe_us; /* time that a probe takes */
+	guint body_bytes; /* minimum size of a response */
+	bool shed; /* refuse requests beyond the slots instead of queueing */
 };
 
-/* Faults that spoil answers. Counts run down; -1 means always. */
+/*
+ * Faults of responses. Each has a counter of how many requests it is to affect,
+ * which counts down; -1 means all.
+ */
 enum upstream_fault {
-	UPSTREAM_FAULT_FAIL_FAST, /* 500 at once */
+	UPSTREAM_FAULT_FAIL_FAST, /* 500 immediately, not executed */
 	UPSTREAM_FAULT_TRUNCATE, /* closes before Content-Length is reached */
 	UPSTREAM_FAULT_WRONG_LENGTH, /* sends more than Content-Length */
 	UPSTREAM_FAULT_RESET_MIDDLE, /* RST after half of the body */
-	UPSTREAM_FAULT_NO_ANSWER, /* runs it and never answers */
+	UPSTREAM_FAULT_NO_ANSWER, /* executes the request and never answers */
 	UPSTREAM_FAULT_LATE_ANSWER, /* answers answer_delay_ms after the end */
-	UPSTREAM_FAULT_CRASH_AFTER, /* runs it to the end and dies unanswered */
-	UPSTREAM_FAULT_SHED, /* refuses, not run */
+	UPSTREAM_FAULT_CRASH_AFTER, /* crashes at the end, without an answer */
+	UPSTREAM_FAULT_SHED, /* refuses; not executed */
 	UPSTREAM_FAULT_COUNT
 };
 
-/* How often each nonce really ran, over all upstreams of a process. */
+/*
+ * How often requests with one nonce were executed, over all upstreams of the
+ * process.
+ */
 struct upstream_run {
 	guint started;
 	guint completed;
 	guint cancelled;
 };
 
-/* What upstreams of one process share. */
+/* State shared by the upstreams of one process. */
 struct upstream_shared {
 	GRand *random;
 	GHashTable *runs; /* nonce -> struct upstream_run */
 };
 
-/* Plain counts since the start; times are g_get_monotonic_time(). */
+/*
+ * Counters since the start of the process; times are those of
+ * g_get_monotonic_time().
+ */
 struct upstream_oracle {
-	guint64 requests; /* probes excepted */
+	guint64 requests; /* without probes */
 	guint64 started;
 	guint64 completed;
 	guint64 cancelled;
-	guint64 refused; /* told "not run" */
+	guint64 refused; /* refused as "not run", and connections over the limit
+			  */
 	guint64 overload_crashes;
 	guint64 crashes;
 	guint64 connections;
 	guint64 probes;
 	guint64 probe_us;
-	guint64 busy_us; /* slots spent on work, cancelled work too */
+	guint64 busy_us; /* slot time of work, including cancelled work */
 	guint max_running;
 	guint max_in_flight; /* running and queued */
-	guint max_in_flight_cold; /* inside while cold */
-	gint64 last_request_us; /* last new request, refused ones included */
+	guint max_in_flight_cold; /* running and queued while cold */
+	gint64 last_request_us; /* last request that arrived, including refused
+				   ones */
 	gint64 last_started_us;
 };
 
@@ -82,35 +94,39 @@
 	guint64 boot_id;
 	gint64 cold_until_us;
 	bool draining;
-	bool report_warm; /* says "warm" while cold */
+	bool report_warm; /* reports "warm" while it is cold */
 	double slow_factor;
 	gint64 slow_until_us;
 	guint answer_delay_ms;
 	gint64 faults[UPSTREAM_FAULT_COUNT];
-	char *call_url; /* URL called for each request, or NULL; nonce appended
-			 */
-	SoupSession *session; /* for that; made when first needed */
+	char *call_url; /* URL called for each request, with the nonce appended,
+			   or NULL */
+	SoupSession *session; /* for these calls; created on first use */
 	GPtrArray *running; /* of struct upstream_job, owned */
-	GPtrArray *
-		unanswered; /* of struct upstream_job, owned: served, waiting */
+	GPtrArray *unanswered; /* of struct upstream_job, owned: executed, hold
+				  no slot */
 	GQueue queue; /* of struct upstream_job, owned */
-	GPtrArray *sockets; /* of GSocket: open connections, owned */
+	GPtrArray *sockets; /* of GSocket, owned: open connections */
 	guint restart_timer;
 	guint crash_source;
-	guint refuse_ms; /* of the crash that is due */
+	guint refuse_ms; /* of the pending crash */
 	struct upstream_oracle oracle;
 };
 
 struct upstream_call;
 
-/* One request inside an upstream. */
+/*
+ * A request that is running or queued in an upstream, or waits for its delayed
+ * answer.
+ */
 struct upstream_job {
 	struct upstream *upstream; /* borrowed */
 	SoupServerMessage *message; /* owned reference */
-	GSource *close_watch; /* sees the other end close */
+	GSource *
+		close_watch; /* detects that the client closed the connection */
 	struct upstream_run *run; /* borrowed; NULL without a nonce */
 	char *nonce;
-	struct upstream_call *call; /* under way, or NULL */
+	struct upstream_call *call; /* call in progress, or NULL */
 	gint64 deadline_us; /* 0: none */
 	guint timer;
 	bool new_connection;
@@ -119,7 +135,10 @@
 	enum upstream_fault fault; /* UPSTREAM_FAULT_COUNT: none */
 };
 
-/* Owned by the caller; listens at once. `options` is copied. */
+/*
+ * Creates an upstream and starts to listen. `options` is copied. Returns NULL
+ * and sets `error` on failure; the caller frees the result.
+ */
 struct upstream *upstream_new(const struct upstream_options *options,
 			      struct upstream_shared *shared, GError **error);
 void upstream_free(struct upstream *upstream);
@@ -128,29 +147,40 @@
 void upstream_shared_free(struct upstream_shared *shared);
 
 bool upstream_is_cold(const struct upstream *upstream);
+/* Makes the upstream cold for options.cold_ms. */
 void upstream_start_cold(struct upstream *upstream);
 
 /*
- * Soon: drop all connections, refuse new ones for `refuse_ms`, come back
- * cold with another boot id.
+ * Schedules a crash: all connections are closed, new ones are refused for
+ * `refuse_ms`, and the upstream restarts cold with another boot id. Does
+ * nothing if a crash or restart is pending.
  */
 void upstream_crash(struct upstream *upstream, guint refuse_ms);
 
-/* Change faults and state as a JSON object says (names as in the enums). */
+/*
+ * Changes faults and state according to a JSON object; absent members keep
+ * their values. See fault_names in upstream.c for the names of the faults.
+ */
 void upstream_apply_faults(struct upstream *upstream, JsonObject *body);
 
-/* Its figures as a JSON object, appended to `builder`. */
+/* Appends the counters to `builder` as a JSON object. */
 void upstream_build_stats(struct upstream *upstream, JsonBuilder *builder);
 
-/* Call another service for a served job; upstream_call_done() ends it. */
+/*
+ * Calls another service for an executed job. upstream_call_done() answers and
+ * ends the job; `status` is the call's HTTP status.
+ */
 void upstream_call(struct upstream_job *job);
 void upstream_call_done(struct upstream_job *job, guint status);
+/* Cancels the call of a job that is freed. */
 void upstream_call_cancel(struct upstream_job *job);
 
-/* Send the answer of a finished job, spoiled by its fault. */
+/* Sends the response of an executed job, altered by its fault. */
 void upstream_answer(struct upstream_job *job);
+/* Answers 503 with X-Not-Run; `reason` is the body. */
 void upstream_refuse(struct upstream *upstream, SoupServerMessage *message,
 		     const char *reason);
+/* Adds the headers with the boot id and the cold, warm or draining state. */
 void upstream_add_state(struct upstream *upstream, SoupServerMessage *message);
 
 G_END_DECLS
--- a/tools/upstream/upstream_answer.c
+++ b/tools/upstream/upstream_answer.c
@@ -1,7 +1,7 @@
 /*
- * Answers of a stand-in upstream, whole or spoiled on purpose. A spoiled one
- * is written by hand on the stolen connection, since a library would not
- * send it.
+ * Responses of a stand-in upstream, valid or invalid on purpose. An invalid one
+ * is written directly to the socket, since libsoup does not send such a
+ * response.
  */
 #include "upstream/upstream.h"
 
@@ -34,7 +34,10 @@
 	tool_answer_text(message, 503, reason);
 }
 
-/* The nonce, the request's line, then filler up to the size asked for. */
+/*
+ * Returns a response body: the nonce, the request line, and filler up to
+ * options.body_bytes. The caller frees it.
+ */
 static char *make_body(const struct upstream_job *job)
 {
 	SoupServerMessage *message = job->message;
@@ -73,7 +76,11 @@
 	g_string_append_printf(data, "%s: %s\r\n", name, value);
 }
 
-/* Writes as much as the socket takes; the answers here are small. */
+/*
+ * Writes a response with `sent` bytes of the body but a Content-Length of
+ * `claimed_length`, and closes the connection. What the socket does not take in
+ * one call is dropped; these responses are small.
+ */
 static void write_raw(struct upstream_job *job, const char *body,
 		      gsize claimed_length, gsize sent, bool reset)
 {
--- a/tools/upstream/upstream_call.c
+++ b/tools/upstream/upstream_call.c
@@ -1,12 +1,12 @@
 /*
- * A stand-in upstream that calls another service for each request, through
- * an entry: what trees of calls are made of. Deadline and retry budget that
- * came with the request go on with the call, as callers are told to do.
+ * Calls of a stand-in upstream to another service through an entry, once for
+ * each request, which makes trees of calls. The request's remaining deadline
+ * and retry budget are passed on with the call, as callers are required to do.
  */
 #include "upstream/upstream.h"
 
 struct upstream_call {
-	struct upstream_job *job; /* NULL once the job is gone */
+	struct upstream_job *job; /* NULL once the job has been freed */
 	GCancellable *cancellable;
 	SoupMessage *message;
 };
