--- a/tests/test_load.cc
+++ b/tests/test_load.cc
@@ -110,8 +110,8 @@
 	int lookups;
 };
 
-Outcome run(Handler handler, bool keyed = false, const char *oracle = "{}",
-	    guint deadline_ms = 600)
+Outcome run_load(Handler handler, bool keyed = false, const char *oracle = "{}",
+		 guint deadline_ms = 600)
 {
 	FakeEntry entry(handler);
 	const char *entries[] = { entry.address.c_str(), NULL };
@@ -143,7 +143,7 @@
 
 TEST(Load, AcceptsCompleteAnswersAndCachesAddresses)
 {
-	Outcome result = run(answer_correctly, true);
+	Outcome result = run_load(answer_correctly, true);
 
 	EXPECT_EQ(result.stats.outcomes[LOAD_RUN], 2u);
 	EXPECT_EQ(result.lookups, 1);
@@ -178,15 +178,15 @@
 	};
 
 	for (const Handler &handler : handlers)
-		EXPECT_EQ(run(handler).stats.outcomes[LOAD_INVALID], 2u);
+		EXPECT_EQ(run_load(handler).stats.outcomes[LOAD_INVALID], 2u);
 }
 
 TEST(Load, RetriesLostAttemptsUnderTheSameKey)
 {
-	int tries = 0;
-	Outcome result = run(
+	int attempts = 0;
+	Outcome result = run_load(
 		[&](SoupServerMessage *m, const std::string &n) {
-			if (tries++ < 2)
+			if (attempts++ < 2)
 				tool_close_connection(m, true);
 			else
 				answer_correctly(m, n);
@@ -214,8 +214,8 @@
 	 * Attempts at 0, 1 and 2 s of 2.5 s: none is in flight when the
 	 * deadline passes, even if the machine is slow.
 	 */
-	Outcome refused = run(refuse, true, "{\"k-1-0\":[1,0,1]}", 2500);
-	Outcome unknown = run(unknown_answer, true, "{\"k-1-0\":[2,2,0]}");
+	Outcome refused = run_load(refuse, true, "{\"k-1-0\":[1,0,1]}", 2500);
+	Outcome unknown = run_load(unknown_answer, true, "{\"k-1-0\":[2,2,0]}");
 
 	EXPECT_EQ(refused.stats.outcomes[LOAD_NOT_RUN], 2u);
 	EXPECT_GT(refused.stats.retries, 2u);
--- a/tests/test_proxy.cc
+++ b/tests/test_proxy.cc
@@ -45,7 +45,7 @@
 		tool_answer_text(message, 200, proxy->body.c_str());
 	}
 
-	void fault(const char *json)
+	void apply_fault(const char *json)
 	{
 		JsonNode *root = json_from_string(json, NULL);
 
@@ -54,7 +54,7 @@
 	}
 
 	/* Returns the body, or "" if no complete response arrived in time. */
-	std::string call(guint timeout_ms = 5000)
+	std::string send_request(guint timeout_ms = 5000)
 	{
 		std::string url =
 			"http://127.0.0.1:" + std::to_string(route->port);
@@ -74,58 +74,59 @@
 
 TEST_F(Proxy, ForwardsCompleteAnswersAndCountsBytes)
 {
-	EXPECT_EQ(call(), body);
+	EXPECT_EQ(send_request(), body);
 	EXPECT_EQ(route->accepted, 1u);
 	EXPECT_GT(route->bytes[PROXY_DOWN], body.size());
 }
 
 TEST_F(Proxy, TruncatesAndRefusesUntilTheFaultsAreCleared)
 {
-	fault("{\"truncate_down\":1000}");
-	EXPECT_EQ(call(), "");
-	fault("{\"truncate_down\":-1,\"refuse\":1}");
-	EXPECT_EQ(call(), "");
+	apply_fault("{\"truncate_down\":1000}");
+	EXPECT_EQ(send_request(), "");
+	apply_fault("{\"truncate_down\":-1,\"refuse\":1}");
+	EXPECT_EQ(send_request(), "");
 	EXPECT_EQ(requests_received, 1);
-	fault("{\"refuse\":0}");
-	EXPECT_EQ(call(), body);
+	apply_fault("{\"refuse\":0}");
+	EXPECT_EQ(send_request(), body);
 }
 
 TEST_F(Proxy, DiscardsBytesInEitherDirection)
 {
-	fault("{\"silence\":\"up\"}");
-	EXPECT_EQ(call(200), "");
+	apply_fault("{\"silence\":\"up\"}");
+	EXPECT_EQ(send_request(200), "");
 	EXPECT_EQ(requests_received, 0);
-	fault("{\"silence\":\"down\"}");
-	EXPECT_EQ(call(200), "");
+	apply_fault("{\"silence\":\"down\"}");
+	EXPECT_EQ(send_request(200), "");
 	EXPECT_EQ(requests_received, 1);
-	fault("{\"clear\":1}");
-	EXPECT_EQ(call(), body);
+	apply_fault("{\"clear\":1}");
+	EXPECT_EQ(send_request(), body);
 }
 
 TEST_F(Proxy, DelaysAndThrottles)
 {
 	gint64 start_us = g_get_monotonic_time();
 
-	fault("{\"delay_ms\":60}");
-	EXPECT_EQ(call(), body);
+	apply_fault("{\"delay_ms\":60}");
+	EXPECT_EQ(send_request(), body);
 	EXPECT_GE(g_get_monotonic_time() - start_us, 120000);
 	start_us = g_get_monotonic_time();
-	fault("{\"delay_ms\":0,\"throttle\":2000000}");
-	EXPECT_EQ(call(), body);
+	apply_fault("{\"delay_ms\":0,\"throttle\":2000000}");
+	EXPECT_EQ(send_request(), body);
 	EXPECT_GE(g_get_monotonic_time() - start_us, 190000);
 }
 
 TEST_F(Proxy, ResetsOpenConnections)
 {
-	fault("{\"throttle\":100000}");
+	apply_fault("{\"throttle\":100000}");
 	guint timer = g_timeout_add(
 		100,
 		[](gpointer data) -> gboolean {
-			static_cast<Proxy *>(data)->fault("{\"reset\":1}");
+			static_cast<Proxy *>(data)->apply_fault(
+				"{\"reset\":1}");
 			return G_SOURCE_REMOVE;
 		},
 		this);
 	EXPECT_GT(timer, 0u);
-	EXPECT_EQ(call(), "");
+	EXPECT_EQ(send_request(), "");
 	EXPECT_EQ(route->pairs->len, 0u);
 }
--- a/tools/caller-load.c
+++ b/tools/caller-load.c
@@ -1,5 +1,5 @@
 /*
- * Runs a load of callers from the command line; see load/load.h. Exits with 0
+ * Runs the load generator from the command line; see load/load.h. Exits with 0
  * if no response was invalid and the result was written.
  */
 #include "common/tool.h"
@@ -125,7 +125,7 @@
 static const struct argp parser = {
 	.options = option_table,
 	.parser = parse_option,
-	.doc = "Load of callers that validates every response.",
+	.doc = "Load generator that validates every response.",
 };
 
 static bool write_result(const struct program *program, struct load *load)
--- a/tools/common/child.c
+++ b/tools/common/child.c
@@ -146,9 +146,10 @@
 	return ok;
 }
 
-static struct child *start(const char *program, const char *const *arguments,
-			   bool listening, const char *log,
-			   GSpawnChildSetupFunc setup, GError **error)
+static struct child *spawn_child(const char *program,
+				 const char *const *arguments, bool listening,
+				 const char *log, GSpawnChildSetupFunc setup,
+				 GError **error)
 {
 	GPtrArray *command = g_ptr_array_new();
 	char *path = child_program_path(program);
@@ -184,15 +185,16 @@
 struct child *child_start(const char *program, const char *const *arguments,
 			  bool listening, const char *log, GError **error)
 {
-	return start(program, arguments, listening, log, on_child_setup, error);
+	return spawn_child(program, arguments, listening, log, on_child_setup,
+			   error);
 }
 
 struct child *child_start_output(const char *program,
 				 const char *const *arguments, const char *log,
 				 GError **error)
 {
-	return start(program, arguments, false, log, on_child_setup_output,
-		     error);
+	return spawn_child(program, arguments, false, log,
+			   on_child_setup_output, error);
 }
 
 bool child_has_exited(struct child *child)
@@ -277,12 +279,12 @@
 			     G_SOCKET_PROTOCOL_TCP, NULL);
 	GSocketAddress *address =
 		g_inet_socket_address_new_from_string("127.0.0.1", port);
-	bool free = socket && g_socket_bind(socket, address, TRUE, NULL) &&
-		    g_socket_listen(socket, NULL);
+	bool is_free = socket && g_socket_bind(socket, address, TRUE, NULL) &&
+		       g_socket_listen(socket, NULL);
 
 	g_clear_object(&socket);
 	g_object_unref(address);
-	return free;
+	return is_free;
 }
 
 /*
@@ -319,14 +321,14 @@
 guint16 child_pick_free_port(void)
 {
 	static guint block = PORT_BLOCK_COUNT;
-	static guint next;
+	static guint next_port_offset;
 	guint16 port;
 
 	if (block == PORT_BLOCK_COUNT)
 		block = reserve_port_block();
 	do {
 		port = FIRST_PORT + block * PORTS_PER_BLOCK +
-		       next++ % PORTS_PER_BLOCK;
+		       next_port_offset++ % PORTS_PER_BLOCK;
 	} while (!port_is_free(port));
 	return port;
 }
--- a/tools/fleet/fleet.h
+++ b/tools/fleet/fleet.h
@@ -19,31 +19,34 @@
 struct fleet_member {
 	char *name;
 	char *zone;
-	char *callers; /* the entry's listener for callers; "ip:port" here and
-			  below */
+	/* Addresses "ip:port"; callers connect to the first. */
+	char *callers;
 	char *inner;
 	char *admin;
 	char *control_inner;
 	char *control_admin;
-	char *callers_proxy; /* of the proxy in front of `callers`; equals it if
-				there is none */
+	/* Of the proxy in front of `callers`; equals it if there is none. */
+	char *callers_proxy;
 	char *store_url; /* leads through the proxy if there is one */
 	struct child *entry; /* NULL while it is not running */
 	struct child *control;
 };
 
 struct fleet_options {
-	const char *inventory; /* TOML; an upstream is started at each of its
-				  addresses */
+	/* TOML; an upstream is started at each of its addresses. */
+	const char *inventory;
 	guint members; /* how many; assigned to the zones in rotation */
 	guint32 seed;
 	double mean_us; /* mean service time of the upstreams; 0: 20 ms */
-	bool proxies; /* whether the fault proxy is put in front of the store,
-			 the upstreams and the entries' callers */
-	const char *const *upstream_options; /* additional command line options;
-						NULL at the end */
-	const char *policy; /* balancing policy of the entries; NULL: the
-			       default, auburnstile */
+	/*
+	 * Whether the fault proxy is put in front of the store, the upstreams
+	 * and the entries' callers.
+	 */
+	bool proxies;
+	/* Additional command line options; NULL at the end. */
+	const char *const *upstream_options;
+	/* Balancing policy of the entries; NULL: the default, auburnstile. */
+	const char *policy;
 };
 
 struct fleet {
@@ -54,12 +57,12 @@
 	char *inventory_file;
 	struct aub_inventory *inventory;
 	struct child *store;
-	struct child *upstreams; /* one process; its address is that of its
-				    fault control */
+	/* One process; its address is that of its fault control. */
+	struct child *upstreams;
 	struct child *proxy; /* NULL if options.proxies is false */
 	GPtrArray *members; /* of struct fleet_member, owned */
-	GArray *upstream_ports; /* guint16: port of each stand-in, by upstream
-				   handle */
+	/* The port of each stand-in (guint16), by upstream handle. */
+	GArray *upstream_ports;
 };
 
 /*
@@ -93,6 +96,7 @@
 /* Waits until a member's control answers on its admin address. */
 bool fleet_wait_control(const struct fleet_member *member, guint timeout_ms,
 			GError **error);
+/* Returns whether the entry reports that it is ready. */
 bool fleet_member_ready(const struct fleet_member *member);
 
 /*
@@ -191,6 +195,7 @@
  * the caller. Ends the program if the stand-in cannot be reached.
  */
 JsonNode *fleet_oracle(struct fleet *fleet);
+/* Returns the counters of one upstream; borrowed from `oracle`. */
 JsonObject *fleet_oracle_upstream(JsonNode *oracle, const struct fleet *fleet,
 				  guint16 upstream);
 
--- a/tools/load/load.h
+++ b/tools/load/load.h
@@ -1,5 +1,6 @@
 /*
- * Load of callers: open-loop arrivals of requests, each of which is checked.
+ * Load generator: open-loop arrivals of requests from a number of callers.
+ * Every response is validated.
  *
  * A caller looks up at an entry which addresses to use, caches the answer for
  * the time that it names, and sends its requests there. It retries a request
@@ -20,16 +21,13 @@
 
 struct load_service {
 	const char *name;
-	const char
-		*path; /* of its requests; the nonce is appended as a query */
-	guint weight; /* share of the arrivals, relative to the other services
-		       */
+	const char *path; /* of its requests; "?n=NONCE" is appended */
+	guint weight; /* relative share of the arrivals */
 	bool keyed; /* POST with an idempotency key; otherwise GET */
 };
 
 struct load_options {
-	const char *const
-		*entries; /* "ip:port" of some entries, NULL at the end */
+	const char *const *entries; /* "ip:port", NULL at the end */
 	const struct load_service *services;
 	guint service_count;
 	double rate; /* mean arrivals per second */
@@ -55,12 +53,12 @@
 /* The final outcome of a request. */
 enum load_outcome {
 	LOAD_PENDING, /* not finished yet */
-	LOAD_RUN,
-	LOAD_NOT_RUN,
-	LOAD_UNKNOWN,
+	LOAD_RUN, /* executed */
+	LOAD_NOT_RUN, /* not executed */
+	LOAD_UNKNOWN, /* may have been executed */
 	LOAD_ERROR, /* no definite outcome before its deadline */
-	LOAD_INVALID, /* the response is incomplete or belongs to another
-			 request */
+	/* The response is incomplete or belongs to another request. */
+	LOAD_INVALID,
 	LOAD_OUTCOME_COUNT
 };
 
@@ -69,19 +67,16 @@
 	const struct load_service *service;
 	struct load_caller *caller; /* borrowed */
 	char *nonce;
-	char *key; /* idempotency key; NULL for GET and before the first attempt
-		    */
+	char *key; /* NULL for GET and before the first attempt */
 	char *body; /* NULL for GET */
 	char *entry; /* address of the current or last attempt */
 	gint64 arrived_us;
 	gint64 deadline_us;
 	gint64 latency_us;
 	guint attempts;
-	guint connection_failures; /* attempts whose connection failed or was
-				      lost */
+	guint connection_failures; /* connections refused or lost */
 	guint unknown_answers; /* responses with the outcome "unknown" so far */
-	bool maybe_executed; /* an attempt was lost or unknown: it may have been
-				executed */
+	bool maybe_executed; /* an attempt was lost or unknown */
 	enum load_outcome outcome;
 	guint status; /* HTTP status of the last response */
 	char *reason; /* Auburnstile-Reason of the last response, or NULL */
@@ -122,12 +117,11 @@
 void load_get_stats(const struct load *load, struct load_stats *stats);
 
 /*
- * Contradictions between what the upstreams executed and what the callers were
- * told.
+ * Contradictions between what the upstreams executed and the outcomes
+ * reported to the callers.
  */
 struct load_comparison {
-	guint executed_more_than_once; /* keyed requests that were started more
-					  than once */
+	guint executed_more_than_once; /* keyed, and started repeatedly */
 	guint false_not_run; /* outcome "not run", but started */
 	guint false_run; /* outcome "run", but never completed */
 	guint unknown_not_started; /* outcome "unknown", but never started */
--- a/tools/load/load_internal.h
+++ b/tools/load/load_internal.h
@@ -1,4 +1,4 @@
-/* Internals of the load of callers; see load.h. */
+/* Internals of the load generator; see load.h. */
 #ifndef TOOL_LOAD_INTERNAL_H
 #define TOOL_LOAD_INTERNAL_H
 
@@ -29,10 +29,9 @@
 	GPtrArray *addresses; /* of char *, the owner first */
 	char *grant;
 	gint64 valid_until_us; /* 0: a new lookup is needed */
-	GPtrArray *waiting; /* of struct load_request, borrowed: wait for the
-			       addresses */
-	guint next_entry_index; /* rotates over the entries that can be queried
-				 */
+	/* Of struct load_request, borrowed: wait for the addresses. */
+	GPtrArray *waiting;
+	guint next_entry_index; /* in the rotation of entries to query */
 	bool query_in_flight;
 	guint retry_timer; /* timer handle of the next lookup attempt */
 	guint query_timer; /* timer handle that cancels the one in flight */
@@ -51,7 +50,8 @@
 };
 
 void load_lookup_init(struct load_lookup *lookup, struct load_caller *caller,
-		      const struct load_service *service, guint first);
+		      const struct load_service *service,
+		      guint first_entry_index);
 void load_lookup_clear(struct load_lookup *lookup);
 struct load_lookup *load_request_lookup(const struct load_request *request);
 
--- a/tools/load/lookup.c
+++ b/tools/load/lookup.c
@@ -8,17 +8,18 @@
 #include "common/tool.h"
 
 #define LOOKUP_TIMEOUT_US (1500 * AUB_MS)
-#define LOOKUP_RETRY_DELAY_US \
-	(30 * AUB_MS) /* before the next entry is queried after a failure */
+/* Delay before the next entry is queried after a failure. */
+#define LOOKUP_RETRY_DELAY_US (30 * AUB_MS)
 
 void load_lookup_init(struct load_lookup *lookup, struct load_caller *caller,
-		      const struct load_service *service, guint first)
+		      const struct load_service *service,
+		      guint first_entry_index)
 {
 	lookup->caller = caller;
 	lookup->service = service;
 	lookup->addresses = g_ptr_array_new_with_free_func(g_free);
 	lookup->waiting = g_ptr_array_new();
-	lookup->next_entry_index = first;
+	lookup->next_entry_index = first_entry_index;
 }
 
 void load_lookup_clear(struct load_lookup *lookup)
@@ -126,19 +127,19 @@
 }
 
 struct lookup_query {
-	struct load_lookup *
-		lookup; /* valid; used only if `cancellable` is still its own */
+	/* Belongs to this query only while its `cancellable` is the same. */
+	struct load_lookup *lookup;
 	GCancellable *cancellable; /* owned reference */
 	SoupMessage *message; /* owned reference */
 };
 
 static void on_query_done(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct lookup_query *lookup_query = data;
-	struct load_lookup *lookup = lookup_query->lookup;
+	struct lookup_query *query = data;
+	struct load_lookup *lookup = query->lookup;
 	GBytes *body = soup_session_send_and_read_finish(SOUP_SESSION(source),
 							 result, NULL);
-	bool current = lookup->cancellable == lookup_query->cancellable;
+	bool current = lookup->cancellable == query->cancellable;
 	bool ok = false;
 
 	if (current) {
@@ -147,8 +148,7 @@
 		lookup->query_timer = 0;
 		g_clear_object(&lookup->cancellable);
 		lookup->query_in_flight = false;
-		ok = body &&
-		     soup_message_get_status(lookup_query->message) == 200 &&
+		ok = body && soup_message_get_status(query->message) == 200 &&
 		     parse_addresses(lookup, body);
 	}
 	if (current && !ok)
@@ -161,9 +161,9 @@
 		release_waiting(lookup);
 	if (body)
 		g_bytes_unref(body);
-	g_object_unref(lookup_query->message);
-	g_object_unref(lookup_query->cancellable);
-	g_free(lookup_query);
+	g_object_unref(query->message);
+	g_object_unref(query->cancellable);
+	g_free(query);
 }
 
 static void on_query_timeout(void *context, gint64 now_us)
@@ -177,7 +177,7 @@
 static void start_query(struct load_lookup *lookup)
 {
 	struct load *load = lookup->caller->load;
-	struct lookup_query *lookup_query;
+	struct lookup_query *query;
 	char *url;
 
 	if (lookup->query_in_flight || !lookup->waiting->len)
@@ -186,21 +186,20 @@
 			      load_connect_address(load,
 						   pick_query_entry(lookup)),
 			      lookup->service->name);
-	lookup_query = g_new0(struct lookup_query, 1);
-	lookup_query->lookup = lookup;
-	lookup_query->message = soup_message_new("GET", url);
-	lookup_query->cancellable = g_cancellable_new();
-	lookup->cancellable = g_object_ref(lookup_query->cancellable);
+	query = g_new0(struct lookup_query, 1);
+	query->lookup = lookup;
+	query->message = soup_message_new("GET", url);
+	query->cancellable = g_cancellable_new();
+	lookup->cancellable = g_object_ref(query->cancellable);
 	lookup->query_in_flight = true;
 	lookup->query_timer =
 		aub_timer_at(load->timers, "ask timeout",
 			     g_get_monotonic_time() + LOOKUP_TIMEOUT_US,
 			     on_query_timeout, lookup);
 	soup_session_send_and_read_async(lookup->caller->session,
-					 lookup_query->message,
-					 G_PRIORITY_DEFAULT,
-					 lookup_query->cancellable,
-					 on_query_done, lookup_query);
+					 query->message, G_PRIORITY_DEFAULT,
+					 query->cancellable, on_query_done,
+					 query);
 	g_free(url);
 }
 
--- a/tools/load/request.c
+++ b/tools/load/request.c
@@ -11,13 +11,13 @@
 #include <string.h>
 
 #define LOST_RETRY_DELAY_US (20 * AUB_MS)
-#define NOT_RUN_RETRY_DELAY_US \
-	(100 * AUB_MS) /* if the response names no delay */
-#define UNKNOWN_ANSWERS_MAX 3 /* after so many the outcome is final */
+/* Used if the response names no delay. */
+#define NOT_RUN_RETRY_DELAY_US (100 * AUB_MS)
+/* After so many "unknown" responses the outcome is final. */
+#define UNKNOWN_ANSWERS_MAX 3
 #define SAMPLES_MAX 10
-#define DEADLINE_GRACE_US \
-	(300 *            \
-	 AUB_MS) /* for the entry's own response at the deadline to arrive */
+/* Added to the deadline, so that the entry's own response can arrive. */
+#define DEADLINE_GRACE_US (300 * AUB_MS)
 
 static const struct load_service *pick_service(struct load *load)
 {
@@ -87,7 +87,7 @@
 	request->load->pending--;
 }
 
-static void add_sample(struct load_request *request, const char *why)
+static void add_sample(struct load_request *request, const char *description)
 {
 	GPtrArray *samples = request->load->samples;
 
@@ -96,21 +96,22 @@
 			samples,
 			g_strdup_printf("%s: %s (status %u, %u attempts, "
 					"%u lost, last through %s)",
-					request->nonce, why, request->status,
-					request->attempts,
+					request->nonce, description,
+					request->status, request->attempts,
 					request->connection_failures,
 					request->entry ? request->entry : "-"));
 }
 
-static void finish_invalid(struct load_request *request, const char *why)
+static void finish_invalid(struct load_request *request,
+			   const char *description)
 {
-	add_sample(request, why);
+	add_sample(request, description);
 	finish(request, LOAD_INVALID);
 }
 
-static void finish_error(struct load_request *request, const char *why)
+static void finish_error(struct load_request *request, const char *description)
 {
-	add_sample(request, why);
+	add_sample(request, description);
 	finish(request, LOAD_ERROR);
 }
 
@@ -187,12 +188,12 @@
 static void handle_run(struct load_request *request, SoupMessage *message,
 		       GBytes *body)
 {
-	const char *fault = NULL;
+	const char *error = NULL;
 
 	if (request->status < 300)
-		fault = find_response_error(request, message, body);
-	if (fault)
-		finish_invalid(request, fault);
+		error = find_response_error(request, message, body);
+	if (error)
+		finish_invalid(request, error);
 	else
 		finish(request, LOAD_RUN);
 }
@@ -336,9 +337,10 @@
 }
 
 /*
- * Returns the entry for the next attempt: the owner first; a retry alternates
- * between the last entry and the next. A key that was never sent goes to the
- * entry named by its grant only.
+ * Returns the entry for the next attempt: the owner first. If an earlier
+ * attempt may have been executed, retries alternate between the same entry and
+ * the next one. A key that was never sent is sent only to the entry named by
+ * its grant.
  */
 static const char *pick_entry(const struct load_request *request)
 {
--- a/tools/platform/body.c
+++ b/tools/platform/body.c
@@ -91,9 +91,9 @@
 	return bytes ? bytes : g_bytes_new(text, length);
 }
 
-static JsonNode *node_of(const msgpack_object *value);
+static JsonNode *json_from_object(const msgpack_object *value);
 
-static JsonNode *node_of_map(const msgpack_object_map *map)
+static JsonNode *json_from_map(const msgpack_object_map *map)
 {
 	JsonObject *object = json_object_new();
 	JsonNode *node = json_node_init_object(json_node_alloc(), object);
@@ -103,33 +103,34 @@
 		const msgpack_object_str *key = &map->ptr[i].key.via.str;
 		char *name = g_strndup(key->ptr, key->size);
 
-		json_object_set_member(object, name, node_of(&map->ptr[i].val));
+		json_object_set_member(object, name,
+				       json_from_object(&map->ptr[i].val));
 		g_free(name);
 	}
 	return node;
 }
 
-static JsonNode *node_of_list(const msgpack_object_array *list)
+static JsonNode *json_from_array(const msgpack_object_array *list)
 {
 	JsonArray *array = json_array_new();
 	JsonNode *node = json_node_init_array(json_node_alloc(), array);
 
 	json_array_unref(array);
 	for (guint i = 0; i < list->size; i++)
-		json_array_add_element(array, node_of(&list->ptr[i]));
+		json_array_add_element(array, json_from_object(&list->ptr[i]));
 	return node;
 }
 
-static JsonNode *node_of(const msgpack_object *value)
+static JsonNode *json_from_object(const msgpack_object *value)
 {
 	JsonNode *node;
 	char *text;
 
 	switch (value->type) {
 	case MSGPACK_OBJECT_MAP:
-		return node_of_map(&value->via.map);
+		return json_from_map(&value->via.map);
 	case MSGPACK_OBJECT_ARRAY:
-		return node_of_list(&value->via.array);
+		return json_from_array(&value->via.array);
 	case MSGPACK_OBJECT_BOOLEAN:
 		return json_node_init_boolean(json_node_alloc(),
 					      value->via.boolean);
@@ -158,7 +159,7 @@
 	msgpack_unpacked_init(&unpacked);
 	if (msgpack_unpack_next(&unpacked, data, length, &offset) ==
 	    MSGPACK_UNPACK_SUCCESS) {
-		JsonNode *node = node_of(&unpacked.data);
+		JsonNode *node = json_from_object(&unpacked.data);
 
 		text = json_to_string(node, FALSE);
 		json_node_unref(node);
--- a/tools/platform/store.c
+++ b/tools/platform/store.c
@@ -14,7 +14,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define HEAD_LIMIT (64u << 10)
+#define HEAD_BYTES_MAX (64u << 10)
 
 struct object {
 	char *kind;
@@ -43,8 +43,8 @@
 	GPtrArray *changes; /* of struct change, oldest first */
 	GPtrArray *connections; /* of struct connection, each owned by itself */
 	gint64 revision;
-	gint64 compacted_revision; /* the history before this revision has been
-				      dropped */
+	/* Changes before it have been dropped: watches from there get 410. */
+	gint64 compacted_revision;
 	enum platform_store_fault fault;
 	guint delay_ms;
 	guint page_size;
@@ -589,7 +589,7 @@
 		connection->body = g_string_new(NULL);
 		connection->stream =
 			aub_http_stream_new(store->poller, fd, HTTP_REQUEST,
-					    false, HEAD_LIMIT, &callbacks,
+					    false, HEAD_BYTES_MAX, &callbacks,
 					    connection);
 		g_ptr_array_add(store->connections, connection);
 	}
--- a/tools/platform/store.h
+++ b/tools/platform/store.h
@@ -18,11 +18,11 @@
 	PLATFORM_STORE_UNAVAILABLE, /* 503 to every call */
 	PLATFORM_STORE_RATE_LIMITED, /* 429 to every call */
 	PLATFORM_STORE_RESET, /* connections are reset */
-	PLATFORM_STORE_UNRESPONSIVE, /* calls are read, not executed and never
-					answered */
+	/* Calls are read, not executed and never answered. */
+	PLATFORM_STORE_UNRESPONSIVE,
 	PLATFORM_STORE_LOSE_ANSWERS, /* calls are executed but never answered */
-	PLATFORM_STORE_MALFORMED /* responses whose body is no valid JSON or
-				    msgpack */
+	/* Responses whose body is neither valid msgpack nor JSON. */
+	PLATFORM_STORE_MALFORMED
 };
 
 struct platform_store *platform_store_new(struct aub_poller *poller,
@@ -66,7 +66,7 @@
  * connections of waiting ones are closed.
  */
 void platform_store_compact(struct platform_store *store);
-/* Sets how many objects a page of a listing has at most. */
+/* Sets the maximum number of objects in a page of a listing. */
 void platform_store_set_page_size(struct platform_store *store, guint objects);
 
 guint64 platform_store_call_count(const struct platform_store *store);
--- a/tools/platform/upstream.c
+++ b/tools/platform/upstream.c
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define HEAD_LIMIT (64u << 10)
+#define HEAD_BYTES_MAX (64u << 10)
 
 struct platform_upstream {
 	struct aub_poller *poller;
@@ -41,8 +41,8 @@
 	enum platform_answer answer; /* to the request that is executing */
 	bool probe;
 	bool running;
-	bool early_answer_sent; /* the response was sent before the body was
-				   complete */
+	/* The response was sent before the body was complete. */
+	bool early_answer_sent;
 	guint timer;
 	guint64 body_bytes_read;
 };
@@ -337,7 +337,7 @@
 		connection->upstream = upstream;
 		connection->stream =
 			aub_http_stream_new(upstream->poller, fd, HTTP_REQUEST,
-					    false, HEAD_LIMIT, &callbacks,
+					    false, HEAD_BYTES_MAX, &callbacks,
 					    connection);
 		g_ptr_array_add(upstream->connections, connection);
 	}
--- a/tools/platform/upstream.h
+++ b/tools/platform/upstream.h
@@ -16,23 +16,23 @@
 enum platform_answer {
 	PLATFORM_ANSWER_COMPLETE,
 	PLATFORM_ANSWER_CHUNKED,
-	PLATFORM_ANSWER_UNFRAMED, /* no length; the end of the connection ends
-				     it */
-	PLATFORM_ANSWER_TRUNCATED, /* the connection closes before
-				      Content-Length bytes */
-	PLATFORM_ANSWER_RESET, /* executed; the connection is reset without a
-				  response */
+	/* No length; the end of the connection ends it. */
+	PLATFORM_ANSWER_UNFRAMED,
+	/* The connection closes before Content-Length bytes. */
+	PLATFORM_ANSWER_TRUNCATED,
+	/* Executed; the connection is reset without a response. */
+	PLATFORM_ANSWER_RESET,
 	PLATFORM_ANSWER_NONE, /* executed; no response is sent */
 	PLATFORM_ANSWER_GARBAGE, /* bytes that are no HTTP response */
 	PLATFORM_ANSWER_DUPLICATED, /* the response, then a second one */
-	PLATFORM_ANSWER_MISMATCHED_FIRST, /* the response of another request,
-					     then its own */
+	/* The response of another request, then its own. */
+	PLATFORM_ANSWER_MISMATCHED_FIRST,
 	PLATFORM_ANSWER_UNSTAMPED, /* 200 without the Response-Stamp header */
 	PLATFORM_ANSWER_FAILED, /* 500, executed */
 	PLATFORM_ANSWER_OVERLOADED, /* 503, not executed */
 	PLATFORM_ANSWER_MISDIRECTED, /* 421, not executed */
-	PLATFORM_ANSWER_EARLY_ERROR, /* 400 before the body has been read;
-					keep-alive */
+	/* 400 before the body has been read; keep-alive. */
+	PLATFORM_ANSWER_EARLY_ERROR,
 };
 
 struct platform_upstream *platform_upstream_new(
--- a/tools/proxy/proxy.c
+++ b/tools/proxy/proxy.c
@@ -39,9 +39,9 @@
 
 struct proxy_pair {
 	struct proxy_route *route;
-	GSocket *ends[PROXY_DIRECTIONS]; /* the client's socket, the target's
-					    socket */
-	struct flow flows[PROXY_DIRECTIONS];
+	/* The client's socket, the target's socket. */
+	GSocket *ends[PROXY_DIRECTION_COUNT];
+	struct flow flows[PROXY_DIRECTION_COUNT];
 	GSource *connect_source;
 	bool blackhole; /* set by silence_open; stays set */
 };
@@ -62,7 +62,7 @@
 	int direction;
 
 	source_clear(&pair->connect_source);
-	for (direction = 0; direction < PROXY_DIRECTIONS; direction++) {
+	for (direction = 0; direction < PROXY_DIRECTION_COUNT; direction++) {
 		flow = &pair->flows[direction];
 		source_clear(&flow->read_source);
 		source_clear(&flow->write_source);
@@ -78,7 +78,8 @@
 {
 	int direction;
 
-	for (direction = 0; reset && direction < PROXY_DIRECTIONS; direction++)
+	for (direction = 0; reset && direction < PROXY_DIRECTION_COUNT;
+	     direction++)
 		tool_socket_reset_on_close(pair->ends[direction]);
 	g_ptr_array_remove_fast(pair->route->pairs, pair);
 }
@@ -102,7 +103,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-static gboolean on_due(gpointer data)
+static gboolean on_chunk_due(gpointer data)
 {
 	struct flow *flow = data;
 
@@ -119,10 +120,10 @@
 	g_source_attach(flow->write_source, NULL);
 }
 
-static void wait_due(struct flow *flow, gint64 delay_us)
+static void wait_until_due(struct flow *flow, gint64 delay_us)
 {
 	flow->delay_timer = g_timeout_source_new((guint)(delay_us / 1000 + 1));
-	g_source_set_callback(flow->delay_timer, on_due, flow, NULL);
+	g_source_set_callback(flow->delay_timer, on_chunk_due, flow, NULL);
 	g_source_attach(flow->delay_timer, NULL);
 }
 
@@ -130,7 +131,7 @@
  * Passes the end of a flow on after its last byte. Returns false if this closed
  * the pair.
  */
-static bool flow_drained(struct flow *flow)
+static bool flow_shutdown_if_drained(struct flow *flow)
 {
 	struct proxy_pair *pair = flow->pair;
 
@@ -160,7 +161,7 @@
 		chunk = g_queue_peek_head(&flow->chunks);
 		remaining_us = chunk->due_us - g_get_monotonic_time();
 		if (remaining_us > 0) {
-			wait_due(flow, remaining_us);
+			wait_until_due(flow, remaining_us);
 			return true;
 		}
 		sent = g_socket_send(flow->to, chunk->data + chunk->sent,
@@ -182,7 +183,7 @@
 			g_free(g_queue_pop_head(&flow->chunks));
 	}
 	flow_read(flow);
-	return flow_drained(flow);
+	return flow_shutdown_if_drained(flow);
 }
 
 /*
@@ -194,7 +195,7 @@
 	struct proxy_route *route = flow->pair->route;
 	gint64 limit = route->fault.truncate_bytes[flow->direction];
 	gint64 throttle_bytes_per_s = route->fault.throttle_bytes_per_s;
-	gint64 now = g_get_monotonic_time();
+	gint64 now_us = g_get_monotonic_time();
 	struct chunk *chunk;
 
 	if (is_blackholed(flow))
@@ -209,7 +210,7 @@
 	memcpy(chunk->data, data, length);
 	chunk->length = length;
 	chunk->sent = 0;
-	chunk->due_us = now + route->fault.delay_ms * (gint64)1000;
+	chunk->due_us = now_us + route->fault.delay_ms * (gint64)1000;
 	if (throttle_bytes_per_s)
 		chunk->due_us =
 			MAX(chunk->due_us, flow->last_due_us) +
@@ -247,7 +248,7 @@
 	if (got < 0 && !is_blackholed(flow))
 		pair_close(flow->pair, true);
 	else if (g_queue_is_empty(&flow->chunks))
-		flow_drained(flow);
+		flow_shutdown_if_drained(flow);
 	return G_SOURCE_REMOVE;
 }
 
@@ -310,7 +311,7 @@
 	pair->ends[PROXY_DOWN] =
 		g_socket_new(g_socket_address_get_family(route->target_address),
 			     G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
-	for (direction = 0; direction < PROXY_DIRECTIONS; direction++) {
+	for (direction = 0; direction < PROXY_DIRECTION_COUNT; direction++) {
 		flow = &pair->flows[direction];
 		flow->pair = pair;
 		flow->direction = direction;
--- a/tools/proxy/proxy.h
+++ b/tools/proxy/proxy.h
@@ -12,14 +12,14 @@
 G_BEGIN_DECLS
 
 /* Direction of bytes: up is from the client to the target. */
-enum proxy_direction { PROXY_UP, PROXY_DOWN, PROXY_DIRECTIONS };
+enum proxy_direction { PROXY_UP, PROXY_DOWN, PROXY_DIRECTION_COUNT };
 
 struct proxy_fault {
 	guint delay_ms; /* of every byte, in each direction */
-	bool blackhole[PROXY_DIRECTIONS]; /* discard bytes and do not pass
-					     closes on */
-	gint64 truncate_bytes[PROXY_DIRECTIONS]; /* close after so many bytes;
-						    -1: never */
+	/* Discard bytes and do not pass closes on. */
+	bool blackhole[PROXY_DIRECTION_COUNT];
+	/* Close after so many bytes; -1: never. */
+	gint64 truncate_bytes[PROXY_DIRECTION_COUNT];
 	gint64 throttle_bytes_per_s; /* in each direction; 0: no limit */
 	bool refuse; /* refuse new connections */
 };
@@ -33,7 +33,7 @@
 	GPtrArray *pairs; /* of struct proxy_pair, owned */
 	struct proxy_fault fault;
 	guint64 accepted;
-	guint64 bytes[PROXY_DIRECTIONS];
+	guint64 bytes[PROXY_DIRECTION_COUNT];
 };
 
 /*
--- a/tools/standin-store.c
+++ b/tools/standin-store.c
@@ -30,16 +30,16 @@
 	GPtrArray *revisions; /* of struct revision, oldest first */
 };
 
-enum call_kind { CALL_GET, CALL_LIST, CALL_PUT, CALL_WATCH, CALL_KINDS };
+enum call_kind { CALL_GET, CALL_LIST, CALL_PUT, CALL_WATCH, CALL_KIND_COUNT };
 
-static const char *const call_names[CALL_KINDS] = {
+static const char *const call_names[CALL_KIND_COUNT] = {
 	[CALL_GET] = "get",
 	[CALL_LIST] = "list",
 	[CALL_PUT] = "put",
 	[CALL_WATCH] = "watch",
 };
 
-enum down { DOWN_NONE, DOWN_REFUSE, DOWN_HANG };
+enum outage { OUTAGE_NONE, OUTAGE_REFUSE, OUTAGE_HANG };
 
 /*
  * Counters are decremented by each call that they affect; -1 means all calls.
@@ -47,7 +47,7 @@
 struct fault {
 	guint delay_ms;
 	guint jitter_ms; /* random delay added to it, less than this */
-	enum down down;
+	enum outage outage;
 	guint stale_writes; /* reads return the revision so many writes ago */
 	gint64 lose_answers; /* writes that take effect without a response */
 	gint64 reset; /* calls whose connection is reset */
@@ -60,7 +60,7 @@
 	GPtrArray *watches; /* of struct watch, owned */
 	GPtrArray *unanswered; /* of SoupServerMessage, owned references */
 	struct fault fault;
-	guint64 calls[CALL_KINDS];
+	guint64 calls[CALL_KIND_COUNT];
 	GRand *random;
 };
 
@@ -434,9 +434,9 @@
 	struct store *store = data;
 
 	count_call(store, message);
-	if (store->fault.down == DOWN_REFUSE) {
+	if (store->fault.outage == OUTAGE_REFUSE) {
 		tool_answer_text(message, 503, "down\n");
-	} else if (store->fault.down == DOWN_HANG) {
+	} else if (store->fault.outage == OUTAGE_HANG) {
 		soup_server_message_pause(message);
 		g_ptr_array_add(store->unanswered, g_object_ref(message));
 	} else if (consume_count(&store->fault.reset)) {
@@ -487,9 +487,9 @@
 	fault->reset = tool_json_int(body, "reset", fault->reset);
 	down = tool_json_string(body, "down", NULL);
 	if (down)
-		fault->down = !strcmp(down, "refuse") ? DOWN_REFUSE :
-			      !strcmp(down, "hang")   ? DOWN_HANG :
-							DOWN_NONE;
+		fault->outage = !strcmp(down, "refuse") ? OUTAGE_REFUSE :
+				!strcmp(down, "hang")	? OUTAGE_HANG :
+							  OUTAGE_NONE;
 	if (down || tool_json_int(body, "clear", 0))
 		drop_pending(store);
 	json_object_unref(body);
@@ -505,7 +505,7 @@
 	int i;
 
 	json_builder_begin_object(builder);
-	for (i = 0; i < CALL_KINDS; i++) {
+	for (i = 0; i < CALL_KIND_COUNT; i++) {
 		json_builder_set_member_name(builder, call_names[i]);
 		json_builder_add_int_value(builder, store->calls[i]);
 		total += store->calls[i];
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -58,12 +58,13 @@
 	struct upstream_options defaults;
 	struct upstream_shared *shared;
 	GPtrArray *upstreams; /* of struct upstream, owned */
-	GPtrArray *upstream_arguments; /* of struct upstream_options, owned */
-	const char *control;
+	GPtrArray
+		*upstream_options_list; /* of struct upstream_options, owned */
+	const char *control_address;
 	const char *host;
 	guint first_port;
-	guint count;
-	bool cold;
+	guint upstream_count;
+	bool start_cold;
 	guint32 seed;
 };
 
@@ -96,14 +97,15 @@
 	return false;
 }
 
-static void add_wanted(struct program *program, const char *host, guint16 port)
+static void add_upstream_options(struct program *program, const char *host,
+				 guint16 port)
 {
 	struct upstream_options *options;
 
 	options = g_memdup2(&program->defaults, sizeof(*options));
 	options->host = host;
 	options->port = port;
-	g_ptr_array_add(program->upstream_arguments, options);
+	g_ptr_array_add(program->upstream_options_list, options);
 }
 
 /*
@@ -119,12 +121,13 @@
 	guint i;
 
 	if (ok) {
-		add_wanted(program,
-			   g_intern_string(
-				   strndupa(parts[0], colon - parts[0])),
-			   strtoul(colon + 1, NULL, 10));
-		options = program->upstream_arguments
-				  ->pdata[program->upstream_arguments->len - 1];
+		add_upstream_options(
+			program,
+			g_intern_string(strndupa(parts[0], colon - parts[0])),
+			strtoul(colon + 1, NULL, 10));
+		options = program->upstream_options_list
+				  ->pdata[program->upstream_options_list->len -
+					  1];
 		for (i = 1; ok && parts[i]; i++)
 			ok = set_by_name(options, parts[i]);
 	}
@@ -142,7 +145,7 @@
 			argp_error(state, "bad --listen %s", argument);
 		return 0;
 	case 'c':
-		program->control = argument;
+		program->control_address = argument;
 		return 0;
 	case 's':
 		program->seed = strtoul(argument, NULL, 10);
@@ -154,10 +157,10 @@
 		program->first_port = strtoul(argument, NULL, 10);
 		return 0;
 	case 'n':
-		program->count = strtoul(argument, NULL, 10);
+		program->upstream_count = strtoul(argument, NULL, 10);
 		return 0;
 	case 'C':
-		program->cold = true;
+		program->start_cold = true;
 		return 0;
 	default:
 		break;
@@ -231,18 +234,19 @@
 
 static void build_runs(struct upstream_shared *shared, JsonBuilder *builder)
 {
-	struct upstream_run *run;
+	struct upstream_run *serve;
 	GHashTableIter iter;
 	const char *nonce;
 
 	json_builder_begin_object(builder);
 	g_hash_table_iter_init(&iter, shared->runs);
-	while (g_hash_table_iter_next(&iter, (void **)&nonce, (void **)&run)) {
+	while (g_hash_table_iter_next(&iter, (void **)&nonce,
+				      (void **)&serve)) {
 		json_builder_set_member_name(builder, nonce);
 		json_builder_begin_array(builder);
-		json_builder_add_int_value(builder, run->started);
-		json_builder_add_int_value(builder, run->completed);
-		json_builder_add_int_value(builder, run->cancelled);
+		json_builder_add_int_value(builder, serve->started);
+		json_builder_add_int_value(builder, serve->completed);
+		json_builder_add_int_value(builder, serve->cancelled);
 		json_builder_end_array(builder);
 	}
 	json_builder_end_object(builder);
@@ -284,12 +288,12 @@
 		      const char *path, GHashTable *query, gpointer data)
 {
 	struct program *program = data;
-	struct upstream_run *run;
+	struct upstream_run *serve;
 	GHashTableIter iter;
 
 	g_hash_table_iter_init(&iter, program->shared->runs);
-	while (g_hash_table_iter_next(&iter, NULL, (void **)&run))
-		*run = (struct upstream_run){ 0 };
+	while (g_hash_table_iter_next(&iter, NULL, (void **)&serve))
+		*serve = (struct upstream_run){ 0 };
 	tool_answer_text(message, 200, "");
 }
 
@@ -298,14 +302,16 @@
 	struct upstream *upstream;
 	guint i;
 
-	for (i = 0; i < program->count; i++)
-		add_wanted(program, program->host, program->first_port + i);
-	for (i = 0; i < program->upstream_arguments->len; i++) {
-		upstream = upstream_new(program->upstream_arguments->pdata[i],
-					program->shared, error);
+	for (i = 0; i < program->upstream_count; i++)
+		add_upstream_options(program, program->host,
+				     program->first_port + i);
+	for (i = 0; i < program->upstream_options_list->len; i++) {
+		upstream =
+			upstream_new(program->upstream_options_list->pdata[i],
+				     program->shared, error);
 		if (!upstream)
 			return false;
-		if (program->cold)
+		if (program->start_cold)
 			upstream_start_cold(upstream);
 		g_ptr_array_add(program->upstreams, upstream);
 	}
@@ -317,7 +323,7 @@
 	upstream_free(upstream);
 }
 
-static int run(struct program *program)
+static int serve(struct program *program)
 {
 	SoupServer *control = soup_server_new(NULL, NULL);
 	GError *error = NULL;
@@ -330,10 +336,10 @@
 	program->shared = upstream_shared_new(program->seed);
 	program->upstreams = g_ptr_array_new_with_free_func(free_upstream);
 	if (start_all(program, &error) &&
-	    tool_listen(control, program->control, &port, &error)) {
+	    tool_listen(control, program->control_address, &port, &error)) {
 		printf("listening %.*s:%u\n",
-		       (int)strcspn(program->control, ":"), program->control,
-		       port);
+		       (int)strcspn(program->control_address, ":"),
+		       program->control_address, port);
 		fflush(stdout);
 		tool_run_until_signal(NULL);
 		status = 0;
@@ -369,18 +375,18 @@
 			      .connect_us = 1000,
 			      .probe_us = 1000,
 			      .body_bytes = 512 },
-		.control = "127.0.0.1:0",
+		.control_address = "127.0.0.1:0",
 		.host = "127.0.0.1",
 	};
 	int status;
 	guint i;
 
-	program.upstream_arguments = g_ptr_array_new_with_free_func(g_free);
+	program.upstream_options_list = g_ptr_array_new_with_free_func(g_free);
 	fill_options(options, names);
 	argp_parse(&parser, argc, argv, 0, NULL, &program);
-	status = run(&program);
+	status = serve(&program);
 	for (i = 0; i < G_N_ELEMENTS(option_rows); i++)
 		g_free(names[i]);
-	g_ptr_array_unref(program.upstream_arguments);
+	g_ptr_array_unref(program.upstream_options_list);
 	return status;
 }
--- a/tools/upstream/upstream.c
+++ b/tools/upstream/upstream.c
@@ -40,8 +40,8 @@
 	g_free(shared);
 }
 
-static struct upstream_run *find_run(struct upstream_shared *shared,
-				     const char *nonce)
+static struct upstream_run *find_or_create_run(struct upstream_shared *shared,
+					       const char *nonce)
 {
 	struct upstream_run *run;
 
@@ -342,7 +342,7 @@
 	job->upstream = upstream;
 	job->message = g_object_ref(message);
 	job->nonce = g_strdup(soup_message_headers_get_one(headers, "X-Nonce"));
-	job->run = find_run(upstream->shared, job->nonce);
+	job->run = find_or_create_run(upstream->shared, job->nonce);
 	job->new_connection = new_connection;
 	job->fault = UPSTREAM_FAULT_COUNT;
 	if (deadline)
@@ -619,7 +619,7 @@
 
 void upstream_apply_faults(struct upstream *upstream, JsonObject *body)
 {
-	gint64 now = g_get_monotonic_time();
+	gint64 now_us = g_get_monotonic_time();
 	int i;
 
 	if (tool_json_int(body, "clear", 0)) {
@@ -641,7 +641,7 @@
 		tool_json_double(body, "slow_factor", upstream->slow_factor);
 	if (json_object_has_member(body, "slow_ms"))
 		upstream->slow_until_us =
-			now + tool_json_int(body, "slow_ms", 0) * 1000;
+			now_us + tool_json_int(body, "slow_ms", 0) * 1000;
 	if (tool_json_int(body, "cold", 0))
 		upstream_start_cold(upstream);
 	if (json_object_has_member(body, "calls")) {
--- a/tools/upstream/upstream.h
+++ b/tools/upstream/upstream.h
@@ -16,8 +16,7 @@
 	const char *host;
 	guint16 port;
 	guint slots; /* requests it executes concurrently */
-	guint cold_slots; /* running and queued requests it tolerates while cold
-			   */
+	guint cold_slots; /* maximum running and queued while cold */
 	guint connections; /* maximum of open ones; further ones are reset */
 	guint cold_ms; /* how long it stays cold after a start */
 	double cold_factor; /* factor of the service time while cold */
@@ -71,8 +70,7 @@
 	guint64 started;
 	guint64 completed;
 	guint64 cancelled;
-	guint64 refused; /* refused as "not run", and connections over the limit
-			  */
+	guint64 refused; /* not run, or over the connection limit */
 	guint64 overload_crashes;
 	guint64 crashes;
 	guint64 connections;
@@ -82,8 +80,8 @@
 	guint max_running;
 	guint max_in_flight; /* running and queued */
 	guint max_in_flight_cold; /* running and queued while cold */
-	gint64 last_request_us; /* last request that arrived, including refused
-				   ones */
+	/* Last request that arrived, including refused ones. */
+	gint64 last_request_us;
 	gint64 last_started_us;
 };
 
@@ -99,12 +97,12 @@
 	gint64 slow_until_us;
 	guint answer_delay_ms;
 	gint64 faults[UPSTREAM_FAULT_COUNT];
-	char *call_url; /* URL called for each request, with the nonce appended,
-			   or NULL */
+	/* URL called for each request, with the nonce appended, or NULL. */
+	char *call_url;
 	SoupSession *session; /* for these calls; created on first use */
 	GPtrArray *running; /* of struct upstream_job, owned */
-	GPtrArray *unanswered; /* of struct upstream_job, owned: executed, hold
-				  no slot */
+	/* Of struct upstream_job, owned: executed, hold no slot. */
+	GPtrArray *unanswered;
 	GQueue queue; /* of struct upstream_job, owned */
 	GPtrArray *sockets; /* of GSocket, owned: open connections */
 	guint restart_timer;
@@ -122,8 +120,7 @@
 struct upstream_job {
 	struct upstream *upstream; /* borrowed */
 	SoupServerMessage *message; /* owned reference */
-	GSource *
-		close_watch; /* detects that the client closed the connection */
+	GSource *close_watch; /* detects a close by the client */
 	struct upstream_run *run; /* borrowed; NULL without a nonce */
 	char *nonce;
 	struct upstream_call *call; /* call in progress, or NULL */
