--- a/tools/bare-relay.c
+++ b/tools/bare-relay.c
@@ -90,7 +90,7 @@
 }
 
 static const struct argp_option options[] = {
-	{ "listen", 'l', "IP:PORT", 0, "address to listen on", 0 },
+	{ "listen", 'l', "IP:PORT", 0, "address", 0 },
 	{ "target", 't', "IP:PORT", 0, "where requests are sent", 0 },
 	{ 0 },
 };
--- a/tools/common/child.c
+++ b/tools/common/child.c
@@ -17,7 +17,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define CHILDREN_MAX 256 /* the signal handler walks the whole table */
+#define CHILDREN_MAX 256 /* at a time; the signal handler walks it all */
 #define FIRST_PORT 21000
 #define PORTS_PER_BLOCK 500
 #define PORT_BLOCK_COUNT 22
--- a/tools/platform/store.c
+++ b/tools/platform/store.c
@@ -41,7 +41,7 @@
 	char *address;
 	GPtrArray *objects; /* of struct object, sorted by name */
 	GPtrArray *changes; /* of struct change, oldest first */
-	GPtrArray *connections; /* of struct connection, each owned by itself */
+	GPtrArray *connections; /* of struct connection; they free themselves */
 	gint64 revision;
 	/* Changes before it have been dropped: watches from there get 410. */
 	gint64 compacted_revision;
--- a/tools/platform/upstream.c
+++ b/tools/platform/upstream.c
@@ -16,7 +16,7 @@
 	char *address;
 	int listener;
 	struct aub_poll_watch *watch;
-	GPtrArray *connections; /* of struct connection, each owned by itself */
+	GPtrArray *connections; /* of struct connection; they free themselves */
 	enum platform_answer answer;
 	enum platform_answer next_answer;
 	bool has_next_answer;
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -1,6 +1,6 @@
 /*
  * Stand-in upstreams, many in one process, for tests, the demonstration and
- * benchmarks.
+ * performance measurements.
  *
  * `--listen IP:PORT[,slots=N,...]` adds an upstream with its own options; the
  * other options set the defaults of the upstreams that follow. The control
@@ -58,8 +58,7 @@
 	struct upstream_options defaults;
 	struct upstream_shared *shared;
 	GPtrArray *upstreams; /* of struct upstream, owned */
-	GPtrArray
-		*upstream_options_list; /* of struct upstream_options, owned */
+	GPtrArray *options_list; /* of struct upstream_options, owned */
 	const char *control_address;
 	const char *host;
 	guint first_port;
@@ -105,7 +104,7 @@
 	options = g_memdup2(&program->defaults, sizeof(*options));
 	options->host = host;
 	options->port = port;
-	g_ptr_array_add(program->upstream_options_list, options);
+	g_ptr_array_add(program->options_list, options);
 }
 
 /*
@@ -125,9 +124,8 @@
 			program,
 			g_intern_string(strndupa(parts[0], colon - parts[0])),
 			strtoul(colon + 1, NULL, 10));
-		options = program->upstream_options_list
-				  ->pdata[program->upstream_options_list->len -
-					  1];
+		options = program->options_list
+				  ->pdata[program->options_list->len - 1];
 		for (i = 1; ok && parts[i]; i++)
 			ok = set_by_name(options, parts[i]);
 	}
@@ -305,10 +303,9 @@
 	for (i = 0; i < program->upstream_count; i++)
 		add_upstream_options(program, program->host,
 				     program->first_port + i);
-	for (i = 0; i < program->upstream_options_list->len; i++) {
-		upstream =
-			upstream_new(program->upstream_options_list->pdata[i],
-				     program->shared, error);
+	for (i = 0; i < program->options_list->len; i++) {
+		upstream = upstream_new(program->options_list->pdata[i],
+					program->shared, error);
 		if (!upstream)
 			return false;
 		if (program->start_cold)
@@ -381,12 +378,12 @@
 	int status;
 	guint i;
 
-	program.upstream_options_list = g_ptr_array_new_with_free_func(g_free);
+	program.options_list = g_ptr_array_new_with_free_func(g_free);
 	fill_options(options, names);
 	argp_parse(&parser, argc, argv, 0, NULL, &program);
 	status = serve(&program);
 	for (i = 0; i < G_N_ELEMENTS(option_rows); i++)
 		g_free(names[i]);
-	g_ptr_array_unref(program.upstream_options_list);
+	g_ptr_array_unref(program.options_list);
 	return status;
 }
