--- a/fuzz/fuzz_pack.c
+++ b/fuzz/fuzz_pack.c
@@ -1,19 +1,19 @@
 /*
- * Compressed byte strings: never more than the limit, and what was packed
- * comes back the same.
+ * Fuzzes the compression of byte strings: unpacked data never exceeds the
+ * limit, and packed data is unchanged by a round trip.
  */
 #include "fuzz.h"
 
-#include <auburnstile/internal/pack.h>
+#include <auburnstile/internal/compression.h>
 
 #define LIMIT 65536
 
 static void check_there_and_back(const guint8 *data, gsize size)
 {
-	GBytes *packed = aubi_pack(data, size);
+	GBytes *packed = aubi_compress(data, size);
 	GBytes *back =
-		aubi_unpack(g_bytes_get_data(packed, NULL),
-			    g_bytes_get_size(packed), size, "fuzz", NULL);
+		aubi_decompress(g_bytes_get_data(packed, NULL),
+				g_bytes_get_size(packed), size, "fuzz", NULL);
 
 	g_assert(back);
 	g_assert(g_bytes_get_size(back) == size);
@@ -31,7 +31,7 @@
 #endif
 {
 	GError *error = NULL;
-	GBytes *bytes = aubi_unpack(data, size, LIMIT, "fuzz", &error);
+	GBytes *bytes = aubi_decompress(data, size, LIMIT, "fuzz", &error);
 
 	g_assert((bytes == NULL) == (error != NULL));
 	if (bytes) {
--- a/fuzz/fuzz_toml.c
+++ b/fuzz/fuzz_toml.c
@@ -1,6 +1,7 @@
 /*
- * The TOML reader with its two users: an inventory that parses holds what
- * its readers rely on, and a settings file is taken whole or not at all.
+ * Fuzzes the TOML reader through its two users: a parsed inventory satisfies
+ * the assumptions of its readers, and a settings file is accepted completely or
+ * not at all.
  */
 #include "fuzz.h"
 
@@ -32,7 +33,7 @@
 	  .type = AUB_SETTING_INTEGER,
 	  .offset = offsetof(struct sample, number),
 	  .maximum = 100,
-	  .fallback = "7" },
+	  .default_value = "7" },
 	{ .key = "log.json",
 	  .type = AUB_SETTING_BOOLEAN,
 	  .offset = offsetof(struct sample, flag) },
@@ -61,7 +62,7 @@
 
 		g_assert(aub_inventory_service(it, service->name) == i);
 		g_assert(aub_inventory_route(it, service->path) == i);
-		aub_service_once_rule(service, "POST", service->path);
+		aub_service_at_most_once_rule(service, "POST", service->path);
 	}
 	for (guint i = 0; i < it->upstreams->len; i++) {
 		const struct aub_upstream *upstream = aub_upstream_at(it, i);
@@ -71,7 +72,7 @@
 		g_assert(upstream->zone < it->zones->len);
 		g_assert(upstream->host && upstream->port);
 		g_assert(upstream->cold_slots <= upstream->slots);
-		g_assert(aub_upstream_takes_new(it, (guint16)i));
+		g_assert(aub_upstream_accepts_new(it, (guint16)i));
 	}
 }
 
--- a/include/auburnstile/internal/placer_parts.h
+++ b/include/auburnstile/internal/placer_parts.h
@@ -1,6 +1,4 @@
-/*
- * The inside of a placer, shared by its files.
- */
+/* Internals of the placer, shared by its source files. */
 #ifndef AUBURNSTILE_INTERNAL_PLACER_PARTS_H
 #define AUBURNSTILE_INTERNAL_PLACER_PARTS_H
 
@@ -8,136 +6,152 @@
 
 G_BEGIN_DECLS
 
-/* One request of this gateway, from asking to its report. */
+/* A request of this gateway, from the placement request to its report. */
 struct aub_ticket {
 	guint64 id;
 	char *service;
-	struct aub_ask ask; /* its pointers are not used */
+	struct aub_placement_request request; /* without its pointers */
 	GPtrArray *avoid; /* of char * */
-	aub_placed_callback *placed; /* NULL once it is decided */
+	/* NULL once it is decided */
+	aub_placement_result_callback *callback;
 	void *context;
-	gint64 since_us;
-	guint64 placer; /* incarnation of the one that was asked last */
-	bool forwardable; /* whoever was asked may have passed it on */
+	gint64 start_us;
+	guint64 asked_placer; /* incarnation that was asked last */
+	bool forwardable; /* the asked placer may have forwarded it */
 	guint64 granted_by;
-	char *upstream; /* once granted */
-	guint asked; /* placers so far */
-	guint sends; /* to the one asked last */
+	char *upstream; /* set once granted */
+	guint placers_asked; /* number of placers tried */
+	guint sends_to_placer; /* transmissions to the last placer asked */
 	gint64 sent_us;
-	gint64 next_us; /* when to send again or pass it by */
-	bool queued; /* the one asked says that it has it */
-	bool local; /* placed here */
+	gint64 next_action_us; /* time to resend or to skip the placer */
+	bool queued; /* the placer has acknowledged it */
+	bool placed_locally; /* decided by this process */
 };
 
 /* A service whose upstreams this gateway probes. */
-struct aub_active {
-	gint64 until_us; /* as its placer, all of them */
-	gint64 near_until_us; /* for its placer, those of the own zone */
-	struct aub_place_probed *probed; /* to tell the placer; or NULL */
-	guint64 refused; /* of the placement, as last logged */
+struct aub_probed_service {
+	gint64 all_until_us; /* as placer: probe all upstreams */
+	gint64 zone_until_us; /* for the placer: probe those in the own zone */
+	struct aub_place_probe_results *pending_results; /* unsent; or NULL */
+	guint64 refused_logged; /* count of refusals as last logged */
 };
 
-void aub_active_free(void *data);
+void aub_probed_service_free(void *data);
 
 struct aub_placer {
 	struct aub_placer_options options;
 	char *zone;
 	GHashTable *placements; /* service -> struct aub_placement */
-	GHashTable *service_of; /* upstream's id -> service */
-	GHashTable *zones_out; /* set */
+	GHashTable *service_by_upstream; /* upstream id -> service */
+	GHashTable *evacuated_zones; /* set */
 	GHashTable *tickets; /* &id -> struct aub_ticket */
-	GHashTable *active; /* service -> struct aub_active */
-	GHashTable *outstanding_told; /* services whose holders were told of
-					 grants */
-	GPtrArray *probes; /* of struct probe, under way */
-	guint64 serial;
-	gint64 since_us; /* its start */
-	bool settled; /* it has heard the others */
-	guint tick;
-	guint settle_timer;
-	guint round;
-	guint rollout_timer; /* while an order is not settled */
-	gint64 rollouts_told_us; /* their evidence, to the others */
+	GHashTable *probed_services; /* service -> struct aub_probed_service */
+	/* set of services whose placer was sent a non-empty list of grants */
+	GHashTable *outstanding_reported;
+	GPtrArray *probes; /* of struct probe, in progress */
+	guint64 ticket_serial;
+	gint64 start_us; /* start of this process */
+	bool startup_over; /* the start-up grace is over */
+	guint tick_timer;
+	guint startup_timer;
+	guint round_timer;
+	guint rollout_timer; /* 0: no order is open */
+	gint64 rollouts_sent_us; /* when evidence was last sent */
 	bool orders_known;
 	guint probe_timer;
-	guint tell_timer;
+	guint report_timer;
 	struct aub_placer_counts counts;
 };
 
 struct aub_placement *aub_placer_placement(struct aub_placer *placer,
 					   const char *service);
 
-#define AUB_SETTLE_CHECK_US (25 * AUB_MS)
+#define AUB_STARTUP_CHECK_PERIOD_US (25 * AUB_MS)
 
-/* On top of an ask's patience, for its decision to arrive. */
-#define AUB_QUEUED_SLACK_US (150 * AUB_MS)
+/* Time allowed for delivery of a decision beyond a request's maximum wait. */
+#define AUB_DECISION_DELIVERY_SLACK_US (150 * AUB_MS)
 
 /* Tickets. */
 void aub_ticket_free(void *data);
-/* Pass a decision on to the request; the ticket ends unless it was granted. */
-void aub_ticket_settle(struct aub_placer *placer, struct aub_ticket *ticket,
-		       const struct aub_decision *decision, guint64 from);
+/* Passes a decision to the request. The ticket ends unless it was granted. */
+void aub_ticket_resolve(struct aub_placer *placer, struct aub_ticket *ticket,
+			const struct aub_placement_decision *decision,
+			guint64 from);
 void aub_ticket_send_report(struct aub_placer *placer,
 			    struct aub_ticket *ticket,
-			    const struct aub_attempt_report *report);
-/* Ask again, or the next placer, where one did not answer in time. */
-void aub_tickets_due(struct aub_placer *placer, gint64 now_us);
-
-/* A report for a placement here: a slot may be free. */
-void aub_placer_take_report(struct aub_placer *placer, const char *service,
-			    const struct aub_attempt_report *report);
-/* A decision of a placement here, for whoever asked. */
+			    const struct aub_grant_report *report);
+/* Resends requests, or tries the next placer, where no answer came in time. */
+void aub_tickets_process_due(struct aub_placer *placer, gint64 now_us);
+
+/* Applies a report to a local placement, which may free a slot. */
+void aub_placer_apply_report(struct aub_placer *placer, const char *service,
+			     const struct aub_grant_report *report);
+/* Delivers a decision of a local placement to the requesting gateway. */
 void aub_placer_deliver(struct aub_placer *placer,
-			const struct aub_decision *decision);
-/* There are tickets or queues that time alone moves on. */
-void aub_placer_arm(struct aub_placer *placer);
-
-/* Has it run for as long as first heartbeats take to come back? */
-bool aub_placer_hears(const struct aub_placer *placer, gint64 now_us);
-/* Has this process had the time to hear the other gateways? */
-bool aub_placer_is_settled(const struct aub_placer *placer);
-/* ... so: begin to place. */
-void aub_placer_on_settle_check(void *context, gint64 now_us);
-
-/* Decide on what is queued in `placement`, as far as there is room. */
-void aub_placer_drain(struct aub_placer *placer,
-		      struct aub_placement *placement);
-
-/* This gateway was asked to place for `service`: probe its upstreams. */
-void aub_placer_wake_service(struct aub_placer *placer, const char *service);
-/* This gateway is the prober of its zone for `service`. */
-void aub_placer_wake_near(struct aub_placer *placer, const char *service);
-void aub_placer_take_probed(struct aub_placer *placer,
-			    const struct aub_place_probed *message);
-/* The placer of `service` as seen from here; NULL if it is this process. */
-struct aub_peer *aub_placer_of(struct aub_placer *placer, const char *service,
-			       gint64 now_us);
-void aub_placer_probes_stop(struct aub_placer *placer);
-
-/* Loads on their way between gateways: no figure there is negative. */
-struct aub_load_told aub_load_tell(const struct aub_load *load);
-struct aub_load aub_load_of(const struct aub_load_told *told);
-
-/* Orders to move services to other versions. */
-void aub_placer_take_rollout(struct aub_placer *placer,
-			     struct aub_place_rollout *message);
-/* Once a second, as the placer of `service`. */
-void aub_placer_round_rollout(struct aub_placer *placer, const char *service);
-/* Tell all how far the order of `service` is. */
-void aub_placer_tell_rollout(struct aub_placer *placer, const char *service);
-/* Is this gateway the first of its zone for `service`? */
-bool aub_placer_is_first_of_zone(struct aub_placer *placer,
-				 const char *service);
-/* To all gateways, by relays in other zones; `relay` is a flag in it. */
-void aub_placer_tell_zones(struct aub_placer *placer, const char *service,
-			   struct aub_message *message, bool *relay);
-
-/* What gateways tell each other now and then. */
+			const struct aub_placement_decision *decision);
+/* Starts the tick timer, which processes tickets and queues. */
+void aub_placer_arm_tick(struct aub_placer *placer);
+
+/*
+ * Returns whether the process has run long enough to receive replies to its
+ * first heartbeats.
+ */
+bool aub_placer_first_replies_are_due(const struct aub_placer *placer,
+				      gint64 now_us);
+/*
+ * Returns whether the start-up grace, in which the process discovers the other
+ * gateways, is over.
+ */
+bool aub_placer_startup_is_over(const struct aub_placer *placer);
+/* Starts to place when the start-up grace is over. */
+void aub_placer_on_startup_check(void *context, gint64 now_us);
+
+/* Decides queued requests of `placement` as far as there are free slots. */
+void aub_placer_drain_queue(struct aub_placer *placer,
+			    struct aub_placement *placement);
+
+/* Probes all upstreams of `service`, which this gateway was asked to place. */
+void aub_placer_probe_service(struct aub_placer *placer, const char *service);
+/* Probes the upstreams of `service` in this zone, for a remote placer. */
+void aub_placer_probe_own_zone(struct aub_placer *placer, const char *service);
+void aub_placer_apply_probe_results(
+	struct aub_placer *placer,
+	const struct aub_place_probe_results *message);
+/*
+ * Returns the placer of `service` in this process's view; NULL if it is this
+ * process.
+ */
+struct aub_peer *aub_placer_peer_for(struct aub_placer *placer,
+				     const char *service, gint64 now_us);
+void aub_placer_stop_probes(struct aub_placer *placer);
+
+/* Convert loads for messages between gateways, whose fields are unsigned. */
+struct aub_reported_load aub_load_encode(const struct aub_load *load);
+struct aub_load aub_load_decode(const struct aub_reported_load *encoded);
+
+/* Rollout orders. */
+void aub_placer_apply_rollout(struct aub_placer *placer,
+			      struct aub_place_rollout *message);
+/* Called every second by the placer of `service`. */
+void aub_placer_refresh_rollout(struct aub_placer *placer, const char *service);
+/* Sends the progress of the order of `service` to all gateways. */
+void aub_placer_send_rollout(struct aub_placer *placer, const char *service);
+/* Returns whether this gateway ranks first in its zone for `service`. */
+bool aub_placer_ranks_first_in_zone(struct aub_placer *placer,
+				    const char *service);
+/*
+ * Sends `message` to all gateways, with relays in other zones. `relay` points
+ * to the flag in the message.
+ */
+void aub_placer_send_to_zones(struct aub_placer *placer, const char *service,
+			      struct aub_message *message, bool *relay);
+
+/* Periodic exchange between gateways. */
 void aub_placer_on_round(void *context, gint64 now_us);
-void aub_placer_take_outstanding(struct aub_placer *placer,
-				 const struct aub_place_outstanding *message);
-void aub_placer_take_health(struct aub_placer *placer,
-			    struct aub_place_health *message);
+void aub_placer_apply_outstanding(struct aub_placer *placer,
+				  const struct aub_place_outstanding *message);
+void aub_placer_apply_health(struct aub_placer *placer,
+			     struct aub_place_health *message);
 
 G_END_DECLS
 
--- a/programs/ctl/edit.c
+++ b/programs/ctl/edit.c
@@ -1,11 +1,12 @@
 /*
- * Commands that read configurations: check, diff and show.
+ * Commands that read configurations without changing them: check, diff and
+ * show.
  */
 #include "ctl.h"
 
 #include <string.h>
 
-static char *file_read(const char *file, gsize *length, GError **error)
+static char *read_file(const char *file, gsize *length, GError **error)
 {
 	const char *path = strcmp(file, "-") == 0 ? "/dev/stdin" : file;
 	GError *problem = NULL;
@@ -19,7 +20,7 @@
 	return NULL;
 }
 
-/* The problems of a file for scripts: all but the message's first line. */
+/* Prints problems as JSON. The first line of the message is their count. */
 static void print_problems(const GError *error)
 {
 	char **lines = g_strsplit(error->message, "\n", -1);
@@ -35,12 +36,12 @@
 	g_strfreev(lines);
 }
 
-char *ctl_file_checked(const struct ctl_options *options, const char *file,
-		       struct aub_inventory **inventory)
+char *ctl_read_inventory(const struct ctl_options *options, const char *file,
+			 struct aub_inventory **inventory)
 {
 	GError *error = NULL;
 	gsize length = 0;
-	char *text = file_read(file, &length, &error);
+	char *text = read_file(file, &length, &error);
 
 	if (text)
 		*inventory = aub_inventory_parse(text, length, file, &error);
@@ -53,14 +54,14 @@
 	return NULL;
 }
 
-int ctl_check(struct ctl_options *options, char **words, guint count)
+int ctl_check(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_inventory *inventory = NULL;
 	char *text;
 
 	if (count != 1)
-		return CTL_WORDS;
-	text = ctl_file_checked(options, words[0], &inventory);
+		return CTL_BAD_ARGUMENTS;
+	text = ctl_read_inventory(options, args[0], &inventory);
 	if (!text)
 		return CTL_REFUSED;
 	if (options->format == CTL_JSON)
@@ -70,16 +71,16 @@
 			inventory->services->len, inventory->upstreams->len);
 	else
 		g_print("%s: zones %u, VMs %u, services %u, upstreams %u; "
-			"no rule is broken\n",
-			words[0], inventory->zones->len, inventory->vms->len,
+			"no problems\n",
+			args[0], inventory->zones->len, inventory->vms->len,
 			inventory->services->len, inventory->upstreams->len);
 	aub_inventory_unref(inventory);
 	g_free(text);
 	return CTL_OK;
 }
 
-struct aub_config *ctl_config_of(JsonObject *object, const char *name,
-				 guint64 version)
+struct aub_config *ctl_config_parse(JsonObject *object, const char *name,
+				    guint64 version)
 {
 	JsonObject *member = aub_json_object(object, name);
 	struct aub_config *config;
@@ -93,14 +94,14 @@
 	return config;
 }
 
-struct aub_config *ctl_config_with(const struct aub_config *config,
-				   const char *text)
+struct aub_config *ctl_config_with_text(const struct aub_config *config,
+					const char *text)
 {
 	struct aub_config *edited =
 		config ? aub_config_copy(config) : aub_config_new();
 
-	g_free(edited->text);
-	edited->text = aub_inventory_text_version(text, 0);
+	g_free(edited->inventory_text);
+	edited->inventory_text = aub_inventory_text_set_version(text, 0);
 	return edited;
 }
 
@@ -111,12 +112,12 @@
 
 	if (text)
 		return text;
-	text = g_strdup_printf("can't be compared: %s\n", error->message);
+	text = g_strdup_printf("can't compare: %s\n", error->message);
 	g_error_free(error);
 	return text;
 }
 
-static int diff_print(struct ctl_options *options,
+static int print_diff(struct ctl_options *options,
 		      const struct aub_config *from,
 		      const struct aub_config *to)
 {
@@ -136,40 +137,40 @@
 	return code;
 }
 
-int ctl_diff(struct ctl_options *options, char **words, guint count)
+int ctl_diff(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_inventory *inventory = NULL;
 	struct aub_config *from = NULL;
 	struct aub_config *to = NULL;
-	JsonObject *answer = NULL;
+	JsonObject *response = NULL;
 	char *text = NULL;
 	char *other = NULL;
 	int code = CTL_REFUSED;
 
 	if (count < 1 || count > 2)
-		return CTL_WORDS;
-	text = ctl_file_checked(options, words[count - 1], &inventory);
+		return CTL_BAD_ARGUMENTS;
+	text = ctl_read_inventory(options, args[count - 1], &inventory);
 	aub_inventory_unref(inventory);
 	if (!text)
 		return CTL_REFUSED;
 	if (count == 2) {
 		inventory = NULL;
-		other = ctl_file_checked(options, words[0], &inventory);
+		other = ctl_read_inventory(options, args[0], &inventory);
 		aub_inventory_unref(inventory);
 		if (!other)
 			goto out;
-		from = ctl_config_with(NULL, other);
+		from = ctl_config_with_text(NULL, other);
 	} else {
-		answer = ctl_get(options, "/v1/config", &code);
-		if (!answer)
+		response = ctl_get(options, "/v1/config", &code);
+		if (!response)
 			goto out;
-		from = ctl_config_of(answer, "config", 0);
+		from = ctl_config_parse(response, "config", 0);
 	}
-	to = ctl_config_with(from, text);
-	code = diff_print(options, from, to);
+	to = ctl_config_with_text(from, text);
+	code = print_diff(options, from, to);
 out:
-	if (answer)
-		json_object_unref(answer);
+	if (response)
+		json_object_unref(response);
 	aub_config_free(from);
 	aub_config_free(to);
 	g_free(text);
@@ -177,31 +178,32 @@
 	return code;
 }
 
-int ctl_show(struct ctl_options *options, char **words, guint count)
+int ctl_show(struct ctl_options *options, char **args, guint count)
 {
 	struct aub_config *config;
-	JsonObject *answer;
+	JsonObject *response;
 	guint64 version;
 	char *text;
 	int code = CTL_OK;
 
 	if (count != 0)
-		return CTL_WORDS;
-	answer = ctl_get(options, "/v1/config", &code);
-	if (!answer)
+		return CTL_BAD_ARGUMENTS;
+	response = ctl_get(options, "/v1/config", &code);
+	if (!response)
 		return code;
-	version = (guint64)aub_json_integer(answer, "version");
-	config = ctl_config_of(answer, "config", version);
+	version = (guint64)aub_json_integer(response, "version");
+	config = ctl_config_parse(response, "config", version);
 	if (options->format == CTL_JSON) {
-		ctl_print_json(answer);
+		ctl_print_json(response);
 	} else if (config) {
-		text = aub_inventory_text_version(config->text, version);
+		text = aub_inventory_text_set_version(config->inventory_text,
+						      version);
 		g_print("%s", text);
 		g_free(text);
 	} else {
-		g_print("# nothing was applied yet\n");
+		g_print("# no configuration has been applied yet\n");
 	}
 	aub_config_free(config);
-	json_object_unref(answer);
+	json_object_unref(response);
 	return code;
 }
--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -1,15 +1,15 @@
 /*
- * Answers that don't come from an upstream: status, outcome and reason; and
- * the fingerprint of a call.
+ * Answers that don't come from an upstream, with status, outcome and reason;
+ * and the fingerprint of a call.
  */
 #include <auburnstile/internal/answer.h>
 
 #include <string.h>
 
-/* HTTP statuses of refusals; 503 where the table says nothing. */
-static const guint refusal_status[] = {
-	[AUB_REFUSAL_DEADLINE] = 504,
-	[AUB_REFUSAL_CRASHES] = 422,
+/* HTTP statuses of refusals; 0 means 503. */
+static const guint refusal_http_status[] = {
+	[AUB_REFUSAL_DEADLINE_UNREACHABLE] = 504,
+	[AUB_REFUSAL_CRASHES_UPSTREAMS] = 422,
 };
 
 struct aub_answer *aub_answer_not_run(guint status, const char *reason,
@@ -30,13 +30,13 @@
 {
 	guint status = 0;
 
-	if (refusal < G_N_ELEMENTS(refusal_status))
-		status = refusal_status[refusal];
+	if (refusal < G_N_ELEMENTS(refusal_http_status))
+		status = refusal_http_status[refusal];
 	return aub_answer_not_run(status ? status : 503,
 				  aub_refusal_name(refusal), retry_after_ms);
 }
 
-struct aub_answer *aub_answer_unknown(const char *reason)
+struct aub_answer *aub_answer_outcome_unknown(const char *reason)
 {
 	struct aub_answer *answer;
 
--- a/src/coordination/dispatch_probes.c
+++ b/src/coordination/dispatch_probes.c
@@ -1,12 +1,12 @@
 /*
- * Probes under way. A probe keeps the inventory it was sent under, so that
- * its end is never taken for one of another inventory's upstream.
+ * Open probes. A probe holds a reference to the inventory it was sent under, so
+ * that its result is never attributed to an upstream of another inventory.
  */
 #include <auburnstile/internal/dispatch_probes.h>
 
 struct aub_probes {
 	struct aub_upstream_set *upstreams;
-	aub_probe_reported *reported;
+	aub_probe_report_callback *callback;
 	void *context;
 	GHashTable *open; /* set of struct probe, owned */
 };
@@ -30,12 +30,13 @@
 }
 
 struct aub_probes *aub_probes_new(struct aub_upstream_set *upstreams,
-				  aub_probe_reported *reported, void *context)
+				  aub_probe_report_callback *callback,
+				  void *context)
 {
 	struct aub_probes *probes = g_new0(struct aub_probes, 1);
 
 	probes->upstreams = upstreams;
-	probes->reported = reported;
+	probes->callback = callback;
 	probes->context = context;
 	probes->open = g_hash_table_new_full(NULL, NULL, probe_free, NULL);
 	return probes;
@@ -48,12 +49,12 @@
 
 	g_hash_table_iter_init(&iterator, probes->open);
 	while (g_hash_table_iter_next(&iterator, &key, NULL))
-		aub_attempt_forget(((struct probe *)key)->handle);
+		aub_attempt_abandon(((struct probe *)key)->handle);
 	g_hash_table_unref(probes->open);
 	g_free(probes);
 }
 
-static void on_done(bool answered, const struct aub_upstream_signs *signs,
+static void on_done(bool answered, const struct aub_upstream_signals *signs,
 		    guint32 busy, void *context)
 {
 	struct probe *probe = context;
@@ -68,7 +69,7 @@
 	};
 
 	g_hash_table_steal(probes->open, probe);
-	probes->reported(&report, probes->context);
+	probes->callback(&report, probes->context);
 	probe_free(probe);
 }
 
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -1,23 +1,22 @@
-/*
- * An entry put together: each part gets what it needs of the others, and
- * their callbacks meet here.
- */
+/* Creates the components of an entry and connects their callbacks. */
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
 #include <auburnstile/internal/addresses.h>
-#include <auburnstile/internal/entry_parts.h>
+#include <auburnstile/internal/entry_internal.h>
 #include <auburnstile/internal/program.h>
 #include <auburnstile/log.h>
 
 #include <sys/resource.h>
 
-#define HEADER_MS 10000
-#define STATES_US (250 * AUB_MS) /* a stand-by's knowledge is that old */
-#define IDLE_MS 60000
-#define BODY_MS 30000
-#define WRITE_MS 30000
-#define KEY_KEEP_MOST_S G_GINT64_CONSTANT(604800) /* a week */
-#define BODY_LIMIT (1u << 20) /* where no service is known for a path */
+#define HEADER_TIMEOUT_MS 10000
+/* Maximum age of a stand-by's upstream states. */
+#define STATES_INTERVAL_US (250 * AUB_MS)
+#define IDLE_TIMEOUT_MS 60000
+#define BODY_TIMEOUT_MS 30000
+#define WRITE_TIMEOUT_MS 30000
+#define KEY_RETENTION_MAX_S G_GINT64_CONSTANT(604800) /* one week */
+/* If no service is known for a path. */
+#define BODY_DEFAULT_MAX_BYTES (1u << 20)
 
 #define FIELD(name) offsetof(struct aub_entry_settings, name)
 
@@ -46,29 +45,29 @@
 	{ .key = "policy",
 	  .type = AUB_SETTING_STRING,
 	  .offset = FIELD(policy),
-	  .fallback = "auburnstile",
-	  .help = "how upstreams are chosen; others are baselines" },
+	  .default_value = "auburnstile",
+	  .help = "load balancing policy; others are baselines" },
 	{ .key = "key_mb",
 	  .type = AUB_SETTING_INTEGER,
 	  .offset = FIELD(key_mb),
 	  .minimum = 1,
 	  .maximum = 4096,
-	  .fallback = "128",
-	  .help = "room for keys and kept answers, MB" },
+	  .default_value = "128",
+	  .help = "memory for keys and cached answers, MB" },
 	{ .key = "key_keep_s",
 	  .type = AUB_SETTING_INTEGER,
 	  .offset = FIELD(key_keep_s),
 	  .minimum = 1,
-	  .maximum = KEY_KEEP_MOST_S,
-	  .fallback = "1200",
-	  .help = "time a key is remembered after its end, s" },
+	  .maximum = KEY_RETENTION_MAX_S,
+	  .default_value = "1200",
+	  .help = "time a key is retained after its request ended, s" },
 	{ .key = "connections",
 	  .type = AUB_SETTING_INTEGER,
 	  .offset = FIELD(connections),
 	  .minimum = 1,
 	  .maximum = 100000,
-	  .fallback = "4000",
-	  .help = "open connections of callers at most" },
+	  .default_value = "4000",
+	  .help = "maximum number of open caller connections" },
 	{ .key = NULL },
 };
 
@@ -84,32 +83,32 @@
 		entry->inventory = inventory;
 		aub_dispatch_task_configure(entry->dispatch, inventory);
 	}
-	aub_front_update_roles(entry->front);
+	aub_request_router_update_roles(entry->router);
 }
 
-static void on_states(const struct aub_states *states, guint64 incarnation,
-		      void *context)
+static void on_states(const struct aub_upstream_states *states,
+		      guint64 incarnation, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_learn_states(entry->front, states, incarnation);
+	aub_request_router_receive_states(entry->router, states, incarnation);
 }
 
-static void on_tell(void *context, gint64 now_us)
+static void on_send_states(void *context, gint64 now_us)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_tell_states(entry->front);
+	aub_request_router_send_states(entry->router);
 }
 
 static void on_links_changed(void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_update_roles(entry->front);
+	aub_request_router_update_roles(entry->router);
 }
 
-static bool is_known(guint64 incarnation, void *context)
+static bool is_member_incarnation(guint64 incarnation, void *context)
 {
 	struct aub_entry *entry = context;
 
@@ -121,43 +120,44 @@
 {
 	struct aub_entry *entry = context;
 
-	aub_front_relay_arrived(inbound, call, entry->front);
+	aub_request_router_relay_arrived(inbound, call, entry->router);
 }
 
-static void on_relay_gone(struct aub_relay_inbound *inbound, void *context)
+static void on_relay_cancelled(struct aub_relay_inbound *inbound, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_relay_gone(inbound, entry->front);
+	aub_request_router_relay_cancelled(inbound, entry->router);
 }
 
 static void on_keys(const struct aub_keys *keys, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_keeper_adopt(entry->keeper, keys);
+	aub_idempotency_import(entry->idempotency, keys);
 }
 
 static void on_keys_ack(const struct aub_keys_ack *ack, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_keeper_acknowledged(entry->keeper, ack);
+	aub_idempotency_acknowledged(entry->idempotency, ack);
 }
 
-static void on_arrived(struct aub_caller_request *request,
-		       struct aub_call *call, void *context)
+static void on_caller_request(struct aub_caller_request *request,
+			      struct aub_call *call, void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_caller_arrived(request, call, entry->front);
+	aub_request_router_caller_arrived(request, call, entry->router);
 }
 
-static void on_gone(struct aub_caller_request *request, void *context)
+static void on_caller_disconnected(struct aub_caller_request *request,
+				   void *context)
 {
 	struct aub_entry *entry = context;
 
-	aub_front_caller_gone(request, entry->front);
+	aub_request_router_caller_disconnected(request, entry->router);
 }
 
 static guint32 body_limit(const char *path, void *context)
@@ -168,10 +168,10 @@
 
 	inventory = aub_entry_view_inventory(entry->view);
 	if (!inventory)
-		return BODY_LIMIT;
+		return BODY_DEFAULT_MAX_BYTES;
 	service = aub_inventory_route(inventory, path);
 	if (service == AUB_NO_HANDLE)
-		return BODY_LIMIT;
+		return BODY_DEFAULT_MAX_BYTES;
 	return aub_service_at(inventory, service)->body_limit;
 }
 
@@ -210,8 +210,8 @@
 {
 	struct aub_entry *entry = context;
 
-	aub_admin_answer(request, 200,
-			 aub_dispatch_task_status(entry->dispatch));
+	aub_admin_respond(request, 200,
+			  aub_dispatch_task_status(entry->dispatch));
 }
 
 static gint64 processor_us(void)
@@ -223,13 +223,14 @@
 	       usage.ru_stime.tv_sec * AUB_SECOND + usage.ru_stime.tv_usec;
 }
 
-static void on_second(void *context, gint64 now_us)
+static void update_load(void *context, gint64 now_us)
 {
 	struct aub_entry *entry = context;
-	gint64 busy_us = processor_us();
-	gint64 permille = (busy_us - entry->busy_us) * 1000 / AUB_SECOND;
+	gint64 processor_time_us = processor_us();
+	gint64 permille = (processor_time_us - entry->processor_time_us) *
+			  1000 / AUB_SECOND;
 
-	entry->busy_us = busy_us;
+	entry->processor_time_us = processor_time_us;
 	aub_entry_view_set_load(entry->view, CLAMP(permille, 0, 1000));
 }
 
@@ -248,7 +249,7 @@
 	return hello;
 }
 
-static void make_decisions(struct aub_entry *entry, int policy, guint32 seed)
+static void create_components(struct aub_entry *entry, int policy, guint32 seed)
 {
 	const struct aub_entry_settings *settings = entry->settings;
 
@@ -260,20 +261,22 @@
 			.events = entry->events,
 			.metrics = entry->metrics,
 		});
-	entry->keeper = aub_keeper_new(&(struct aub_keeper_options){
-		.name = settings->name,
-		.zone = settings->zone,
-		.incarnation = entry->hello->incarnation,
-		.limit_bytes = (gsize)settings->key_mb << 20,
-		.keep_us = settings->key_keep_s * AUB_SECOND,
-		.view = entry->view,
-		.timers = entry->timers,
-		.events = entry->events,
-	});
-	entry->front = aub_front_new(&(struct aub_front_options){
+	entry->idempotency =
+		aub_idempotency_new(&(struct aub_idempotency_options){
+			.name = settings->name,
+			.zone = settings->zone,
+			.incarnation = entry->hello->incarnation,
+			.max_bytes = (gsize)settings->key_mb << 20,
+			.retention_us = settings->key_keep_s * AUB_SECOND,
+			.view = entry->view,
+			.timers = entry->timers,
+			.events = entry->events,
+		});
+	entry->router = aub_request_router_new(&(
+		struct aub_request_router_options){
 		.hello = entry->hello,
 		.view = entry->view,
-		.keeper = entry->keeper,
+		.idempotency = entry->idempotency,
 		.dispatch = entry->dispatch,
 		.timers = entry->timers,
 		.events = entry->events,
@@ -283,16 +286,16 @@
 	});
 }
 
-static bool listen_inner(struct aub_entry *entry, GError **error)
+static bool listen_entries(struct aub_entry *entry, GError **error)
 {
 	entry->relay = aub_relay_new(
 		&(struct aub_relay_options){
 			.hello = entry->hello,
 			.timers = entry->timers,
 			.events = entry->events,
-			.known = is_known,
+			.is_member = is_member_incarnation,
 			.arrived = on_relay_arrived,
-			.gone = on_relay_gone,
+			.cancelled = on_relay_cancelled,
 			.keys = on_keys,
 			.keys_ack = on_keys_ack,
 			.states = on_states,
@@ -301,25 +304,25 @@
 		},
 		error);
 	if (entry->relay)
-		aub_front_set_relay(entry->front, entry->relay);
+		aub_request_router_set_relay(entry->router, entry->relay);
 	return entry->relay;
 }
 
-static bool listen_outer(struct aub_entry *entry, GError **error)
+static bool listen_callers(struct aub_entry *entry, GError **error)
 {
 	const struct aub_entry_settings *settings = entry->settings;
 
 	entry->callers = aub_caller_server_new(
 		&(struct aub_caller_server_options){
 			.address = settings->callers,
-			.connections = settings->connections,
-			.header_ms = HEADER_MS,
-			.idle_ms = IDLE_MS,
-			.body_ms = BODY_MS,
-			.write_ms = WRITE_MS,
+			.connections_max = settings->connections,
+			.header_timeout_ms = HEADER_TIMEOUT_MS,
+			.idle_timeout_ms = IDLE_TIMEOUT_MS,
+			.body_timeout_ms = BODY_TIMEOUT_MS,
+			.write_timeout_ms = WRITE_TIMEOUT_MS,
 			.timers = entry->timers,
-			.arrived = on_arrived,
-			.gone = on_gone,
+			.arrived = on_caller_request,
+			.gone = on_caller_disconnected,
 			.body_limit = body_limit,
 			.addresses = addresses,
 			.context = entry,
@@ -373,19 +376,20 @@
 		.changed = on_view_changed,
 		.context = entry,
 	});
-	make_decisions(entry, policy,
-		       settings->seed ? (guint32)settings->seed :
-					g_random_int());
-	if (!listen_inner(entry, error) || !listen_outer(entry, error)) {
+	create_components(entry, policy,
+			  settings->seed ? (guint32)settings->seed :
+					   g_random_int());
+	if (!listen_entries(entry, error) || !listen_callers(entry, error)) {
 		aub_entry_free(entry);
 		return NULL;
 	}
-	entry->second_timer = aub_timer_every(entry->timers, "second",
-					      AUB_SECOND, on_second, entry);
-	entry->states_timer = aub_timer_every(entry->timers, "states",
-					      STATES_US, on_tell, entry);
-	aub_event_note(entry->events, AUB_EVENT_STARTED, 0,
-		       (gint64)entry->hello->incarnation, NULL, NULL);
+	entry->load_timer = aub_timer_every(entry->timers, "second", AUB_SECOND,
+					    update_load, entry);
+	entry->states_timer =
+		aub_timer_every(entry->timers, "states", STATES_INTERVAL_US,
+				on_send_states, entry);
+	aub_event_record_simple(entry->events, AUB_EVENT_STARTED, 0,
+				(gint64)entry->hello->incarnation, NULL, NULL);
 	return entry;
 }
 
@@ -393,15 +397,15 @@
 {
 	if (!entry)
 		return;
-	aub_timer_cancel(entry->timers, entry->second_timer);
+	aub_timer_cancel(entry->timers, entry->load_timer);
 	aub_timer_cancel(entry->timers, entry->states_timer);
 	aub_timer_cancel(entry->timers, entry->stop_timer);
 	aub_admin_free(entry->admin);
 	aub_caller_server_free(entry->callers);
 	aub_relay_free(entry->relay);
-	aub_front_free(entry->front);
+	aub_request_router_free(entry->router);
 	aub_dispatch_task_free(entry->dispatch);
-	aub_keeper_free(entry->keeper);
+	aub_idempotency_free(entry->idempotency);
 	aub_entry_view_free(entry->view);
 	aub_metrics_free(entry->metrics);
 	aub_event_ring_free(entry->events);
--- a/src/coordination/entry_view.c
+++ b/src/coordination/entry_view.c
@@ -1,40 +1,41 @@
 /*
- * The entry's link to its control, and the view that came over it.
+ * The entry's link to its control and the view received over it.
  *
- * Versions only rise. While the control is away the old view stands, for as
- * long as the last permission lasts.
+ * Versions never decrease. While the control is unavailable the current view
+ * stays active until the serving lease expires.
  */
 #include <auburnstile/config.h>
 #include <auburnstile/internal/entry_view.h>
 #include <auburnstile/link.h>
 #include <auburnstile/log.h>
 
-#define CONNECT_MS 1000
-#define HEIRS_KEPT 4096 /* a fleet's planned stops in some weeks */
-#define RECONNECT_US (200 * AUB_MS)
+#define CONNECT_TIMEOUT_MS 1000
+#define SUCCESSORS_MAX 4096 /* planned stops of a fleet in several weeks */
+#define RECONNECT_DELAY_US (200 * AUB_MS)
 
-/* Views come every 500 ms; a link without any for this long went silent. */
-#define SILENT_US (3 * AUB_SECOND)
+/* Views arrive every 500 ms; a link without any for this long is half-open. */
+#define LINK_TIMEOUT_US (3 * AUB_SECOND)
 
 struct aub_entry_view {
 	struct aub_entry_view_options options;
 	char *control;
 	struct aub_link *link;
-	guint reconnect;
-	guint lapse;
-	guint watch;
-	gint64 linked_us; /* when the link was opened */
+	guint reconnect_timer;
+	guint lease_timer;
+	guint watch_timer;
+	gint64 link_opened_us; /* when the link was opened */
 	struct aub_inventory *inventory;
 	guint64 config_version;
 	guint64 epoch;
 	GHashTable *assignments; /* service -> struct aub_assignment */
 	GHashTable *members; /* incarnation -> struct aub_member */
-	GHashTable *heirs; /* incarnation -> incarnation of its heir */
-	GQueue heirs_order; /* keys of `heirs`, oldest first */
+	GHashTable
+		*successors; /* incarnation -> incarnation of its successor */
+	GQueue successor_order; /* keys of `successors`, oldest first */
 	gint64 serve_until_us;
 	guint32 load_permille;
 	bool stopping;
-	guint64 heir;
+	guint64 successor;
 };
 
 static void assignment_free(void *data)
@@ -63,15 +64,15 @@
 	ack->epoch = view->epoch;
 	ack->load_permille = view->load_permille;
 	ack->stopping = view->stopping;
-	ack->heir = view->heir;
+	ack->successor = view->successor;
 	ack->number = (guint64)(now(view) / AUB_MS);
 	aub_link_send(view->link, &ack->base);
 	aub_message_free(&ack->base);
 }
 
-/* Returns false where this configuration can't be put into force. */
-static bool take_config(struct aub_entry_view *view,
-			const struct aub_view *message)
+/* Returns false if this configuration cannot be activated. */
+static bool apply_config(struct aub_entry_view *view,
+			 const struct aub_view *message)
 {
 	struct aub_inventory *inventory = NULL;
 	struct aub_config *config;
@@ -85,7 +86,7 @@
 	aub_config_free(config);
 	if (!inventory) {
 		aub_log_warning("configuration %" G_GUINT64_FORMAT
-				" not taken: %s",
+				" rejected: %s",
 				message->config_version, error->message);
 		g_error_free(error);
 		return false;
@@ -97,8 +98,8 @@
 	return true;
 }
 
-static void take_assignments(struct aub_entry_view *view,
-			     const struct aub_view *message)
+static void apply_assignments(struct aub_entry_view *view,
+			      const struct aub_view *message)
 {
 	view->epoch = message->epoch;
 	g_hash_table_remove_all(view->assignments);
@@ -111,35 +112,37 @@
 }
 
 /*
- * Failure: an entry stops in order, another starts in its place, its record
- * goes, and callers who repeat hear "unknown" although its heir has the key.
- * Heirs once named are remembered for longer than keys are.
+ * After a planned stop another entry may start under the same name, and the
+ * record of the stopped one is removed. Repeated requests would then be
+ * answered "unknown" although the successor has the key. Successors are
+ * therefore remembered for longer than keys are.
  */
-static void learn_heir(struct aub_entry_view *view,
-		       const struct aub_member *member)
+static void remember_successor(struct aub_entry_view *view,
+			       const struct aub_member *member)
 {
 	guint64 *key;
 
-	if (!member->heir || !member->incarnation ||
-	    g_hash_table_contains(view->heirs, &member->incarnation))
+	if (!member->successor || !member->incarnation ||
+	    g_hash_table_contains(view->successors, &member->incarnation))
 		return;
 	key = g_memdup2(&member->incarnation, sizeof(*key));
-	g_hash_table_insert(view->heirs, key,
-			    g_memdup2(&member->heir, sizeof(member->heir)));
-	g_queue_push_tail(&view->heirs_order, key);
-	if (g_queue_get_length(&view->heirs_order) > HEIRS_KEPT)
-		g_hash_table_remove(view->heirs,
-				    g_queue_pop_head(&view->heirs_order));
+	g_hash_table_insert(view->successors, key,
+			    g_memdup2(&member->successor,
+				      sizeof(member->successor)));
+	g_queue_push_tail(&view->successor_order, key);
+	if (g_queue_get_length(&view->successor_order) > SUCCESSORS_MAX)
+		g_hash_table_remove(view->successors,
+				    g_queue_pop_head(&view->successor_order));
 }
 
 /*
- * Failure: a control that has just started knows few members, and keys kept
- * by the others would count as lost: their callers would hear "unknown". So
- * members are only forgotten on the word of a control that is sure enough to
- * let its entry serve.
+ * A control that has just started knows few members. If the others were
+ * forgotten, the keys they own would count as lost and their callers would get
+ * "unknown". Members are therefore only forgotten when the control is sure
+ * enough to grant a serving lease.
  */
-static void take_members(struct aub_entry_view *view,
-			 const struct aub_view *message)
+static void apply_members(struct aub_entry_view *view,
+			  const struct aub_view *message)
 {
 	if (message->serve)
 		g_hash_table_remove_all(view->members);
@@ -147,49 +150,50 @@
 		struct aub_member *copy =
 			aub_member_copy(message->members->pdata[i]);
 
-		learn_heir(view, copy);
+		remember_successor(view, copy);
 		g_hash_table_replace(view->members, &copy->incarnation, copy);
 	}
 }
 
-static void on_lapse(void *context, gint64 now_us)
+static void on_lease_expired(void *context, gint64 now_us)
 {
 	struct aub_entry_view *view = context;
 
-	view->lapse = 0;
+	view->lease_timer = 0;
 	if (aub_entry_view_serving(view))
 		return;
-	aub_event_note(view->options.events, AUB_EVENT_VIEW, 0,
-		       (gint64)view->config_version, NULL, "lapsed");
-	aub_log_warning("permission to serve lapsed");
+	aub_event_record_simple(view->options.events, AUB_EVENT_VIEW, 0,
+				(gint64)view->config_version, NULL, "lapsed");
+	aub_log_warning("serving lease expired");
 	view->options.changed(view->options.context);
 }
 
 /*
- * Failure: an entry is paused, wakes, reads a view that waited in its buffer,
- * and sends work into a zone taken out long ago. Permission counts from the
- * entry's own clock at the acknowledgement that the view follows.
+ * Returns when the lease in `message` expires. An entry that resumes after a
+ * pause may read a view that waited in its buffer, and would send work into a
+ * zone taken out long ago. The lease therefore counts from the acknowledgement
+ * that the view echoes, by the entry's own clock.
  */
-static gint64 permitted_until(const struct aub_entry_view *view,
+static gint64 lease_expiry_us(const struct aub_entry_view *view,
 			      const struct aub_view *message)
 {
-	gint64 asked_us = (gint64)message->echo * AUB_MS;
+	gint64 ack_us = (gint64)message->echo * AUB_MS;
 
-	if (!message->echo || asked_us > now(view))
+	if (!message->echo || ack_us > now(view))
 		return 0;
-	return asked_us + message->serve_ms * AUB_MS;
+	return ack_us + message->serve_ms * AUB_MS;
 }
 
 /*
- * Failure: a control that read a stale copy renews the permission of an entry
- * that already holds more, and requests go by what was taken out. Permission
- * counts only with versions at least those held.
+ * A control that read a stale copy could renew the lease of an entry that
+ * already holds newer versions, and requests would go to a zone that was taken
+ * out. A lease is only accepted with exactly the versions held.
  */
-static void take_permission(struct aub_entry_view *view,
-			    const struct aub_view *message)
+static void apply_lease(struct aub_entry_view *view,
+			const struct aub_view *message)
 {
-	aub_timer_cancel(view->options.timers, view->lapse);
-	view->lapse = 0;
+	aub_timer_cancel(view->options.timers, view->lease_timer);
+	view->lease_timer = 0;
 	if (!message->serve) {
 		view->serve_until_us = 0;
 		return;
@@ -197,11 +201,12 @@
 	if (message->config_version == view->config_version &&
 	    message->epoch == view->epoch)
 		view->serve_until_us = MAX(view->serve_until_us,
-					   permitted_until(view, message));
+					   lease_expiry_us(view, message));
 	if (!view->serve_until_us)
 		return;
-	view->lapse = aub_timer_at(view->options.timers, "permission",
-				   view->serve_until_us + 1, on_lapse, view);
+	view->lease_timer =
+		aub_timer_at(view->options.timers, "permission",
+			     view->serve_until_us + 1, on_lease_expired, view);
 }
 
 void aub_entry_view_apply(struct aub_entry_view *view,
@@ -212,17 +217,19 @@
 
 	if (message->config_version > view->config_version &&
 	    message->config.length)
-		take_config(view, message);
+		apply_config(view, message);
 	if (message->epoch >= view->epoch)
-		take_assignments(view, message);
-	take_members(view, message);
-	take_permission(view, message);
+		apply_assignments(view, message);
+	apply_members(view, message);
+	apply_lease(view, message);
 	if (view->config_version != config_version)
-		aub_event_note(view->options.events, AUB_EVENT_VIEW, 0,
-			       (gint64)view->config_version, NULL, "in force");
+		aub_event_record_simple(view->options.events, AUB_EVENT_VIEW, 0,
+					(gint64)view->config_version, NULL,
+					"in force");
 	if (view->epoch != epoch)
-		aub_event_note(view->options.events, AUB_EVENT_ASSIGNMENT, 0,
-			       (gint64)view->epoch, NULL, NULL);
+		aub_event_record_simple(view->options.events,
+					AUB_EVENT_ASSIGNMENT, 0,
+					(gint64)view->epoch, NULL, NULL);
 	view->options.changed(view->options.context);
 	send_ack(view);
 }
@@ -242,7 +249,7 @@
 {
 	struct aub_entry_view *view = context;
 
-	aub_log_message("linked to control %s", hello->name);
+	aub_log_message("connected to control %s", hello->name);
 	send_ack(view);
 }
 
@@ -252,7 +259,7 @@
 {
 	struct aub_entry_view *view = context;
 
-	view->reconnect = 0;
+	view->reconnect_timer = 0;
 	connect_control(view);
 }
 
@@ -261,9 +268,9 @@
 	aub_log_info("control: %s", reason);
 	aub_link_free(view->link);
 	view->link = NULL;
-	view->reconnect =
-		aub_timer_at(view->options.timers, "reconnect",
-			     now(view) + RECONNECT_US, on_reconnect, view);
+	view->reconnect_timer = aub_timer_at(view->options.timers, "reconnect",
+					     now(view) + RECONNECT_DELAY_US,
+					     on_reconnect, view);
 }
 
 static void on_down(struct aub_link *link, const GError *error, void *context)
@@ -272,17 +279,17 @@
 }
 
 /*
- * Failure: something between the two lost track of the connection, and no
- * view comes over it any more. The entry would stop serving although its
- * control is well; a new connection gets through.
+ * A middlebox may lose track of the connection, so that no view arrives over it
+ * any more. The entry would stop serving although its control is healthy, while
+ * a new connection would work.
  */
-static void on_watch(void *context, gint64 now_us)
+static void check_link(void *context, gint64 now_us)
 {
 	struct aub_entry_view *view = context;
 
-	if (view->link &&
-	    now_us - MAX(view->linked_us, aub_link_last_heard_us(view->link)) >
-		    SILENT_US)
+	if (view->link && now_us - MAX(view->link_opened_us,
+				       aub_link_last_received_us(view->link)) >
+				  LINK_TIMEOUT_US)
 		drop_link(view, "silent");
 }
 
@@ -294,9 +301,10 @@
 
 static void connect_control(struct aub_entry_view *view)
 {
-	view->linked_us = now(view);
-	view->link = aub_link_connect(view->control, view->options.hello,
-				      CONNECT_MS, &link_callbacks, view);
+	view->link_opened_us = now(view);
+	view->link =
+		aub_link_connect(view->control, view->options.hello,
+				 CONNECT_TIMEOUT_MS, &link_callbacks, view);
 }
 
 struct aub_entry_view *aub_entry_view_new(
@@ -310,11 +318,11 @@
 						  assignment_free);
 	view->members = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					      member_free);
-	view->heirs = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					    g_free);
-	g_queue_init(&view->heirs_order);
-	view->watch = aub_timer_every(options->timers, "control", AUB_SECOND,
-				      on_watch, view);
+	view->successors = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						 g_free, g_free);
+	g_queue_init(&view->successor_order);
+	view->watch_timer = aub_timer_every(options->timers, "control",
+					    AUB_SECOND, check_link, view);
 	if (view->control)
 		connect_control(view);
 	return view;
@@ -324,14 +332,14 @@
 {
 	if (!view)
 		return;
-	aub_timer_cancel(view->options.timers, view->watch);
-	aub_timer_cancel(view->options.timers, view->reconnect);
-	aub_timer_cancel(view->options.timers, view->lapse);
+	aub_timer_cancel(view->options.timers, view->watch_timer);
+	aub_timer_cancel(view->options.timers, view->reconnect_timer);
+	aub_timer_cancel(view->options.timers, view->lease_timer);
 	aub_link_free(view->link);
 	g_hash_table_unref(view->assignments);
 	g_hash_table_unref(view->members);
-	g_queue_clear(&view->heirs_order);
-	g_hash_table_unref(view->heirs);
+	g_queue_clear(&view->successor_order);
+	g_hash_table_unref(view->successors);
 	if (view->inventory)
 		aub_inventory_unref(view->inventory);
 	g_free(view->control);
@@ -361,12 +369,13 @@
 	return g_hash_table_lookup(view->members, &incarnation);
 }
 
-guint64 aub_entry_view_heir(const struct aub_entry_view *view,
-			    guint64 incarnation)
+guint64 aub_entry_view_successor(const struct aub_entry_view *view,
+				 guint64 incarnation)
 {
-	const guint64 *heir = g_hash_table_lookup(view->heirs, &incarnation);
+	const guint64 *successor =
+		g_hash_table_lookup(view->successors, &incarnation);
 
-	return heir ? *heir : 0;
+	return successor ? *successor : 0;
 }
 
 void aub_entry_view_assignments(const struct aub_entry_view *view,
@@ -407,9 +416,10 @@
 	send_ack(view);
 }
 
-void aub_entry_view_set_heir(struct aub_entry_view *view, guint64 heir)
+void aub_entry_view_set_successor(struct aub_entry_view *view,
+				  guint64 successor)
 {
-	view->heir = heir;
+	view->successor = successor;
 	send_ack(view);
 }
 
@@ -420,5 +430,5 @@
 
 bool aub_entry_view_flushed(const struct aub_entry_view *view)
 {
-	return !view->link || !aub_link_queued(view->link);
+	return !view->link || !aub_link_queued_bytes(view->link);
 }
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -1,19 +1,23 @@
 /*
- * Members of the fleet as one control knows them.
+ * Members of the fleet as known to one control.
  *
- * Rules kept here:
- *   - a record only gives way to one of a newer start or a higher revision;
+ * Invariants:
+ *
+ *   - a record is only replaced by one of a newer process or with a higher
+ *     revision;
  *   - only a member itself changes its record, others relay it;
- *   - "dead" is each control's own judgement from ages, never relayed;
- *   - a proof of life is relayed as an age that only grows on its way.
+ *   - each control decides from ages which members are dead, and does not relay
+ *     that decision;
+ *   - a proof of life is relayed as an age that only grows.
  *
- * membership_notes.txt gives the bytes this costs.
+ * membership_notes.txt gives the resulting bandwidth.
  */
 #include <auburnstile/internal/membership_table.h>
 
 #include <string.h>
 
-#define LOST_PICK 6 /* every 6th peer is a dead one or a seed */
+/* Every 6th peer is a dead member or a seed. */
+#define LOST_PEER_PICK_PERIOD 6
 
 static void record_free(void *data)
 {
@@ -104,37 +108,38 @@
 	return record;
 }
 
-static bool is_past(const struct aubi_member_record *record)
+static bool is_stopped_incarnation(const struct aubi_member_record *record)
 {
 	return strchr(record->key, '#') != NULL;
 }
 
-static bool counts(const struct aubi_member_record *record)
+static bool is_counted(const struct aubi_member_record *record)
 {
-	return !is_past(record) && record->member->state != AUB_MEMBER_STOPPED;
+	return !is_stopped_incarnation(record) &&
+	       record->member->state != AUB_MEMBER_STOPPED;
 }
 
-static gint64 last_us(const struct aubi_member_record *record)
+static gint64 last_sign_us(const struct aubi_member_record *record)
 {
-	return MAX(record->heard_us, record->proved_us);
+	return MAX(record->last_heard_us, record->last_proof_us);
 }
 
 static bool is_live(const struct aubi_membership *membership,
 		    const struct aubi_member_record *record, gint64 now_us)
 {
-	if (!counts(record))
+	if (!is_counted(record))
 		return false;
 	if (record == membership->self)
 		return true;
-	return last_us(record) &&
-	       now_us - last_us(record) < AUBI_MEMBER_LIVE_US;
+	return last_sign_us(record) &&
+	       now_us - last_sign_us(record) < AUBI_MEMBER_TIMEOUT_US;
 }
 
 guint32 aubi_membership_age_ms(const struct aubi_membership *membership,
 			       const struct aubi_member_record *record,
 			       gint64 now_us)
 {
-	gint64 age_us = now_us - last_us(record);
+	gint64 age_us = now_us - last_sign_us(record);
 
 	if (record == membership->self)
 		return 0;
@@ -152,7 +157,7 @@
 	membership->seeds = g_strdupv((char **)seeds);
 	membership->self =
 		aubi_membership_insert(membership, g_strdup(self->name), self);
-	membership->self->shown_live = true;
+	membership->self->reported_live = true;
 	aubi_membership_rehash(membership);
 	return membership;
 }
@@ -179,28 +184,30 @@
 }
 
 /*
- * An entry that left in order is about to be replaced under its name: keys
- * granted by it would be answered "unknown" though its heir has them. Its
- * record goes on under its own incarnation until the keys have expired.
+ * When an entry has stopped as planned and another one starts under its name,
+ * keys granted by the stopped entry would be answered "unknown" although its
+ * successor has them. The record of the stopped incarnation is therefore
+ * retained under a key of its own until the keys have expired.
  */
-bool aubi_membership_keep_past(struct aubi_membership *membership,
-			       const struct aub_member *past, gint64 now_us)
+bool aubi_membership_retain_stopped(struct aubi_membership *membership,
+				    const struct aub_member *stopped,
+				    gint64 now_us)
 {
 	struct aubi_member_record *record;
 	char *key;
 
-	if (past->state != AUB_MEMBER_STOPPED || !past->heir)
+	if (stopped->state != AUB_MEMBER_STOPPED || !stopped->successor)
 		return false;
-	if ((gint64)past->age_ms * 1000 >= AUBI_MEMBER_STOPPED_US)
+	if ((gint64)stopped->age_ms * 1000 >= AUBI_MEMBER_STOPPED_RETENTION_US)
 		return false;
-	key = g_strdup_printf("%s#%" G_GINT64_MODIFIER "x", past->name,
-			      past->incarnation);
+	key = g_strdup_printf("%s#%" G_GINT64_MODIFIER "x", stopped->name,
+			      stopped->incarnation);
 	if (aubi_membership_find(membership, key)) {
 		g_free(key);
 		return false;
 	}
-	record = aubi_membership_insert(membership, key, past);
-	record->heard_us = MAX(1, now_us - (gint64)past->age_ms * 1000);
+	record = aubi_membership_insert(membership, key, stopped);
+	record->last_heard_us = MAX(1, now_us - (gint64)stopped->age_ms * 1000);
 	return true;
 }
 
@@ -212,7 +219,7 @@
 static bool same_record(const struct aub_member *a, const struct aub_member *b)
 {
 	return a->state == b->state && a->incarnation == b->incarnation &&
-	       a->heir == b->heir && same_text(a->zone, b->zone) &&
+	       a->successor == b->successor && same_text(a->zone, b->zone) &&
 	       same_text(a->callers_address, b->callers_address) &&
 	       same_text(a->inner_address, b->inner_address) &&
 	       same_text(a->control_address, b->control_address) &&
@@ -234,35 +241,36 @@
 		copy->revision++;
 	record->member = copy;
 	if (old->incarnation != copy->incarnation)
-		aubi_membership_keep_past(membership, old, now_us);
+		aubi_membership_retain_stopped(membership, old, now_us);
 	aub_member_free(old);
 	aubi_membership_rehash(membership);
 }
 
 /*
- * Failure: a side that is cut off forgets all the others as dead.
- * Symptom: it counts itself complete and serves again, by an old version.
- * Enough: only who hears a majority forgets, and two sides never both do.
+ * A minority partition that forgot the other members as dead would count itself
+ * complete and would serve again, with an old version. Members are only
+ * forgotten where a majority is heard, which cannot be true on both sides.
  */
-static bool may_forget(const struct aubi_membership *membership, gint64 now_us)
+static bool can_forget_dead(const struct aubi_membership *membership,
+			    gint64 now_us)
 {
-	guint majority = aubi_membership_known(membership) / 2 + 1;
+	guint majority = aubi_membership_count(membership) / 2 + 1;
 
-	return aubi_membership_heard_us(membership, majority, now_us) <
-	       AUBI_MEMBER_LIVE_US;
+	return aubi_membership_proof_age_us(membership, majority, now_us) <
+	       AUBI_MEMBER_TIMEOUT_US;
 }
 
-static bool expired(const struct aubi_membership *membership,
-		    const struct aubi_member_record *record, bool forget,
-		    gint64 now_us)
+static bool is_expired(const struct aubi_membership *membership,
+		       const struct aubi_member_record *record, bool forget,
+		       gint64 now_us)
 {
-	gint64 age_us = now_us - last_us(record);
+	gint64 age_us = now_us - last_sign_us(record);
 
 	if (record == membership->self)
 		return false;
 	if (record->member->state == AUB_MEMBER_STOPPED)
-		return age_us >= AUBI_MEMBER_STOPPED_US;
-	return forget && age_us >= AUBI_MEMBER_EXPIRE_US;
+		return age_us >= AUBI_MEMBER_STOPPED_RETENTION_US;
+	return forget && age_us >= AUBI_MEMBER_DEAD_RETENTION_US;
 }
 
 guint aubi_membership_forget_dead(struct aubi_membership *membership,
@@ -275,7 +283,7 @@
 		struct aubi_member_record *record =
 			membership->records->pdata[i];
 
-		if (!counts(record) || is_live(membership, record, now_us))
+		if (!is_counted(record) || is_live(membership, record, now_us))
 			continue;
 		record->member->state = AUB_MEMBER_STOPPED;
 		record->member->revision++;
@@ -289,7 +297,7 @@
 bool aubi_membership_tick(struct aubi_membership *membership, gint64 now_us)
 {
 	guint before = membership->records->len;
-	bool forget = may_forget(membership, now_us);
+	bool forget = can_forget_dead(membership, now_us);
 	bool changed = false;
 	guint i;
 
@@ -298,10 +306,10 @@
 			membership->records->pdata[i - 1];
 		bool live = is_live(membership, record, now_us);
 
-		if (live != record->shown_live)
+		if (live != record->reported_live)
 			changed = true;
-		record->shown_live = live;
-		if (expired(membership, record, forget, now_us))
+		record->reported_live = live;
+		if (is_expired(membership, record, forget, now_us))
 			g_ptr_array_remove_index(membership->records, i - 1);
 	}
 	if (membership->records->len != before)
@@ -309,7 +317,10 @@
 	return changed || membership->records->len != before;
 }
 
-/* Seeds at which no live member is known: a peer may be there unknown. */
+/*
+ * Adds seed addresses at which no live member is known, as an unknown peer may
+ * run there.
+ */
 static void add_seeds(const struct aubi_membership *membership,
 		      GPtrArray *addresses, gint64 now_us)
 {
@@ -333,11 +344,11 @@
 	}
 }
 
-const char *aubi_membership_pick(struct aubi_membership *membership,
-				 gint64 now_us)
+const char *aubi_membership_pick_peer(struct aubi_membership *membership,
+				      gint64 now_us)
 {
 	GPtrArray *live = g_ptr_array_new();
-	GPtrArray *lost = g_ptr_array_new();
+	GPtrArray *unreachable = g_ptr_array_new();
 	GPtrArray *from = live;
 	const char *address = NULL;
 	guint i;
@@ -346,21 +357,23 @@
 		struct aubi_member_record *record =
 			membership->records->pdata[i];
 
-		if (record == membership->self || !counts(record))
+		if (record == membership->self || !is_counted(record))
 			continue;
-		g_ptr_array_add(is_live(membership, record, now_us) ? live :
-								      lost,
+		g_ptr_array_add(is_live(membership, record, now_us) ?
+					live :
+					unreachable,
 				record->member->control_address);
 	}
-	add_seeds(membership, lost, now_us);
-	membership->picks++;
-	if (!live->len || (lost->len && membership->picks % LOST_PICK == 0))
-		from = lost;
+	add_seeds(membership, unreachable, now_us);
+	membership->pick_count++;
+	if (!live->len || (unreachable->len &&
+			   membership->pick_count % LOST_PEER_PICK_PERIOD == 0))
+		from = unreachable;
 	if (from->len)
 		address = from->pdata[g_rand_int_range(membership->random, 0,
 						       (gint32)from->len)];
 	g_ptr_array_unref(live);
-	g_ptr_array_unref(lost);
+	g_ptr_array_unref(unreachable);
 	return address;
 }
 
@@ -378,25 +391,25 @@
 
 		copy->age_ms =
 			aubi_membership_age_ms(membership, record, now_us);
-		if (counts(record) && !is_live(membership, record, now_us))
+		if (is_counted(record) && !is_live(membership, record, now_us))
 			copy->state = AUB_MEMBER_DEAD;
 		g_ptr_array_add(list, copy);
 	}
 	return list;
 }
 
-guint aubi_membership_known(const struct aubi_membership *membership)
+guint aubi_membership_count(const struct aubi_membership *membership)
 {
 	guint known = 0;
 	guint i;
 
 	for (i = 0; i < membership->records->len; i++)
-		known += counts(membership->records->pdata[i]);
+		known += is_counted(membership->records->pdata[i]);
 	return known;
 }
 
-guint aubi_membership_live(const struct aubi_membership *membership,
-			   gint64 now_us)
+guint aubi_membership_count_live(const struct aubi_membership *membership,
+				 gint64 now_us)
 {
 	guint live = 0;
 	guint i;
@@ -407,8 +420,8 @@
 	return live;
 }
 
-guint aubi_membership_holders(const struct aubi_membership *membership,
-			      guint64 version)
+guint aubi_membership_count_holding(const struct aubi_membership *membership,
+				    guint64 version)
 {
 	guint holders = 0;
 	guint i;
@@ -417,13 +430,14 @@
 		const struct aubi_member_record *record =
 			membership->records->pdata[i];
 
-		holders += counts(record) && (record == membership->self ||
-					      record->held_version >= version);
+		holders +=
+			is_counted(record) && (record == membership->self ||
+					       record->held_version >= version);
 	}
 	return holders;
 }
 
-static int by_time_falling(const void *a, const void *b)
+static int by_time_descending(const void *a, const void *b)
 {
 	gint64 left = *(const gint64 *)a;
 	gint64 right = *(const gint64 *)b;
@@ -431,24 +445,24 @@
 	return left > right ? -1 : left < right;
 }
 
-gint64 aubi_membership_heard_us(const struct aubi_membership *membership,
-				guint count, gint64 now_us)
+gint64 aubi_membership_proof_age_us(const struct aubi_membership *membership,
+				    guint count, gint64 now_us)
 {
 	GArray *times = g_array_new(FALSE, FALSE, sizeof(gint64));
-	gint64 age_us = AUBI_MEMBER_NEVER;
+	gint64 age_us = AUBI_AGE_UNKNOWN_US;
 	guint i;
 
 	for (i = 0; i < membership->records->len; i++) {
 		const struct aubi_member_record *record =
 			membership->records->pdata[i];
-		gint64 at_us = record->proved_us;
+		gint64 at_us = record->last_proof_us;
 
 		if (record == membership->self)
 			at_us = now_us;
-		if (counts(record) && at_us)
+		if (is_counted(record) && at_us)
 			g_array_append_val(times, at_us);
 	}
-	g_array_sort(times, by_time_falling);
+	g_array_sort(times, by_time_descending);
 	if (!count)
 		age_us = 0;
 	else if (times->len >= count)
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -1,6 +1,6 @@
 /*
- * A gateway's counters and gauges, read when they are asked for. Requests and
- * their latency are counted as they end (gateway.c).
+ * A gateway's counters and gauges, read at export time. Requests and their
+ * latency are counted when they end (gateway.c).
  *
  * Label sets are bounded by services, kinds and states, never by routes,
  * upstreams or callers.
@@ -10,67 +10,67 @@
 
 #include <sys/resource.h>
 
-/* One figure without labels. */
-struct figure {
+/* A metric without labels. */
+struct scalar {
 	const char *name;
 	const char *help;
-	bool total; /* only rises */
+	bool is_counter; /* else a gauge */
 	gint64 (*read)(const struct aub_node *node);
 };
 
 static gint64 read_version(const struct aub_node *node)
 {
-	return node->version;
+	return node->config_version;
 }
 
 static gint64 read_requests(const struct aub_node *node)
 {
-	return aub_gateway_requests(node->gateway);
+	return aub_gateway_active_requests(node->gateway);
 }
 
-static gint64 read_callers(const struct aub_node *node)
+static gint64 read_caller_connections(const struct aub_node *node)
 {
-	return aub_gateway_connections(node->gateway);
+	return aub_gateway_open_connections(node->gateway);
 }
 
-static gint64 read_opened(const struct aub_node *node)
+static gint64 read_connections_opened(const struct aub_node *node)
 {
-	return (gint64)aub_http_client_opened(node->client);
+	return (gint64)aub_http_client_connections_opened(node->client);
 }
 
-static gint64 read_store_lost(const struct aub_node *node)
+static gint64 read_store_outage_ms(const struct aub_node *node)
 {
-	return aub_store_sync_lost_us(node->store) / AUB_MS;
+	return aub_store_sync_unavailable_us(node->store) / AUB_MS;
 }
 
-static gint64 read_asked(const struct aub_node *node)
+static gint64 read_placement_requests(const struct aub_node *node)
 {
-	return (gint64)aub_placer_get_counts(node->placer)->asked;
+	return (gint64)aub_placer_get_counts(node->placer)->requested;
 }
 
-static gint64 read_decided(const struct aub_node *node)
+static gint64 read_placed_here(const struct aub_node *node)
 {
 	return (gint64)aub_placer_get_counts(node->placer)->placed_here;
 }
 
-static gint64 read_alone(const struct aub_node *node)
+static gint64 read_placed_in_fallback(const struct aub_node *node)
 {
-	return (gint64)aub_placer_get_counts(node->placer)->placed_alone;
+	return (gint64)aub_placer_get_counts(node->placer)->placed_in_fallback;
 }
 
-static gint64 read_forwarded(const struct aub_node *node)
+static gint64 read_requests_forwarded(const struct aub_node *node)
 {
 	return (gint64)aub_placer_get_counts(node->placer)->forwarded;
 }
 
-static gint64 read_suspected(const struct aub_node *node)
+static gint64 read_placers_suspected(const struct aub_node *node)
 {
-	return (gint64)aub_placer_get_counts(node->placer)->suspected;
+	return (gint64)aub_placer_get_counts(node->placer)->placers_suspected;
 }
 
-static gint64 read_probes(const struct aub_node *node)
+static gint64 read_probes_sent(const struct aub_node *node)
 {
-	return (gint64)aub_placer_get_counts(node->placer)->probes;
+	return (gint64)aub_placer_get_counts(node->placer)->probes_sent;
 }
 
 static gint64 read_peers(const struct aub_node *node)
@@ -78,9 +78,9 @@
 	return aub_peers_count_alive(node->peers);
 }
 
-static gint64 read_refused(const struct aub_node *node)
+static gint64 read_datagrams_rejected(const struct aub_node *node)
 {
-	return (gint64)aub_peers_get_counts(node->peers)->refused;
+	return (gint64)aub_peers_get_counts(node->peers)->rejected_datagrams;
 }
 
 static gint64 read_introductions(const struct aub_node *node)
@@ -88,12 +88,12 @@
 	return (gint64)aub_peers_get_counts(node->peers)->introductions;
 }
 
-static gint64 read_records_refused(const struct aub_node *node)
+static gint64 read_records_rejected(const struct aub_node *node)
 {
 	return (gint64)node->records_refused;
 }
 
-/* Linux tells kilobytes. */
+/* Linux reports kilobytes. Returns -1 on error. */
 static gint64 read_memory(const struct aub_node *node)
 {
 	struct rusage usage;
@@ -103,59 +103,64 @@
 	return (gint64)usage.ru_maxrss * 1024;
 }
 
-static const struct figure figures[] = {
-	{ "auburnstile_config_version", "configuration in force", false,
-	  read_version },
+static const struct scalar scalars[] = {
+	{ "auburnstile_config_version", "version of the active configuration",
+	  false, read_version },
 	{ "auburnstile_requests_under_way", "now", false, read_requests },
-	{ "auburnstile_caller_connections", "open now", false, read_callers },
+	{ "auburnstile_caller_connections", "open connections of callers",
+	  false, read_caller_connections },
 	{ "auburnstile_connections_opened_total",
-	  "to upstreams and to the store", true, read_opened },
+	  "connections opened to upstreams and to the store", true,
+	  read_connections_opened },
 	{ "auburnstile_store_lost_ms",
-	  "since the store stopped answering; 0: it answers", false,
-	  read_store_lost },
+	  "time since the store stopped answering; 0: it answers", false,
+	  read_store_outage_ms },
 	{ "auburnstile_placer_asked_total",
-	  "requests that asked for an upstream", true, read_asked },
-	{ "auburnstile_placer_decided_total", "asked here, by any gateway",
-	  true, read_decided },
-	{ "auburnstile_placer_alone_total", "placed for want of a placer", true,
-	  read_alone },
+	  "placement requests of this gateway", true, read_placement_requests },
+	{ "auburnstile_placer_decided_total",
+	  "placement decisions made here, for any gateway", true,
+	  read_placed_here },
+	{ "auburnstile_placer_alone_total",
+	  "requests placed locally because no placer answered", true,
+	  read_placed_in_fallback },
 	{ "auburnstile_placer_forwarded_total",
-	  "asks passed on to a gateway that ranks first", true,
-	  read_forwarded },
+	  "placement requests forwarded to a gateway that ranks first", true,
+	  read_requests_forwarded },
 	{ "auburnstile_placer_suspected_total",
-	  "placers that did not answer in time", true, read_suspected },
-	{ "auburnstile_probes_total", "sent", true, read_probes },
-	{ "auburnstile_peers_alive", "other gateways heard lately", false,
-	  read_peers },
+	  "placers that did not answer in time", true, read_placers_suspected },
+	{ "auburnstile_probes_total", "sent", true, read_probes_sent },
+	{ "auburnstile_peers_alive", "other gateways with recent heartbeats",
+	  false, read_peers },
 	{ "auburnstile_peer_datagrams_refused_total",
-	  "datagrams of peers that made no sense", true, read_refused },
+	  "malformed datagrams received", true, read_datagrams_rejected },
 	{ "auburnstile_peer_introductions_total",
-	  "of gateways that knew nobody", true, read_introductions },
+	  "introductions sent to gateways that knew no peers", true,
+	  read_introductions },
 	{ "auburnstile_records_refused_total",
-	  "objects of the store that made no sense", true,
-	  read_records_refused },
-	{ "auburnstile_memory_peak_bytes", "-1: can't be told", false,
-	  read_memory },
+	  "store objects that could not be read", true, read_records_rejected },
+	{ "auburnstile_memory_peak_bytes", "peak resident memory; -1: unknown",
+	  false, read_memory },
 };
 
-/* `total`: it only rises. `labels` is freed. */
-static void set_series(struct aub_node *node, bool total, const char *name,
+/* Sets a counter or a gauge. Frees `labels`. */
+static void set_series(struct aub_node *node, bool is_counter, const char *name,
 		       char *labels, const char *help, gint64 value)
 {
 	struct aub_metrics *metrics = node->metrics;
 	guint handle =
-		total ? aub_metrics_counter(metrics, name, labels, help) :
-			aub_metrics_gauge(metrics, name, labels, help);
+		is_counter ? aub_metrics_counter(metrics, name, labels, help) :
+			     aub_metrics_gauge(metrics, name, labels, help);
 
 	aub_metrics_set(metrics, handle, value);
 	g_free(labels);
 }
 
-/* A series of one service. */
-static void set_service(struct aub_node *node, bool total, const char *name,
-			const char *service, const char *help, gint64 value)
+/* Sets a metric with a service label. */
+static void set_service_series(struct aub_node *node, bool is_counter,
+			       const char *name, const char *service,
+			       const char *help, gint64 value)
 {
-	set_series(node, total, name,
+	set_series(node, is_counter, name,
 		   aub_metrics_labels("service", service, NULL), help, value);
 }
 
@@ -164,11 +169,11 @@
 {
 	set_series(node, false, "auburnstile_upstreams",
 		   aub_metrics_labels("service", service, "state", state, NULL),
-		   "by state, as this gateway sees it", count);
+		   "upstreams by state, in this gateway's view", count);
 }
 
 static void export_placement(const char *service,
-			     const struct aub_placement_state *state,
+			     const struct aub_placement_stats *state,
 			     void *context)
 {
 	struct aub_node *node = context;
@@ -177,58 +182,67 @@
 	export_upstreams(node, service, "down", state->down);
 	export_upstreams(node, service, "unknown", state->unknown);
 	export_upstreams(node, service, "cold", state->cold);
-	export_upstreams(node, service, "leaving", state->leaving);
-	export_upstreams(node, service, "held", state->held);
-	set_service(node, false, "auburnstile_queued", service,
-		    "requests that wait here for a slot", state->queued);
-	set_service(node, false, "auburnstile_granted", service,
-		    "slots in use by what was granted here", state->granted);
-	set_service(node, true, "auburnstile_asks_refused_total", service,
-		    "asks that got no upstream here", (gint64)state->refused);
-	set_service(node, true, "auburnstile_cold_grants_total", service,
-		    "requests given to cold upstreams",
-		    (gint64)state->cold_grants);
-	set_service(node, false, "auburnstile_cold_limit_per_1000_s", service,
-		    "requests that one cold upstream is given",
-		    (gint64)(1000 * state->cold_per_s));
-	set_service(node, false, "auburnstile_upstream_full_percent", service,
-		    "of its slots that an upstream is kept to, learned",
-		    state->full_percent);
-	set_service(node, false, "auburnstile_upstream_slowdown_percent",
-		    service, "mean that upstreams tell; 100 is as usual",
-		    state->slowdown_percent);
-	set_service(node, false, "auburnstile_upstream_burst_ms", service,
-		    "for which what upstreams tell holds, learned",
-		    state->burst_ms);
+	export_upstreams(node, service, "leaving", state->draining);
+	export_upstreams(node, service, "held", state->withheld);
+	set_service_series(node, false, "auburnstile_queued", service,
+			   "requests queued here for a slot", state->queued);
+	set_service_series(node, false, "auburnstile_granted", service,
+			   "slots in use by requests granted here",
+			   state->granted);
+	set_service_series(node, true, "auburnstile_asks_refused_total",
+			   service, "placement requests refused here",
+			   (gint64)state->refused);
+	set_service_series(node, true, "auburnstile_cold_grants_total", service,
+			   "requests granted to upstreams in warm-up",
+			   (gint64)state->cold_grants);
+	set_service_series(
+		node, false, "auburnstile_cold_limit_per_1000_s", service,
+		"limit of requests per 1000 s to one upstream in warm-up",
+		(gint64)(1000 * state->cold_rate_per_s));
+	set_service_series(
+		node, false, "auburnstile_upstream_full_percent", service,
+		"learned limit of an upstream's slots in use, in percent",
+		state->concurrency_limit_percent);
+	set_service_series(
+		node, false, "auburnstile_upstream_slowdown_percent", service,
+		"mean service time reported by upstreams; 100 is typical",
+		state->slowdown_percent);
+	set_service_series(node, false, "auburnstile_upstream_burst_ms",
+			   service,
+			   "learned length of interference bursts at upstreams",
+			   state->interference_ms);
 }
 
 static void export_rollout(const char *service,
-			   const struct aub_placement_state *state,
+			   const struct aub_placement_stats *state,
 			   void *context)
 {
 	struct aub_node *node = context;
 
 	for (guint i = AUB_ROLLOUT_RUNNING; i < AUB_ROLLOUT_STATES; i++)
-		set_series(node, false, "auburnstile_rollout_state",
-			   aub_metrics_labels("service", service, "state",
-					      aub_rollout_state_name((
-						      enum aub_rollout_state)i),
-					      NULL),
-			   "1: the order is there, as this gateway sees it",
-			   state->rollout == i);
-	set_service(node, false, "auburnstile_rollout_exposed", service,
-		    "requests placed here at the version of the order",
-		    (gint64)state->exposed);
-	set_service(node, false, "auburnstile_rollout_answers", service,
-		    "of the version, that judge it", state->judged);
-	set_service(node, false, "auburnstile_rollout_bad_answers", service,
-		    "of these, failures and slow ones", state->judged_bad);
+		set_series(
+			node, false, "auburnstile_rollout_state",
+			aub_metrics_labels("service", service, "state",
+					   aub_rollout_state_name(
+						   (enum aub_rollout_state)i),
+					   NULL),
+			"1: current state of the order, in this gateway's view",
+			state->rollout == i);
+	set_service_series(node, false, "auburnstile_rollout_exposed", service,
+			   "requests placed here on the order's version",
+			   (gint64)state->exposed);
+	set_service_series(node, false, "auburnstile_rollout_answers", service,
+			   "answers of the new version that were judged",
+			   state->judged_answers);
+	set_service_series(node, false, "auburnstile_rollout_bad_answers",
+			   service, "judged answers that failed or were slow",
+			   state->bad_answers);
 }
 
 static void export_store_kind(struct aub_node *node, enum aub_store_kind kind)
 {
 	const char *name = aub_store_kind_name(kind);
-	gint64 heard_us = aub_store_sync_heard_us(node->store, kind);
+	gint64 answered_us = aub_store_sync_answered_us(node->store, kind);
 	gint64 now = aub_timer_now(node->timers);
 
 	for (guint i = 0; i < AUB_STORE_RESULTS; i++) {
@@ -238,17 +252,17 @@
 			   aub_metrics_labels("kind", name, "result",
 					      aub_store_result_name(result),
 					      NULL),
-			   "by what they were about and how they ended",
+			   "calls of the store by object kind and result",
 			   (gint64)aub_store_sync_calls(node->store, kind,
 							result));
 	}
 	set_series(node, false, "auburnstile_store_age_ms",
 		   aub_metrics_labels("kind", name, NULL),
-		   "since the store itself told of it; -1: never",
-		   heard_us ? (now - heard_us) / AUB_MS : -1);
+		   "time since the store last answered; -1: never",
+		   answered_us ? (now - answered_us) / AUB_MS : -1);
 }
 
-static void export_links(struct aub_node *node)
+static void export_peer_traffic(struct aub_node *node)
 {
 	const struct aub_peers_counts *counts =
 		aub_peers_get_counts(node->peers);
@@ -257,55 +271,59 @@
 
 	set_series(node, true, datagrams,
 		   aub_metrics_labels("to", "zone", NULL),
-		   "sent to other gateways", (gint64)counts->near_datagrams);
+		   "datagrams sent to other gateways",
+		   (gint64)counts->own_zone_datagrams);
 	set_series(node, true, datagrams,
 		   aub_metrics_labels("to", "others", NULL),
-		   "sent to other gateways", (gint64)counts->far_datagrams);
+		   "datagrams sent to other gateways",
+		   (gint64)counts->cross_zone_datagrams);
 	set_series(node, true, bytes, aub_metrics_labels("to", "zone", NULL),
-		   "of these datagrams", (gint64)counts->near_bytes);
+		   "bytes of datagrams sent to other gateways",
+		   (gint64)counts->own_zone_bytes);
 	set_series(node, true, bytes, aub_metrics_labels("to", "others", NULL),
-		   "of these datagrams", (gint64)counts->far_bytes);
+		   "bytes of datagrams sent to other gateways",
+		   (gint64)counts->cross_zone_bytes);
 }
 
 static void export_log(struct aub_node *node)
 {
-	static const char *const names[AUB_LOG_CLASSES] = {
-		[AUB_LOG_CALM] = "calm",
-		[AUB_LOG_TROUBLE] = "trouble",
+	static const char *const names[AUB_LOG_CLASS_COUNT] = {
+		[AUB_LOG_SUCCESS] = "calm",
+		[AUB_LOG_FAILURE] = "trouble",
 		[AUB_LOG_STATE] = "state",
 	};
 
-	for (guint i = 0; i < AUB_LOG_CLASSES; i++)
+	for (guint i = 0; i < AUB_LOG_CLASS_COUNT; i++)
 		set_series(node, true, "auburnstile_log_dropped_total",
 			   aub_metrics_labels("class", names[i], NULL),
-			   "lines that found no room",
+			   "log lines dropped because the buffer was full",
 			   (gint64)aub_decision_log_dropped(
 				   (enum aub_log_class)i));
 }
 
-void aub_node_on_export(const struct aub_http_head *head,
-			struct aub_http_reply *reply, void *context)
+void aub_node_on_metrics(const struct aub_http_head *head,
+			 struct aub_http_response *reply, void *context)
 {
 	struct aub_node *node = context;
 	char *text;
 
-	if (!aub_http_path_is(head->target, "/metrics"))
+	if (!aub_http_target_has_path(head->target, "/metrics"))
 		return;
-	for (guint i = 0; i < G_N_ELEMENTS(figures); i++) {
-		const struct figure *figure = &figures[i];
+	for (guint i = 0; i < G_N_ELEMENTS(scalars); i++) {
+		const struct scalar *scalar = &scalars[i];
 
-		set_series(node, figure->total, figure->name, NULL,
-			   figure->help, figure->read(node));
+		set_series(node, scalar->is_counter, scalar->name, NULL,
+			   scalar->help, scalar->read(node));
 	}
 	for (guint i = 0; i < AUB_STORE_KINDS; i++)
 		export_store_kind(node, (enum aub_store_kind)i);
-	export_links(node);
+	export_peer_traffic(node);
 	export_log(node);
 	aub_placer_visit(node->placer, export_placement, node);
-	if (node->takes_orders)
+	if (node->rollouts_enabled)
 		aub_placer_visit(node->placer, export_rollout, node);
 	reply->status = 200;
-	reply->type = "text/plain; version=0.0.4";
+	reply->content_type = "text/plain; version=0.0.4";
 	text = aub_metrics_text(node->metrics);
 	reply->body = g_bytes_new_take(text, strlen(text));
 }
--- a/src/coordination/peers_introduction.c
+++ b/src/coordination/peers_introduction.c
@@ -1,40 +1,42 @@
 /*
- * Introductions: whoever starts is told by one gateway where the others are.
+ * Introductions: a gateway that starts gets the addresses of all others from
+ * one of them.
  */
 #include <auburnstile/internal/peers_parts.h>
 
 #include <arpa/inet.h>
 #include <string.h>
 
-/* IPv4 address and port, in network order. */
+/* Wire format of an address: IPv4 address and port, in network order. */
 #define ADDRESS_BYTES 6
-#define PORT_AT 4
+#define PORT_OFFSET 4
 
-#define INTRODUCED_US (1 * AUB_SECOND) /* the others have answered by then */
+/* After this the other gateways have answered. */
+#define INTRODUCTION_GRACE_US (1 * AUB_SECOND)
 
 static void append_address(GByteArray *packed,
 			   const struct sockaddr_in *address)
 {
 	g_byte_array_append(packed, (const guint8 *)&address->sin_addr.s_addr,
-			    PORT_AT);
+			    PORT_OFFSET);
 	g_byte_array_append(packed, (const guint8 *)&address->sin_port,
-			    ADDRESS_BYTES - PORT_AT);
+			    ADDRESS_BYTES - PORT_OFFSET);
 }
 
-/* "ip:port"; g_free. */
+/* Returns "ip:port", to be freed with g_free(). */
 static char *read_address(const guint8 *packed)
 {
 	char host[INET_ADDRSTRLEN];
 	guint16 port;
 
 	inet_ntop(AF_INET, packed, host, sizeof(host));
-	memcpy(&port, packed + PORT_AT, sizeof(port));
+	memcpy(&port, packed + PORT_OFFSET, sizeof(port));
 	return g_strdup_printf("%s:%u", host, ntohs(port));
 }
 
 /*
- * To one that knows this process as a seed, and nobody else: where the others
- * are. Its heartbeats then reach all of them.
+ * Sends the addresses of all live gateways to a gateway that knows only this
+ * process, as its seed. Its heartbeats then reach all of them.
  */
 void aub_peers_introduce(struct aub_peers *peers, const struct aub_peer *to)
 {
@@ -59,13 +61,16 @@
 	g_byte_array_unref(packed);
 }
 
-bool aub_peers_take_introduction(struct aub_peers *peers,
-				 const struct aub_introduction *message)
+bool aub_peers_apply_introduction(struct aub_peers *peers,
+				  const struct aub_introduction *message)
 {
 	if (message->addresses.length % ADDRESS_BYTES)
 		return false;
-	peers->introduced_us = aub_timer_now(peers->options.timers);
-	/* At once: the heartbeats that follow must not ask for another one. */
+	peers->last_introduction_us = aub_timer_now(peers->options.timers);
+	/*
+	 * Updated immediately, so that the heartbeats that follow don't request
+	 * another introduction.
+	 */
 	peers->heartbeat->peers = MAX(peers->heartbeat->peers, 1);
 	for (gsize i = 0; i < message->addresses.length; i += ADDRESS_BYTES) {
 		char *address = read_address(message->addresses.data + i);
@@ -77,14 +82,15 @@
 }
 
 /*
- * Failure: one that starts is introduced by its seed, and tells all those that
- * it knows nobody yet. Symptom: all of them introduce it. Enough: whoever was
- * just introduced says that it has found them.
+ * A starting gateway that has been introduced by its seed sends heartbeats to
+ * all others. If these still stated that it knows no peers, each of the others
+ * would introduce it too. For a while after an introduction, all addresses in
+ * the table count as known peers.
  */
-guint aub_peers_count_found(const struct aub_peers *peers, gint64 now_us)
+guint aub_peers_count_known(const struct aub_peers *peers, gint64 now_us)
 {
-	if (peers->introduced_us &&
-	    now_us - peers->introduced_us < INTRODUCED_US)
+	if (peers->last_introduction_us &&
+	    now_us - peers->last_introduction_us < INTRODUCTION_GRACE_US)
 		return peers->all->len - 1;
 	return aub_peers_count_alive(peers);
 }
--- a/src/coordination/peers_rank.c
+++ b/src/coordination/peers_rank.c
@@ -1,35 +1,35 @@
 /*
- * Who does what, as one gateway sees it: the order of those that may place
- * for a service, and those of each zone that watch the store.
+ * Ranking of the gateways as seen by this process: the order in which they
+ * place for a service, and the store watchers of each zone.
  */
 #include <auburnstile/internal/peers_parts.h>
 
 #include <string.h>
 
-/* Ranked like a service; no service's name holds a space. */
+/* Ranked like a service. Names of services contain no spaces. */
 #define WATCH_ROLE "store watch"
 
 /*
- * Failure: the store turns a part of the machines away, or falls silent for
- * them. Symptom: with one watcher a zone, all of them may be among these, and
- * a change is late everywhere. Enough: two a zone, and another begins as soon
- * as one says that it does not hear.
+ * The store may refuse or not answer a part of the gateways. If a zone's only
+ * watcher is among them, the zone sees changes late. With two per zone this is
+ * rarer, and another one starts as soon as a watcher reports that it doesn't
+ * reach the store.
  */
-#define WATCHERS 2
+#define WATCHERS_PER_ZONE 2
 
-bool aub_peer_is_near(const struct aub_peers *peers,
-		      const struct aub_peer *peer)
+bool aub_peer_is_in_own_zone(const struct aub_peers *peers,
+			     const struct aub_peer *peer)
 {
 	return !strcmp(peer->zone, aub_peers_self(peers)->zone);
 }
 
-void aub_peers_rank_again(struct aub_peers *peers)
+void aub_peers_invalidate_ranks(struct aub_peers *peers)
 {
 	g_hash_table_remove_all(peers->ranked);
 	g_clear_pointer(&peers->watchers, g_ptr_array_unref);
 }
 
-void aub_peer_forget_ranks(struct aub_peer *peer)
+void aub_peer_clear_rank_keys(struct aub_peer *peer)
 {
 	g_hash_table_remove_all(peer->rank_keys);
 }
@@ -39,7 +39,7 @@
 	struct aub_peer *peer;
 };
 
-/* The first bytes of a checksum over service and name. */
+/* Returns the first bytes of a digest of service and name. */
 static guint64 rank_hash(const char *service, const char *name)
 {
 	GChecksum *checksum = g_checksum_new(G_CHECKSUM_MD5);
@@ -57,48 +57,47 @@
 }
 
 /*
- * Failure: every change of one peer ranks all of them anew. Symptom: while a
- * fleet starts, a small VM does nothing but checksums and answers no asks.
- * Enough: a peer's hash for a service is computed once.
+ * Any change of a peer ranks all peers anew. Without this cache a small VM
+ * would spend all its CPU on hashes while a fleet starts, and answer no
+ * placement requests. A peer's hash for a service is computed once.
  */
 static guint64 rank_key(struct aub_peers *peers, struct aub_peer *peer,
 			const char *service)
 {
-	guint64 *known = g_hash_table_lookup(peer->rank_keys, service);
-
-	if (known)
-		return *known;
-	known = g_new(guint64, 1);
-	*known = rank_hash(service, peer->name);
-	peers->rank_hashes++;
-	g_hash_table_insert(peer->rank_keys, g_strdup(service), known);
-	return *known;
+	guint64 *cached = g_hash_table_lookup(peer->rank_keys, service);
+
+	if (cached)
+		return *cached;
+	cached = g_new(guint64, 1);
+	*cached = rank_hash(service, peer->name);
+	peers->rank_hashes_computed++;
+	g_hash_table_insert(peer->rank_keys, g_strdup(service), cached);
+	return *cached;
 }
 
-/* VMs of one class differ by less than a factor of two. */
+/* VMs of one class differ in capacity by less than a factor of two. */
 static guint capacity_class(const struct aub_peer *peer)
 {
 	return g_bit_storage(peer->capacity);
 }
 
 /*
- * Failure: a placer is cut off from the store and grants upstreams that have
- * left. Symptom: each such grant has to be asked for again. Enough: those
- * that hear from the store place for the others.
+ * A placer that is partitioned from the store grants upstreams that are no
+ * longer there, and each such grant has to be requested again. Gateways with
+ * recent contact to the store therefore rank first.
  *
- * Failure: a small VM places for a large service. Symptom: probes and asks
- * take its processor, and asks time out. Enough: VMs that have more of it go
- * first.
+ * A small VM that places for a large service spends its CPU on probes and
+ * requests, and the requests time out. VMs with more CPU therefore rank higher.
  */
-static gint by_key(gconstpointer a, gconstpointer b)
+static gint compare_ranked_peers(gconstpointer a, gconstpointer b)
 {
 	const struct ranked_peer *left = a;
 	const struct ranked_peer *right = b;
 	guint left_class = capacity_class(left->peer);
 	guint right_class = capacity_class(right->peer);
 
-	if (left->peer->current != right->peer->current)
-		return left->peer->current ? -1 : 1;
+	if (left->peer->store_current != right->peer->store_current)
+		return left->peer->store_current ? -1 : 1;
 	if (left_class != right_class)
 		return left_class > right_class ? -1 : 1;
 	return left->key < right->key ? -1 : left->key > right->key;
@@ -118,7 +117,7 @@
 		ranked.key = rank_key(peers, peer, service);
 		g_array_append_val(list, ranked);
 	}
-	g_array_sort(list, by_key);
+	g_array_sort(list, compare_ranked_peers);
 	for (guint i = 0; i < list->len; i++)
 		g_ptr_array_add(
 			result,
@@ -138,37 +137,42 @@
 	return list;
 }
 
-GPtrArray *aub_peers_first_of_zones(const GPtrArray *ranked, guint most,
-				    bool (*is_fit)(const struct aub_peer *peer))
+GPtrArray *aub_peers_top_of_each_zone(
+	const GPtrArray *ranked, guint per_zone_max,
+	bool (*is_eligible)(const struct aub_peer *peer))
 {
 	GHashTable *counts = g_hash_table_new(g_str_hash, g_str_equal);
-	GPtrArray *first = g_ptr_array_new();
+	GPtrArray *selected = g_ptr_array_new();
 
 	for (guint i = 0; i < ranked->len; i++) {
 		struct aub_peer *peer = g_ptr_array_index(ranked, i);
-		guint before = GPOINTER_TO_UINT(
+		guint zone_count = GPOINTER_TO_UINT(
 			g_hash_table_lookup(counts, peer->zone));
 
-		if (before >= most || (is_fit && !is_fit(peer)))
+		if (zone_count >= per_zone_max ||
+		    (is_eligible && !is_eligible(peer)))
 			continue;
 		g_hash_table_insert(counts, peer->zone,
-				    GUINT_TO_POINTER(before + 1));
-		g_ptr_array_add(first, peer);
+				    GUINT_TO_POINTER(zone_count + 1));
+		g_ptr_array_add(selected, peer);
 	}
 	g_hash_table_unref(counts);
-	return first;
+	return selected;
 }
 
-static bool hears_store(const struct aub_peer *peer)
+static bool reaches_store(const struct aub_peer *peer)
 {
-	return peer->hears;
+	return peer->store_reachable;
 }
 
-/* The first of each zone that hear the store; of this process's, also it. */
+/*
+ * Returns the first peers of each zone that reach the store, which may include
+ * this process.
+ */
 static GPtrArray *find_watchers(struct aub_peers *peers)
 {
-	return aub_peers_first_of_zones(aub_peers_ranked(peers, WATCH_ROLE),
-					WATCHERS, hears_store);
+	return aub_peers_top_of_each_zone(aub_peers_ranked(peers, WATCH_ROLE),
+					  WATCHERS_PER_ZONE, reaches_store);
 }
 
 const GPtrArray *aub_peers_watchers(struct aub_peers *peers)
@@ -181,23 +185,25 @@
 enum aub_watch_duty aub_peers_watch_duty(struct aub_peers *peers)
 {
 	const GPtrArray *watchers = aub_peers_watchers(peers);
-	guint near = 0;
+	guint own_zone_watchers = 0;
 
-	if (!aub_peers_self(peers)->hears)
-		return AUB_WATCH_FIRST; /* to find out when the store is back */
+	if (!aub_peers_self(peers)->store_reachable)
+		return AUB_WATCH_PRIMARY; /* detects when the store is back */
 	for (guint i = 0; i < watchers->len; i++) {
 		const struct aub_peer *peer = g_ptr_array_index(watchers, i);
 
 		if (peer->self)
-			return near ? AUB_WATCH_STANDBY : AUB_WATCH_FIRST;
-		near += aub_peer_is_near(peers, peer);
+			return own_zone_watchers ? AUB_WATCH_STANDBY :
+						   AUB_WATCH_PRIMARY;
+		own_zone_watchers += aub_peer_is_in_own_zone(peers, peer);
 	}
-	if (!near)
-		return AUB_WATCH_FIRST;
-	return near < WATCHERS ? AUB_WATCH_STANDBY : AUB_WATCH_NONE;
+	if (!own_zone_watchers)
+		return AUB_WATCH_PRIMARY;
+	return own_zone_watchers < WATCHERS_PER_ZONE ? AUB_WATCH_STANDBY :
+						       AUB_WATCH_NONE;
 }
 
-bool aub_peers_self_watches(struct aub_peers *peers)
+bool aub_peers_self_is_watcher(struct aub_peers *peers)
 {
 	return aub_peers_watch_duty(peers) != AUB_WATCH_NONE;
 }
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -1,12 +1,12 @@
 /*
- * Messages between gateways about placing: asks and reports that come in,
- * decisions that go out.
+ * Placement messages between gateways: incoming requests and reports, and
+ * outgoing decisions.
  */
 #include <auburnstile/internal/placer_parts.h>
 
-struct aub_load_told aub_load_tell(const struct aub_load *load)
+struct aub_reported_load aub_load_encode(const struct aub_load *load)
 {
-	return (struct aub_load_told){
+	return (struct aub_reported_load){
 		.running = (guint32)(load->running + 1),
 		.waiting = (guint32)(load->waiting + 1),
 		.slots = (guint32)(load->slots + 1),
@@ -15,19 +15,19 @@
 	};
 }
 
-struct aub_load aub_load_of(const struct aub_load_told *told)
+struct aub_load aub_load_decode(const struct aub_reported_load *encoded)
 {
 	return (struct aub_load){
-		.running = (gint)told->running - 1,
-		.waiting = (gint)told->waiting - 1,
-		.slots = (gint)told->slots - 1,
-		.slowdown = (gint)told->slowdown - 1,
-		.warmup_ms = (gint)told->warmup_ms - 1,
+		.running = (gint)encoded->running - 1,
+		.waiting = (gint)encoded->waiting - 1,
+		.slots = (gint)encoded->slots - 1,
+		.slowdown = (gint)encoded->slowdown - 1,
+		.warmup_ms = (gint)encoded->warmup_ms - 1,
 	};
 }
 
 static void send_decision(struct aub_placer *placer,
-			  const struct aub_decision *decision)
+			  const struct aub_placement_decision *decision)
 {
 	struct aub_peer *peer = aub_peers_by_incarnation(placer->options.peers,
 							 decision->holder);
@@ -49,9 +49,9 @@
 	aub_message_free(&message->base);
 }
 
-/* A decision of a placement here, for whoever asked. */
+/* Delivers a decision of a local placement to the requesting gateway. */
 void aub_placer_deliver(struct aub_placer *placer,
-			const struct aub_decision *decision)
+			const struct aub_placement_decision *decision)
 {
 	struct aub_ticket *ticket;
 
@@ -60,92 +60,95 @@
 		return;
 	}
 	ticket = g_hash_table_lookup(placer->tickets, &decision->ticket);
-	if (ticket && ticket->placed)
-		aub_ticket_settle(placer, ticket, decision,
-				  placer->options.incarnation);
+	if (ticket && ticket->callback)
+		aub_ticket_resolve(placer, ticket, decision,
+				   placer->options.incarnation);
 }
 
 /*
- * Failure: a gateway that has just started does not know of the gateway that
- * ranks first, and asks another. Symptom: that one probes every upstream and
- * gives slots away that the first one counts. Enough: it passes the ask on,
- * once; the decision goes to the asker.
+ * A gateway that has just started may not know the first-ranked gateway and ask
+ * another. That one would probe every upstream and grant slots that the
+ * first-ranked one also counts. It therefore forwards the request, once; the
+ * decision is sent to the requesting gateway.
  */
-static bool forward_ask(struct aub_placer *placer,
-			const struct aub_peer *holder,
-			struct aub_place_ask *message)
+static bool forward_request(struct aub_placer *placer,
+			    const struct aub_peer *holder,
+			    struct aub_place_request *message)
 {
-	struct aub_peer *better = NULL;
+	struct aub_peer *first_ranked = NULL;
 
 	if (message->forward)
-		better = aub_placer_of(placer, message->service,
-				       aub_timer_now(placer->options.timers));
-	if (!better || better == holder)
+		first_ranked =
+			aub_placer_peer_for(placer, message->service,
+					    aub_timer_now(
+						    placer->options.timers));
+	if (!first_ranked || first_ranked == holder)
 		return false;
 	message->forward = false;
 	aub_string_set(&message->address, holder->address);
 	placer->counts.forwarded++;
-	aub_peers_send(placer->options.peers, better, &message->base);
+	aub_peers_send(placer->options.peers, first_ranked, &message->base);
 	return true;
 }
 
-static void take_ask(struct aub_placer *placer, struct aub_place_ask *message)
+static void handle_request(struct aub_placer *placer,
+			   struct aub_place_request *message)
 {
 	struct aub_placement *placement =
 		aub_placer_placement(placer, message->service);
 	GPtrArray *avoid;
-	struct aub_ask ask = {
+	struct aub_placement_request request = {
 		.ticket = message->ticket,
 		.holder = message->holder,
 		.zone = message->zone,
 		.priority = message->priority,
 		.target_ms = message->target_ms,
-		.on_time_ms = message->on_time_ms,
-		.patience_ms = message->patience_ms,
+		.on_time_wait_ms = message->on_time_ms,
+		.max_wait_ms = message->max_wait_ms,
 		.retry = message->retry,
 		.route = message->route,
 	};
-	struct aub_decision decision;
+	struct aub_placement_decision decision;
 	struct aub_peer *holder =
 		aub_peers_by_incarnation(placer->options.peers,
 					 message->holder);
 
 	/*
-	 * Failure: a grant for a gateway that this one does not know. Symptom:
-	 * the slot is lost, since no decision reaches it and no report comes
-	 * back. Enough: it is met first; the holder asks again at once.
+	 * A grant to an unknown gateway would lose the slot, since no decision
+	 * reaches that gateway and no report comes back. It is added as a peer
+	 * first; the holder resends the request shortly.
 	 */
 	if (!holder) {
 		if (message->address[0])
 			aub_peers_add(placer->options.peers, message->address);
 		return;
 	}
-	if (forward_ask(placer, holder, message))
+	if (forward_request(placer, holder, message))
 		return;
 	avoid = g_ptr_array_new();
 	for (guint i = 0; i < message->avoid->len; i++)
 		g_ptr_array_add(avoid, ((struct aub_name *)g_ptr_array_index(
 						message->avoid, i))
 					       ->name);
-	ask.avoid = (const char *const *)avoid->pdata;
-	ask.avoid_count = avoid->len;
-	aub_placer_wake_service(placer, message->service);
-	aub_placement_ask(placement, &ask,
-			  aub_timer_now(placer->options.timers), &decision);
+	request.avoid = (const char *const *)avoid->pdata;
+	request.avoid_count = avoid->len;
+	aub_placer_probe_service(placer, message->service);
+	aub_placement_submit(placement, &request,
+			     aub_timer_now(placer->options.timers), &decision);
 	placer->counts.placed_here++;
 	send_decision(placer, &decision);
 	if (decision.verdict == AUB_VERDICT_QUEUED)
-		aub_placer_arm(placer);
+		aub_placer_arm_tick(placer);
 	g_ptr_array_unref(avoid);
 }
 
-/* A grant that came too late for its ticket goes back at once. */
+/* Returns a grant that arrived too late for its ticket. */
 static void return_grant(struct aub_placer *placer,
 			 const struct aub_place_decision *message)
 {
-	const struct aub_attempt_report report = {
+	const struct aub_grant_report report = {
 		.ticket = message->ticket,
-		.end = AUB_END_UNUSED,
+		.end = AUB_GRANT_UNUSED,
 		.load = AUB_LOAD_UNKNOWN,
 	};
 	struct aub_ticket ticket = {
@@ -157,22 +160,22 @@
 	aub_ticket_send_report(placer, &ticket, &report);
 }
 
-/* The next suspicion of whoever answers is a short one again. */
-static void answered(struct aub_placer *placer, guint64 incarnation)
+/* After an answer, the next suspicion of the peer starts short again. */
+static void clear_suspicion(struct aub_placer *placer, guint64 incarnation)
 {
 	struct aub_peer *peer =
 		aub_peers_by_incarnation(placer->options.peers, incarnation);
 
 	if (peer)
-		peer->suspect_us = 0;
+		peer->suspicion_us = 0;
 }
 
-static void take_decision(struct aub_placer *placer,
-			  const struct aub_place_decision *message)
+static void handle_decision(struct aub_placer *placer,
+			    const struct aub_place_decision *message)
 {
 	struct aub_ticket *ticket =
 		g_hash_table_lookup(placer->tickets, &message->ticket);
-	const struct aub_decision decision = {
+	const struct aub_placement_decision decision = {
 		.ticket = message->ticket,
 		.verdict = (enum aub_verdict)message->verdict,
 		.upstream = message->upstream,
@@ -182,43 +185,44 @@
 
 	if (message->verdict > AUB_VERDICT_NO_BUDGET)
 		return;
-	if (!ticket || !ticket->placed || ticket->local ||
-	    (ticket->placer != message->placer && !ticket->forwardable)) {
-		bool same = ticket && ticket->granted_by == message->placer;
+	if (!ticket || !ticket->callback || ticket->placed_locally ||
+	    (ticket->asked_placer != message->placer && !ticket->forwardable)) {
+		bool already_granted =
+			ticket && ticket->granted_by == message->placer;
 
-		if (decision.verdict == AUB_VERDICT_GRANTED && !same)
+		if (decision.verdict == AUB_VERDICT_GRANTED && !already_granted)
 			return_grant(placer, message);
 		return;
 	}
-	ticket->placer = message->placer;
+	ticket->asked_placer = message->placer;
 	ticket->forwardable = false;
-	answered(placer, message->placer);
+	clear_suspicion(placer, message->placer);
 	if (decision.verdict == AUB_VERDICT_QUEUED) {
 		ticket->queued = true;
-		ticket->next_us = ticket->sent_us +
-				  ticket->ask.patience_ms * AUB_MS +
-				  AUB_QUEUED_SLACK_US;
+		ticket->next_action_us = ticket->sent_us +
+					 ticket->request.max_wait_ms * AUB_MS +
+					 AUB_DECISION_DELIVERY_SLACK_US;
 		return;
 	}
-	aub_ticket_settle(placer, ticket, &decision, message->placer);
+	aub_ticket_resolve(placer, ticket, &decision, message->placer);
 }
 
-static void take_remote_report(struct aub_placer *placer,
-			       const struct aub_place_report *message)
+static void handle_report(struct aub_placer *placer,
+			  const struct aub_place_report *message)
 {
-	const struct aub_attempt_report report = {
+	const struct aub_grant_report report = {
 		.ticket = message->ticket,
-		.end = (enum aub_attempt_end)message->end,
+		.end = (enum aub_grant_result)message->end,
 		.elapsed_us = (gint64)message->elapsed_us,
-		.load = aub_load_of(&message->load),
+		.load = aub_load_decode(&message->load),
 	};
 	GHashTableIter iter;
 	void *placement;
 
-	if (message->end > AUB_END_UNUSED)
+	if (message->end > AUB_GRANT_UNUSED)
 		return;
 	if (message->service[0]) {
-		aub_placer_take_report(placer, message->service, &report);
+		aub_placer_apply_report(placer, message->service, &report);
 		return;
 	}
 	g_hash_table_iter_init(&iter, placer->placements);
@@ -227,33 +231,34 @@
 				     aub_timer_now(placer->options.timers));
 }
 
-void aub_placer_message(struct aub_placer *placer, struct aub_message *message)
+void aub_placer_handle_message(struct aub_placer *placer,
+			       struct aub_message *message)
 {
 	switch (message->type) {
-	case AUB_MESSAGE_PLACE_ASK:
-		take_ask(placer, (struct aub_place_ask *)message);
+	case AUB_MESSAGE_PLACE_REQUEST:
+		handle_request(placer, (struct aub_place_request *)message);
 		break;
 	case AUB_MESSAGE_PLACE_DECISION:
-		take_decision(placer, (struct aub_place_decision *)message);
+		handle_decision(placer, (struct aub_place_decision *)message);
 		break;
 	case AUB_MESSAGE_PLACE_REPORT:
-		take_remote_report(placer, (struct aub_place_report *)message);
+		handle_report(placer, (struct aub_place_report *)message);
 		break;
 	case AUB_MESSAGE_PLACE_OUTSTANDING:
-		aub_placer_take_outstanding(
+		aub_placer_apply_outstanding(
 			placer, (struct aub_place_outstanding *)message);
 		break;
-	case AUB_MESSAGE_PLACE_PROBED:
-		aub_placer_take_probed(placer,
-				       (struct aub_place_probed *)message);
+	case AUB_MESSAGE_PLACE_PROBE_RESULTS:
+		aub_placer_apply_probe_results(
+			placer, (struct aub_place_probe_results *)message);
 		break;
 	case AUB_MESSAGE_PLACE_HEALTH:
-		aub_placer_take_health(placer,
-				       (struct aub_place_health *)message);
+		aub_placer_apply_health(placer,
+					(struct aub_place_health *)message);
 		break;
 	case AUB_MESSAGE_PLACE_ROLLOUT:
-		aub_placer_take_rollout(placer,
-					(struct aub_place_rollout *)message);
+		aub_placer_apply_rollout(placer,
+					 (struct aub_place_rollout *)message);
 		break;
 	default:
 		break;
@@ -261,7 +266,7 @@
 	aub_message_free(message);
 }
 
-void aub_placer_peer_lost(struct aub_placer *placer, guint64 incarnation)
+void aub_placer_on_peer_lost(struct aub_placer *placer, guint64 incarnation)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	GHashTableIter iter;
@@ -269,12 +274,12 @@
 
 	g_hash_table_iter_init(&iter, placer->placements);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		aub_placement_forget(value, incarnation, now);
+		aub_placement_drop_holder(value, incarnation, now);
 	g_hash_table_iter_init(&iter, placer->tickets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct aub_ticket *ticket = value;
 
-		if (ticket->placed && ticket->placer == incarnation)
-			ticket->next_us = now;
+		if (ticket->callback && ticket->asked_placer == incarnation)
+			ticket->next_action_us = now;
 	}
 }
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -1,16 +1,16 @@
-/*
- * Probes of the upstreams that this gateway places for.
- */
+/* Health probes of the upstreams that this gateway places for. */
 #include <auburnstile/internal/decision_log.h>
 #include <auburnstile/internal/placer_parts.h>
 
 #include <string.h>
 
-#define ACTIVE_US (1500 * AUB_MS) /* after the last word that it places */
-#define PROBE_TICK_US (25 * AUB_MS)
-#define PROBE_MS 400 /* an upstream answers a probe at once */
-#define TELL_US (4 * AUB_MS) /* collects answers to probes sent together */
-#define PROBE_IDLE_US (8 * AUB_SECOND)
+/* probing continues for this long after the last activation */
+#define PROBING_ACTIVE_US (1500 * AUB_MS)
+#define PROBE_TICK_PERIOD_US (25 * AUB_MS)
+#define PROBE_TIMEOUT_MS 400 /* a healthy upstream answers immediately */
+/* Batches the results of probes that were sent together. */
+#define REPORT_DELAY_US (4 * AUB_MS)
+#define PROBE_CONNECTION_IDLE_US (8 * AUB_SECOND)
 
 struct probe {
 	struct aub_placer *placer;
@@ -27,38 +27,40 @@
 	g_free(probe);
 }
 
-static enum aub_probe_end probe_end(const struct probe *probe,
-				    const struct aub_http_head *head)
+static enum aub_probe_result classify_probe(const struct probe *probe,
+					    const struct aub_http_head *head)
 {
 	const char *id;
 
 	if (!head)
-		return AUB_PROBE_SILENT;
+		return AUB_PROBE_NO_RESPONSE;
 	id = aub_http_head_find(head,
 				probe->placer->options.platform->upstream_id);
 	if (id && strcmp(id, probe->upstream) != 0)
-		return AUB_PROBE_OTHER;
-	return head->status == 200 ? AUB_PROBE_WELL : AUB_PROBE_ILL;
+		return AUB_PROBE_WRONG_UPSTREAM;
+	return head->status == 200 ? AUB_PROBE_HEALTHY : AUB_PROBE_UNHEALTHY;
 }
 
-/* Only changes: one that stays ill is probed ten times a second. */
-static void log_health(const struct probe *probe, const char *was,
-		       const char *now, enum aub_probe_end end,
+/*
+ * Logs only changes, since an unhealthy upstream is probed ten times a second.
+ */
+static void log_health(const struct probe *probe, const char *health_before,
+		       const char *now, enum aub_probe_result end,
 		       const struct aub_load *load)
 {
 	static const char *const names[] = {
-		[AUB_PROBE_WELL] = "well",
-		[AUB_PROBE_ILL] = "ill",
-		[AUB_PROBE_OTHER] = "other",
-		[AUB_PROBE_SILENT] = "silent",
+		[AUB_PROBE_HEALTHY] = "well",
+		[AUB_PROBE_UNHEALTHY] = "ill",
+		[AUB_PROBE_WRONG_UPSTREAM] = "other",
+		[AUB_PROBE_NO_RESPONSE] = "silent",
 	};
 
-	if (!strcmp(was, now))
+	if (!strcmp(health_before, now))
 		return;
 	aub_log_begin(AUB_LOG_HEALTH);
 	aub_log_text("upstream", probe->upstream);
 	aub_log_text("service", probe->service);
-	aub_log_text("was", was);
+	aub_log_text("was", health_before);
 	aub_log_text("now", now);
 	aub_log_text("probe", names[end]);
 	aub_log_number("warmup_ms", load->warmup_ms);
@@ -66,77 +68,84 @@
 	aub_log_end();
 }
 
-static void on_tell(void *context, gint64 now_us)
+static void send_probe_results(void *context, gint64 now_us)
 {
 	struct aub_placer *placer = context;
 	GHashTableIter iter;
 	void *key;
 	void *value;
 
-	placer->tell_timer = 0;
-	g_hash_table_iter_init(&iter, placer->active);
+	placer->report_timer = 0;
+	g_hash_table_iter_init(&iter, placer->probed_services);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		struct aub_active *active = value;
-		struct aub_peer *peer = aub_placer_of(placer, key, now_us);
+		struct aub_probed_service *probed_service = value;
+		struct aub_peer *peer =
+			aub_placer_peer_for(placer, key, now_us);
 
-		if (!active->probed)
+		if (!probed_service->pending_results)
 			continue;
 		if (peer)
 			aub_peers_send(placer->options.peers, peer,
-				       &active->probed->base);
-		aub_message_free(&active->probed->base);
-		active->probed = NULL;
+				       &probed_service->pending_results->base);
+		aub_message_free(&probed_service->pending_results->base);
+		probed_service->pending_results = NULL;
 	}
 }
 
-/* For the placer of the service, which is in another zone. */
-static void tell_later(struct aub_placer *placer, const struct probe *probe,
-		       enum aub_probe_end end, const struct aub_load *load)
+/* Queues a result for the service's placer, which is in another zone. */
+static void queue_probe_result(struct aub_placer *placer,
+			       const struct probe *probe,
+			       enum aub_probe_result end,
+			       const struct aub_load *load)
 {
-	struct aub_active *active =
-		g_hash_table_lookup(placer->active, probe->service);
+	struct aub_probed_service *probed_service =
+		g_hash_table_lookup(placer->probed_services, probe->service);
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_probed *probed;
+	struct aub_reported_probe *probed;
 
-	if (!active || active->until_us >= now)
+	if (!probed_service || probed_service->all_until_us >= now)
 		return;
-	if (!active->probed) {
-		active->probed = (struct aub_place_probed *)aub_message_new(
-			AUB_MESSAGE_PLACE_PROBED);
-		aub_string_set(&active->probed->service, probe->service);
+	if (!probed_service->pending_results) {
+		probed_service->pending_results =
+			(struct aub_place_probe_results *)aub_message_new(
+				AUB_MESSAGE_PLACE_PROBE_RESULTS);
+		aub_string_set(&probed_service->pending_results->service,
+			       probe->service);
 	}
-	probed = aub_probed_new();
+	probed = aub_reported_probe_new();
 	aub_string_set(&probed->upstream, probe->upstream);
 	probed->end = end;
-	probed->load = aub_load_tell(load);
-	g_ptr_array_add(active->probed->probed, probed);
-	if (!placer->tell_timer)
-		placer->tell_timer =
+	probed->load = aub_load_encode(load);
+	g_ptr_array_add(probed_service->pending_results->probed, probed);
+	if (!placer->report_timer)
+		placer->report_timer =
 			aub_timer_at(placer->options.timers, "tell probes",
-				     now + TELL_US, on_tell, placer);
+				     now + REPORT_DELAY_US, send_probe_results,
+				     placer);
 }
 
-void aub_placer_take_probed(struct aub_placer *placer,
-			    const struct aub_place_probed *message)
+void aub_placer_apply_probe_results(
+	struct aub_placer *placer,
+	const struct aub_place_probe_results *message)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_placement *placement =
 		aub_placer_placement(placer, message->service);
 
 	for (guint i = 0; i < message->probed->len; i++) {
-		const struct aub_probed *probed =
+		const struct aub_reported_probe *probed =
 			g_ptr_array_index(message->probed, i);
-		const struct aub_load load = aub_load_of(&probed->load);
+		const struct aub_load load = aub_load_decode(&probed->load);
 
-		if (probed->end <= AUB_PROBE_SILENT)
-			aub_placement_probe_told(
+		if (probed->end <= AUB_PROBE_NO_RESPONSE)
+			aub_placement_probe_received(
 				placement, probed->upstream,
-				(enum aub_probe_end)probed->end, &load, now);
+				(enum aub_probe_result)probed->end, &load, now);
 	}
-	aub_placer_drain(placer, placement);
+	aub_placer_drain_queue(placer, placement);
 }
 
-static void on_probed(enum aub_exchange_end end,
+static void on_probed(enum aub_exchange_result end,
 		      const struct aub_http_head *head, const char *body,
 		      gsize length, void *context)
 {
@@ -144,21 +153,21 @@
 	struct aub_placer *placer = probe->placer;
 	struct aub_placement *placement =
 		aub_placer_placement(placer, probe->service);
-	enum aub_probe_end ended = probe_end(probe, head);
+	enum aub_probe_result result = classify_probe(probe, head);
 	struct aub_load load = AUB_LOAD_UNKNOWN;
-	const char *was;
+	const char *health_before;
 
 	if (head)
 		placer->options.platform->decode_load(head, &load);
-	was = aub_placement_health_name(placement, probe->upstream);
-	aub_placement_probe_ended(placement, probe->upstream, ended, &load,
-				  aub_timer_now(placer->options.timers));
-	log_health(probe, was,
-		   aub_placement_health_name(placement, probe->upstream), ended,
-		   &load);
-	tell_later(placer, probe, ended, &load);
+	health_before = aub_placement_health_name(placement, probe->upstream);
+	aub_placement_probe_finished(placement, probe->upstream, result, &load,
+				     aub_timer_now(placer->options.timers));
+	log_health(probe, health_before,
+		   aub_placement_health_name(placement, probe->upstream),
+		   result, &load);
+	queue_probe_result(placer, probe, result, &load);
 	probe_free(probe);
-	aub_placer_drain(placer, placement);
+	aub_placer_drain_queue(placer, placement);
 }
 
 static void probe_start(struct aub_placer *placer, const char *service,
@@ -168,13 +177,13 @@
 	const struct aub_http_call_options options = {
 		.method = "GET",
 		.address = due->address,
-		.peer = "probe",
+		.pool_name = "probe",
 		.path = due->path,
-		.timeout_ms = PROBE_MS,
-		.idle_us = PROBE_IDLE_US,
+		.timeout_ms = PROBE_TIMEOUT_MS,
+		.idle_max_us = PROBE_CONNECTION_IDLE_US,
 	};
 
-	placer->counts.probes++;
+	placer->counts.probes_sent++;
 	probe->placer = placer;
 	probe->service = g_strdup(service);
 	probe->upstream = g_strdup(due->upstream);
@@ -191,78 +200,84 @@
 	void *value;
 
 	placer->probe_timer = 0;
-	g_hash_table_iter_init(&iter, placer->active);
+	g_hash_table_iter_init(&iter, placer->probed_services);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
 		struct aub_placement *placement =
 			aub_placer_placement(placer, key);
-		const struct aub_active *active = value;
-		bool places = active->until_us >= now_us;
+		const struct aub_probed_service *probed_service = value;
+		bool is_placer = probed_service->all_until_us >= now_us;
 		struct aub_probe due;
 
-		if (!places && active->near_until_us < now_us) {
+		if (!is_placer && probed_service->zone_until_us < now_us) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
 		while (aub_placement_probe_next(placement,
-						places ? NULL : placer->zone,
+						is_placer ? NULL : placer->zone,
 						now_us, &due))
 			probe_start(placer, key, &due);
 	}
-	if (g_hash_table_size(placer->active))
+	if (g_hash_table_size(placer->probed_services))
 		placer->probe_timer =
 			aub_timer_at(placer->options.timers, "probes",
-				     now_us + PROBE_TICK_US, on_probe_tick,
-				     placer);
+				     now_us + PROBE_TICK_PERIOD_US,
+				     on_probe_tick, placer);
 }
 
-static struct aub_active *wake(struct aub_placer *placer, const char *service)
+static struct aub_probed_service *activate_probing(struct aub_placer *placer,
+						   const char *service)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_active *active =
-		g_hash_table_lookup(placer->active, service);
+	struct aub_probed_service *probed_service =
+		g_hash_table_lookup(placer->probed_services, service);
 
-	if (!active) {
-		active = g_new0(struct aub_active, 1);
-		g_hash_table_insert(placer->active, g_strdup(service), active);
+	if (!probed_service) {
+		probed_service = g_new0(struct aub_probed_service, 1);
+		g_hash_table_insert(placer->probed_services, g_strdup(service),
+				    probed_service);
 	}
 	if (!placer->probe_timer)
 		placer->probe_timer =
 			aub_timer_at(placer->options.timers, "probes", now,
 				     on_probe_tick, placer);
-	return active;
+	return probed_service;
 }
 
-void aub_placer_wake_service(struct aub_placer *placer, const char *service)
+void aub_placer_probe_service(struct aub_placer *placer, const char *service)
 {
 	gint64 now = aub_timer_now(placer->options.timers);
-	struct aub_active *active = wake(placer, service);
+	struct aub_probed_service *probed_service =
+		activate_probing(placer, service);
 
-	if (active->until_us < now) {
-		aub_log_begin(AUB_LOG_PLACING);
+	if (probed_service->all_until_us < now) {
+		aub_log_begin(AUB_LOG_PLACER_ACTIVE);
 		aub_log_text("service", service);
 		aub_log_end();
 	}
-	active->until_us = now + ACTIVE_US;
+	probed_service->all_until_us = now + PROBING_ACTIVE_US;
 }
 
-void aub_placer_wake_near(struct aub_placer *placer, const char *service)
+void aub_placer_probe_own_zone(struct aub_placer *placer, const char *service)
 {
-	wake(placer, service)->near_until_us =
-		aub_timer_now(placer->options.timers) + ACTIVE_US;
+	activate_probing(placer, service)->zone_until_us =
+		aub_timer_now(placer->options.timers) + PROBING_ACTIVE_US;
 }
 
-void aub_active_free(void *data)
+void aub_probed_service_free(void *data)
 {
-	struct aub_active *active = data;
+	struct aub_probed_service *probed_service = data;
 
-	if (active->probed)
-		aub_message_free(&active->probed->base);
-	g_free(active);
+	if (probed_service->pending_results)
+		aub_message_free(&probed_service->pending_results->base);
+	g_free(probed_service);
 }
 
-void aub_placer_probes_stop(struct aub_placer *placer)
+void aub_placer_stop_probes(struct aub_placer *placer)
 {
-	/* Freeing one moves the last into its place: walk back. */
+	/*
+	 * Iterates backwards: freeing a probe moves the last one into its
+	 * place.
+	 */
 	for (guint i = placer->probes->len; i > 0; i--) {
 		struct probe *probe = g_ptr_array_index(placer->probes, i - 1);
 
@@ -270,5 +285,5 @@
 		probe_free(probe);
 	}
 	g_ptr_array_unref(placer->probes);
-	g_hash_table_unref(placer->outstanding_told);
+	g_hash_table_unref(placer->outstanding_reported);
 }
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -1,30 +1,38 @@
 /*
- * Links to other entries and the calls on them.
+ * Links to other entries and the outbound calls on them.
  *
- * A peer is one incarnation of an entry. Calls wait while its link is being
- * opened; once a call was written, the end of the link leaves it unknown.
+ * A peer is one incarnation of an entry. Calls are queued while its link is
+ * being opened. If the link ends after a call was written, the outcome of the
+ * call is unknown.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/relay.h>
-#include <auburnstile/internal/relay_guests.h>
+#include <auburnstile/internal/relay_listener.h>
 #include <auburnstile/link.h>
 #include <auburnstile/log.h>
 
-#define CONNECT_MS 400
+#define CONNECT_TIMEOUT_MS 400
 
-/* A peer that failed is not tried again for this long; calls go elsewhere. */
-#define DOWN_US (100 * AUB_MS)
+/*
+ * Delay before a failed peer is tried again; until then calls fail immediately
+ * and are sent elsewhere.
+ */
+#define PEER_RETRY_DELAY_US (100 * AUB_MS)
 
-#define PING_US (200 * AUB_MS)
+#define PING_INTERVAL_US (200 * AUB_MS)
 
-/* Incarnations come and go, 210 a day; one that is gone is then forgotten. */
-#define FORGET_US (60 * AUB_SECOND)
+/*
+ * About 210 incarnations start and end per day; a departed one is forgotten
+ * after this time.
+ */
+#define PEER_RETENTION_US (60 * AUB_SECOND)
 
 /*
- * A link silent for this long is given up. Longer than a noisy neighbour's
- * usual pause; short enough that a frozen owner's callers wait under 1 s.
+ * A link without any data for this long is closed. It is longer than the
+ * typical pause caused by a noisy neighbour, and short enough that callers wait
+ * less than 1 s when an owner is paused.
  */
-#define SILENT_US (800 * AUB_MS)
+#define LINK_TIMEOUT_US (800 * AUB_MS)
 
 struct peer {
 	struct aub_relay *relay;
@@ -34,19 +42,19 @@
 	struct aub_link *link;
 	enum aub_peer_state state;
 	bool watched;
-	gint64 down_us; /* when it last failed */
+	gint64 down_us; /* time of the last failure */
 	gint64 up_us;
-	guint64 ping;
+	guint64 last_ping;
 	GHashTable *calls; /* id -> struct aub_relay_call */
 	GQueue waiting; /* of struct aub_relay_call, not yet written */
 };
 
 struct aub_relay_call {
 	struct peer *peer;
-	struct aub_call *call; /* borrowed */
+	struct aub_call *message; /* borrowed */
 	guint64 id;
 	bool written;
-	guint source; /* failing soon, without a peer */
+	guint fail_source; /* idle source that fails the call */
 	aub_relay_callback *callback;
 	void *context;
 };
@@ -54,8 +62,8 @@
 struct aub_relay {
 	struct aub_relay_options options;
 	GHashTable *peers; /* incarnation -> struct peer */
-	struct aub_relay_guests *guests;
-	guint pings;
+	struct aub_relay_listener *listener;
+	guint ping_timer;
 };
 
 static gint64 now(const struct aub_relay *relay)
@@ -84,8 +92,8 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		struct aub_relay_call *call = value;
 
-		if (call->source)
-			g_source_remove(call->source);
+		if (call->fail_source)
+			g_source_remove(call->fail_source);
 		g_free(call);
 	}
 	g_hash_table_unref(peer->calls);
@@ -106,8 +114,11 @@
 	callback(result, answer, context);
 }
 
-/* Take one call out of a peer whose link is gone; NULL when none is left. */
-static struct aub_relay_call *any_call(struct peer *peer)
+/*
+ * Returns a call of a peer whose link was closed, except those that are about
+ * to fail; NULL if none is left.
+ */
+static struct aub_relay_call *next_open_call(struct peer *peer)
 {
 	GHashTableIter iterator;
 	void *value;
@@ -116,7 +127,7 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		struct aub_relay_call *call = value;
 
-		if (!call->source)
+		if (!call->fail_source)
 			return call;
 	}
 	return NULL;
@@ -137,7 +148,7 @@
 	g_strlcpy(event.peer, peer->name, sizeof(event.peer));
 	g_strlcpy(event.text, reason, sizeof(event.text));
 	aub_event_record(relay->options.events, &event);
-	for (call = any_call(peer); call; call = any_call(peer))
+	for (call = next_open_call(peer); call; call = next_open_call(peer))
 		end_call(call,
 			 call->written ? AUB_RELAY_LOST : AUB_RELAY_NOT_SENT,
 			 NULL);
@@ -154,7 +165,7 @@
 static void write_call(struct aub_relay_call *call)
 {
 	call->written = true;
-	aub_link_send(call->peer->link, &call->call->base);
+	aub_link_send(call->peer->link, &call->message->base);
 }
 
 static void on_peer_up(struct aub_link *link, const struct aub_hello *hello,
@@ -164,8 +175,9 @@
 	struct aub_relay_call *call;
 
 	/*
-	 * Failure: another process took over the address, and a request meant
-	 * for the old one runs there, though the old one's keys say otherwise.
+	 * Another process may have taken over the address. A request addressed
+	 * to the previous incarnation must not run there, as it may already
+	 * have run under the keys of the previous one.
 	 */
 	if (hello->incarnation != peer->incarnation) {
 		lose_link(peer, "another incarnation answers");
@@ -231,27 +243,31 @@
 	return peer;
 }
 
-/* Open a link unless there is one; false while the peer counts as down. */
-static bool reach(struct peer *peer)
+/*
+ * Opens a link unless there is one; returns false while the peer counts as
+ * down.
+ */
+static bool ensure_link(struct peer *peer)
 {
 	struct aub_relay *relay = peer->relay;
 
 	if (peer->link)
 		return true;
 	if (peer->state == AUB_PEER_DOWN &&
-	    now(relay) - peer->down_us < DOWN_US)
+	    now(relay) - peer->down_us < PEER_RETRY_DELAY_US)
 		return false;
 	peer->up_us = now(relay);
-	peer->link = aub_link_connect(peer->address, relay->options.hello,
-				      CONNECT_MS, &peer_callbacks, peer);
+	peer->link =
+		aub_link_connect(peer->address, relay->options.hello,
+				 CONNECT_TIMEOUT_MS, &peer_callbacks, peer);
 	return true;
 }
 
-static gboolean fail_soon(void *data)
+static gboolean on_fail_call(void *data)
 {
 	struct aub_relay_call *call = data;
 
-	call->source = 0;
+	call->fail_source = 0;
 	end_call(call, AUB_RELAY_NOT_SENT, NULL);
 	return G_SOURCE_REMOVE;
 }
@@ -265,25 +281,28 @@
 	struct peer *peer = get_peer(relay, member);
 	struct aub_relay_call *call;
 
-	/* One call an id and peer; its id is new, or the first has ended. */
+	/*
+	 * Ids are unique per peer: the id is new, or its first call has ended.
+	 */
 	g_assert(!g_hash_table_contains(peer->calls, &message->id));
 	call = g_new0(struct aub_relay_call, 1);
 	call->peer = peer;
-	call->call = message;
+	call->message = message;
 	call->id = message->id;
 	call->callback = callback;
 	call->context = context;
 	message->receiver = member->incarnation;
 	g_hash_table_insert(peer->calls, &call->id, call);
-	aub_event_note(relay->options.events, AUB_EVENT_RELAYED, message->id,
-		       message->purpose, NULL, member->name);
+	aub_event_record_simple(relay->options.events, AUB_EVENT_RELAYED,
+				message->id, message->purpose, NULL,
+				member->name);
 	/*
-	 * Failure: an entry went silent, and each request meant for it waits
-	 * for a new link that never comes up: 400 ms for every caller. After
-	 * the first, calls fail at once while the link is tried beside them.
+	 * When an entry does not respond, each request for it would wait up to
+	 * 400 ms for a new link that never comes up. After the first failure
+	 * calls fail immediately while the link is retried concurrently.
 	 */
-	if (!reach(peer) || peer->state == AUB_PEER_DOWN)
-		call->source = g_idle_add(fail_soon, call);
+	if (!ensure_link(peer) || peer->state == AUB_PEER_DOWN)
+		call->fail_source = g_idle_add(on_fail_call, call);
 	else if (aub_link_is_up(peer->link))
 		write_call(call);
 	else
@@ -303,8 +322,8 @@
 		aub_link_send(peer->link, &cancel->base);
 		aub_message_free(&cancel->base);
 	}
-	if (call->source)
-		g_source_remove(call->source);
+	if (call->fail_source)
+		g_source_remove(call->fail_source);
 	g_queue_remove(&peer->waiting, call);
 	g_hash_table_remove(peer->calls, &call->id);
 	g_free(call);
@@ -325,10 +344,10 @@
 	struct peer *peer = get_peer(relay, member);
 
 	peer->watched = true;
-	reach(peer);
+	ensure_link(peer);
 }
 
-void aub_relay_watch_none(struct aub_relay *relay)
+void aub_relay_unwatch_all(struct aub_relay *relay)
 {
 	GHashTableIter iterator;
 	void *value;
@@ -347,7 +366,10 @@
 	return peer ? peer->state : AUB_PEER_UNTRIED;
 }
 
-/* Returns true when the link turned out to be dead. */
+/*
+ * Pings a peer that is watched or has open calls; returns true if its link is
+ * dead.
+ */
 static bool check_peer(struct peer *peer, gint64 now_us)
 {
 	gint64 heard_us;
@@ -356,23 +378,23 @@
 		return false;
 	if (!peer->watched && !g_hash_table_size(peer->calls))
 		return false;
-	heard_us = MAX(aub_link_last_heard_us(peer->link), peer->up_us);
-	if (peer->state == AUB_PEER_UP && peer->ping &&
-	    now_us - heard_us > SILENT_US)
+	heard_us = MAX(aub_link_last_received_us(peer->link), peer->up_us);
+	if (peer->state == AUB_PEER_UP && peer->last_ping &&
+	    now_us - heard_us > LINK_TIMEOUT_US)
 		return true;
 	if (peer->state == AUB_PEER_UP)
-		send_ping(peer->link, ++peer->ping);
+		send_ping(peer->link, ++peer->last_ping);
 	return false;
 }
 
-static bool is_forgotten(const struct peer *peer, gint64 now_us)
+static bool is_expired(const struct peer *peer, gint64 now_us)
 {
 	return !peer->link && !peer->watched &&
 	       !g_hash_table_size(peer->calls) &&
-	       now_us - peer->down_us > FORGET_US;
+	       now_us - peer->down_us > PEER_RETENTION_US;
 }
 
-static void on_pings(void *context, gint64 now_us)
+static void on_ping_timer(void *context, gint64 now_us)
 {
 	struct aub_relay *relay = context;
 	GPtrArray *dead = g_ptr_array_new();
@@ -383,12 +405,12 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		struct peer *peer = value;
 
-		if (is_forgotten(peer, now_us)) {
+		if (is_expired(peer, now_us)) {
 			g_hash_table_iter_remove(&iterator);
 			continue;
 		}
 		if (peer->watched && !peer->link)
-			reach(peer);
+			ensure_link(peer);
 		if (check_peer(peer, now_us))
 			g_ptr_array_add(dead, peer);
 	}
@@ -405,13 +427,14 @@
 	relay->options = *options;
 	relay->peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					     peer_free);
-	relay->guests = aub_relay_guests_new(&relay->options, error);
-	if (!relay->guests) {
+	relay->listener = aub_relay_listener_new(&relay->options, error);
+	if (!relay->listener) {
 		aub_relay_free(relay);
 		return NULL;
 	}
-	relay->pings = aub_timer_every(options->timers, "pings", PING_US,
-				       on_pings, relay);
+	relay->ping_timer =
+		aub_timer_every(options->timers, "pings", PING_INTERVAL_US,
+				on_ping_timer, relay);
 	return relay;
 }
 
@@ -419,8 +442,8 @@
 {
 	if (!relay)
 		return;
-	aub_timer_cancel(relay->options.timers, relay->pings);
-	aub_relay_guests_free(relay->guests);
+	aub_timer_cancel(relay->options.timers, relay->ping_timer);
+	aub_relay_listener_free(relay->listener);
 	g_hash_table_unref(relay->peers);
 	g_free(relay);
 }
--- a/src/state/dispatch_policy.c
+++ b/src/state/dispatch_policy.c
@@ -1,9 +1,9 @@
 /*
- * Names of policies and refusals, the baselines' choices, and the small
- * shared means of decision: a seeded random source and token buckets.
+ * Names of policies and refusals, the upstream selection of the baseline
+ * policies, the seeded random source, and token buckets.
  *
- * A baseline looks at no slot counts and keeps no queue: each entry sends at
- * once, as balancers with stale or private knowledge do.
+ * A baseline ignores slot counts and has no queue: each entry sends
+ * immediately, as load balancers with outdated or only local information do.
  */
 #include <auburnstile/internal/dispatch.h>
 
@@ -18,11 +18,11 @@
 static const char *const refusal_names[] = {
 	[AUB_REFUSAL_NONE] = "none",
 	[AUB_REFUSAL_QUEUE_FULL] = "queue-full",
-	[AUB_REFUSAL_DEADLINE] = "deadline",
+	[AUB_REFUSAL_DEADLINE_UNREACHABLE] = "deadline",
 	[AUB_REFUSAL_NO_UPSTREAM] = "no-upstream",
-	[AUB_REFUSAL_CRASHES] = "crashes",
+	[AUB_REFUSAL_CRASHES_UPSTREAMS] = "crashes",
 	[AUB_REFUSAL_NOT_OWNER] = "not-owner",
-	[AUB_REFUSAL_NO_BUDGET] = "no-budget",
+	[AUB_REFUSAL_RETRY_BUDGET_EXHAUSTED] = "no-budget",
 	[AUB_REFUSAL_STOPPING] = "stopping",
 };
 
@@ -48,13 +48,16 @@
 	return -1;
 }
 
-/* From 0 to below - 1; equal for equal seeds, so that runs can be repeated. */
+/*
+ * Returns a random number from 0 to `below` - 1. Equal seeds give equal
+ * sequences, so that runs are reproducible.
+ */
 guint dispatch_random(struct aub_dispatcher *dispatcher, guint below)
 {
 	return (guint)g_rand_int_range(dispatcher->random, 0, (gint32)below);
 }
 
-bool bucket_take(struct bucket *bucket, gint64 tokens)
+bool token_bucket_take(struct token_bucket *bucket, gint64 tokens)
 {
 	if (bucket->tokens < tokens)
 		return false;
@@ -62,9 +65,9 @@
 	return true;
 }
 
-void bucket_add(struct bucket *bucket, gint64 tokens)
+void token_bucket_add(struct token_bucket *bucket, gint64 tokens)
 {
-	bucket->tokens = MIN(bucket->tokens + tokens, bucket->depth);
+	bucket->tokens = MIN(bucket->tokens + tokens, bucket->capacity);
 }
 
 static struct upstream *least_reported(struct aub_dispatcher *dispatcher,
@@ -93,8 +96,11 @@
 	return upstream_in_flight(b) < upstream_in_flight(a) ? b : a;
 }
 
-/* A baseline's choice; NULL when no upstream takes anything new. */
-struct upstream *policy_choose(struct aub_dispatcher *dispatcher,
+/*
+ * Returns the upstream that the baseline policy selects, or NULL if none
+ * accepts new requests.
+ */
+struct upstream *policy_select(struct aub_dispatcher *dispatcher,
 			       const struct request *request)
 {
 	struct upstream *chosen = NULL;
@@ -103,16 +109,19 @@
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		struct upstream *u = dispatcher->upstreams->pdata[i];
 
-		if (u->takes_new && !u->draining && u != request->avoid)
+		if (u->accepts_new && !u->draining &&
+		    u != request->avoid_upstream)
 			g_ptr_array_add(open, u);
 	}
-	if (!open->len && request->avoid && request->avoid->takes_new)
-		g_ptr_array_add(open, request->avoid);
+	if (!open->len && request->avoid_upstream &&
+	    request->avoid_upstream->accepts_new)
+		g_ptr_array_add(open, request->avoid_upstream);
 	if (!open->len)
 		goto out;
 	switch (dispatcher->policy) {
 	case AUB_POLICY_ROUND_ROBIN:
-		chosen = open->pdata[dispatcher->turn++ % open->len];
+		chosen =
+			open->pdata[dispatcher->round_robin_next++ % open->len];
 		break;
 	case AUB_POLICY_LEAST_REPORTED:
 		chosen = least_reported(dispatcher, open);
--- a/src/state/dispatch_queue.c
+++ b/src/state/dispatch_queue.c
@@ -1,14 +1,17 @@
 /*
- * Waiting requests of one service: first come, first served, bounded, each
- * with a moment at which it lapses.
+ * The bounded FIFO queue of one service, and the timers of its requests.
  *
- * A request that fails before it ran goes back to the head: it has waited
- * longer than all others.
+ * A request that failed before it ran goes back to the head of the queue, since
+ * it has waited longer than all others.
  */
 #include <auburnstile/internal/dispatch.h>
 
-/* Time until all that waits now has left, at the current drain rate, us. */
-gint64 dispatch_drain_us(const struct aub_dispatcher *dispatcher, gint64 now_us)
+/*
+ * Returns the time in us after which the queue will be empty at the current
+ * drain rate.
+ */
+gint64 dispatch_queue_drain_us(const struct aub_dispatcher *dispatcher,
+			       gint64 now_us)
 {
 	guint slots = upstream_total_allowed(dispatcher, now_us);
 
@@ -18,23 +21,25 @@
 }
 
 /*
- * Failure: a request waits, then starts too late to finish in time.
- * Symptom: its caller gives up, and the slot's work served nobody.
- * Enough: with others ahead of it, it must have the queue's time and a slow
- * answer's left; with none ahead it is always tried, so estimates heal.
+ * Returns true if the request cannot be answered in time. Its caller would give
+ * up and the work of the slot would be wasted. With other requests ahead, the
+ * time left has to cover the drain time of the queue plus a slow answer. With
+ * an empty queue the request is always tried; otherwise an estimate that is too
+ * high would refuse everything and never be corrected.
  */
-bool dispatch_hopeless(const struct aub_dispatcher *dispatcher,
-		       const struct aub_dispatch_request *request,
-		       gint64 now_us)
+bool dispatch_cannot_meet_deadline(const struct aub_dispatcher *dispatcher,
+				   const struct aub_dispatch_request *request,
+				   gint64 now_us)
 {
-	gint64 left = request->deadline_us - now_us;
+	gint64 left_us = request->deadline_us - now_us;
 
-	if (left <= 0)
+	if (left_us <= 0)
 		return true;
 	if (!dispatcher->queue.length)
 		return false;
-	return dispatch_drain_us(dispatcher, now_us) + dispatcher->slow_us >
-	       left;
+	return dispatch_queue_drain_us(dispatcher, now_us) +
+		       dispatcher->tail_latency_us >
+	       left_us;
 }
 
 static gint compare_timers(gconstpointer a, gconstpointer b, gpointer context)
@@ -67,9 +72,9 @@
 						  compare_timers, NULL);
 }
 
-/* Takes out and returns a request whose timer is due; NULL for none. */
-struct request *dispatch_timer_due(struct aub_dispatcher *dispatcher,
-				   gint64 now_us)
+/* Removes and returns a request whose timer is due; NULL if there is none. */
+struct request *dispatch_timer_pop_due(struct aub_dispatcher *dispatcher,
+				       gint64 now_us)
 {
 	GSequenceIter *first = g_sequence_get_begin_iter(dispatcher->timers);
 	struct request *request;
@@ -84,23 +89,24 @@
 }
 
 void dispatch_enqueue(struct aub_dispatcher *dispatcher,
-		      struct request *request, bool first)
+		      struct request *request, bool at_head)
 {
-	gint64 left = request->deadline_us - request->arrived_us;
-	gint64 need = MIN(dispatcher->mean_us, left / 2);
+	gint64 left_us = request->deadline_us - request->arrived_us;
+	gint64 needed_us = MIN(dispatcher->mean_us, left_us / 2);
 
-	request->waiting = true;
-	if (first)
+	request->queued = true;
+	if (at_head)
 		g_queue_push_head_link(&dispatcher->queue, &request->link);
 	else
 		g_queue_push_tail_link(&dispatcher->queue, &request->link);
-	dispatch_timer_set(dispatcher, request, request->deadline_us - need);
+	dispatch_timer_set(dispatcher, request,
+			   request->deadline_us - needed_us);
 }
 
 void dispatch_dequeue(struct aub_dispatcher *dispatcher,
 		      struct request *request)
 {
 	g_queue_unlink(&dispatcher->queue, &request->link);
-	request->waiting = false;
+	request->queued = false;
 	dispatch_timer_clear(dispatcher, request);
 }
--- a/src/state/dispatch_upstream.c
+++ b/src/state/dispatch_upstream.c
@@ -1,31 +1,32 @@
 /*
- * The upstreams of one service: exact counts, who may take a request now,
- * and which free slot is best.
+ * The upstreams of one service: exact counts of attempts, availability, and
+ * selection of the best free slot.
  */
 #include <auburnstile/internal/dispatch.h>
 
-#define OVERRUN_FACTOR 4 /* times the mean: a running attempt is suspect */
-#define MEAN_OVER 64 /* answers in the service's smoothed mean */
-#define UNHEDGED_PERCENT 1 /* makes the slow mark, without hedges */
-#define OTHER_ZONE_US 1000 /* what another zone costs, as service time */
-#define LINGER_US (100 * AUB_MS) /* until a busy upstream sees a close */
-#define EJECT_PERMILLE 500 /* failed answers that eject */
-#define EJECT_ANSWERS 5 /* answers judged before an ejection */
-#define FORGIVE_ANSWERS 32 /* good ones that reset the back-off */
-#define SHED_REGROW 16 /* answers until a shed slot is tried again */
+#define OVERDUE_MEAN_FACTOR 4 /* times the mean service time */
+#define MEAN_WINDOW_ANSWERS 64 /* answers in the service's smoothed mean */
+#define TAIL_PERCENT_WITHOUT_HEDGES 1 /* if hedging is off */
+#define CROSS_ZONE_COST_US 1000 /* as additional service time */
+#define CANCEL_GRACE_US (100 * AUB_MS) /* to notice a close */
+#define EJECT_FAILED_PERMILLE_MIN 500 /* smoothed share of failed answers */
+#define EJECT_ANSWERS_MIN 5 /* sample size before an ejection */
+#define BACKOFF_RESET_ANSWERS 32 /* since the back-off */
+#define LIMIT_GROWTH_ANSWERS 16 /* per shed slot */
 #define EJECT_BASE_US (1 * AUB_SECOND)
-#define EJECT_MOST_US (30 * AUB_SECOND)
+#define EJECT_MAX_US (30 * AUB_SECOND)
 #define UNREACHABLE_BASE_US (50 * AUB_MS)
-#define UNREACHABLE_MOST_US (2 * AUB_SECOND)
+#define UNREACHABLE_MAX_US (2 * AUB_SECOND)
 #define SHED_BASE_US (5 * AUB_MS)
-#define SHED_MOST_US (500 * AUB_MS)
+#define SHED_MAX_US (500 * AUB_MS)
 
 struct upstream *upstream_new(const char *name)
 {
 	struct upstream *u = g_new0(struct upstream, 1);
 
 	u->name = g_strdup(name);
-	u->lost = g_array_new(FALSE, FALSE, sizeof(struct lost_attempt));
+	u->lost_attempts =
+		g_array_new(FALSE, FALSE, sizeof(struct lost_attempt));
 	return u;
 }
 
@@ -33,7 +34,7 @@
 {
 	struct upstream *u = data;
 
-	g_array_free(u->lost, TRUE);
+	g_array_free(u->lost_attempts, TRUE);
 	g_free(u->name);
 	g_free(u);
 }
@@ -57,7 +58,7 @@
 	return NULL;
 }
 
-static struct upstream *take_by_name(GPtrArray *list, const char *name)
+static struct upstream *steal_by_name(GPtrArray *list, const char *name)
 {
 	for (guint i = 0; i < list->len; i++) {
 		struct upstream *u = list->pdata[i];
@@ -72,27 +73,28 @@
 			       struct upstream *u, guint16 handle,
 			       gint64 now_us)
 {
-	const struct aub_upstream *line =
+	const struct aub_upstream *settings =
 		aub_upstream_at(dispatcher->inventory, handle);
-	bool takes_new = aub_upstream_takes_new(dispatcher->inventory, handle);
+	bool accepts_new =
+		aub_upstream_accepts_new(dispatcher->inventory, handle);
 
-	if (u->slots != line->slots)
-		u->limit = line->slots;
+	if (u->slots != settings->slots)
+		u->concurrency_limit = settings->slots;
 	u->handle = handle;
-	u->slots = line->slots;
-	if (takes_new && !u->takes_new) {
-		upstream_open(u);
+	u->slots = settings->slots;
+	if (accepts_new && !u->accepts_new) {
+		upstream_clear_backoff(u);
 		u->draining = false;
-		cold_doubt(u, now_us);
+		warmup_reset_to_unknown(u, now_us);
 	}
-	u->cold_slots = line->cold_slots;
-	u->zone = line->zone;
-	u->probe_cost_us = line->probe_cost_us;
-	u->takes_new = takes_new;
+	u->cold_slots = settings->cold_slots;
+	u->zone = settings->zone;
+	u->probe_cost_us = settings->probe_cost_us;
+	u->accepts_new = accepts_new;
 	u->probing = false;
 }
 
-static void forget_upstream(struct aub_dispatcher *dispatcher,
+static void upstream_remove(struct aub_dispatcher *dispatcher,
 			    struct upstream *u)
 {
 	GHashTableIter iter;
@@ -102,29 +104,32 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct request *request = value;
 
-		if (request->avoid == u)
-			request->avoid = NULL;
+		if (request->avoid_upstream == u)
+			request->avoid_upstream = NULL;
 	}
 	upstream_free(u);
 }
 
-/* Follow the inventory: keep by name, add, and let go of what is done. */
+/*
+ * Applies the inventory: keeps upstreams by name, adds new ones, and frees
+ * removed ones that have nothing in flight.
+ */
 void upstreams_configure(struct aub_dispatcher *dispatcher, gint64 now_us)
 {
 	GPtrArray *before = dispatcher->upstreams;
-	const GArray *lines = dispatcher->inventory->upstreams;
+	const GArray *upstreams = dispatcher->inventory->upstreams;
 
 	dispatcher->upstreams = g_ptr_array_new();
-	for (guint i = 0; i < lines->len; i++) {
-		const struct aub_upstream *line =
-			&g_array_index(lines, struct aub_upstream, i);
+	for (guint i = 0; i < upstreams->len; i++) {
+		const struct aub_upstream *settings =
+			&g_array_index(upstreams, struct aub_upstream, i);
 		struct upstream *u;
 
-		if (line->service != dispatcher->service)
+		if (settings->service != dispatcher->service)
 			continue;
-		u = take_by_name(before, line->name);
+		u = steal_by_name(before, settings->name);
 		if (!u)
-			u = upstream_new(line->name);
+			u = upstream_new(settings->name);
 		upstream_configure(dispatcher, u, (guint16)i, now_us);
 		g_ptr_array_add(dispatcher->upstreams, u);
 	}
@@ -132,75 +137,78 @@
 		struct upstream *u = before->pdata[i];
 
 		if (!u->running.length) {
-			forget_upstream(dispatcher, u);
+			upstream_remove(dispatcher, u);
 			continue;
 		}
 		u->handle = AUB_NO_HANDLE;
-		u->takes_new = false;
+		u->accepts_new = false;
 		g_ptr_array_add(dispatcher->upstreams, u);
 	}
 	g_ptr_array_free(before, TRUE);
 }
 
-bool upstream_usable(const struct upstream *upstream, gint64 now_us)
+bool upstream_is_available(const struct upstream *upstream, gint64 now_us)
 {
-	return upstream->takes_new && !upstream->draining &&
-	       now_us >= upstream->shut_until_us;
+	return upstream->accepts_new && !upstream->draining &&
+	       now_us >= upstream->unavailable_until_us;
 }
 
 /*
- * Failure: two entries believe that they own a service, for a moment.
- * Symptom: their exact counts add up to twice the slots.
- * Enough: who is new, or stands in, takes half, and nothing that is cold.
+ * Reduces the permitted attempts according to the role. Two entries may briefly
+ * both consider themselves the owner, and their exact counts would add up to
+ * twice the slots. A new owner and a stand-by therefore use half of the warm
+ * slots and no cold upstreams.
  */
-static guint share_allowed(const struct aub_dispatcher *dispatcher,
+static guint limit_by_role(const struct aub_dispatcher *dispatcher,
 			   const struct upstream *upstream, guint allowed,
 			   gint64 now_us)
 {
 	bool shared = dispatcher->role == AUB_DISPATCH_STANDBY ||
-		      now_us < dispatcher->settle_until_us;
+		      now_us < dispatcher->takeover_grace_until_us;
 
 	if (dispatcher->role == AUB_DISPATCH_NONE)
 		return 0;
 	if (!shared)
 		return allowed;
-	if (upstream->state == UPSTREAM_WARM || upstream->vouched)
+	if (upstream->state == UPSTREAM_WARM || upstream->probed_warm)
 		return MIN(allowed, upstream->slots / 2);
 	return 0;
 }
 
 /*
- * Failure: an attempt on a cold upstream is given up (its hedge won) and the
- * next one is sent at once; the upstream, which has not seen the first end
- * yet, holds two where it bears one, and falls over with all it has. One that
- * is not known to be warm gets nothing new until it must have seen the end.
+ * Handles the end of an attempt that was cancelled or timed out. The upstream
+ * may not have noticed the cancellation when the next attempt arrives; a cold
+ * upstream would then run two requests where it can handle only one, and be
+ * overloaded. An upstream that is not known to be warm gets no new attempt
+ * until it must have noticed.
  */
-void upstream_note_given_up(struct upstream *upstream,
-			    enum aub_attempt_result result, gint64 now_us)
+void upstream_on_attempt_abandoned(struct upstream *upstream,
+				   enum aub_attempt_result result,
+				   gint64 now_us)
 {
 	if (result == AUB_ATTEMPT_CANCELLED || result == AUB_ATTEMPT_TIMEOUT)
-		upstream->linger_until_us = now_us + LINGER_US;
+		upstream->cancel_grace_until_us = now_us + CANCEL_GRACE_US;
 }
 
-/* Attempts that may run on it at once, now. */
-guint upstream_allowed(const struct aub_dispatcher *dispatcher,
-		       const struct upstream *upstream, gint64 now_us)
+/* Returns the number of attempts that may currently run on the upstream. */
+guint upstream_allowed_attempts(const struct aub_dispatcher *dispatcher,
+				const struct upstream *upstream, gint64 now_us)
 {
 	guint allowed;
 
-	if (!upstream_usable(upstream, now_us))
+	if (!upstream_is_available(upstream, now_us))
 		return 0;
 	if (upstream->state != UPSTREAM_WARM &&
-	    now_us < upstream->linger_until_us)
+	    now_us < upstream->cancel_grace_until_us)
 		return 0;
-	allowed = cold_allowed(upstream, now_us);
-	allowed = MIN(allowed, upstream->limit);
-	if (upstream->trial)
+	allowed = warmup_allowed_attempts(upstream, now_us);
+	allowed = MIN(allowed, upstream->concurrency_limit);
+	if (upstream->half_open)
 		allowed = MIN(allowed, 1);
-	return share_allowed(dispatcher, upstream, allowed, now_us);
+	return limit_by_role(dispatcher, upstream, allowed, now_us);
 }
 
-/* Free slots of all upstreams that may take a request now. */
+/* Returns the number of free slots of all available upstreams. */
 guint upstream_total_free(const struct aub_dispatcher *dispatcher,
 			  gint64 now_us)
 {
@@ -208,7 +216,8 @@
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(dispatcher, i);
-		guint allowed = upstream_allowed(dispatcher, u, now_us);
+		guint allowed =
+			upstream_allowed_attempts(dispatcher, u, now_us);
 		guint in_flight = upstream_in_flight(u);
 
 		total += allowed > in_flight ? allowed - in_flight : 0;
@@ -222,29 +231,34 @@
 	guint total = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++)
-		total += upstream_allowed(dispatcher,
-					  upstream_at(dispatcher, i), now_us);
+		total += upstream_allowed_attempts(dispatcher,
+						   upstream_at(dispatcher, i),
+						   now_us);
 	return total;
 }
 
 /*
- * Failure: an upstream turns slow, and reports nothing of it.
- * Symptom: each request that it gets next is late.
- * Enough: what runs on it for too long shows it before any answer does, and
- * its free slots are taken last until a quick answer.
+ * Returns true if the oldest running attempt has taken much longer than the
+ * mean. An upstream that becomes slow without reporting it delays every further
+ * request. A running attempt shows this before any answer does; the free slots
+ * of the upstream are then used last until a fast answer arrives.
  */
-bool upstream_overruns(const struct aub_dispatcher *dispatcher,
-		       const struct upstream *upstream, gint64 now_us)
+bool upstream_is_overdue(const struct aub_dispatcher *dispatcher,
+			 const struct upstream *upstream, gint64 now_us)
 {
 	const GList *head = upstream->running.head;
 	const struct attempt *oldest = head ? head->data : NULL;
-	gint64 usual = MAX(upstream->mean_us, dispatcher->mean_us);
+	gint64 typical_us = MAX(upstream->mean_us, dispatcher->mean_us);
 
-	return oldest && usual &&
-	       now_us - oldest->sent_us > OVERRUN_FACTOR * usual;
+	return oldest && typical_us &&
+	       now_us - oldest->sent_us > OVERDUE_MEAN_FACTOR * typical_us;
 }
 
-/* Lower is better: class first, then expected time, then how busy. */
+/*
+ * Rank of a free slot, lower is better. Class 0 is normal, 1 has an overdue
+ * attempt, 2 is where the request failed last; the class is compared before the
+ * expected time in us.
+ */
 struct score {
 	guint class;
 	gint64 cost_us;
@@ -261,10 +275,10 @@
 		score.cost_us = dispatcher->mean_us;
 	score.cost_us += score.cost_us * busy / (2 * (gint64)u->slots);
 	if (request->zone != AUB_NO_HANDLE && request->zone != u->zone)
-		score.cost_us += OTHER_ZONE_US;
-	if (upstream_overruns(dispatcher, u, now_us))
+		score.cost_us += CROSS_ZONE_COST_US;
+	if (upstream_is_overdue(dispatcher, u, now_us))
 		score.class = 1;
-	if (u == request->avoid)
+	if (u == request->avoid_upstream)
 		score.class = 2;
 	return score;
 }
@@ -281,10 +295,11 @@
 }
 
 /*
- * The best free slot for a request, NULL when none is free. A hedge goes to
- * no upstream that is suspect or runs the request already.
+ * Returns the upstream with the best free slot for a request, or NULL if none
+ * is free. A hedge is never sent to an upstream that is suspect or already runs
+ * the request.
  */
-struct upstream *upstream_choose(struct aub_dispatcher *dispatcher,
+struct upstream *upstream_select(struct aub_dispatcher *dispatcher,
 				 const struct request *request, bool hedge,
 				 gint64 now_us)
 {
@@ -299,7 +314,7 @@
 		struct score score;
 
 		if (upstream_in_flight(u) >=
-		    upstream_allowed(dispatcher, u, now_us))
+		    upstream_allowed_attempts(dispatcher, u, now_us))
 			continue;
 		score = upstream_score(dispatcher, u, request, now_us);
 		if (hedge && (score.class || runs_on(request, u)))
@@ -314,85 +329,106 @@
 	return best;
 }
 
-static void note_slow_mark(struct aub_dispatcher *dispatcher, gint64 took_us,
-			   bool whole)
+/*
+ * Moves tail_latency_us towards the time that a share of
+ * AUB_HEDGES_PER_MEAN_TIME x hedge_percent of the answers exceed: up by a large
+ * step after a slower answer, down by a small one after a faster answer.
+ */
+static void update_tail_latency(struct aub_dispatcher *dispatcher,
+				gint64 took_us, bool complete)
 {
-	gint64 percent = dispatcher->hedge_percent ? dispatcher->hedge_percent :
-						     UNHEDGED_PERCENT;
-	gint64 share = MIN(AUB_HEDGES_A_MEAN * percent, 50);
-	gint64 step = MAX(dispatcher->slow_us / 32, 20);
-
-	if (!dispatcher->slow_us) {
-		dispatcher->slow_us = 3 * took_us;
+	gint64 percent = dispatcher->hedge_percent ?
+				 dispatcher->hedge_percent :
+				 TAIL_PERCENT_WITHOUT_HEDGES;
+	gint64 share = MIN(AUB_HEDGES_PER_MEAN_TIME * percent, 50);
+	gint64 step = MAX(dispatcher->tail_latency_us / 32, 20);
+
+	if (!dispatcher->tail_latency_us) {
+		dispatcher->tail_latency_us = 3 * took_us;
 		return;
 	}
-	if (took_us > dispatcher->slow_us)
-		dispatcher->slow_us += step * (100 - share) / 100;
-	else if (whole)
-		dispatcher->slow_us -= step * share / 100;
-	dispatcher->slow_us = MAX(dispatcher->slow_us, 100);
+	if (took_us > dispatcher->tail_latency_us)
+		dispatcher->tail_latency_us += step * (100 - share) / 100;
+	else if (complete)
+		dispatcher->tail_latency_us -= step * share / 100;
+	dispatcher->tail_latency_us = MAX(dispatcher->tail_latency_us, 100);
 }
 
-/* A good answer took `took_us`, or (`whole` false) would have taken more. */
-void upstream_note_time(struct aub_dispatcher *dispatcher,
-			struct upstream *upstream, gint64 took_us, bool whole)
+/*
+ * Records that a good answer took `took_us`. With `complete` false the attempt
+ * ended early, so an answer would have taken longer.
+ */
+void upstream_record_latency(struct aub_dispatcher *dispatcher,
+			     struct upstream *upstream, gint64 took_us,
+			     bool complete)
 {
-	note_slow_mark(dispatcher, took_us, whole);
-	if (!whole && took_us < upstream->mean_us)
+	update_tail_latency(dispatcher, took_us, complete);
+	if (!complete && took_us < upstream->mean_us)
 		return;
 	if (!upstream->mean_us)
 		upstream->mean_us = MAX(took_us, 1);
-	dispatcher->answers++;
+	dispatcher->latency_samples++;
 	upstream->mean_us += (took_us - upstream->mean_us) / 16;
-	dispatcher->mean_us += (took_us - dispatcher->mean_us) /
-			       (gint64)MIN(dispatcher->answers, MEAN_OVER);
+	dispatcher->mean_us +=
+		(took_us - dispatcher->mean_us) /
+		(gint64)MIN(dispatcher->latency_samples, MEAN_WINDOW_ANSWERS);
 	dispatcher->mean_us = MAX(dispatcher->mean_us, 1);
 }
 
-/* Everything that kept it from work is lifted. */
-void upstream_open(struct upstream *upstream)
+/*
+ * Ends all back-off and ejection of the upstream and restores its concurrency
+ * limit.
+ */
+void upstream_clear_backoff(struct upstream *upstream)
 {
-	upstream->shut_until_us = 0;
-	upstream->shut_times = 0;
-	upstream->trial = false;
+	upstream->unavailable_until_us = 0;
+	upstream->backoff_count = 0;
+	upstream->half_open = false;
 	upstream->ejected = false;
 	upstream->failed_permille = 0;
-	upstream->judged = 0;
-	upstream->limit = upstream->slots;
+	upstream->judged_answers = 0;
+	upstream->concurrency_limit = upstream->slots;
 }
 
-static void upstream_shut(struct upstream *upstream, gint64 base_us,
-			  gint64 most_us, gint64 now_us)
+static void upstream_back_off(struct upstream *upstream, gint64 base_us,
+			      gint64 max_us, gint64 now_us)
 {
-	gint64 wait = base_us << MIN(upstream->shut_times, 10);
+	gint64 wait = base_us << MIN(upstream->backoff_count, 10);
 
-	upstream->shut_until_us = now_us + MIN(wait, most_us);
-	upstream->shut_times++;
-	upstream->judged = 0;
-	upstream->trial = true;
+	upstream->unavailable_until_us = now_us + MIN(wait, max_us);
+	upstream->backoff_count++;
+	upstream->judged_answers = 0;
+	upstream->half_open = true;
 }
 
-void upstream_note_unreachable(struct upstream *upstream, gint64 now_us)
+void upstream_on_unreachable(struct upstream *upstream, gint64 now_us)
 {
-	cold_doubt(upstream, now_us);
-	if (now_us < upstream->shut_until_us)
-		return; /* several attempts, one failure */
-	upstream_shut(upstream, UNREACHABLE_BASE_US, UNREACHABLE_MOST_US,
-		      now_us);
+	warmup_reset_to_unknown(upstream, now_us);
+	if (now_us < upstream->unavailable_until_us)
+		return; /* several attempts failed by the same cause */
+	upstream_back_off(upstream, UNREACHABLE_BASE_US, UNREACHABLE_MAX_US,
+			  now_us);
 }
 
-/* It refused although a slot was thought free: someone else uses it. */
-void upstream_note_shed(struct upstream *upstream, gint64 now_us)
+/*
+ * Handles a refusal by an upstream with a slot counted as free: another sender
+ * uses the slot.
+ */
+void upstream_on_shed(struct upstream *upstream, gint64 now_us)
 {
 	guint in_flight = upstream_in_flight(upstream);
 
-	upstream->limit = (guint16)CLAMP(in_flight, 1, upstream->slots);
+	upstream->concurrency_limit =
+		(guint16)CLAMP(in_flight, 1, upstream->slots);
 	upstream->limit_successes = 0;
-	if (now_us >= upstream->shut_until_us)
-		upstream_shut(upstream, SHED_BASE_US, SHED_MOST_US, now_us);
+	if (now_us >= upstream->unavailable_until_us)
+		upstream_back_off(upstream, SHED_BASE_US, SHED_MAX_US, now_us);
 }
 
-/* True if it fails far more than its peers and few enough are ejected. */
+/*
+ * Returns true if the upstream fails much more often than the others and few
+ * enough upstreams are ejected.
+ */
 static bool may_eject(const struct aub_dispatcher *dispatcher,
 		      const struct upstream *upstream)
 {
@@ -403,7 +439,7 @@
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(dispatcher, i);
 
-		if (u == upstream || !u->takes_new)
+		if (u == upstream || !u->accepts_new)
 			continue;
 		others++;
 		if (u->ejected)
@@ -411,74 +447,87 @@
 		else
 			failed += u->failed_permille;
 	}
-	if (ejected >= (others + 1) / AUB_EJECT_SHARE)
+	if (ejected >= (others + 1) / AUB_EJECTED_UPSTREAMS_DIVISOR)
 		return false;
 	return others > ejected &&
 	       2 * failed / (others - ejected) < upstream->failed_permille;
 }
 
 /*
- * Failure: an upstream answers each request with an error, at once.
- * Symptom: always idle, it attracts most requests, and most callers fail.
- * Enough: its errors count for no speed and eject it, with back-off; a share
- * bounds the ejected, since errors of the requests' own eject nobody.
+ * Records a good or failed answer. An upstream that answers every request with
+ * an immediate error is always idle and would attract most requests. Errors
+ * therefore do not count as fast answers, and they eject the upstream with a
+ * back-off. The share of ejected upstreams is bounded, because errors caused by
+ * the requests themselves must not eject upstreams.
  */
-void upstream_note_result(struct aub_dispatcher *dispatcher,
-			  struct upstream *upstream, bool failed, gint64 now_us)
+void upstream_record_result(struct aub_dispatcher *dispatcher,
+			    struct upstream *upstream, bool failed,
+			    gint64 now_us)
 {
 	gint32 target = failed ? 1000 : 0;
 
 	upstream->failed_permille +=
 		(target - (gint32)upstream->failed_permille) / 8;
-	upstream->judged++;
+	upstream->judged_answers++;
 	if (!failed) {
-		upstream->trial = false;
+		upstream->half_open = false;
 		upstream->ejected = false;
-		if (upstream->judged >= FORGIVE_ANSWERS)
-			upstream->shut_times = 0;
+		if (upstream->judged_answers >= BACKOFF_RESET_ANSWERS)
+			upstream->backoff_count = 0;
 		upstream->limit_successes++;
-		if (upstream->limit < upstream->slots &&
-		    upstream->limit_successes >= SHED_REGROW) {
-			upstream->limit++;
+		if (upstream->concurrency_limit < upstream->slots &&
+		    upstream->limit_successes >= LIMIT_GROWTH_ANSWERS) {
+			upstream->concurrency_limit++;
 			upstream->limit_successes = 0;
 		}
 		return;
 	}
-	if (upstream->trial && upstream->ejected) {
-		upstream_shut(upstream, EJECT_BASE_US, EJECT_MOST_US, now_us);
+	if (upstream->half_open && upstream->ejected) {
+		upstream_back_off(upstream, EJECT_BASE_US, EJECT_MAX_US,
+				  now_us);
 		return;
 	}
-	if (upstream->failed_permille < EJECT_PERMILLE ||
-	    upstream->judged < EJECT_ANSWERS ||
+	if (upstream->failed_permille < EJECT_FAILED_PERMILLE_MIN ||
+	    upstream->judged_answers < EJECT_ANSWERS_MIN ||
 	    !may_eject(dispatcher, upstream))
 		return;
-	upstream_shut(upstream, EJECT_BASE_US, EJECT_MOST_US, now_us);
+	upstream_back_off(upstream, EJECT_BASE_US, EJECT_MAX_US, now_us);
 	upstream->ejected = true;
 	dispatcher->counts.ejections++;
 }
 
-/* The earlier of two moments, where `at_us` counts if it is to come. */
-gint64 wake_after(gint64 now_us, gint64 at_us, gint64 wake_us)
+/*
+ * Returns the earlier of `at_us` and `wake_us`, ignoring `at_us` if it has
+ * passed.
+ */
+gint64 earliest_future_us(gint64 now_us, gint64 at_us, gint64 wake_us)
 {
 	return at_us > now_us ? MIN(at_us, wake_us) : wake_us;
 }
 
-/* When something that waits may become sendable; G_MAXINT64 for never. */
-gint64 upstreams_wake_us(const struct aub_dispatcher *dispatcher)
+/*
+ * Returns the time at which a queued request may become sendable, or G_MAXINT64
+ * if there is none.
+ */
+gint64 upstreams_next_wakeup_us(const struct aub_dispatcher *dispatcher)
 {
 	gint64 now_us = dispatcher->now_us;
 	gint64 wake_us = G_MAXINT64;
 
 	if (!dispatcher->queue.length)
 		return wake_us;
-	wake_us = wake_after(now_us, dispatcher->settle_until_us, wake_us);
+	wake_us =
+		earliest_future_us(now_us, dispatcher->takeover_grace_until_us,
+				   wake_us);
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
 		const struct upstream *u = upstream_at(dispatcher, i);
 
-		if (!u->takes_new)
+		if (!u->accepts_new)
 			continue;
-		wake_us = wake_after(now_us, u->shut_until_us, wake_us);
-		wake_us = wake_after(now_us, u->linger_until_us, wake_us);
+		wake_us = earliest_future_us(now_us, u->unavailable_until_us,
+					     wake_us);
+		wake_us = earliest_future_us(now_us, u->cancel_grace_until_us,
+					     wake_us);
 	}
 	return wake_us;
 }
--- a/src/state/log_events.c
+++ b/src/state/log_events.c
@@ -1,13 +1,11 @@
-/*
- * Log lines as events of the time line: one table says what becomes what.
- */
+/* Converts log lines to timeline events, according to a table. */
 #include <auburnstile/internal/json.h>
 #include <auburnstile/internal/log_events.h>
 #include <auburnstile/internal/log_line.h>
 
 #include <string.h>
 
-/* Which fields of a line are shown as which of an event; NULL: none. */
+/* Maps the fields of a log line to those of an event; NULL: none. */
 struct mapping {
 	const char *event;
 	enum aub_event_type type;
@@ -15,7 +13,7 @@
 	const char *zone;
 	const char *peer;
 	const char *number;
-	bool of_request; /* shown only where that request is asked for */
+	bool per_request; /* included only if the filter selects a request */
 };
 
 static const struct mapping mappings[] = {
@@ -57,10 +55,10 @@
 struct aub_log_events {
 	struct aub_timeline *timeline;
 	const struct aub_timeline_filter *filter;
-	GHashTable *processes; /* node -> handle of its newest start + 1 */
-	guint64 serial;
-	guint64 taken;
-	guint64 left_out;
+	GHashTable *processes; /* node -> handle of its latest start + 1 */
+	guint64 last_sequence;
+	guint64 kept_count;
+	guint64 dropped_count;
 };
 
 struct aub_log_events *aub_log_events_new(
@@ -83,7 +81,7 @@
 	g_free(events);
 }
 
-static const struct mapping *mapping_of(const char *event)
+static const struct mapping *find_mapping(const char *event)
 {
 	for (guint i = 0; i < G_N_ELEMENTS(mappings); i++)
 		if (!strcmp(mappings[i].event, event))
@@ -93,7 +91,7 @@
 
 int aub_log_events_type(const char *event)
 {
-	const struct mapping *mapping = mapping_of(event);
+	const struct mapping *mapping = find_mapping(event);
 
 	return mapping ? (int)mapping->type : -1;
 }
@@ -107,11 +105,14 @@
 		g_strlcpy(field, text, size);
 }
 
-/* A request's id is the caller's own; only one in hex can be asked for. */
-static guint64 request_of(JsonObject *object, const struct mapping *mapping)
+/*
+ * Returns the numeric request id. Callers choose their own ids; only those in
+ * hex can be selected by a filter.
+ */
+static guint64 request_id_of(JsonObject *object, const struct mapping *mapping)
 {
 	const char *id =
-		mapping->of_request ? aub_json_string(object, "id") : NULL;
+		mapping->per_request ? aub_json_string(object, "id") : NULL;
 	guint64 request = 0;
 
 	if (id)
@@ -120,17 +121,17 @@
 	return request;
 }
 
-static void event_fill(struct aub_log_events *events, JsonObject *object,
+static void fill_event(struct aub_log_events *events, JsonObject *object,
 		       const struct mapping *mapping, struct aub_event *event)
 {
 	char *fields = aub_log_line_fields(object);
 	char *text = g_strconcat(mapping->event, fields, NULL);
 
 	event->type = mapping->type;
-	event->sequence = ++events->serial;
+	event->sequence = ++events->last_sequence;
 	event->wall_us = aub_json_integer(object, "t") * 1000;
 	event->monotonic_us = event->wall_us;
-	event->request = request_of(object, mapping);
+	event->request = request_id_of(object, mapping);
 	if (mapping->number)
 		event->number = aub_json_integer(object, mapping->number);
 	copy_field(object, mapping->upstream, event->upstream,
@@ -142,8 +143,9 @@
 	g_free(fields);
 }
 
-/* A process that starts again is another one. */
-static guint process_of(struct aub_log_events *events, JsonObject *object)
+/* Returns the handle of a line's process. A restart is a new process. */
+static guint process_handle_of(struct aub_log_events *events,
+			       JsonObject *object)
 {
 	const char *node = aub_json_string(object, "node");
 	guint known =
@@ -155,23 +157,23 @@
 		zone = aub_json_string(object, "zone");
 	else if (known)
 		return known - 1;
-	handle = aub_timeline_process(events->timeline, node, zone ? zone : "",
-				      (guint64)aub_json_integer(object,
-								"incarnation"));
+	handle = aub_timeline_add_process(
+		events->timeline, node, zone ? zone : "",
+		(guint64)aub_json_integer(object, "incarnation"));
 	g_hash_table_insert(events->processes, g_strdup(node),
 			    GUINT_TO_POINTER(handle + 1));
 	return handle;
 }
 
-static bool is_wanted(const struct aub_log_events *events,
-		      const struct mapping *mapping, JsonObject *object,
-		      const struct aub_event *event)
+static bool matches_filter(const struct aub_log_events *events,
+			   const struct mapping *mapping, JsonObject *object,
+			   const struct aub_event *event)
 {
 	const struct aub_timeline_filter *filter = events->filter;
 
 	if (filter->request)
 		return event->request == filter->request;
-	if (mapping->of_request)
+	if (mapping->per_request)
 		return false;
 	return (!filter->process ||
 		!strcmp(filter->process, aub_json_string(object, "node"))) &&
@@ -181,7 +183,7 @@
 	       (!filter->until_us || event->wall_us <= filter->until_us);
 }
 
-bool aub_log_events_take(struct aub_log_events *events, const char *line)
+bool aub_log_events_add_line(struct aub_log_events *events, const char *line)
 {
 	JsonObject *object = aub_log_line_parse(line);
 	const struct mapping *mapping;
@@ -189,27 +191,28 @@
 
 	if (!object)
 		return false;
-	mapping = mapping_of(aub_json_string(object, "event"));
+	mapping = find_mapping(aub_json_string(object, "event"));
 	if (!mapping) {
 		json_object_unref(object);
 		return false;
 	}
-	event_fill(events, object, mapping, &event);
-	if (is_wanted(events, mapping, object, &event)) {
-		guint process = process_of(events, object);
-
-		if (events->taken < AUB_LOG_EVENTS_MOST) {
-			events->taken++;
-			aub_timeline_add(events->timeline, process, &event);
+	fill_event(events, object, mapping, &event);
+	if (matches_filter(events, mapping, object, &event)) {
+		guint process = process_handle_of(events, object);
+
+		if (events->kept_count < AUB_LOG_EVENTS_MAX) {
+			events->kept_count++;
+			aub_timeline_add_event(events->timeline, process,
+					       &event);
 		} else {
-			events->left_out++;
+			events->dropped_count++;
 		}
 	}
 	json_object_unref(object);
 	return true;
 }
 
-guint64 aub_log_events_left_out(const struct aub_log_events *events)
+guint64 aub_log_events_dropped(const struct aub_log_events *events)
 {
-	return events->left_out;
+	return events->dropped_count;
 }
--- a/src/transport/caller_message.c
+++ b/src/transport/caller_message.c
@@ -1,13 +1,17 @@
 /*
- * Callers' requests and answers between libsoup's form and the project's.
+ * Converts callers' requests and responses between libsoup's messages and the
+ * project's messages.
  */
 #include <auburnstile/internal/caller_message.h>
 #include <auburnstile/internal/caller_server.h>
 #include <auburnstile/internal/headers.h>
 
-/* An optional number in a header; false where it isn't one. */
-static bool read_limit(SoupMessageHeaders *headers, const char *name,
-		       guint64 most, guint32 *number)
+/*
+ * Parses an optional number in a header and limits it to `max`. Returns false
+ * if the value is not a number.
+ */
+static bool parse_bounded_number(SoupMessageHeaders *headers, const char *name,
+				 guint64 max, guint32 *number)
 {
 	const char *text = soup_message_headers_get_one(headers, name);
 	guint64 value;
@@ -16,11 +20,11 @@
 		return true;
 	if (!aub_parse_number(text, &value))
 		return false;
-	*number = MIN(value, most);
+	*number = MIN(value, max);
 	return true;
 }
 
-static char *join_path(GUri *uri)
+static char *path_with_query(GUri *uri)
 {
 	const char *query = g_uri_get_query(uri);
 
@@ -29,7 +33,7 @@
 	return g_strconcat(g_uri_get_path(uri), "?", query, NULL);
 }
 
-struct aub_call *aub_caller_read(SoupServerMessage *message)
+struct aub_call *aub_caller_parse_request(SoupServerMessage *message)
 {
 	SoupMessageHeaders *headers;
 	struct aub_call *call;
@@ -38,11 +42,12 @@
 
 	headers = soup_server_message_get_request_headers(message);
 	call = (struct aub_call *)aub_message_new(AUB_MESSAGE_CALL);
-	call->retry_budget = AUB_RETRY_BUDGET_DEFAULT;
-	if (!read_limit(headers, "Auburnstile-Deadline-Ms", G_MAXUINT32 / 2,
-			&call->deadline_ms) ||
-	    !read_limit(headers, "Auburnstile-Retry-Budget",
-			AUB_RETRY_BUDGET_LIMIT, &call->retry_budget)) {
+	call->retry_budget = AUB_RETRY_BUDGET_DEFAULT_PERCENT;
+	if (!parse_bounded_number(headers, "Auburnstile-Deadline-Ms",
+				  G_MAXUINT32 / 2, &call->deadline_ms) ||
+	    !parse_bounded_number(headers, "Auburnstile-Retry-Budget",
+				  AUB_RETRY_BUDGET_MAX_PERCENT,
+				  &call->retry_budget)) {
 		aub_message_free(&call->base);
 		return NULL;
 	}
@@ -51,8 +56,8 @@
 		aub_string_set(&call->key, key);
 	aub_string_set(&call->method, soup_server_message_get_method(message));
 	g_free(call->path);
-	call->path = join_path(soup_server_message_get_uri(message));
-	aub_headers_collect(headers, call->headers);
+	call->path = path_with_query(soup_server_message_get_uri(message));
+	aub_headers_from_soup(headers, call->headers);
 	body = soup_message_body_flatten(
 		soup_server_message_get_request_body(message));
 	if (body) {
@@ -63,8 +68,8 @@
 	return call;
 }
 
-static void write_outcome(SoupMessageHeaders *headers,
-			  const struct aub_answer *answer, bool stale)
+static void write_outcome_headers(SoupMessageHeaders *headers,
+				  const struct aub_answer *answer, bool stale)
 {
 	char text[24];
 
@@ -97,13 +102,19 @@
 	headers = soup_server_message_get_response_headers(message);
 	if (soup_server_message_get_method(message) == SOUP_METHOD_HEAD) {
 		length = aub_headers_find(answer->headers, "Content-Length");
-		/* Without either, the end of the connection would end it. */
+		/*
+		 * Without Content-Length or chunked encoding, libsoup would
+		 * close the connection to mark the end of the response.
+		 */
 		if (!length)
 			soup_message_headers_set_encoding(
 				headers, SOUP_ENCODING_CHUNKED);
 		return;
 	}
-	/* libsoup 3.2 closes after these and doesn't say so. */
+	/*
+	 * libsoup 3.2 closes the connection after these statuses without
+	 * sending "Connection: close".
+	 */
 	if (answer->status == SOUP_STATUS_NO_CONTENT ||
 	    answer->status == SOUP_STATUS_NOT_MODIFIED)
 		soup_message_headers_replace(headers, "Connection", "close");
@@ -115,17 +126,20 @@
 	answer->body = (struct aub_bytes){ 0 };
 }
 
-void aub_caller_write(SoupServerMessage *message, struct aub_answer *answer,
-		      bool stale)
+void aub_caller_write_response(SoupServerMessage *message,
+			       struct aub_answer *answer, bool stale)
 {
 	SoupMessageHeaders *headers;
 
 	headers = soup_server_message_get_response_headers(message);
 	write_body(message, answer);
-	/* libsoup has put one in already; the upstream's own is passed on. */
+	/*
+	 * libsoup has already added a Date header; the upstream's Date
+	 * replaces it.
+	 */
 	if (aub_headers_find(answer->headers, "Date"))
 		soup_message_headers_remove(headers, "Date");
-	aub_headers_emit(answer->headers, headers);
-	write_outcome(headers, answer, stale);
+	aub_headers_to_soup(answer->headers, headers);
+	write_outcome_headers(headers, answer, stale);
 	soup_server_message_set_status(message, answer->status, NULL);
 }
--- a/src/transport/store_watch.c
+++ b/src/transport/store_watch.c
@@ -1,20 +1,20 @@
 /*
- * The watch: one long poll after another, resumed from the highest version
+ * The watch: consecutive long polls, each resumed from the highest version
  * delivered.
  *
- * An answer from a store version older than one already seen is a stale
- * read. It is reported as a failed try: taken for a confirmation, it would
- * let a process believe itself fresh.
+ * A response with a store version lower than one already seen is a stale read.
+ * It is reported as a failed attempt, because a process that took it for a
+ * confirmation would consider outdated data current.
  */
 #include <auburnstile/internal/store_client.h>
 
 #include <auburnstile/error.h>
 
 struct store_watch {
-	struct aub_store_client *client; /* borrowed */
+	struct aub_store_client *client; /* not owned */
 	char *prefix;
-	guint64 since; /* highest version delivered */
-	guint64 store_version; /* highest the store has told */
+	guint64 since_version; /* highest version delivered */
+	guint64 store_version; /* highest store version received */
 	guint failures;
 	struct store_exchange *exchange;
 	GSource *timer;
@@ -24,7 +24,7 @@
 
 static void start_poll(struct store_watch *watch);
 
-static gboolean on_again(gpointer data)
+static gboolean on_retry_timer(gpointer data)
 {
 	struct store_watch *watch = data;
 
@@ -33,27 +33,33 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Takes `error` over. The callback may stop the watch. */
-static void poll_failed(struct store_watch *watch, GError *error)
+/*
+ * Schedules the next poll with backoff and reports the failure. Takes
+ * ownership of `error`. The callback may stop the watch.
+ */
+static void handle_poll_failure(struct store_watch *watch, GError *error)
 {
 	struct aub_store_client *client = watch->client;
 	guint delay_ms = store_backoff_ms(client, watch->failures++);
 
-	watch->timer = store_timer(client, delay_ms, on_again, watch);
-	watch->callback(NULL, watch->since, error, watch->context);
+	watch->timer = store_timer(client, delay_ms, on_retry_timer, watch);
+	watch->callback(NULL, watch->since_version, error, watch->context);
 	g_error_free(error);
 }
 
 static gint by_version(gconstpointer a, gconstpointer b)
 {
-	guint64 one = ((const struct aub_store_object *)a)->version;
-	guint64 two = ((const struct aub_store_object *)b)->version;
+	guint64 left = ((const struct aub_store_object *)a)->version;
+	guint64 right = ((const struct aub_store_object *)b)->version;
 
-	return (one > two) - (one < two);
+	return (left > right) - (left < right);
 }
 
-/* False where the answer is malformed. Objects borrow from `root`. */
-static bool read_changes(JsonNode *root, guint64 *version, GArray *changes)
+/*
+ * Parses the response of a poll. Returns false if it is malformed. The objects
+ * point into `root`.
+ */
+static bool parse_changes(JsonNode *root, guint64 *version, GArray *changes)
 {
 	struct aub_store_object object;
 	JsonObject *fields;
@@ -71,8 +77,8 @@
 		json_object_get_int_member_with_default(fields, "version", 0);
 	array = json_object_get_array_member(fields, "changes");
 	for (i = 0; i < json_array_get_length(array); i++) {
-		if (!store_object_read(json_array_get_element(array, i),
-				       &object))
+		if (!store_object_parse(json_array_get_element(array, i),
+					&object))
 			return false;
 		g_array_append_val(changes, object);
 	}
@@ -80,31 +86,34 @@
 	return true;
 }
 
-/* False when a callback stopped the watch: `watch` is gone then. */
-static bool deliver(struct store_watch *watch, const GArray *changes)
+/*
+ * Reports the changes. Returns false if a callback stopped the watch, in which
+ * case `watch` has been freed.
+ */
+static bool deliver_changes(struct store_watch *watch, const GArray *changes)
 {
 	struct aub_store_client *client = watch->client;
 	const struct aub_store_object *object;
-	guint64 since = watch->since;
+	guint64 since_version = watch->since_version;
 	guint i;
 
 	for (i = 0; i < changes->len; i++) {
 		object = &g_array_index(changes, struct aub_store_object, i);
-		if (object->version <= since ||
-		    !store_saw(client, object->key, object->version))
+		if (object->version <= since_version ||
+		    !store_record_version(client, object->key, object->version))
 			continue;
-		watch->since = object->version;
+		watch->since_version = object->version;
 		watch->callback(object, object->version, NULL, watch->context);
 		if (client->watch != watch)
 			return false;
 	}
-	if (watch->since == since)
+	if (watch->since_version == since_version)
 		watch->callback(NULL, watch->store_version, NULL,
 				watch->context);
 	return client->watch == watch;
 }
 
-static void poll_answered(struct store_watch *watch, GBytes *body)
+static void handle_poll_response(struct store_watch *watch, GBytes *body)
 {
 	GArray *changes =
 		g_array_new(FALSE, FALSE, sizeof(struct aub_store_object));
@@ -115,18 +124,18 @@
 
 	json_parser_load_from_data(parser, g_bytes_get_data(body, NULL),
 				   g_bytes_get_size(body), NULL);
-	if (!read_changes(json_parser_get_root(parser), &version, changes))
+	if (!parse_changes(json_parser_get_root(parser), &version, changes))
 		aub_error_set(&error, AUB_ERROR_INVALID, "watch store", peer,
-			      "malformed answer");
+			      "malformed response");
 	else if (version < watch->store_version)
 		aub_error_set(&error, AUB_ERROR_UNAVAILABLE, "watch store",
 			      peer, "stale read");
 	if (error) {
-		poll_failed(watch, error);
+		handle_poll_failure(watch, error);
 	} else {
 		watch->failures = 0;
 		watch->store_version = version;
-		if (deliver(watch, changes))
+		if (deliver_changes(watch, changes))
 			start_poll(watch);
 	}
 	g_object_unref(parser);
@@ -140,15 +149,15 @@
 
 	watch->exchange = NULL;
 	if (!result->error && result->status == 200) {
-		poll_answered(watch, result->body);
+		handle_poll_response(watch, result->body);
 		return;
 	}
 	if (result->error)
 		error = g_error_copy(result->error);
 	else
-		store_status_error(&error, "watch store", watch->client,
-				   result->status);
-	poll_failed(watch, error);
+		store_error_from_status(&error, "watch store", watch->client,
+					result->status);
+	handle_poll_failure(watch, error);
 }
 
 static void start_poll(struct store_watch *watch)
@@ -158,12 +167,13 @@
 	char *path =
 		g_strdup_printf("/v1/watch?prefix=%s&since=%" G_GUINT64_FORMAT
 				"&wait_ms=%u",
-				prefix, watch->since, client->options.watch_ms);
+				prefix, watch->since_version,
+				client->options.watch_wait_ms);
 	struct store_request request = {
 		.method = "GET",
 		.path = path,
-		.timeout_ms =
-			client->options.watch_ms + client->options.timeout_ms,
+		.timeout_ms = client->options.watch_wait_ms +
+			      client->options.timeout_ms,
 		.new_connection = watch->failures > 0,
 	};
 
@@ -174,8 +184,8 @@
 }
 
 void aub_store_watch_start(struct aub_store_client *client, const char *prefix,
-			   guint64 since, aub_store_watch_callback *callback,
-			   void *context)
+			   guint64 since_version,
+			   aub_store_watch_callback *callback, void *context)
 {
 	struct store_watch *watch;
 
@@ -183,8 +193,8 @@
 	watch = g_new0(struct store_watch, 1);
 	watch->client = client;
 	watch->prefix = g_strdup(prefix);
-	watch->since = since;
-	watch->store_version = since;
+	watch->since_version = since_version;
+	watch->store_version = since_version;
 	watch->callback = callback;
 	watch->context = context;
 	client->watch = watch;
--- a/tests/caller.h
+++ b/tests/caller.h
@@ -1,6 +1,4 @@
-/*
- * A caller in this process: raw bytes over a connection of its own.
- */
+/* An HTTP client in the test process that sends and receives raw bytes. */
 #ifndef AUBURNSTILE_TESTS_CALLER_H
 #define AUBURNSTILE_TESTS_CALLER_H
 
@@ -33,8 +31,11 @@
 			      nullptr);
 	}
 
-	/* True once the other end closed; gathers what came before. */
-	bool ended()
+	/*
+	 * Appends the received bytes to `input`. Returns true once the other
+	 * end has closed the connection.
+	 */
+	bool is_closed()
 	{
 		char bytes[4096];
 		gssize count;
@@ -45,14 +46,17 @@
 		return !count;
 	}
 
-	/* Runs the main loop until a whole answer or the end is there. */
-	std::string answer()
+	/*
+	 * Runs the main loop until a complete answer or the end of the
+	 * connection has arrived; gives up after 5 s.
+	 */
+	std::string read_answer()
 	{
 		gint64 end = g_get_monotonic_time() + 5000000;
 
 		input.clear();
 		while (g_get_monotonic_time() < end) {
-			if (ended() || whole())
+			if (is_closed() || has_complete_answer())
 				break;
 			g_main_context_iteration(nullptr, FALSE);
 		}
@@ -61,8 +65,11 @@
 
 	std::string input;
 
-	/* The head came, and as much body as it announces. */
-	bool whole() const
+	/*
+	 * Returns whether the head and as much body as it announces have
+	 * arrived.
+	 */
+	bool has_complete_answer() const
 	{
 		size_t end = input.find("\r\n\r\n");
 		if (end == std::string::npos)
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -1,6 +1,7 @@
 /*
- * The callers' listener: requests arrive whole or are refused as not run;
- * slow, idle, gone and malformed callers cost others nothing.
+ * Tests of the callers' listener: requests are delivered complete or rejected
+ * as "not-run"; slow, idle, disconnected and malformed callers do not affect
+ * others.
  */
 #include <gtest/gtest.h>
 
@@ -13,10 +14,11 @@
 #include <string>
 #include <vector>
 
-/* libsoup 3.2 leaks the path of a request whose framing it refuses itself. */
+/* libsoup 3.2 leaks the path of a request whose framing it rejects itself. */
 extern "C" const char *__asan_default_options()
 {
-	return "fast_unwind_on_malloc=0"; /* the suppression needs the stack */
+	return "fast_unwind_on_malloc=0"; /* the suppression needs the full
+					     stack */
 }
 
 extern "C" const char *__lsan_default_suppressions()
@@ -29,31 +31,32 @@
       protected:
 	struct aub_timer_service *timers = aub_timer_service_new(nullptr);
 	struct aub_caller_server *server = nullptr;
-	std::vector<struct aub_caller_request *> waiting;
+	std::vector<struct aub_caller_request *> pending;
 	std::vector<struct aub_call *> calls;
-	int gone = 0;
-	bool answer_at_once = true;
+	int disconnected_count = 0;
+	bool respond_immediately = true;
 
-	static void on_arrived(struct aub_caller_request *request,
-			       struct aub_call *call, void *context)
+	static void on_request_received(struct aub_caller_request *request,
+					struct aub_call *call, void *context)
 	{
 		CallerServer *test = static_cast<CallerServer *>(context);
 
 		test->calls.push_back(call);
-		test->waiting.push_back(request);
-		if (test->answer_at_once)
+		test->pending.push_back(request);
+		if (test->respond_immediately)
 			test->answer(200, "hello");
 	}
 
-	static void on_gone(struct aub_caller_request *request, void *context)
+	static void on_caller_disconnected(struct aub_caller_request *request,
+					   void *context)
 	{
 		CallerServer *test = static_cast<CallerServer *>(context);
 
-		std::erase(test->waiting, request);
-		test->gone++;
+		std::erase(test->pending, request);
+		test->disconnected_count++;
 	}
 
-	static guint32 limit(const char *, void *)
+	static guint32 body_limit(const char *, void *)
 	{
 		return 100;
 	}
@@ -69,7 +72,7 @@
 
 	void answer(guint status, const std::string &body)
 	{
-		ASSERT_FALSE(waiting.empty());
+		ASSERT_FALSE(pending.empty());
 		struct aub_answer *answer =
 			(struct aub_answer *)aub_message_new(
 				AUB_MESSAGE_ANSWER);
@@ -78,23 +81,23 @@
 		answer->id = 0x1f;
 		aub_bytes_set(&answer->body, body.data(), body.size());
 		g_ptr_array_add(answer->headers, aub_header_new("X-A", "b"));
-		aub_caller_answer(waiting.back(), answer, true);
-		waiting.pop_back();
+		aub_caller_respond(pending.back(), answer, true);
+		pending.pop_back();
 	}
 
 	void open(guint connections, guint limit_ms)
 	{
 		struct aub_caller_server_options options = {};
 		options.address = "127.0.0.1:0";
-		options.connections = connections;
-		options.header_ms = limit_ms;
-		options.idle_ms = limit_ms;
-		options.body_ms = limit_ms;
-		options.write_ms = limit_ms;
+		options.connections_max = connections;
+		options.header_timeout_ms = limit_ms;
+		options.idle_timeout_ms = limit_ms;
+		options.body_timeout_ms = limit_ms;
+		options.write_timeout_ms = limit_ms;
 		options.timers = timers;
-		options.arrived = on_arrived;
-		options.gone = on_gone;
-		options.body_limit = limit;
+		options.arrived = on_request_received;
+		options.gone = on_caller_disconnected;
+		options.body_limit = body_limit;
 		options.addresses = addresses;
 		options.context = this;
 		server = aub_caller_server_new(&options, nullptr);
@@ -106,7 +109,7 @@
 		return aub_caller_server_port(server);
 	}
 
-	static void until(const std::function<bool()> &done)
+	static void run_until(const std::function<bool()> &done)
 	{
 		gint64 end = g_get_monotonic_time() + 5000000;
 
@@ -131,7 +134,7 @@
 	}
 };
 
-TEST_F(CallerServer, HandsOnWholeRequestsWithoutHopByHopFields)
+TEST_F(CallerServer, DeliversRequestsWithoutHopByHopFields)
 {
 	Caller caller(port());
 
@@ -141,14 +144,14 @@
 		    "Auburnstile-Deadline-Ms: 1500\r\n"
 		    "Auburnstile-Retry-Budget: 900\r\n"
 		    "Content-Length: 3\r\n\r\nabc");
-	std::string answer = caller.answer();
+	std::string answer = caller.read_answer();
 
 	ASSERT_EQ(calls.size(), 1u);
 	EXPECT_STREQ(calls[0]->method, "POST");
 	EXPECT_STREQ(calls[0]->path, "/fees/pay%20x?a=b");
 	EXPECT_STREQ(calls[0]->key, "g/k");
 	EXPECT_EQ(calls[0]->deadline_ms, 1500u);
-	EXPECT_EQ(calls[0]->retry_budget, AUB_RETRY_BUDGET_LIMIT);
+	EXPECT_EQ(calls[0]->retry_budget, AUB_RETRY_BUDGET_MAX_PERCENT);
 	EXPECT_EQ(calls[0]->body.length, 3u);
 	EXPECT_NE(aub_headers_find(calls[0]->headers, "X-Mine"), nullptr);
 	for (const char *name : { "X-Hop", "Keep-Alive", "Connection",
@@ -162,48 +165,48 @@
 		EXPECT_NE(answer.find(line), std::string::npos) << line;
 }
 
-TEST_F(CallerServer, AnswersWithoutBodyAndToHead)
+TEST_F(CallerServer, SendsResponsesWithoutBodyAndToHead)
 {
 	Caller caller(port());
 
-	answer_at_once = false;
+	respond_immediately = false;
 	caller.send("HEAD / HTTP/1.1\r\nHost: h\r\n\r\n");
-	until([&] { return !waiting.empty(); });
+	run_until([&] { return !pending.empty(); });
 	answer(200, "");
-	EXPECT_NE(caller.answer().find("HTTP/1.1 200"), std::string::npos);
+	EXPECT_NE(caller.read_answer().find("HTTP/1.1 200"), std::string::npos);
 	caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	until([&] { return !waiting.empty(); });
+	run_until([&] { return !pending.empty(); });
 	answer(204, "");
-	std::string no_content = caller.answer();
+	std::string no_content = caller.read_answer();
 	EXPECT_NE(no_content.find("HTTP/1.1 204"), std::string::npos);
 	EXPECT_NE(no_content.find("Connection: close"), std::string::npos);
 	Caller another(port());
 	another.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	until([&] { return !waiting.empty(); });
+	run_until([&] { return !pending.empty(); });
 	answer(200, "");
-	EXPECT_NE(another.answer().find("Content-Length: 0"),
+	EXPECT_NE(another.read_answer().find("Content-Length: 0"),
 		  std::string::npos);
 }
 
-TEST_F(CallerServer, SaysWhichAddressesToUse)
+TEST_F(CallerServer, ServesAddressesOfAService)
 {
 	Caller caller(port());
 
 	caller.send("GET /.auburnstile/addresses?service=calendar HTTP/1.1\r\n"
 		    "Host: h\r\n\r\n");
-	EXPECT_NE(caller.answer().find("{\"service\":\"calendar\"}"),
+	EXPECT_NE(caller.read_answer().find("{\"service\":\"calendar\"}"),
 		  std::string::npos);
 	caller.send("GET /.auburnstile/addresses?service=none HTTP/1.1\r\n"
 		    "Host: h\r\n\r\n");
-	EXPECT_NE(caller.answer().find("HTTP/1.1 404"), std::string::npos);
+	EXPECT_NE(caller.read_answer().find("HTTP/1.1 404"), std::string::npos);
 	EXPECT_TRUE(calls.empty());
 }
 
 /*
- * Requests whose end can be read in two ways, or that are too large or
- * malformed. Each is refused as not run, and none is handed on.
+ * Requests with ambiguous framing, oversized or malformed requests. Each is
+ * rejected as "not-run" and none is delivered.
  */
-TEST_F(CallerServer, RefusesUnclearAndOversizedRequests)
+TEST_F(CallerServer, RejectsAmbiguousAndOversizedRequests)
 {
 	std::string large(101, 'x');
 	std::vector<std::pair<std::string, std::string>> cases = {
@@ -224,7 +227,7 @@
 	for (auto &[rest, status] : cases) {
 		Caller caller(port());
 		caller.send("POST /fees HTTP/1.1\r\nHost: h\r\n" + rest);
-		std::string answer = caller.answer();
+		std::string answer = caller.read_answer();
 		EXPECT_EQ(answer.rfind("HTTP/1.1 " + status, 0), 0u)
 			<< rest << answer;
 		EXPECT_NE(answer.find("Auburnstile-Outcome: not-run"),
@@ -234,41 +237,43 @@
 	EXPECT_TRUE(calls.empty());
 }
 
-/* A caller who waits for an answer goes away: its request is given up. */
-TEST_F(CallerServer, SeesThatACallerIsGone)
+/*
+ * A caller disconnects while it waits for a response: its request is aborted.
+ */
+TEST_F(CallerServer, DetectsDisconnectedCaller)
 {
-	answer_at_once = false;
+	respond_immediately = false;
 	{
 		Caller caller(port());
 		caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-		until([&] { return !waiting.empty(); });
+		run_until([&] { return !pending.empty(); });
 	}
-	until([&] { return gone == 1; });
-	EXPECT_TRUE(waiting.empty());
-	until([&] { return !aub_caller_server_connections(server); });
+	run_until([&] { return disconnected_count == 1; });
+	EXPECT_TRUE(pending.empty());
+	run_until([&] { return !aub_caller_server_connections(server); });
 }
 
-TEST_F(CallerServer, ForgetsConnectionsThatEnded)
+TEST_F(CallerServer, RemovesClosedConnections)
 {
 	{
-		Caller kept(port());
-		kept.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-		EXPECT_NE(kept.answer(), "");
+		Caller keep_alive(port());
+		keep_alive.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+		EXPECT_NE(keep_alive.read_answer(), "");
 		Caller closing(port());
 		closing.send("GET / HTTP/1.1\r\nHost: h\r\n"
 			     "Connection: close\r\n\r\n");
-		EXPECT_NE(closing.answer(), "");
-		until([&] { return closing.ended(); });
-		EXPECT_EQ(aub_caller_server_busy(server), 0u);
+		EXPECT_NE(closing.read_answer(), "");
+		run_until([&] { return closing.is_closed(); });
+		EXPECT_EQ(aub_caller_server_active(server), 0u);
 	}
-	until([&] { return !aub_caller_server_connections(server); });
+	run_until([&] { return !aub_caller_server_connections(server); });
 }
 
 /*
- * Ten times as many idle connections as are allowed: the oldest give way,
- * and a new caller still gets its answer.
+ * Ten times as many idle connections as allowed: the oldest are closed, and a
+ * new caller still receives its response.
  */
-TEST_F(CallerServer, IdleConnectionsGiveWay)
+TEST_F(CallerServer, ClosesOldestIdleConnectionsOverTheLimit)
 {
 	std::vector<std::unique_ptr<Caller>> idle;
 
@@ -278,12 +283,14 @@
 	}
 	Caller caller(port());
 	caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	EXPECT_NE(caller.answer().find("hello"), std::string::npos);
-	until([&] { return aub_caller_server_connections(server) <= 8; });
+	EXPECT_NE(caller.read_answer().find("hello"), std::string::npos);
+	run_until([&] { return aub_caller_server_connections(server) <= 8; });
 }
 
-/* Callers who send a byte now and then, in header or body, are cut off. */
-TEST_F(CallerServer, SlowCallersAreCutOff)
+/*
+ * Callers that send a byte occasionally, in header or body, are disconnected.
+ */
+TEST_F(CallerServer, DisconnectsSlowCallers)
 {
 	aub_caller_server_free(server);
 	open(8, 150);
@@ -292,6 +299,6 @@
 
 	header.send("GET / HTTP");
 	body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\na");
-	until([&] { return header.ended() && body.ended(); });
+	run_until([&] { return header.is_closed() && body.is_closed(); });
 	EXPECT_TRUE(calls.empty());
 }
