--- a/tests/test_dispatch.cc
+++ b/tests/test_dispatch.cc
@@ -1,21 +1,24 @@
-/* The dispatcher's single decisions; mixes are in test_dispatch_state.cc. */
+/*
+ * Single decisions of the dispatcher; random sequences are in
+ * test_dispatch_state.cc.
+ */
 #include <gtest/gtest.h>
 
-#include "dispatch_rig.h"
+#include "dispatch_fixture.h"
 
 #include <set>
 
-TEST(Dispatch, SendsToFreeSlotsOnlyAndInOrder)
+TEST(Dispatch, SendsInOrderAndOnlyToFreeSlots)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 8; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
+		fixture.submit(id);
+	auto sent = fixture.take_actions();
 	ASSERT_EQ(sent.size(), 6u);
-	EXPECT_EQ(aub_dispatcher_queued(rig.d), 2u);
-	rig.done(sent[0]);
-	auto next = rig.take();
+	EXPECT_EQ(aub_dispatcher_queued(fixture.dispatcher), 2u);
+	fixture.attempt_done(sent[0]);
+	auto next = fixture.take_actions();
 	ASSERT_EQ(next.size(), 2u);
 	EXPECT_EQ(next[0].type, AUB_ACTION_DELIVER);
 	EXPECT_EQ(next[0].request, 1u);
@@ -24,460 +27,476 @@
 	EXPECT_EQ(next[1].upstream, sent[0].upstream);
 }
 
-TEST(Dispatch, SpreadsOverTheLeastBusy)
+TEST(Dispatch, SpreadsRequestsOverLeastBusyUpstreams)
 {
-	DispatchRig rig;
+	DispatchFixture fixture;
 	std::set<guint16> used;
-	rig.warm();
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 3; id++)
-		rig.arrive(id);
-	for (const auto &action : rig.take())
+		fixture.submit(id);
+	for (const auto &action : fixture.take_actions())
 		used.insert(action.upstream);
 	EXPECT_EQ(used.size(), 3u);
 }
 
-TEST(Dispatch, FullQueueRefusesAtOnceWithAReturnTime)
+TEST(Dispatch, RefusesWithRetryAfterWhenQueueIsFull)
 {
-	rig_options options;
+	fixture_options options;
 	options.queue_limit = 2;
-	DispatchRig rig(options);
-	rig.warm();
+	DispatchFixture fixture(options);
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 8; id++)
-		rig.arrive(id);
-	rig.take();
-	rig.arrive(9);
-	auto action = rig.one();
+		fixture.submit(id);
+	fixture.take_actions();
+	fixture.submit(9);
+	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
 	EXPECT_EQ(action.refusal, AUB_REFUSAL_QUEUE_FULL);
 	EXPECT_GE(action.retry_after_ms, 1u);
 }
 
-TEST(Dispatch, DeadlineThatCannotBeMetIsRefusedOnArrival)
+TEST(Dispatch, RefusesOnArrivalWhenDeadlineCannotBeMet)
 {
-	DispatchRig rig;
-	rig.warm(20 * AUB_MS);
+	DispatchFixture fixture;
+	fixture.warm_up(20 * AUB_MS);
 	for (guint64 id = 1; id <= 20; id++)
-		rig.arrive(id);
-	rig.take();
-	rig.arrive(21, false, 0, 50 * AUB_MS);
-	auto action = rig.one();
+		fixture.submit(id);
+	fixture.take_actions();
+	fixture.submit(21, false, 0, 50 * AUB_MS);
+	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
-	EXPECT_EQ(action.refusal, AUB_REFUSAL_DEADLINE);
+	EXPECT_EQ(action.refusal, AUB_REFUSAL_DEADLINE_UNREACHABLE);
 }
 
-TEST(Dispatch, DeadlineThatLapsesWaitingIsRefusedNotRun)
+TEST(Dispatch, RefusesQueuedRequestWhenDeadlineExpires)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 7; id++)
-		rig.arrive(id, false, 0, AUB_SECOND);
-	rig.take();
-	EXPECT_LE(aub_dispatcher_wake_us(rig.d), rig.now + AUB_SECOND);
-	rig.pass(AUB_SECOND);
-	auto action = rig.one();
+		fixture.submit(id, false, 0, AUB_SECOND);
+	fixture.take_actions();
+	EXPECT_LE(aub_dispatcher_next_wakeup_us(fixture.dispatcher),
+		  fixture.now + AUB_SECOND);
+	fixture.advance_time(AUB_SECOND);
+	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
 	EXPECT_EQ(action.request, 7u);
-	EXPECT_EQ(action.refusal, AUB_REFUSAL_DEADLINE);
+	EXPECT_EQ(action.refusal, AUB_REFUSAL_DEADLINE_UNREACHABLE);
 }
 
 /*
- * A reservation's connection dies before the answer. It may have run, so it
- * is neither sent again nor called "not run".
+ * The connection of a non-idempotent request is lost before the answer. The
+ * request may have run, so it is neither retried nor reported as not run.
  */
-TEST(Dispatch, LostOnceIsUnknownAndNeverSentAgain)
+TEST(Dispatch, ReportsLostNonIdempotentRequestAsUnknown)
 {
-	DispatchRig rig;
-	rig.warm();
-	rig.arrive(1, true, 500);
-	rig.done(rig.one(), AUB_ATTEMPT_LOST);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_UNKNOWN);
-	EXPECT_EQ(aub_dispatcher_pending(rig.d), 0u);
+	DispatchFixture fixture;
+	fixture.warm_up();
+	fixture.submit(1, true, 500);
+	fixture.attempt_done(fixture.take_one(), AUB_ATTEMPT_CONNECTION_LOST);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_UNKNOWN);
+	EXPECT_EQ(aub_dispatcher_pending(fixture.dispatcher), 0u);
 }
 
-TEST(Dispatch, OnceIsSentAgainWhereItProvablyDidNotRun)
+TEST(Dispatch, RetriesNonIdempotentRequestThatProvablyDidNotRun)
 {
-	DispatchRig rig;
-	rig.warm();
-	rig.arrive(1, true, 100);
-	auto first = rig.one();
-	rig.done(first, AUB_ATTEMPT_NOT_CONNECTED);
-	auto second = rig.one();
+	DispatchFixture fixture;
+	fixture.warm_up();
+	fixture.submit(1, true, 100);
+	auto first = fixture.take_one();
+	fixture.attempt_done(first, AUB_ATTEMPT_NOT_CONNECTED);
+	auto second = fixture.take_one();
 	EXPECT_EQ(second.type, AUB_ACTION_SEND);
 	EXPECT_NE(second.upstream, first.upstream);
-	rig.done(second, AUB_ATTEMPT_SHED);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_SEND);
+	fixture.attempt_done(second, AUB_ATTEMPT_SHED);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_SEND);
 }
 
-TEST(Dispatch, RepeatableIsSentAgainWithinItsBudget)
+TEST(Dispatch, RetriesIdempotentRequestWithinItsBudget)
 {
-	DispatchRig rig;
-	rig.warm();
-	rig.arrive(1, false, 100);
-	auto first = rig.one();
-	rig.done(first, AUB_ATTEMPT_LOST);
-	auto second = rig.one();
+	DispatchFixture fixture;
+	fixture.warm_up();
+	fixture.submit(1, false, 100);
+	auto first = fixture.take_one();
+	fixture.attempt_done(first, AUB_ATTEMPT_CONNECTION_LOST);
+	auto second = fixture.take_one();
 	ASSERT_EQ(second.type, AUB_ACTION_SEND);
 	EXPECT_NE(second.upstream, first.upstream);
-	rig.done(second, AUB_ATTEMPT_LOST);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_UNKNOWN);
+	fixture.attempt_done(second, AUB_ATTEMPT_CONNECTION_LOST);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_UNKNOWN);
 }
 
 /*
- * Everything sheds. Retries are a share of calls, so that a service in
- * trouble isn't buried under them.
+ * All upstreams shed. Retries are limited to a share of the requests, so that
+ * they do not add to the overload of a service.
  */
-TEST(Dispatch, RetriesAreAShareOfCalls)
+TEST(Dispatch, LimitsRetriesToShareOfRequests)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 10;
-	DispatchRig rig(options);
+	DispatchFixture fixture(options);
 	struct aub_dispatch_counts before;
 	struct aub_dispatch_counts counts;
-	rig.warm();
-	aub_dispatcher_counts(rig.d, &before);
+	fixture.warm_up();
+	aub_dispatcher_counts(fixture.dispatcher, &before);
 	for (guint64 id = 1; id <= 1000; id++) {
-		rig.arrive(id, false, 500);
-		for (auto list = rig.take(); !list.empty(); list = rig.take())
+		fixture.submit(id, false, 500);
+		for (auto list = fixture.take_actions(); !list.empty();
+		     list = fixture.take_actions())
 			for (const auto &action : list)
 				if (action.type == AUB_ACTION_SEND)
-					rig.done(action, AUB_ATTEMPT_SHED);
-		rig.pass(AUB_SECOND);
+					fixture.attempt_done(action,
+							     AUB_ATTEMPT_SHED);
+		fixture.advance_time(AUB_SECOND);
 	}
-	aub_dispatcher_counts(rig.d, &counts);
+	aub_dispatcher_counts(fixture.dispatcher, &counts);
 	EXPECT_LE(counts.sent - before.sent, 1200u);
 	EXPECT_EQ(counts.refused - before.refused, 1000u);
 }
 
-TEST(Dispatch, AbandonedIsCancelledAndItsSlotKeptUntilReported)
+TEST(Dispatch, KeepsSlotOfAbandonedRequestUntilCancellationIsReported)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
-	DispatchRig rig(options);
-	rig.warm();
-	rig.arrive(1);
-	rig.arrive(2);
-	auto sent = rig.take();
-	aub_dispatcher_abandon(rig.d, 1, rig.now);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_CANCEL);
-	rig.arrive(3);
-	EXPECT_TRUE(rig.take().empty());
-	rig.done(sent[0], AUB_ATTEMPT_CANCELLED);
-	EXPECT_EQ(rig.one().request, 3u);
+	DispatchFixture fixture(options);
+	fixture.warm_up();
+	fixture.submit(1);
+	fixture.submit(2);
+	auto sent = fixture.take_actions();
+	aub_dispatcher_abandon(fixture.dispatcher, 1, fixture.now);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_CANCEL);
+	fixture.submit(3);
+	EXPECT_TRUE(fixture.take_actions().empty());
+	fixture.attempt_done(sent[0], AUB_ATTEMPT_CANCELLED);
+	EXPECT_EQ(fixture.take_one().request, 3u);
 }
 
 /*
- * An upstream comes back under another boot id: it gets its cold share until
- * cold_ms are over, although it says "warm" at once.
+ * An upstream restarts, which its new boot id shows. It gets its cold share
+ * until cold_ms have passed, although it reports that it is warm immediately.
  */
-TEST(Dispatch, ColdStartGetsItsShareUntilWarmedUp)
+TEST(Dispatch, LimitsRestartedUpstreamToColdShareUntilWarm)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
 	options.slots = 6;
 	options.cold_slots = 2;
-	DispatchRig rig(options);
-	rig.warm();
+	DispatchFixture fixture(options);
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 12; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
+		fixture.submit(id);
+	auto sent = fixture.take_actions();
 	ASSERT_EQ(sent.size(), 6u);
 	for (guint i = 0; i < 4; i++) {
-		rig.done(sent[i], AUB_ATTEMPT_ANSWERED, 2);
-		EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 0u);
+		fixture.attempt_done(sent[i], AUB_ATTEMPT_ANSWERED, 2);
+		EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_SEND), 0u);
 	}
-	EXPECT_TRUE(status(rig, 0).cold);
-	rig.done(sent[4], AUB_ATTEMPT_ANSWERED, 2);
-	auto next = rig.take();
+	EXPECT_TRUE(status(fixture, 0).cold);
+	fixture.attempt_done(sent[4], AUB_ATTEMPT_ANSWERED, 2);
+	auto next = fixture.take_actions();
 	EXPECT_EQ(count(next, AUB_ACTION_SEND), 1u);
-	EXPECT_EQ(status(rig, 0).in_flight, 2u);
-	rig.pass(999 * AUB_MS);
-	EXPECT_EQ(status(rig, 0).allowed, 2u);
-	rig.pass(AUB_MS);
+	EXPECT_EQ(status(fixture, 0).in_flight, 2u);
+	fixture.advance_time(999 * AUB_MS);
+	EXPECT_EQ(status(fixture, 0).allowed, 2u);
+	fixture.advance_time(AUB_MS);
 	for (guint i = 0; i < 4; i++) {
 		for (const auto &action : next)
 			if (action.type == AUB_ACTION_SEND)
-				rig.done(action, AUB_ATTEMPT_ANSWERED, 2);
-		next = rig.take();
+				fixture.attempt_done(action,
+						     AUB_ATTEMPT_ANSWERED, 2);
+		next = fixture.take_actions();
 	}
-	rig.arrive(30);
-	EXPECT_GE(status(rig, 0).allowed, 4u);
+	fixture.submit(30);
+	EXPECT_GE(status(fixture, 0).allowed, 4u);
 }
 
-TEST(Dispatch, ColdByItsOwnWordStaysSmallAndOpensOnItsWord)
+TEST(Dispatch, LimitsUpstreamWhileItReportsCold)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
 	options.slots = 4;
-	DispatchRig rig(options);
-	rig.arrive(1);
-	rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, true);
-	rig.take();
-	rig.now += 5 * AUB_SECOND;
-	rig.arrive(2);
-	rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, true);
-	rig.take();
-	EXPECT_EQ(status(rig, 0).allowed, 1u);
+	DispatchFixture fixture(options);
+	fixture.submit(1);
+	fixture.attempt_done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, true);
+	fixture.take_actions();
+	fixture.now += 5 * AUB_SECOND;
+	fixture.submit(2);
+	fixture.attempt_done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, true);
+	fixture.take_actions();
+	EXPECT_EQ(status(fixture, 0).allowed, 1u);
 	for (guint64 id = 3; id < 6; id++) {
-		rig.arrive(id);
-		rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, false);
-		rig.take();
+		fixture.submit(id);
+		fixture.attempt_done(fixture.take_one(), AUB_ATTEMPT_ANSWERED,
+				     1, false);
+		fixture.take_actions();
 	}
-	EXPECT_EQ(status(rig, 0).allowed, 4u);
-	EXPECT_FALSE(status(rig, 0).cold);
+	EXPECT_EQ(status(fixture, 0).allowed, 4u);
+	EXPECT_FALSE(status(fixture, 0).cold);
 }
 
 /*
- * A caller leaves, its attempt on a cold upstream is cancelled, and another
- * request waits. Sent at once, it would arrive before the upstream has seen
- * the cancelled one end, and push it over.
+ * A caller disconnects, its attempt on a cold upstream is cancelled, and
+ * another request is queued. If that were sent immediately, it would arrive
+ * before the upstream has noticed the cancellation, and overload it.
  */
-TEST(Dispatch, ColdGetsNothingNewUntilItMustHaveSeenACancel)
+TEST(Dispatch, DelaysNextAttemptOnColdUpstreamAfterCancellation)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
 	options.slots = 4;
-	DispatchRig rig(options);
-	rig.arrive(1);
-	rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, true);
-	rig.take();
-	rig.arrive(2);
-	auto sent = rig.one();
+	DispatchFixture fixture(options);
+	fixture.submit(1);
+	fixture.attempt_done(fixture.take_one(), AUB_ATTEMPT_ANSWERED, 1, true);
+	fixture.take_actions();
+	fixture.submit(2);
+	auto sent = fixture.take_one();
 	ASSERT_EQ(sent.type, AUB_ACTION_SEND);
-	aub_dispatcher_abandon(rig.d, 2, rig.now);
-	rig.take();
-	rig.done(sent, AUB_ATTEMPT_CANCELLED);
-	rig.arrive(3);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 0u);
-	EXPECT_LE(aub_dispatcher_wake_us(rig.d), rig.now + 100 * AUB_MS);
-	rig.pass(100 * AUB_MS);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 1u);
+	aub_dispatcher_abandon(fixture.dispatcher, 2, fixture.now);
+	fixture.take_actions();
+	fixture.attempt_done(sent, AUB_ATTEMPT_CANCELLED);
+	fixture.submit(3);
+	EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_SEND), 0u);
+	EXPECT_LE(aub_dispatcher_next_wakeup_us(fixture.dispatcher),
+		  fixture.now + 100 * AUB_MS);
+	fixture.advance_time(100 * AUB_MS);
+	EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_SEND), 1u);
 }
 
-TEST(Dispatch, LostConnectionPutsItsUpstreamInDoubt)
+TEST(Dispatch, LimitsUpstreamAfterLostConnectionUntilNextAnswer)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 1;
 	options.slots = 6;
-	DispatchRig rig(options);
-	rig.warm();
-	rig.arrive(1, true);
-	rig.done(rig.one(), AUB_ATTEMPT_LOST);
-	rig.take();
-	EXPECT_EQ(status(rig, 0).allowed, 1u);
-	rig.arrive(2);
-	rig.done(rig.one());
-	rig.take();
-	EXPECT_EQ(status(rig, 0).allowed, 6u);
+	DispatchFixture fixture(options);
+	fixture.warm_up();
+	fixture.submit(1, true);
+	fixture.attempt_done(fixture.take_one(), AUB_ATTEMPT_CONNECTION_LOST);
+	fixture.take_actions();
+	EXPECT_EQ(status(fixture, 0).allowed, 1u);
+	fixture.submit(2);
+	fixture.attempt_done(fixture.take_one());
+	fixture.take_actions();
+	EXPECT_EQ(status(fixture, 0).allowed, 6u);
 }
 
 /*
- * A new owner doesn't know what its predecessor still has in flight: half of
- * the warm slots, nothing cold or unknown, until the settling time is over.
+ * A new owner does not know which requests of the previous owner are in flight.
+ * During the takeover grace it uses half of the warm slots and no cold or
+ * unknown upstreams.
  */
-TEST(Dispatch, NewOwnerWaitsForItsPredecessor)
+TEST(Dispatch, NewOwnerUsesHalfOfWarmSlotsDuringTakeoverGrace)
 {
-	rig_options options;
+	fixture_options options;
 	options.slots = 6;
 	options.probe_budget_us = 1000000;
-	DispatchRig rig(options, false);
-	aub_dispatcher_set_role(rig.d, AUB_DISPATCH_OWNER, 500 * AUB_MS,
-				rig.now);
+	DispatchFixture fixture(options, false);
+	aub_dispatcher_set_role(fixture.dispatcher, AUB_DISPATCH_OWNER,
+				500 * AUB_MS, fixture.now);
 	for (guint64 id = 1; id <= 30; id++)
-		rig.arrive(id);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 0u);
-	rig.pass(10 * AUB_MS);
-	auto probes = rig.take();
+		fixture.submit(id);
+	EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_SEND), 0u);
+	fixture.advance_time(10 * AUB_MS);
+	auto probes = fixture.take_actions();
 	ASSERT_EQ(count(probes, AUB_ACTION_PROBE), 3u);
-	rig.probed(probes[0]);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 1u);
-	EXPECT_LE(aub_dispatcher_wake_us(rig.d), rig.now + 500 * AUB_MS);
-	rig.pass(500 * AUB_MS);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 2u);
+	fixture.probe_done(probes[0]);
+	EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_SEND), 1u);
+	EXPECT_LE(aub_dispatcher_next_wakeup_us(fixture.dispatcher),
+		  fixture.now + 500 * AUB_MS);
+	fixture.advance_time(500 * AUB_MS);
+	EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_SEND), 2u);
 }
 
 /*
- * An owner dies. Its stand-by heard of the upstreams a moment ago and sends
- * at once, half to the warm and nothing to the cold; what it heard longer
- * ago than a second it doesn't trust.
+ * An owner fails. Its stand-by received the state of the upstreams a moment ago
+ * and sends immediately: to half of the slots of warm upstreams, and nothing to
+ * cold ones. State older than one second is not used.
  */
-TEST(Dispatch, StandbyActsOnWhatItHeardAMomentAgo)
+TEST(Dispatch, StandbyUsesRecentlyImportedUpstreamState)
 {
-	rig_options options;
+	fixture_options options;
 	options.slots = 4;
-	DispatchRig owner(options);
-	DispatchRig rig(options, false);
-	struct aub_upstream_knowledge list[8];
-	owner.warm();
-	owner.arrive(1);
-	auto sent = owner.one();
-	owner.done(sent, AUB_ATTEMPT_ANSWERED, 9);
-	guint known = aub_dispatcher_knowledge(owner.d, list, 8, owner.now);
+	DispatchFixture owner(options);
+	DispatchFixture fixture(options, false);
+	struct aub_upstream_snapshot list[8];
+	owner.warm_up();
+	owner.submit(1);
+	auto sent = owner.take_one();
+	owner.attempt_done(sent, AUB_ATTEMPT_ANSWERED, 9);
+	guint known = aub_dispatcher_export_upstreams(owner.dispatcher, list, 8,
+						      owner.now);
 	ASSERT_EQ(known, 3u);
 	for (guint i = 0; i < known; i++)
-		aub_dispatcher_learn(rig.d, &list[i], rig.now);
-	rig.now += 250 * AUB_MS;
-	aub_dispatcher_set_role(rig.d, AUB_DISPATCH_STANDBY, 0, rig.now);
+		aub_dispatcher_import_upstream(fixture.dispatcher, &list[i],
+					       fixture.now);
+	fixture.now += 250 * AUB_MS;
+	aub_dispatcher_set_role(fixture.dispatcher, AUB_DISPATCH_STANDBY, 0,
+				fixture.now);
 	for (guint64 id = 1; id <= 20; id++)
-		rig.arrive(id);
-	auto list_sent = rig.take();
+		fixture.submit(id);
+	auto list_sent = fixture.take_actions();
 	EXPECT_EQ(count(list_sent, AUB_ACTION_SEND), 4u);
 	for (const auto &action : list_sent)
 		EXPECT_NE(action.upstream, sent.upstream);
 
-	DispatchRig late(options, false);
+	DispatchFixture late(options, false);
 	for (guint i = 0; i < known; i++)
-		aub_dispatcher_learn(late.d, &list[i], late.now);
+		aub_dispatcher_import_upstream(late.dispatcher, &list[i],
+					       late.now);
 	late.now += 2 * AUB_SECOND;
-	aub_dispatcher_set_role(late.d, AUB_DISPATCH_STANDBY, 0, late.now);
-	late.arrive(1);
-	EXPECT_EQ(count(late.take(), AUB_ACTION_SEND), 0u);
+	aub_dispatcher_set_role(late.dispatcher, AUB_DISPATCH_STANDBY, 0,
+				late.now);
+	late.submit(1);
+	EXPECT_EQ(count(late.take_actions(), AUB_ACTION_SEND), 0u);
 }
 
-TEST(Dispatch, StandbySendsHalfAndNothingCold)
+TEST(Dispatch, StandbyUsesHalfOfWarmSlotsAndNoColdUpstreams)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 2;
 	options.slots = 4;
-	DispatchRig rig(options);
-	rig.warm();
-	aub_dispatcher_set_role(rig.d, AUB_DISPATCH_STANDBY, 0, rig.now);
-	rig.arrive(100);
-	auto sent = rig.one();
-	rig.done(sent, AUB_ATTEMPT_ANSWERED, 9);
-	rig.take();
+	DispatchFixture fixture(options);
+	fixture.warm_up();
+	aub_dispatcher_set_role(fixture.dispatcher, AUB_DISPATCH_STANDBY, 0,
+				fixture.now);
+	fixture.submit(100);
+	auto sent = fixture.take_one();
+	fixture.attempt_done(sent, AUB_ATTEMPT_ANSWERED, 9);
+	fixture.take_actions();
 	for (guint64 id = 1; id <= 20; id++)
-		rig.arrive(id);
-	auto list = rig.take();
+		fixture.submit(id);
+	auto list = fixture.take_actions();
 	EXPECT_EQ(count(list, AUB_ACTION_SEND), 2u);
 	for (const auto &action : list)
 		EXPECT_NE(action.upstream, sent.upstream);
 }
 
-TEST(Dispatch, LosingTheRoleRefusesWhatWaits)
+TEST(Dispatch, RefusesQueuedRequestsWhenRoleIsLost)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 8; id++)
-		rig.arrive(id);
-	rig.take();
-	aub_dispatcher_set_role(rig.d, AUB_DISPATCH_NONE, 0, rig.now);
-	auto list = rig.take();
+		fixture.submit(id);
+	fixture.take_actions();
+	aub_dispatcher_set_role(fixture.dispatcher, AUB_DISPATCH_NONE, 0,
+				fixture.now);
+	auto list = fixture.take_actions();
 	ASSERT_EQ(list.size(), 2u);
 	EXPECT_EQ(list[0].refusal, AUB_REFUSAL_NOT_OWNER);
-	EXPECT_EQ(aub_dispatcher_pending(rig.d), 6u);
+	EXPECT_EQ(aub_dispatcher_pending(fixture.dispatcher), 6u);
 }
 
-TEST(Dispatch, ZoneOutGetsNothingNewAndFinishesWhatItHas)
+TEST(Dispatch, ZoneThatIsOutGetsNoNewRequestsAndFinishesRunningOnes)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 6; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
-	rig.options.out = 7 - 1;
-	rig.configure();
+		fixture.submit(id);
+	auto sent = fixture.take_actions();
+	fixture.options.out = 7 - 1;
+	fixture.configure();
 	for (guint64 id = 7; id <= 12; id++)
-		rig.arrive(id);
+		fixture.submit(id);
 	for (const auto &action : sent)
-		rig.done(action);
-	auto list = rig.take();
+		fixture.attempt_done(action);
+	auto list = fixture.take_actions();
 	EXPECT_EQ(count(list, AUB_ACTION_DELIVER), 6u);
 	for (const auto &action : list)
 		if (action.type == AUB_ACTION_SEND) {
 			EXPECT_EQ(action.upstream, 0u);
 		}
-	rig.options.out = 0;
-	rig.configure();
-	EXPECT_EQ(status(rig, 1).allowed, 1u);
+	fixture.options.out = 0;
+	fixture.configure();
+	EXPECT_EQ(status(fixture, 1).allowed, 1u);
 }
 
-TEST(Dispatch, UpstreamTakenFromTheInventoryFinishesWhatItHas)
+TEST(Dispatch, RemovedUpstreamFinishesRunningRequests)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 6; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
-	rig.options.upstreams = 1;
-	rig.configure();
-	rig.take();
+		fixture.submit(id);
+	auto sent = fixture.take_actions();
+	fixture.options.upstreams = 1;
+	fixture.configure();
+	fixture.take_actions();
 	for (const auto &action : sent)
-		rig.done(action);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_DELIVER), 6u);
-	rig.configure();
-	EXPECT_EQ(status(rig, 0).in_flight, 0u);
+		fixture.attempt_done(action);
+	EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_DELIVER), 6u);
+	fixture.configure();
+	EXPECT_EQ(status(fixture, 0).in_flight, 0u);
 }
 
-TEST(Dispatch, DrainingGetsNothingNewAndIsRetriedElsewhere)
+TEST(Dispatch, DrainingUpstreamGetsNoNewRequestsAndRefusalIsRetriedElsewhere)
 {
-	DispatchRig rig;
-	rig.warm();
-	rig.arrive(1, true, 0);
-	auto first = rig.one();
-	rig.done(first, AUB_ATTEMPT_SHED, 1, false, false, true);
-	auto second = rig.one();
+	DispatchFixture fixture;
+	fixture.warm_up();
+	fixture.submit(1, true, 0);
+	auto first = fixture.take_one();
+	fixture.attempt_done(first, AUB_ATTEMPT_SHED, 1, false, false, true);
+	auto second = fixture.take_one();
 	ASSERT_EQ(second.type, AUB_ACTION_SEND);
 	for (guint64 id = 2; id <= 9; id++)
-		rig.arrive(id);
-	for (const auto &action : rig.take())
+		fixture.submit(id);
+	for (const auto &action : fixture.take_actions())
 		EXPECT_NE(action.upstream, first.upstream);
 }
 
-TEST(Dispatch, ProbesOnlyWhereTrafficSaysNothingAndWithinBudget)
+TEST(Dispatch, ProbesOnlyUpstreamsWithoutTrafficAndWithinBudget)
 {
-	rig_options options;
+	fixture_options options;
 	options.upstreams = 12;
 	options.probe_budget_us = 60000;
 	options.probe_cost_us = 6000;
-	DispatchRig rig(options);
+	DispatchFixture fixture(options);
 	struct aub_dispatch_counts counts;
 	guint64 before = 0;
 	for (int second = 0; second < 20; second++) {
 		for (int tick = 0; tick < 1000; tick++) {
-			rig.pass(AUB_MS);
-			for (const auto &action : rig.take())
+			fixture.advance_time(AUB_MS);
+			for (const auto &action : fixture.take_actions())
 				if (action.type == AUB_ACTION_PROBE)
-					rig.probed(action, second % 3 != 0);
+					fixture.probe_done(action,
+							   second % 3 != 0);
 		}
-		aub_dispatcher_counts(rig.d, &counts);
+		aub_dispatcher_counts(fixture.dispatcher, &counts);
 		EXPECT_LE(counts.probe_us - before, 30000u);
 		before = counts.probe_us;
 	}
 	EXPECT_GT(counts.probes, 12u);
-	rig.warm();
-	rig.warm();
-	aub_dispatcher_counts(rig.d, &counts);
+	fixture.warm_up();
+	fixture.warm_up();
+	aub_dispatcher_counts(fixture.dispatcher, &counts);
 	before = counts.probes;
 	for (int round = 0; round < 200; round++)
-		rig.warm();
-	aub_dispatcher_counts(rig.d, &counts);
+		fixture.warm_up();
+	aub_dispatcher_counts(fixture.dispatcher, &counts);
 	EXPECT_EQ(counts.probes, before);
 }
 
-TEST(Dispatch, StoppingRefusesTheNewAndFinishesTheRest)
+TEST(Dispatch, StoppingRefusesNewRequestsAndFinishesQueuedOnes)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 7; id++)
-		rig.arrive(id);
-	auto sent = rig.take();
-	aub_dispatcher_stop(rig.d, rig.now);
-	rig.arrive(8);
-	EXPECT_EQ(rig.one().refusal, AUB_REFUSAL_STOPPING);
-	rig.done(sent[0]);
-	EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 1u);
+		fixture.submit(id);
+	auto sent = fixture.take_actions();
+	aub_dispatcher_stop(fixture.dispatcher, fixture.now);
+	fixture.submit(8);
+	EXPECT_EQ(fixture.take_one().refusal, AUB_REFUSAL_STOPPING);
+	fixture.attempt_done(sent[0]);
+	EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_SEND), 1u);
 }
 
-TEST(Dispatch, BaselinesSendAtOnce)
+TEST(Dispatch, BaselinesSendImmediately)
 {
 	for (int policy = AUB_POLICY_RANDOM; policy <= AUB_POLICY_TWO_CHOICES;
 	     policy++) {
-		rig_options options;
+		fixture_options options;
 		options.policy = (enum aub_policy)policy;
-		DispatchRig rig(options, false);
+		DispatchFixture fixture(options, false);
 		for (guint64 id = 1; id <= 50; id++)
-			rig.arrive(id);
-		EXPECT_EQ(count(rig.take(), AUB_ACTION_SEND), 50u);
+			fixture.submit(id);
+		EXPECT_EQ(count(fixture.take_actions(), AUB_ACTION_SEND), 50u);
 		EXPECT_EQ(aub_policy_parse(aub_policy_name(options.policy)),
 			  policy);
 	}
--- a/tests/test_dispatch_faults.cc
+++ b/tests/test_dispatch_faults.cc
@@ -1,174 +1,192 @@
-/* What the dispatcher does about upstreams and requests that do harm. */
+/*
+ * Reactions of the dispatcher to faulty upstreams and to requests that crash
+ * them.
+ */
 #include <gtest/gtest.h>
 
-#include "dispatch_rig.h"
+#include "dispatch_fixture.h"
 
 #include <map>
 
 /*
- * One upstream answers each request with an error, at once. Being always
- * idle it would take most of the traffic; after a few it gets none.
+ * One upstream answers every request with an immediate error. Since it is
+ * always idle, it would attract most of the traffic; it has to be ejected after
+ * a few errors.
  */
-TEST(DispatchFaults, FailingFastIsEjected)
+TEST(DispatchFaults, EjectsUpstreamThatFailsFast)
 {
-	DispatchRig rig;
+	DispatchFixture fixture;
 	std::map<guint16, guint> failures;
-	rig.warm();
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 600; id++) {
-		rig.arrive(id);
+		fixture.submit(id);
 		if (id % 6)
 			continue;
-		for (const auto &action : rig.take()) {
+		for (const auto &action : fixture.take_actions()) {
 			bool bad = action.upstream == 0;
 
 			if (action.type != AUB_ACTION_SEND)
 				continue;
 			failures[action.upstream]++;
-			rig.now += bad ? 100 : 400;
-			rig.done(action, AUB_ATTEMPT_ANSWERED, 1, false, bad);
+			fixture.now += bad ? 100 : 400;
+			fixture.attempt_done(action, AUB_ATTEMPT_ANSWERED, 1,
+					     false, bad);
 		}
 	}
 	EXPECT_LT(failures[0], 20u);
-	EXPECT_TRUE(status(rig, 0).suspect);
+	EXPECT_TRUE(status(fixture, 0).suspect);
 }
 
-TEST(DispatchFaults, FailuresOfAllEjectNone)
+TEST(DispatchFaults, EjectsNoneWhenAllUpstreamsFail)
 {
-	DispatchRig rig;
+	DispatchFixture fixture;
 	struct aub_dispatch_counts counts;
-	rig.warm();
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 300; id++) {
-		rig.arrive(id);
-		rig.now += 1000;
-		rig.done(rig.one(), AUB_ATTEMPT_ANSWERED, 1, false, true);
-		rig.take();
+		fixture.submit(id);
+		fixture.now += 1000;
+		fixture.attempt_done(fixture.take_one(), AUB_ATTEMPT_ANSWERED,
+				     1, false, true);
+		fixture.take_actions();
 	}
-	aub_dispatcher_counts(rig.d, &counts);
+	aub_dispatcher_counts(fixture.dispatcher, &counts);
 	EXPECT_EQ(counts.ejections, 0u);
 }
 
-TEST(DispatchFaults, OverrunningUpstreamIsTakenLast)
+TEST(DispatchFaults, SelectsOverdueUpstreamLast)
 {
-	DispatchRig rig;
-	rig.warm(10 * AUB_MS);
-	rig.arrive(1);
-	auto slow = rig.one();
-	rig.now += 100 * AUB_MS;
+	DispatchFixture fixture;
+	fixture.warm_up(10 * AUB_MS);
+	fixture.submit(1);
+	auto slow = fixture.take_one();
+	fixture.now += 100 * AUB_MS;
 	for (guint64 id = 2; id <= 5; id++)
-		rig.arrive(id);
-	for (const auto &action : rig.take())
+		fixture.submit(id);
+	for (const auto &action : fixture.take_actions())
 		EXPECT_NE(action.upstream, slow.upstream);
-	EXPECT_TRUE(status(rig, slow.upstream).suspect);
+	EXPECT_TRUE(status(fixture, slow.upstream).suspect);
 }
 
-TEST(DispatchFaults, HedgesALateRepeatableAndCancelsTheLoser)
+TEST(DispatchFaults, HedgesLateIdempotentRequestAndCancelsSlowerAttempt)
 {
-	rig_options options;
+	fixture_options options;
 	options.hedge_percent = 20;
-	DispatchRig rig(options);
-	rig.warm(10 * AUB_MS);
-	rig.arrive(1);
-	auto first = rig.one();
-	ASSERT_LT(aub_dispatcher_wake_us(rig.d), rig.now + 100 * AUB_MS);
-	rig.now = aub_dispatcher_wake_us(rig.d);
-	aub_dispatcher_tick(rig.d, rig.now);
-	auto hedge = rig.one();
+	DispatchFixture fixture(options);
+	fixture.warm_up(10 * AUB_MS);
+	fixture.submit(1);
+	auto first = fixture.take_one();
+	ASSERT_LT(aub_dispatcher_next_wakeup_us(fixture.dispatcher),
+		  fixture.now + 100 * AUB_MS);
+	fixture.now = aub_dispatcher_next_wakeup_us(fixture.dispatcher);
+	aub_dispatcher_tick(fixture.dispatcher, fixture.now);
+	auto hedge = fixture.take_one();
 	ASSERT_EQ(hedge.type, AUB_ACTION_SEND);
 	EXPECT_TRUE(hedge.hedge);
 	EXPECT_NE(hedge.upstream, first.upstream);
-	rig.done(hedge);
-	auto list = rig.take();
+	fixture.attempt_done(hedge);
+	auto list = fixture.take_actions();
 	ASSERT_EQ(list.size(), 2u);
 	EXPECT_EQ(list[0].type, AUB_ACTION_DELIVER);
 	EXPECT_EQ(list[0].attempt, hedge.attempt);
 	EXPECT_EQ(list[1].type, AUB_ACTION_CANCEL);
-	rig.done(first, AUB_ATTEMPT_CANCELLED);
-	EXPECT_EQ(aub_dispatcher_pending(rig.d), 0u);
+	fixture.attempt_done(first, AUB_ATTEMPT_CANCELLED);
+	EXPECT_EQ(aub_dispatcher_pending(fixture.dispatcher), 0u);
 }
 
-TEST(DispatchFaults, NeverHedgesWhatMayNotBeRepeated)
+TEST(DispatchFaults, NeverHedgesNonIdempotentRequest)
 {
-	rig_options options;
+	fixture_options options;
 	options.hedge_percent = 20;
-	DispatchRig rig(options);
-	rig.warm(10 * AUB_MS);
-	rig.arrive(1, true);
-	rig.one();
-	rig.pass(AUB_SECOND);
-	EXPECT_TRUE(rig.take().empty());
+	DispatchFixture fixture(options);
+	fixture.warm_up(10 * AUB_MS);
+	fixture.submit(1, true);
+	fixture.take_one();
+	fixture.advance_time(AUB_SECOND);
+	EXPECT_TRUE(fixture.take_actions().empty());
 }
 
 /*
- * A request brings down each upstream that runs it, and its caller sends it
- * again. Two deaths are the most; then it is refused at once, "not run",
- * while a request that ran beside it both times goes on.
+ * A request crashes every upstream that runs it, and its caller repeats it.
+ * After two crashes it is refused immediately as not run, while a request that
+ * ran concurrently both times is still accepted.
  */
-TEST(DispatchFaults, CrashRequestIsStoppedAfterTwoDeaths)
+TEST(DispatchFaults, RefusesRequestAfterTwoUpstreamCrashes)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm_up();
 	guint deaths = 0;
-	rig.arrive(50, false, 0, 5 * AUB_SECOND, 77);
-	rig.done(rig.one());
-	rig.take();
+	fixture.submit(50, false, 0, 5 * AUB_SECOND, 77);
+	fixture.attempt_done(fixture.take_one());
+	fixture.take_actions();
 	for (guint64 id = 1; id <= 10; id++) {
-		rig.arrive(id, false, 100, 5 * AUB_SECOND, 666);
-		for (auto list = rig.take(); !list.empty(); list = rig.take())
+		fixture.submit(id, false, 100, 5 * AUB_SECOND, 666);
+		for (auto list = fixture.take_actions(); !list.empty();
+		     list = fixture.take_actions())
 			for (const auto &action : list)
 				if (action.type == AUB_ACTION_SEND) {
 					deaths++;
-					rig.done(action, AUB_ATTEMPT_LOST);
+					fixture.attempt_done(
+						action,
+						AUB_ATTEMPT_CONNECTION_LOST);
 				}
 	}
 	EXPECT_EQ(deaths, 2u);
-	rig.arrive(20, false, 100, 5 * AUB_SECOND, 666);
-	auto action = rig.one();
+	fixture.submit(20, false, 100, 5 * AUB_SECOND, 666);
+	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
-	EXPECT_EQ(action.refusal, AUB_REFUSAL_CRASHES);
-	rig.arrive(21, false, 100, 5 * AUB_SECOND, 77);
-	EXPECT_EQ(rig.one().type, AUB_ACTION_SEND);
+	EXPECT_EQ(action.refusal, AUB_REFUSAL_CRASHES_UPSTREAMS);
+	fixture.submit(21, false, 100, 5 * AUB_SECOND, 77);
+	EXPECT_EQ(fixture.take_one().type, AUB_ACTION_SEND);
 }
 
-/* Deaths are confirmed by a new boot id, and other entries can learn them. */
-TEST(DispatchFaults, CrashMarksAreConfirmedAndLearnt)
+/*
+ * Crashes are confirmed by a new boot id and can be imported by other entries.
+ */
+TEST(DispatchFaults, ConfirmsCrashMarksByBootIdAndImportsThem)
 {
-	DispatchRig rig;
-	DispatchRig other;
+	DispatchFixture fixture;
+	DispatchFixture other;
 	std::map<guint16, guint64> boots = { { 0, 1 }, { 1, 1 }, { 2, 1 } };
-	rig.warm();
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 2; id++) {
-		rig.arrive(id, true, 0, 5 * AUB_SECOND, 666);
-		auto sent = rig.one();
-		rig.done(sent, AUB_ATTEMPT_LOST);
-		rig.take();
-		rig.now += 3 * AUB_SECOND;
+		fixture.submit(id, true, 0, 5 * AUB_SECOND, 666);
+		auto sent = fixture.take_one();
+		fixture.attempt_done(sent, AUB_ATTEMPT_CONNECTION_LOST);
+		fixture.take_actions();
+		fixture.now += 3 * AUB_SECOND;
 		boots[sent.upstream]++;
 		for (guint64 n = 0; n < 6; n++)
-			rig.arrive(100 * id + n);
-		rig.serve(boots);
+			fixture.submit(100 * id + n);
+		fixture.answer_all(boots);
 	}
 	struct aub_crash_mark marks[4];
-	ASSERT_EQ(aub_dispatcher_crashes(rig.d, marks, 4, rig.now), 1u);
+	ASSERT_EQ(aub_dispatcher_export_crash_marks(fixture.dispatcher, marks,
+						    4, fixture.now),
+		  1u);
 	EXPECT_EQ(marks[0].fingerprint, 666u);
-	EXPECT_EQ(marks[0].deaths, 2u);
-	aub_dispatcher_learn_crash(other.d, &marks[0], other.now);
-	other.arrive(1, true, 0, 5 * AUB_SECOND, 666);
-	EXPECT_EQ(other.one().refusal, AUB_REFUSAL_CRASHES);
+	EXPECT_EQ(marks[0].crash_count, 2u);
+	aub_dispatcher_import_crash_mark(other.dispatcher, &marks[0],
+					 other.now);
+	other.submit(1, true, 0, 5 * AUB_SECOND, 666);
+	EXPECT_EQ(other.take_one().refusal, AUB_REFUSAL_CRASHES_UPSTREAMS);
 }
 
-TEST(DispatchFaults, LostConnectionsOfALivingUpstreamBlameNobody)
+TEST(DispatchFaults, LostConnectionsOfRunningUpstreamMarkNoRequest)
 {
-	DispatchRig rig;
-	rig.warm();
+	DispatchFixture fixture;
+	fixture.warm_up();
 	for (guint64 id = 1; id <= 6; id++) {
-		rig.arrive(id, true, 0, 5 * AUB_SECOND, 88);
-		rig.done(rig.one(), AUB_ATTEMPT_LOST);
-		rig.take();
-		rig.now += AUB_MS;
+		fixture.submit(id, true, 0, 5 * AUB_SECOND, 88);
+		fixture.attempt_done(fixture.take_one(),
+				     AUB_ATTEMPT_CONNECTION_LOST);
+		fixture.take_actions();
+		fixture.now += AUB_MS;
 		for (guint64 n = 0; n < 6; n++)
-			rig.arrive(100 * id + n);
-		rig.serve();
+			fixture.submit(100 * id + n);
+		fixture.answer_all();
 	}
 	struct aub_crash_mark marks[4];
-	EXPECT_EQ(aub_dispatcher_crashes(rig.d, marks, 4, rig.now), 0u);
+	EXPECT_EQ(aub_dispatcher_export_crash_marks(fixture.dispatcher, marks,
+						    4, fixture.now),
+		  0u);
 }
--- a/tests/test_membership.cc
+++ b/tests/test_membership.cc
@@ -1,9 +1,10 @@
-/* Members learnt by gossip: who is known, live, replaced, left. */
+/* Members learnt by gossip: known, live, replaced and stopped ones. */
 #include <gtest/gtest.h>
 
-#include "fleet_of_memberships.h"
+#include "simulated_fleet.h"
 
-static std::string state_of(Fleet &fleet, int at, const std::string &name)
+static std::string state_of(SimulatedFleet &fleet, int at,
+			    const std::string &name)
 {
 	GPtrArray *list =
 		aubi_membership_list(fleet.nodes[at].membership, fleet.now_us);
@@ -19,30 +20,30 @@
 	return found;
 }
 
-static void grow(Fleet &fleet, int nodes)
+static void add_nodes(SimulatedFleet &fleet, int nodes)
 {
 	for (int i = 0; i < nodes; i++)
 		fleet.add("n" + std::to_string(i),
 			  std::string(1, (char)('a' + i % 3)), 100 + i);
 }
 
-TEST(Membership, FleetFindsItselfFromTwoSeeds)
+TEST(Membership, DiscoversAllMembersFromTwoSeeds)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 
-	grow(fleet, 19);
+	add_nodes(fleet, 19);
 	fleet.run(3);
 	for (int i = 0; i < 19; i++)
 		EXPECT_EQ(fleet.live(i), 19u) << i;
 }
 
-/* Nobody may look dead in a fleet where all live: owners would move. */
-TEST(Membership, NobodyLooksDeadWhileAllLive)
+/* While all members live, none may appear dead, because owners would move. */
+TEST(Membership, NeverMarksLiveMembersDead)
 {
 	for (int nodes : { 3, 19, 100 }) {
-		Fleet fleet;
+		SimulatedFleet fleet;
 
-		grow(fleet, nodes);
+		add_nodes(fleet, nodes);
 		fleet.run(10);
 		for (int i = 0; i < 60; i++) {
 			fleet.round();
@@ -53,59 +54,60 @@
 	}
 }
 
-TEST(Membership, SilentMemberIsDeadInFourSecondsAndBackWhenHeard)
+TEST(Membership, UnreachableMemberIsDeadWithinFourSecondsAndRecovers)
 {
-	Fleet fleet;
-	bool cut = true;
+	SimulatedFleet fleet;
+	bool partitioned = true;
 
-	grow(fleet, 7);
+	add_nodes(fleet, 7);
 	fleet.run(4);
 	fleet.reaches = [&](int a, int b) {
-		return !cut || (a != 3 && b != 3);
+		return !partitioned || (a != 3 && b != 3);
 	};
 	fleet.run(4);
 	for (int i = 0; i < 7; i++)
 		EXPECT_EQ(state_of(fleet, i, "n3"), i == 3 ? "live" : "dead");
-	cut = false;
+	partitioned = false;
 	fleet.run(8);
 	for (int i = 0; i < 7; i++)
 		EXPECT_EQ(state_of(fleet, i, "n3"), "live") << i;
 }
 
-TEST(Membership, DeadMemberStopsCountingAfterFifteenMinutes)
+TEST(Membership, DeadMemberIsForgottenAfterFifteenMinutes)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 
-	grow(fleet, 5);
+	add_nodes(fleet, 5);
 	fleet.run(4);
 	fleet.reaches = [](int a, int b) { return a != 4 && b != 4; };
 	fleet.run(60);
-	EXPECT_EQ(aubi_membership_known(fleet.nodes[0].membership), 5u);
+	EXPECT_EQ(aubi_membership_count(fleet.nodes[0].membership), 5u);
 	fleet.run(900);
-	EXPECT_EQ(aubi_membership_known(fleet.nodes[0].membership), 4u);
+	EXPECT_EQ(aubi_membership_count(fleet.nodes[0].membership), 4u);
 }
 
 /*
- * A caller's keys were granted by an entry that stopped in order. Its VM
- * comes back at once under the same name. A repeat must still find the heir,
- * so the old incarnation has to be known beside the new one, everywhere.
+ * Keys were granted by an entry that then stopped as planned, and its VM
+ * returns immediately under the same name. Repeated requests must still find
+ * the successor, so every member has to know the old incarnation as well as the
+ * new one.
  */
-TEST(Membership, HeirIsFoundAfterReplacementUnderTheSameName)
+TEST(Membership, SuccessorIsKnownAfterReplacementUnderTheSameName)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 	struct aub_member *self;
 
-	grow(fleet, 5);
+	add_nodes(fleet, 5);
 	fleet.run(4);
 	self = aub_member_copy(aubi_membership_self(fleet.nodes[2].membership));
 	self->state = AUB_MEMBER_STOPPED;
-	self->heir = 104;
+	self->successor = 104;
 	aubi_membership_update_self(fleet.nodes[2].membership, self,
 				    fleet.now_us);
 	aub_member_free(self);
 	fleet.run(2);
 	EXPECT_EQ(state_of(fleet, 0, "n2"), "stopped");
-	EXPECT_EQ(aubi_membership_known(fleet.nodes[0].membership), 4u);
+	EXPECT_EQ(aubi_membership_count(fleet.nodes[0].membership), 4u);
 
 	aubi_membership_free(fleet.nodes[2].membership);
 	fleet.nodes[2] = fleet.nodes[fleet.add("n2", "c", 500)];
@@ -114,29 +116,29 @@
 	for (auto &node : fleet.nodes) {
 		GPtrArray *list =
 			aubi_membership_list(node.membership, fleet.now_us);
-		guint64 heir = 0;
+		guint64 successor = 0;
 		guint64 now = 0;
 
 		for (guint i = 0; i < list->len; i++) {
 			auto *member = (struct aub_member *)list->pdata[i];
 
 			if (member->incarnation == 102)
-				heir = member->heir;
+				successor = member->successor;
 			if (member->incarnation == 500)
 				now = member->incarnation;
 		}
-		EXPECT_EQ(heir, 104u) << node.name;
+		EXPECT_EQ(successor, 104u) << node.name;
 		EXPECT_EQ(now, 500u) << node.name;
 		g_ptr_array_unref(list);
 	}
 }
 
-TEST(Membership, OlderStartNeverReplacesANewerOne)
+TEST(Membership, OlderProcessNeverReplacesANewerOne)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 	int old;
 
-	grow(fleet, 3);
+	add_nodes(fleet, 3);
 	old = fleet.add("n2", "c", 50);
 	fleet.exchange(0, 2);
 	fleet.exchange(0, old);
@@ -147,15 +149,15 @@
 }
 
 /*
- * A VM is replaced by one whose clock is a minute behind. Its number is lower
- * than the dead one's; taken for the older process it would serve nobody
- * until the dead one is forgotten, a quarter of an hour later.
+ * A VM is replaced by one whose clock is a minute behind, so its incarnation is
+ * lower than that of the dead process. If it were taken for the older process,
+ * it would not serve until the dead one is forgotten after 15 minutes.
  */
-TEST(Membership, ReplacementWithItsClockBehindTakesItsPlace)
+TEST(Membership, ReplacementWithSlowClockTakesOver)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 
-	grow(fleet, 4);
+	add_nodes(fleet, 4);
 	fleet.run(4);
 	aubi_membership_free(fleet.nodes[3].membership);
 	fleet.nodes[3] = fleet.nodes[fleet.add("n3", "a", 60)];
@@ -170,47 +172,48 @@
 }
 
 /*
- * A control is paused for ten seconds. When it wakes, its sockets are full of
- * old gossip saying that all is well. It must not believe that it hears a
- * majority: it would give its entry leave to serve by an old configuration.
+ * A control is paused for ten seconds and resumes with sockets full of old
+ * gossip. It must not conclude that it hears a majority, or it would grant its
+ * entry a serving lease for an old configuration.
  */
-TEST(Membership, AnswerReadLateProvesNothing)
+TEST(Membership, DelayedAnswerIsNoProofOfLife)
 {
-	Fleet fleet;
+	SimulatedFleet fleet;
 	struct aub_gossip *ask;
 	struct aub_gossip *answer;
 
-	grow(fleet, 3);
+	add_nodes(fleet, 3);
 	fleet.run(4);
-	ask = fleet.blank(0);
-	aubi_membership_ask(fleet.nodes[0].membership, ask, fleet.now_us);
-	answer = fleet.blank(1);
-	ASSERT_TRUE(aubi_membership_answer(fleet.nodes[1].membership, ask,
-					   false, answer, fleet.now_us));
+	ask = fleet.new_gossip(0);
+	aubi_membership_begin_exchange(fleet.nodes[0].membership, ask,
+				       fleet.now_us);
+	answer = fleet.new_gossip(1);
+	ASSERT_TRUE(aubi_membership_reply(fleet.nodes[1].membership, ask, false,
+					  answer, fleet.now_us));
 	fleet.now_us += 10 * 1000000LL;
-	aubi_membership_hear(fleet.nodes[0].membership, "n1", 101, answer,
-			     fleet.now_us);
-	EXPECT_GE(aubi_membership_heard_us(fleet.nodes[0].membership, 2,
-					   fleet.now_us),
+	aubi_membership_receive(fleet.nodes[0].membership, "n1", 101, answer,
+				fleet.now_us);
+	EXPECT_GE(aubi_membership_proof_age_us(fleet.nodes[0].membership, 2,
+					       fleet.now_us),
 		  10 * 1000000LL);
 	aub_message_free(&ask->base);
 	aub_message_free(&answer->base);
 }
 
-/* The letter's budget: 4 KB a second a node. Frames only, both ways. */
-TEST(Membership, GossipStaysInItsBudget)
+/* The brief allows 4 KB/s per node. Frames only, sent and received. */
+TEST(Membership, GossipStaysWithinBandwidthBudget)
 {
 	for (int nodes : { 19, 38, 76 }) {
-		Fleet fleet;
-		double a_second;
+		SimulatedFleet fleet;
+		double bytes_per_second;
 
-		grow(fleet, nodes);
+		add_nodes(fleet, nodes);
 		fleet.run(10);
 		fleet.bytes = 0;
 		fleet.run(10);
-		a_second = 2.0 * (double)fleet.bytes / nodes / 10;
+		bytes_per_second = 2.0 * (double)fleet.bytes / nodes / 10;
 		printf("%d nodes: %.0f bytes a second a node\n", nodes,
-		       a_second);
-		EXPECT_LT(a_second, 4096);
+		       bytes_per_second);
+		EXPECT_LT(bytes_per_second, 4096);
 	}
 }
--- a/tests/test_log_story.cc
+++ b/tests/test_request_trace.cc
@@ -1,7 +1,10 @@
-/* A request's story from log lines that are out of order, torn or foreign. */
+/*
+ * A request trace from log lines that are out of order, truncated or of other
+ * programs.
+ */
 #include <gtest/gtest.h>
 
-#include <auburnstile/internal/log_story.h>
+#include <auburnstile/internal/request_trace.h>
 
 #include <string>
 #include <vector>
@@ -22,49 +25,50 @@
 	R"({"t":1901,"node":"g1","event":"requ)",
 };
 
-TEST(LogStory, TellsTheRequestAndWhatHappenedAroundIt)
+TEST(RequestTrace, ShowsRequestAndRelatedEvents)
 {
-	struct aub_log_story *story = aub_log_story_new("r1");
-	int unreadable = 0;
+	struct aub_request_trace *trace = aub_request_trace_new("r1");
+	int rejected_lines = 0;
 
 	for (const std::string &line : lines)
-		unreadable += !aub_log_story_take(story, line.c_str());
-	EXPECT_EQ(unreadable, 2);
-	EXPECT_EQ(aub_log_story_size(story), 2u);
+		rejected_lines +=
+			!aub_request_trace_add_line(trace, line.c_str());
+	EXPECT_EQ(rejected_lines, 2);
+	EXPECT_EQ(aub_request_trace_size(trace), 2u);
 	for (const std::string &line : lines)
-		aub_log_story_take_context(story, line.c_str());
-	char *text = aub_log_story_text(story);
+		aub_request_trace_add_context_line(trace, line.c_str());
+	char *text = aub_request_trace_text(trace);
 	EXPECT_STREQ(text,
 		     "request r1\n"
 		     "    +400 ms  g1  attempt upstream=u1 end=lost ms=300\n"
 		     "    +900 ms  g1  request status=200 service=s "
 		     "upstream=u2 tries=2 ms=900\n"
-		     "around it\n"
+		     "related events\n"
 		     "    -100 ms  g1  store-lost kind=upstreams\n"
 		     "    +350 ms  g2  health upstream=u1 service=s was=up "
 		     "probe=silent\n");
 	g_free(text);
-	aub_log_story_free(story);
+	aub_request_trace_free(trace);
 }
 
-TEST(LogStory, HasNothingToTellOfAnUnknownRequest)
+TEST(RequestTrace, IsEmptyForUnknownRequest)
 {
-	struct aub_log_story *story = aub_log_story_new("r7");
+	struct aub_request_trace *trace = aub_request_trace_new("r7");
 
 	for (const std::string &line : lines)
-		aub_log_story_take(story, line.c_str());
-	char *text = aub_log_story_text(story);
+		aub_request_trace_add_line(trace, line.c_str());
+	char *text = aub_request_trace_text(trace);
 	EXPECT_STREQ(text, "");
 	g_free(text);
-	aub_log_story_free(story);
+	aub_request_trace_free(trace);
 }
 
-TEST(LogStory, StaysBounded)
+TEST(RequestTrace, LimitsNumberOfLines)
 {
-	struct aub_log_story *story = aub_log_story_new("r1");
+	struct aub_request_trace *trace = aub_request_trace_new("r1");
 
 	for (int i = 0; i < 100000; i++)
-		aub_log_story_take(story, lines[0].c_str());
-	EXPECT_EQ(aub_log_story_size(story), 1000u);
-	aub_log_story_free(story);
+		aub_request_trace_add_line(trace, lines[0].c_str());
+	EXPECT_EQ(aub_request_trace_size(trace), 1000u);
+	aub_request_trace_free(trace);
 }
--- a/tests/test_store_sync.cc
+++ b/tests/test_store_sync.cc
@@ -1,7 +1,7 @@
 /*
- * The copy of the store: listed, watched, shared, and held through absences.
+ * The local copy of the store: listing, watching, sharing changes, and outages.
  */
-#include "gateway_rig.h"
+#include "gateway_fixture.h"
 
 #include <auburnstile/internal/store_sync.h>
 
@@ -17,7 +17,7 @@
 	struct aub_store_sync *sync = NULL;
 	std::set<std::string> present;
 	std::vector<std::string> shared;
-	enum aub_watch_duty duty = AUB_WATCH_FIRST;
+	enum aub_watch_duty duty = AUB_WATCH_PRIMARY;
 	guint fleet = 0;
 	int changes = 0;
 
@@ -65,13 +65,13 @@
 			.timers = timers,
 			.address = platform_store_address(store),
 			.changed = on_changed,
-			.told = [](void *) {},
+			.batch_done = [](void *) {},
 			.share = on_share,
-			.duty =
+			.watch_duty =
 				[](void *context) {
 					return ((StoreSyncTest *)context)->duty;
 				},
-			.fleet =
+			.fleet_size =
 				[](void *context) {
 					return ((StoreSyncTest *)context)
 						->fleet;
@@ -82,7 +82,7 @@
 
 		sync = aub_store_sync_new(&options);
 	}
-	void put(const std::string &id)
+	void put_upstream(const std::string &id)
 	{
 		std::string text =
 			"{\"address\":\"127.0.0.1:9\",\"details\":{\"service\":"
@@ -91,295 +91,298 @@
 
 		platform_store_put(store, "servers", id.c_str(), text.c_str());
 	}
-	bool holds(size_t count, int ms = 3000)
+	bool has_upstreams(size_t count, int ms = 3000)
 	{
 		return run_until([&] { return present.size() == count; }, ms);
 	}
 };
 
-/* Guards against two watchers of a zone that both ask for each change. */
-TEST_F(StoreSyncTest, AsksLessOftenAsAStandby)
+/* Two watchers of a zone must not both fetch each change. */
+TEST_F(StoreSyncTest, StandbyWatcherCallsLessOften)
 {
 	guint64 calls[2];
 
-	for (auto now : { AUB_WATCH_FIRST, AUB_WATCH_STANDBY }) {
+	for (auto now : { AUB_WATCH_PRIMARY, AUB_WATCH_STANDBY }) {
 		guint64 *count = &calls[now == AUB_WATCH_STANDBY];
 
 		duty = now;
 		if (!sync)
 			start();
 		run_for(1200);
-		*count = platform_store_calls(store);
+		*count = platform_store_call_count(store);
 		for (int i = 0; i < 40; i++) {
-			put("u" + std::to_string(now * 100 + i));
+			put_upstream("u" + std::to_string(now * 100 + i));
 			run_for(50);
 		}
-		*count = platform_store_calls(store) - *count;
+		*count = platform_store_call_count(store) - *count;
 	}
 	EXPECT_GE(calls[0], 6u);
 	EXPECT_LE(calls[1], 3u);
-	EXPECT_TRUE(holds(80));
+	EXPECT_TRUE(has_upstreams(80));
 }
 
-/* Guards against a large fleet whose calls keep a store from returning. */
-TEST_F(StoreSyncTest, AsksAFailingStoreLessOftenInALargeFleet)
+/* The retries of a large fleet must not keep the store from recovering. */
+TEST_F(StoreSyncTest, RetriesLessOftenInALargeFleet)
 {
 	fleet = 300;
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	ASSERT_TRUE(has_upstreams(1));
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	run_for(2500);
-	guint64 before = platform_store_calls(store);
+	guint64 before = platform_store_call_count(store);
 	run_for(6000);
-	EXPECT_LE(platform_store_calls(store) - before, 3u);
-	EXPECT_GE(platform_store_calls(store) - before, 1u);
+	EXPECT_LE(platform_store_call_count(store) - before, 3u);
+	EXPECT_GE(platform_store_call_count(store) - before, 1u);
 }
 
-/* Guards against an old configuration while a store's retry is far off. */
-TEST_F(StoreSyncTest, AsksAtOnceForWhatOthersAnnounceWhileTheStoreFails)
+/*
+ * An old configuration must not stay in use because the next retry is far off.
+ */
+TEST_F(StoreSyncTest, FetchesAnnouncedRevisionImmediatelyWhileStoreFails)
 {
 	fleet = 300;
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	ASSERT_TRUE(has_upstreams(1));
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	run_for(4000);
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
-	put("u2");
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
+	put_upstream("u2");
 	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
 				platform_store_put(store, "x", "y", "{}"));
-	EXPECT_TRUE(holds(2, 900));
+	EXPECT_TRUE(has_upstreams(2, 900));
 }
 
 TEST_F(StoreSyncTest, ListsAllPagesAndWatches)
 {
 	for (int i = 0; i < 7; i++)
-		put("u" + std::to_string(i));
-	platform_store_set_page(store, 3);
+		put_upstream("u" + std::to_string(i));
+	platform_store_set_page_size(store, 3);
 	start();
-	EXPECT_TRUE(holds(7));
-	put("late");
-	EXPECT_TRUE(holds(8));
+	EXPECT_TRUE(has_upstreams(7));
+	put_upstream("late");
+	EXPECT_TRUE(has_upstreams(8));
 	platform_store_remove(store, "servers", "u3");
-	EXPECT_TRUE(holds(7));
+	EXPECT_TRUE(has_upstreams(7));
 	EXPECT_FALSE(present.count("u3"));
 }
 
-TEST_F(StoreSyncTest, HasOneCallOpenAKindWhileNothingHappens)
+TEST_F(StoreSyncTest, KeepsOneOpenCallPerKindWhenIdle)
 {
-	put("u1");
+	put_upstream("u1");
 	start();
-	EXPECT_TRUE(holds(1));
+	EXPECT_TRUE(has_upstreams(1));
 	run_for(500);
-	guint64 before = platform_store_calls(store);
+	guint64 before = platform_store_call_count(store);
 	run_for(1500);
-	EXPECT_LE(platform_store_calls(store) - before, 3u);
+	EXPECT_LE(platform_store_call_count(store) - before, 3u);
 }
 
-TEST_F(StoreSyncTest, RidesOutEveryFaultOfTheStore)
+TEST_F(StoreSyncTest, RecoversFromEveryStoreFault)
 {
-	for (auto fault : { PLATFORM_STORE_BUSY, PLATFORM_STORE_LIMITED,
-			    PLATFORM_STORE_RESET, PLATFORM_STORE_SILENT,
-			    PLATFORM_STORE_LOSES, PLATFORM_STORE_NONSENSE }) {
-		platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	for (auto fault :
+	     { PLATFORM_STORE_UNAVAILABLE, PLATFORM_STORE_RATE_LIMITED,
+	       PLATFORM_STORE_RESET, PLATFORM_STORE_UNRESPONSIVE,
+	       PLATFORM_STORE_LOSE_ANSWERS, PLATFORM_STORE_MALFORMED }) {
+		platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 		aub_store_sync_free(sync);
 		present.clear();
-		put("u1");
+		put_upstream("u1");
 		start();
-		ASSERT_TRUE(holds(1)) << fault;
+		ASSERT_TRUE(has_upstreams(1)) << fault;
 		platform_store_set_fault(store, fault);
-		put("u2");
-		put("u3");
+		put_upstream("u2");
+		put_upstream("u3");
 		run_for(300);
-		platform_store_set_fault(store, PLATFORM_STORE_WELL);
-		EXPECT_TRUE(holds(3, 9000)) << fault;
+		platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
+		EXPECT_TRUE(has_upstreams(3, 9000)) << fault;
 		platform_store_remove(store, "servers", "u2");
 		platform_store_remove(store, "servers", "u3");
-		EXPECT_TRUE(holds(1, 9000)) << fault;
+		EXPECT_TRUE(has_upstreams(1, 9000)) << fault;
 	}
 }
 
-TEST_F(StoreSyncTest, HoldsEntriesThatLapsedTogether)
+TEST_F(StoreSyncTest, WithholdsRemovalsOfAMassExpiry)
 {
 	/*
-	 * Callers are served throughout. While the store is away most entries
-	 * lapse; they are back within two seconds of its return.
+	 * While the store is unavailable most records expire; they are back
+	 * within two seconds after it recovers. Callers must be served
+	 * throughout.
 	 */
 	for (int i = 0; i < 6; i++)
-		put("u" + std::to_string(i));
+		put_upstream("u" + std::to_string(i));
 	start();
-	ASSERT_TRUE(holds(6));
+	ASSERT_TRUE(has_upstreams(6));
 	platform_store_set_fault(store, PLATFORM_STORE_RESET);
 	run_for(400);
 	for (int i = 0; i < 5; i++)
 		platform_store_remove(store, "servers",
 				      ("u" + std::to_string(i)).c_str());
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	run_for(1800);
 	EXPECT_EQ(present.size(), 6u);
-	put("u0");
-	EXPECT_TRUE(holds(2, 3000));
+	put_upstream("u0");
+	EXPECT_TRUE(has_upstreams(2, 3000));
 	EXPECT_TRUE(present.count("u0"));
 }
 
-TEST_F(StoreSyncTest, TellsAtOnceWhatLeftWhileThisProcessWasCutOff)
+TEST_F(StoreSyncTest, ReportsSingleRemovalImmediatelyAfterPartition)
 {
 	/*
-	 * A caller's request must not reach an upstream that left ten seconds
-	 * ago. Only this process was cut off; one entry of six is gone, which
-	 * is no mass lapse, so nothing speaks for keeping it.
+	 * A request must not reach an upstream that left ten seconds ago. Only
+	 * this process was partitioned from the store; one of six records is
+	 * missing, which is no mass expiry, so it is removed immediately.
 	 */
 	for (int i = 0; i < 6; i++)
-		put("u" + std::to_string(i));
+		put_upstream("u" + std::to_string(i));
 	start();
-	ASSERT_TRUE(holds(6));
+	ASSERT_TRUE(has_upstreams(6));
 	platform_store_set_fault(store, PLATFORM_STORE_RESET);
 	run_for(400);
 	platform_store_remove(store, "servers", "u3");
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
-	EXPECT_TRUE(holds(5, 1500));
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
+	EXPECT_TRUE(has_upstreams(5, 1500));
 }
 
-TEST_F(StoreSyncTest, AsksOnceWhenItIsToldOfNews)
+TEST_F(StoreSyncTest, FetchesOnceForAnAnnouncedRevision)
 {
-	put("u1");
+	put_upstream("u1");
 	duty = AUB_WATCH_NONE;
 	start();
-	ASSERT_TRUE(holds(1));
-	run_for(200); /* the listing is checked */
-	put("u2");
+	ASSERT_TRUE(has_upstreams(1));
+	run_for(200); /* confirms the listing */
+	put_upstream("u2");
 	run_for(400);
 	EXPECT_EQ(present.size(), 1u);
-	guint64 before = platform_store_calls(store);
-	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
-				aub_store_sync_known(sync,
-						     AUB_STORE_UPSTREAMS) +
-					1);
-	EXPECT_TRUE(holds(2));
-	EXPECT_EQ(platform_store_calls(store) - before, 1u);
+	guint64 before = platform_store_call_count(store);
+	aub_store_sync_announce(
+		sync, AUB_STORE_UPSTREAMS,
+		aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS) + 1);
+	EXPECT_TRUE(has_upstreams(2));
+	EXPECT_EQ(platform_store_call_count(store) - before, 1u);
 }
 
-TEST_F(StoreSyncTest, DoesNotAskForWhatOthersPassOn)
+TEST_F(StoreSyncTest, DoesNotFetchChangesThatAreShared)
 {
 	/*
-	 * Callers notice nothing; the store is asked hundreds of times. During
-	 * a release something changes several times a second, and each change
-	 * is told of before the zone's watcher passes it on: there is always
-	 * news of something, but never of anything old.
+	 * During a release something changes several times a second, and each
+	 * change is announced before the zone's watcher shares it. There always
+	 * is a newer announced revision but never an overdue one, so the store
+	 * must not be queried; it would be hundreds of times.
 	 */
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
-	put("u2");
-	ASSERT_TRUE(holds(2));
+	ASSERT_TRUE(has_upstreams(1));
+	put_upstream("u2");
+	ASSERT_TRUE(has_upstreams(2));
 	aub_store_sync_free(sync);
 	duty = AUB_WATCH_NONE;
 	start();
 	run_for(200);
-	gint64 known = aub_store_sync_known(sync, AUB_STORE_UPSTREAMS);
-	guint64 before = platform_store_calls(store);
+	gint64 known = aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
+	guint64 before = platform_store_call_count(store);
 
 	for (int i = 1; i <= 20; i++) {
 		aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
 					known + i + 1);
-		aub_store_sync_take(sync, AUB_STORE_UPSTREAMS, known + i - 1,
-				    known + i, shared[0].data(),
-				    shared[0].size());
+		aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS,
+					    known + i - 1, known + i,
+					    shared[0].data(), shared[0].size());
 		run_for(100);
 	}
-	EXPECT_EQ(platform_store_calls(store) - before, 0u);
+	EXPECT_EQ(platform_store_call_count(store) - before, 0u);
 }
 
-TEST_F(StoreSyncTest, AsksForWhatChangedWhileItListed)
+TEST_F(StoreSyncTest, FetchesChangesMadeDuringListing)
 {
 	/*
-	 * A caller's request must not reach an upstream that left while this
-	 * process listed: its first page is older than a change that a later
-	 * page already holds.
+	 * A request must not reach an upstream that left while this process was
+	 * listing: the first page of the listing is older than a change that a
+	 * later page already contains.
 	 */
 	for (int i = 0; i < 6; i++)
-		put("u" + std::to_string(i));
-	platform_store_set_page(store, 3);
+		put_upstream("u" + std::to_string(i));
+	platform_store_set_page_size(store, 3);
 	platform_store_set_delay(store, 60);
 	duty = AUB_WATCH_NONE;
 	start();
 	ASSERT_TRUE(run_until([&] { return present.size() == 3; }, 1000));
 	platform_store_remove(store, "servers", "u0");
-	put("u9"); /* in the second page, with the newest revision */
+	put_upstream("u9"); /* in the second page, with the newest revision */
 	ASSERT_TRUE(run_until([&] { return present.count("u9") > 0; }, 1000));
 	EXPECT_TRUE(present.count("u0"));
-	/* Another gateway tells of the newest change. */
+	/* Another gateway announces the newest revision. */
 	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS, 8);
 	EXPECT_TRUE(run_until([&] { return !present.count("u0"); }, 2500));
 }
 
-TEST_F(StoreSyncTest, LeavesAWatchThatHearsNothing)
+TEST_F(StoreSyncTest, AbandonsAWatchThatReceivesNothing)
 {
 	/*
-	 * Callers are handled by the newest configuration. This process waits
-	 * on a watch that the store no longer feeds; another gateway's
-	 * heartbeat tells of a change.
+	 * The store no longer feeds the open watch, and another gateway's
+	 * heartbeat announces a change. Callers must be served with the newest
+	 * configuration.
 	 */
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
+	ASSERT_TRUE(has_upstreams(1));
 	run_for(400);
-	platform_store_set_deaf(store, true);
-	put("u2");
+	platform_store_suppress_watch_events(store, true);
+	put_upstream("u2");
 	run_for(400);
 	EXPECT_EQ(present.size(), 1u);
-	aub_store_sync_announce(sync, AUB_STORE_UPSTREAMS,
-				aub_store_sync_known(sync,
-						     AUB_STORE_UPSTREAMS) +
-					1);
-	EXPECT_TRUE(holds(2, 1000));
+	aub_store_sync_announce(
+		sync, AUB_STORE_UPSTREAMS,
+		aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS) + 1);
+	EXPECT_TRUE(has_upstreams(2, 1000));
 }
 
-TEST_F(StoreSyncTest, TakesSharedChangesOnlyWithoutAGap)
+TEST_F(StoreSyncTest, AppliesSharedChangesOnlyWithoutAGap)
 {
-	put("u1");
+	put_upstream("u1");
 	start();
-	ASSERT_TRUE(holds(1));
+	ASSERT_TRUE(has_upstreams(1));
 	run_for(100);
-	gint64 known = aub_store_sync_known(sync, AUB_STORE_UPSTREAMS);
-	put("u2");
-	ASSERT_TRUE(holds(2));
+	gint64 known = aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
+	put_upstream("u2");
+	ASSERT_TRUE(has_upstreams(2));
 	ASSERT_EQ(shared.size(), 1u);
-	/* Another process, which does not watch, takes the same bytes. */
+	/* Another process, which does not watch, applies the same bytes. */
 	aub_store_sync_free(sync);
 	present.clear();
 	duty = AUB_WATCH_NONE;
 	platform_store_remove(store, "servers", "u2");
 	start();
-	ASSERT_TRUE(holds(1));
-	run_for(200); /* the listing is checked */
-	gint64 now = aub_store_sync_known(sync, AUB_STORE_UPSTREAMS);
-	aub_store_sync_take(sync, AUB_STORE_UPSTREAMS, now + 5, now + 6,
-			    shared[0].data(), shared[0].size());
+	ASSERT_TRUE(has_upstreams(1));
+	run_for(200); /* confirms the listing */
+	gint64 now = aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
+	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, now + 5, now + 6,
+				    shared[0].data(), shared[0].size());
 	EXPECT_EQ(present.size(), 1u);
-	aub_store_sync_take(sync, AUB_STORE_UPSTREAMS, known, now + 6,
-			    shared[0].data(), shared[0].size());
+	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, known, now + 6,
+				    shared[0].data(), shared[0].size());
 	EXPECT_EQ(present.size(), 2u);
-	EXPECT_EQ(aub_store_sync_known(sync, AUB_STORE_UPSTREAMS), now + 6);
+	EXPECT_EQ(aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS),
+		  now + 6);
 }
 
-TEST_F(StoreSyncTest, EnrolsUntilItIsDone)
+TEST_F(StoreSyncTest, RetriesRegistrationUntilItSucceeds)
 {
 	struct aub_member_record member = {};
 
 	member.ip = (char *)"10.0.0.1";
 	member.zone = (char *)"z1";
-	platform_store_set_fault(store, PLATFORM_STORE_BUSY);
+	platform_store_set_fault(store, PLATFORM_STORE_UNAVAILABLE);
 	start();
-	aub_store_sync_enrol(sync, "10.0.0.1", &member);
+	aub_store_sync_register(sync, "10.0.0.1", &member);
 	run_for(300);
 	EXPECT_EQ(platform_store_count(store, "entries"), 0u);
-	platform_store_set_fault(store, PLATFORM_STORE_WELL);
+	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	EXPECT_TRUE(run_until(
 		[&] { return platform_store_count(store, "entries") == 1; },
 		4000));
-	aub_store_sync_leave(sync);
+	aub_store_sync_deregister(sync);
 	EXPECT_TRUE(run_until(
 		[&] { return platform_store_count(store, "entries") == 0; },
 		2000));
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -1,10 +1,11 @@
 /*
- * The demonstration: a whole fleet on loopback serves a Nidito-shaped load
- * while a zone is taken out and brought back.
+ * Demonstration: a complete fleet on loopback serves a load of the shape of the
+ * Nidito deployment while a zone is taken out and brought back.
  *
- * Ends with 0 only when no answer was wrong, no request that may run once
- * ran twice, the zone got nothing new from 3 s after the command on, and got
- * work again after its return. What ran is read from the upstreams.
+ * Exits with 0 only if no answer was wrong, no at-most-once request was
+ * executed more than once, the zone received no new requests later than 3 s
+ * after the command, and the zone received requests again after its return. The
+ * requests that were executed are read from the upstreams.
  */
 #include "common/child.h"
 #include "common/tool.h"
@@ -16,14 +17,16 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define MEMBERS 6
-#define READY_MS 20000
-#define ZONE_OUT_MS 3000 /* from the load's start */
-#define ZONE_IN_MS 9000
-#define END_MS 14000
-#define LAST_NEW_LIMIT_MS 3000 /* the promise */
-#define STOP_MS 12000
-#define RATE 200 /* requests a second */
+#define FLEET_MEMBERS 6
+#define READY_TIMEOUT_MS 20000
+/* Times of the commands, relative to the start of the load. */
+#define ZONE_OUT_AT_MS 3000
+#define ZONE_IN_AT_MS 9000
+#define LOAD_END_MS 14000
+/* Upper bound for the last new request in the zone after the command. */
+#define ZONE_DRAIN_LIMIT_MS 3000
+#define STOP_TIMEOUT_MS 12000
+#define REQUESTS_PER_S 200
 
 static const struct load_service services[] = {
 	{ "calendar", "/calendar/page", 65, false },
@@ -34,22 +37,29 @@
 
 struct demo {
 	const char *inventory_file;
-	const char *zone; /* that goes out and comes back */
+	const char *zone; /* the zone that is taken out and brought back */
 	bool keep_logs;
 	struct fleet *fleet;
 	const char **entries;
 	struct load *load;
-	gint64 start_us; /* of the load */
-	gint64 out_us; /* when the command was given */
-	gint64 last_new_us; /* of the zone, since the command; < 0: before */
-	guint64 zone_before_return; /* requests the zone's upstreams got */
-	guint64 zone_after_return;
+	gint64 start_us; /* start of the load */
+	gint64 zone_out_us; /* time of the command to take the zone out */
+	/*
+	 * Last new request in the zone relative to the command; negative if it
+	 * arrived before the command.
+	 */
+	gint64 last_new_us;
+	/* Requests that the upstreams of the zone received. */
+	guint64 requests_before_return;
+	guint64 requests_after_return;
 };
 
 static const struct argp_option option_table[] = {
-	{ "inventory", 'i', "FILE", 0, "default: examples/nidito.toml", 0 },
-	{ "zone", 'z', "NAME", 0, "default: occidente-b", 0 },
-	{ "keep-logs", 'k', NULL, 0, "leave the processes' logs", 0 },
+	{ "inventory", 'i', "FILE", 0,
+	  "inventory to apply (default: examples/nidito.toml)", 0 },
+	{ "zone", 'z', "NAME", 0, "zone to take out (default: occidente-b)",
+	  0 },
+	{ "keep-logs", 'k', NULL, 0, "keep the log files of the processes", 0 },
 	{ 0 }
 };
 
@@ -71,26 +81,30 @@
 static const struct argp parser = {
 	.options = option_table,
 	.parser = parse_option,
-	.doc = "A fleet on loopback, a load, and a zone out and back.",
+	.doc = "Run a fleet on loopback under load while a zone is taken out "
+	       "and brought back.",
 };
 
-static void show_progress(const struct demo *demo, const char *what)
+static void print_progress(const struct demo *demo, const char *phase)
 {
-	struct load_figures figures = { 0 };
+	struct load_stats figures = { 0 };
 	double seconds = 0;
 
 	if (demo->load) {
-		load_get_figures(demo->load, &figures);
+		load_get_stats(demo->load, &figures);
 		seconds = (g_get_monotonic_time() - demo->start_us) / 1e6;
 	}
 	printf("%6.1f s  %-28s sent %5u  whole %5u  not run %3u  unknown %3u\n",
-	       seconds, what, figures.requests, figures.told[LOAD_RUN],
-	       figures.told[LOAD_NOT_RUN], figures.told[LOAD_UNKNOWN]);
+	       seconds, phase, figures.requests, figures.outcomes[LOAD_RUN],
+	       figures.outcomes[LOAD_NOT_RUN], figures.outcomes[LOAD_UNKNOWN]);
 	fflush(stdout);
 }
 
-/* Runs auburnstilectl; false when it can't be run or refuses. */
-static bool command(struct demo *demo, const char *const *arguments)
+/*
+ * Runs auburnstilectl. Returns false if it cannot be run or exits with an
+ * error.
+ */
+static bool run_ctl(struct demo *demo, const char *const *arguments)
 {
 	GError *error = NULL;
 	int status = -1;
@@ -107,7 +121,7 @@
 	return status == 0;
 }
 
-static bool in_zone(const struct demo *demo, guint16 upstream)
+static bool is_in_demo_zone(const struct demo *demo, guint16 upstream)
 {
 	const struct aub_inventory *inventory = demo->fleet->inventory;
 	guint16 zone = aub_upstream_at(inventory, upstream)->zone;
@@ -115,7 +129,10 @@
 	return !strcmp(aub_zone_at(inventory, zone)->name, demo->zone);
 }
 
-/* Requests the zone's upstreams got so far, and when the last came. */
+/*
+ * Returns the number of requests that the upstreams of the zone have received,
+ * and sets `last_new_us` to the time of the last one.
+ */
 static guint64 zone_requests(struct demo *demo, gint64 *last_new_us)
 {
 	JsonNode *oracle = fleet_oracle(demo->fleet);
@@ -126,7 +143,7 @@
 
 	*last_new_us = 0;
 	for (i = 0; i < demo->fleet->inventory->upstreams->len; i++) {
-		if (!in_zone(demo, i))
+		if (!is_in_demo_zone(demo, i))
 			continue;
 		upstream = fleet_oracle_upstream(oracle, demo->fleet, i);
 		requests += tool_json_int(upstream, "requests", 0);
@@ -137,9 +154,9 @@
 	return requests;
 }
 
-static bool start(struct demo *demo)
+static bool start_fleet(struct demo *demo)
 {
-	struct fleet_options options = { .members = MEMBERS, .seed = 1 };
+	struct fleet_options options = { .members = FLEET_MEMBERS, .seed = 1 };
 	const char *apply[] = { "apply", demo->inventory_file, NULL };
 	GError *error = NULL;
 	char *text = NULL;
@@ -151,14 +168,14 @@
 	demo->fleet = fleet_new(&options, &error);
 	if (!demo->fleet || !fleet_start(demo->fleet, &error))
 		goto done;
-	show_progress(demo, "started");
-	if (!fleet_wait_control(fleet_member(demo->fleet, 0), READY_MS,
+	print_progress(demo, "started");
+	if (!fleet_wait_control(fleet_member(demo->fleet, 0), READY_TIMEOUT_MS,
 				&error) ||
-	    !command(demo, apply))
+	    !run_ctl(demo, apply))
 		goto done;
-	ok = fleet_wait_ready(demo->fleet, READY_MS, &error) &&
-	     fleet_wait_owners(demo->fleet, READY_MS, &error);
-	show_progress(demo, ok ? "all entries ready" : "not ready");
+	ok = fleet_wait_ready(demo->fleet, READY_TIMEOUT_MS, &error) &&
+	     fleet_wait_owners(demo->fleet, READY_TIMEOUT_MS, &error);
+	print_progress(demo, ok ? "all entries ready" : "not ready");
 done:
 	if (error) {
 		printf("demo: %s\n", error->message);
@@ -168,25 +185,26 @@
 	return ok;
 }
 
-static void run_until(const struct demo *demo, gint64 ms, const char *what)
+static void run_load_until(const struct demo *demo, gint64 ms,
+			   const char *phase)
 {
 	gint64 end_us = demo->start_us + ms * 1000;
-	gint64 left_ms;
+	gint64 remaining_ms;
 
 	for (;;) {
-		left_ms = (end_us - g_get_monotonic_time()) / 1000;
-		if (left_ms <= 0)
+		remaining_ms = (end_us - g_get_monotonic_time()) / 1000;
+		if (remaining_ms <= 0)
 			return;
-		fleet_run_ms(MIN(left_ms, 1000));
-		show_progress(demo, what);
+		fleet_run_main_loop_ms(MIN(remaining_ms, 1000));
+		print_progress(demo, phase);
 	}
 }
 
-static bool zone_command(struct demo *demo, const char *way)
+static bool run_zone_command(struct demo *demo, const char *direction)
 {
-	const char *arguments[] = { "zone", way, demo->zone, NULL };
+	const char *arguments[] = { "zone", direction, demo->zone, NULL };
 
-	return command(demo, arguments);
+	return run_ctl(demo, arguments);
 }
 
 static bool run_load(struct demo *demo)
@@ -195,11 +213,11 @@
 		.entries = demo->entries,
 		.services = services,
 		.service_count = G_N_ELEMENTS(services),
-		.rate = RATE,
-		.seconds = END_MS / 1000.0,
+		.rate = REQUESTS_PER_S,
+		.seconds = LOAD_END_MS / 1000.0,
 		.callers = 24,
 		.deadline_ms = 5000,
-		.repeat = true,
+		.retry = true,
 		.body_bytes = 200,
 		.seed = 1,
 	};
@@ -209,26 +227,26 @@
 	demo->load = load_new(&options);
 	demo->start_us = g_get_monotonic_time();
 	load_start(demo->load);
-	run_until(demo, ZONE_OUT_MS, "three zones");
-	demo->out_us = g_get_monotonic_time();
-	ok = zone_command(demo, "out");
-	run_until(demo, ZONE_IN_MS, "one zone out");
-	demo->zone_before_return = zone_requests(demo, &last_us);
-	demo->last_new_us = last_us - demo->out_us;
-	ok = ok && zone_command(demo, "in");
-	run_until(demo, END_MS, "zone back");
+	run_load_until(demo, ZONE_OUT_AT_MS, "three zones");
+	demo->zone_out_us = g_get_monotonic_time();
+	ok = run_zone_command(demo, "out");
+	run_load_until(demo, ZONE_IN_AT_MS, "one zone out");
+	demo->requests_before_return = zone_requests(demo, &last_us);
+	demo->last_new_us = last_us - demo->zone_out_us;
+	ok = ok && run_zone_command(demo, "in");
+	run_load_until(demo, LOAD_END_MS, "zone back");
 	while (!load_done(demo->load))
-		fleet_run_ms(20);
-	demo->zone_after_return =
-		zone_requests(demo, &last_us) - demo->zone_before_return;
+		fleet_run_main_loop_ms(20);
+	demo->requests_after_return =
+		zone_requests(demo, &last_us) - demo->requests_before_return;
 	return ok;
 }
 
-static void service_row(const struct demo *demo,
-			const struct load_service *service)
+static void print_service_row(const struct demo *demo,
+			      const struct load_service *service)
 {
 	const GPtrArray *requests = load_requests(demo->load);
-	guint told[LOAD_TOLD_COUNT] = { 0 };
+	guint counts[LOAD_OUTCOME_COUNT] = { 0 };
 	guint count = 0;
 	guint i;
 
@@ -237,16 +255,16 @@
 
 		if (request->service != service)
 			continue;
-		told[request->told]++;
+		counts[request->outcome]++;
 		count++;
 	}
 	printf("  %-26s %-6s %8u %8u %8u %8u\n", service->path,
-	       service->keyed ? "once" : "", count, told[LOAD_RUN],
-	       told[LOAD_NOT_RUN], told[LOAD_UNKNOWN] + told[LOAD_ERROR]);
+	       service->keyed ? "once" : "", count, counts[LOAD_RUN],
+	       counts[LOAD_NOT_RUN], counts[LOAD_UNKNOWN] + counts[LOAD_ERROR]);
 }
 
 static void print_table(const struct demo *demo,
-			const struct load_figures *figures)
+			const struct load_stats *figures)
 {
 	char *reasons = load_reasons_text(demo->load);
 	guint i;
@@ -254,27 +272,28 @@
 	printf("\n  %-26s %-6s %8s %8s %8s %8s\n", "path", "rule", "requests",
 	       "whole", "not run", "unknown");
 	for (i = 0; i < G_N_ELEMENTS(services); i++)
-		service_row(demo, &services[i]);
+		print_service_row(demo, &services[i]);
 	printf("\n  latency ms: p50 %.1f, p99 %.1f, p99.9 %.1f, max %.1f; "
-	       "repeats by callers: %u\n",
+	       "retries by callers: %u\n",
 	       figures->p50_ms, figures->p99_ms, figures->p999_ms,
-	       figures->max_ms, figures->repeats);
+	       figures->max_ms, figures->retries);
 	if (*reasons)
-		printf("  tries told otherwise than run: %s\n", reasons);
+		printf("  attempts without a \"run\" result: %s\n", reasons);
 	g_free(reasons);
 	printf("  zone %s: last new request %.1f"
 	       " ms after the command to take it out, %" G_GUINT64_FORMAT
 	       " requests after its return\n\n",
-	       demo->zone, demo->last_new_us / 1000.0, demo->zone_after_return);
+	       demo->zone, demo->last_new_us / 1000.0,
+	       demo->requests_after_return);
 }
 
 static bool report(struct demo *demo)
 {
 	JsonNode *oracle = fleet_oracle(demo->fleet);
-	struct load_verdict verdict;
-	struct load_figures figures;
+	struct load_comparison verdict;
+	struct load_stats figures;
 
-	load_get_figures(demo->load, &figures);
+	load_get_stats(demo->load, &figures);
 	load_compare(demo->load,
 		     json_object_get_object_member(json_node_get_object(oracle),
 						   "nonces"),
@@ -283,21 +302,21 @@
 	print_table(demo, &figures);
 	printf("demo: requests=%u whole=%u wrong=%u twice=%u not_run=%u "
 	       "unknown=%u zone_out_last_new_ms=%" G_GINT64_FORMAT "\n",
-	       figures.requests, figures.told[LOAD_RUN],
-	       figures.told[LOAD_WRONG], verdict.twice,
-	       figures.told[LOAD_NOT_RUN],
-	       figures.told[LOAD_UNKNOWN] + figures.told[LOAD_ERROR],
+	       figures.requests, figures.outcomes[LOAD_RUN],
+	       figures.outcomes[LOAD_INVALID], verdict.executed_more_than_once,
+	       figures.outcomes[LOAD_NOT_RUN],
+	       figures.outcomes[LOAD_UNKNOWN] + figures.outcomes[LOAD_ERROR],
 	       MAX(demo->last_new_us, 0) / 1000);
-	return !figures.told[LOAD_WRONG] && !verdict.twice &&
-	       figures.told[LOAD_RUN] &&
-	       demo->last_new_us <= LAST_NEW_LIMIT_MS * AUB_MS &&
-	       demo->zone_after_return > 0;
+	return !figures.outcomes[LOAD_INVALID] &&
+	       !verdict.executed_more_than_once && figures.outcomes[LOAD_RUN] &&
+	       demo->last_new_us <= ZONE_DRAIN_LIMIT_MS * AUB_MS &&
+	       demo->requests_after_return > 0;
 }
 
-static void stop(struct demo *demo, bool ok)
+static void stop_fleet(struct demo *demo, bool ok)
 {
 	bool keep = demo->keep_logs || !ok;
-	guint in_order = 0;
+	guint clean_stops = 0;
 	guint i;
 
 	if (demo->load)
@@ -307,9 +326,9 @@
 	for (i = 0; i < demo->fleet->members->len; i++)
 		fleet_signal(fleet_member(demo->fleet, i), FLEET_BOTH, SIGTERM);
 	for (i = 0; i < demo->fleet->members->len; i++)
-		in_order += fleet_stop(fleet_member(demo->fleet, i), FLEET_BOTH,
-				       STOP_MS);
-	printf("stopped in order: %u of %u members\n", in_order,
+		clean_stops += fleet_stop(fleet_member(demo->fleet, i),
+					  FLEET_BOTH, STOP_TIMEOUT_MS);
+	printf("stopped in order: %u of %u members\n", clean_stops,
 	       demo->fleet->members->len);
 	if (keep)
 		printf("logs: %s\n", demo->fleet->folder);
@@ -324,13 +343,13 @@
 	bool ok;
 
 	argp_parse(&parser, argc, argv, 0, NULL, &demo);
-	child_guard();
-	ok = start(&demo);
+	child_install_exit_handlers();
+	ok = start_fleet(&demo);
 	if (ok) {
-		demo.entries = fleet_entries(demo.fleet);
+		demo.entries = fleet_entry_addresses(demo.fleet);
 		ok = run_load(&demo);
 		ok = report(&demo) && ok;
 	}
-	stop(&demo, ok);
+	stop_fleet(&demo, ok);
 	return ok ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tools/proofs.c
+++ b/tools/proofs.c
@@ -1,6 +1,7 @@
 /*
- * Runs the proofs of what must always hold; see proofs/proof.h. Ends with
- * "N passed, N failed", and with 0 only when none failed.
+ * Runs the checks of guaranteed behaviour; see proofs/proof.h. Prints "N
+ * passed, N failed" at the end, and exits with 0 only if at least one passed
+ * and none failed.
  */
 #include "common/child.h"
 #include "proofs/proof.h"
@@ -10,23 +11,32 @@
 #include <stdlib.h>
 
 static const struct proof *const tables[] = {
-	proofs_not_run, proofs_once,  proofs_whole,	proofs_cold,
-	proofs_zone,	proofs_stop,  proofs_config,	proofs_crash,
-	proofs_retries, proofs_leave, proofs_measuring,
+	proofs_not_run,
+	proofs_at_most_once,
+	proofs_complete_answer,
+	proofs_cold_start,
+	proofs_zone_evacuation,
+	proofs_graceful_shutdown,
+	proofs_config_propagation,
+	proofs_crashing_request,
+	proofs_retry_amplification,
+	proofs_upstream_leaves,
+	proofs_probe_budget,
 };
 
 struct options {
 	const char *only;
 	guint32 seed;
-	bool sure;
+	bool in_ci;
 	bool keep_logs;
 };
 
 static const struct argp_option option_table[] = {
-	{ "only", 'o', "TEXT", 0, "those whose PROMISE/FAULT contains it", 0 },
-	{ "seed", 's', "N", 0, "of arrivals and service times (1)", 0 },
-	{ "sure", 'c', NULL, 0, "the short selection for CI", 0 },
-	{ "keep-logs", 'k', NULL, 0, "leave logs of those that failed", 0 },
+	{ "only", 'o', "TEXT", 0,
+	  "run only checks whose PROMISE/FAULT contains TEXT", 0 },
+	{ "seed", 's', "N", 0, "seed of arrivals and service times (1)", 0 },
+	{ "sure", 'c', NULL, 0, "run only the short selection for CI", 0 },
+	{ "keep-logs", 'k', NULL, 0, "keep the logs of failed checks", 0 },
 	{ 0 }
 };
 
@@ -39,7 +49,7 @@
 	else if (key == 's')
 		options->seed = strtoul(argument, NULL, 10);
 	else if (key == 'c')
-		options->sure = true;
+		options->in_ci = true;
 	else if (key == 'k')
 		options->keep_logs = true;
 	else
@@ -50,7 +60,8 @@
 static const struct argp parser = {
 	.options = option_table,
 	.parser = parse_option,
-	.doc = "Proofs of what must always hold, with real processes.",
+	.doc = "Check guaranteed behaviour with real processes and injected "
+	       "faults.",
 };
 
 int main(int argc, char **argv)
@@ -61,9 +72,9 @@
 	guint i;
 
 	argp_parse(&parser, argc, argv, 0, NULL, &options);
-	child_guard();
+	child_install_exit_handlers();
 	for (i = 0; i < G_N_ELEMENTS(tables); i++)
-		proof_run_table(tables[i], options.only, options.sure,
+		proof_run_table(tables[i], options.only, options.in_ci,
 				options.seed, options.keep_logs, &passed,
 				&failed);
 	printf("%u passed, %u failed\n", passed, failed);
--- a/tools/proofs/common.c
+++ b/tools/proofs/fixtures.c
@@ -1,5 +1,5 @@
-/* Fleets and loads that several proofs share; see common.h. */
-#include "proofs/common.h"
+/* Fleets and loads shared by several checks; see fixtures.h. */
+#include "proofs/fixtures.h"
 
 const struct load_service mixed_services[2] = {
 	{ "calendar", "/calendar/page", 2, false },
@@ -19,11 +19,11 @@
 	{ .name = "fees",
 	  .path = "/fees",
 	  .upstreams = 4,
-	  .once = true,
+	  .at_most_once = true,
 	  .queue_limit = 100 },
 };
 
-bool mixed_start(struct proof_run *run, bool proxies, double mean_us)
+bool start_mixed_fleet(struct proof_run *run, bool proxies, double mean_us)
 {
 	struct proof_fleet fleet = {
 		.services = fleet_services,
@@ -34,24 +34,25 @@
 		.mean_us = mean_us,
 	};
 
-	return proof_start(run, &fleet);
+	return proof_start_fleet(run, &fleet);
 }
 
-void mixed_load(struct proof_run *run, double rate, double seconds, bool repeat)
+void start_mixed_load(struct proof_run *run, double rate, double seconds,
+		      bool repeat)
 {
 	struct load_options options = {
 		.services = mixed_services,
 		.service_count = G_N_ELEMENTS(mixed_services),
 		.rate = rate,
 		.seconds = seconds,
-		.repeat = repeat,
+		.retry = repeat,
 		.body_bytes = 300,
 	};
 
-	proof_load(run, &options);
+	proof_start_load(run, &options);
 }
 
-void keyed_load(struct proof_run *run, double rate, double seconds)
+void start_keyed_load(struct proof_run *run, double rate, double seconds)
 {
 	struct load_options options = {
 		.services = keyed_service,
@@ -59,21 +60,21 @@
 		.rate = rate,
 		.seconds = seconds,
 		.deadline_ms = 12000,
-		.try_ms = 1500,
-		.repeat = true,
+		.attempt_timeout_ms = 1500,
+		.retry = true,
 		.body_bytes = 300,
 	};
 
-	proof_load(run, &options);
+	proof_start_load(run, &options);
 }
 
-void mixed_end(struct proof_run *run)
+void finish_and_check_load(struct proof_run *run)
 {
-	proof_end_load(run);
+	proof_finish_load(run);
 	proof_check_load(run);
 }
 
-guint16 proof_upstream(const struct proof_run *run, const char *name)
+guint16 find_upstream(const struct proof_run *run, const char *name)
 {
 	guint16 handle = aub_inventory_upstream(run->fleet->inventory, name);
 
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -1,6 +1,4 @@
-/*
- * The inside of the soak, shared by its files.
- */
+/* Internal declarations shared by the files of the soak test. */
 #ifndef TOOLS_SOAK_SOAK_H
 #define TOOLS_SOAK_SOAK_H
 
@@ -14,19 +12,21 @@
 
 G_BEGIN_DECLS
 
-#define GATEWAYS 5
-#define FIRST_IP 10
-#define PORTS 5 /* that a gateway listens on */
-#define UPSTREAMS 8
-#define CALLERS 12 /* fewer than the slots of one zone */
-#define BODY_BYTES 500
-#define WORK_MS 20
-#define CALL_MS 3000 /* a caller's deadline */
-#define THINK_MS 15
-#define FAULT_GAP_MS 400 /* mean time between two faults */
-#define CALM_MS 9000 /* at the end, without new faults */
-#define SETTLED_MS 6000 /* of it, until the last fault has been mended */
-#define DRAIN_US (3 * AUB_SECOND) /* from an entry's change to the last run */
+#define GATEWAY_COUNT 5
+#define FIRST_HOST_NUMBER 10
+#define GATEWAY_PORT_COUNT 5 /* listeners of a gateway */
+#define UPSTREAM_COUNT 8
+#define CALLER_COUNT 12 /* fewer than the slots of one zone */
+#define ANSWER_BYTES 500
+#define SERVICE_TIME_MS 20
+#define CALL_DEADLINE_MS 3000 /* deadline of a caller */
+#define THINK_TIME_MEAN_MS 15
+#define FAULT_INTERVAL_MEAN_MS 400 /* mean time between two faults */
+#define FAULT_FREE_MS 9000 /* at the end, without new faults */
+/* Within FAULT_FREE_MS, the time until the last fault has been repaired. */
+#define RECOVERY_MS 6000
+/* From the update of the store to the last new request. */
+#define DRAIN_LIMIT_US (3 * AUB_SECOND)
 
 struct rollout;
 struct soak;
@@ -35,28 +35,30 @@
 	struct soak *soak;
 	guint number;
 	struct child *child;
-	char *callers;
-	char *settings;
-	gint64 resume_us; /* paused until then; 0: running */
-	gint64 restart_us; /* dead until then */
+	char *callers_address;
+	char *settings_file;
+	gint64 resume_us; /* paused until then; 0 if not paused */
+	gint64 restart_us; /* stopped until then; 0 if running */
 };
 
 struct upstream {
 	struct soak *soak;
 	guint number;
-	guint generation; /* a new id each time it is replaced */
-	struct platform_upstream *it;
+	/* Incremented at each replacement, which gives a new id. */
+	guint generation;
+	struct platform_upstream *server;
 	struct proxy_route *route;
 	char *id;
-	gint64 draining_us; /* since when; 0: not */
-	gint64 mend_us; /* its fault ends then; 0: none */
-	bool of_order; /* of the version that an order moves to */
+	gint64 draining_us; /* start of draining; 0 if not draining */
+	gint64 repair_us; /* end of its fault; 0 if none */
+	bool of_new_version; /* belongs to the target version of the rollout */
 };
 
 struct request {
-	bool once;
-	bool refused; /* the caller was told that it did not run */
-	guint runs;
+	bool at_most_once;
+	/* The caller was told that the request was not run. */
+	bool reported_not_run;
+	guint executions;
 };
 
 struct caller {
@@ -64,84 +66,104 @@
 	struct aub_http_stream *stream;
 	struct gateway *gateway;
 	char *id;
-	gint64 begun_us; /* of the call under way; 0: thinks */
-	gint64 next_us;
+	gint64 start_us; /* start of the current call; 0 if idle */
+	gint64 next_call_us;
 	guint status;
-	gsize body;
-	char text[64]; /* how its body begins */
-	bool mine;
+	gsize body_bytes;
+	char body_start[64]; /* the beginning of the body */
+	bool is_own_answer;
 };
 
 struct soak {
 	GRand *random;
-	struct rollout *rollout; /* an order to change versions; or NULL */
+	struct rollout *rollout; /* NULL without a rollout */
 	struct aub_timer_service *timers;
 	struct aub_poller *poller;
 	struct platform_store *store;
-	struct gateway gateways[GATEWAYS];
-	struct upstream upstreams[UPSTREAMS];
-	struct caller callers[CALLERS];
+	struct gateway gateways[GATEWAY_COUNT];
+	struct upstream upstreams[UPSTREAM_COUNT];
+	struct caller callers[CALLER_COUNT];
 	GHashTable *requests; /* id -> struct request */
 	char *folder;
-	guint16 ports[PORTS];
-	guint serial;
-	guint version;
-	gint64 store_mend_us; /* 0: it is well */
-	gint64 store_well_us; /* since when, at the last mend */
-	gint64 store_ill_us; /* since when, at the last fault */
+	guint16 ports[GATEWAY_PORT_COUNT];
+	guint last_request_id;
+	guint config_version;
+	gint64 store_repair_us; /* end of its fault; 0 if healthy */
+	/* Time of the last repair. */
+	gint64 store_healthy_us;
+	/* Start of the last fault. */
+	gint64 store_faulty_us;
 	gint64 next_fault_us;
-	gint64 calm_us; /* no fault begins later */
-	bool zone_out;
+	gint64 faults_end_us; /* no fault starts later */
+	bool zone_evacuated;
 	guint faults;
 	guint calls;
 	guint served;
-	guint late_calls; /* once all was mended */
-	guint late_served;
-	guint broken;
+	guint recovered_calls; /* calls after all repairs */
+	guint recovered_served;
+	guint violations;
 };
 
-/* In this process's own time. */
+/* Returns the current time in us on the clock of this process. */
 gint64 soak_now(const struct soak *soak);
-/* A moment between `least_ms` and `most_ms` from now. */
-gint64 soak_later(struct soak *soak, guint least_ms, guint most_ms);
-/* A rule was broken; `id` of the request, or "-". */
-void soak_broken(struct soak *soak, const char *rule, const char *id);
+/* Returns a random time between `min_ms` and `max_ms` from now, in us. */
+gint64 soak_random_time(struct soak *soak, guint min_ms, guint max_ms);
+/*
+ * Prints and counts a violation of a rule. `id` is the id of the request, or
+ * "-".
+ */
+void soak_report_violation(struct soak *soak, const char *rule, const char *id);
 
+/* Writes a new version of the configuration to the store. */
 void soak_configure(struct soak *soak);
-/* Write the entry of an upstream in `state`. */
-void soak_upstream_enter(struct upstream *upstream, const char *state);
-/* A new incarnation of `upstream`; its number and soak are set. */
+/* Writes the record of an upstream with the given state to the store. */
+void soak_upstream_register(struct upstream *upstream, const char *state);
+/* Starts a new incarnation of `upstream`, whose number and soak are set. */
 void soak_upstream_start(struct upstream *upstream);
-void soak_upstream_end(struct upstream *upstream);
+/* Stops an upstream without draining and removes its record. */
+void soak_upstream_stop(struct upstream *upstream);
 
-void soak_gateway_write(struct gateway *gateway);
+/* Writes the settings file of a gateway. */
+void soak_gateway_write_settings(struct gateway *gateway);
+/* Starts the process of a gateway, after ending the previous one if any. */
 void soak_gateway_start(struct gateway *gateway);
-/* Of its listener `port`; g_free. */
+/* Returns the address of listener `port` of a gateway. Freed with g_free(). */
 char *soak_gateway_address(const struct gateway *gateway, guint port);
 
-/* A fault of any kind, from the soak's seed. */
-void soak_fault_begin(struct soak *soak);
-/* What is due to be mended. */
-void soak_mend_due(struct soak *soak, gint64 now_us);
-void soak_zone_back(struct soak *soak);
+/* Injects a random fault of any kind. */
+void soak_inject_fault(struct soak *soak);
+/* Ends the faults that are due. */
+void soak_repair_due(struct soak *soak, gint64 now_us);
+/* Ends the evacuation of zone z1. */
+void soak_end_evacuation(struct soak *soak);
 
-/* Go on calling, or wait. */
-void soak_caller_turn(struct caller *caller, gint64 now_us);
-void soak_caller_hang_up(struct caller *caller);
+/*
+ * Ends a call that has passed its deadline, or starts the next call if it is
+ * due.
+ */
+void soak_caller_step(struct caller *caller, gint64 now_us);
+void soak_caller_disconnect(struct caller *caller);
 
 /*
- * An order to change versions in the middle of the faults: good or bad by
- * `seed`. Its upstreams are its own.
+ * A rollout that takes place during the faults. The parity of `seed` determines
+ * whether the new version is good (even) or faulty (odd). The rollout owns the
+ * upstreams of the new version.
  */
 struct rollout *soak_rollout_new(struct soak *soak, guint32 seed);
 void soak_rollout_free(struct rollout *rollout);
-void soak_rollout_turn(struct rollout *rollout, gint64 now_us);
-/* A request begins to run at `upstream`. */
-void soak_rollout_run(struct rollout *rollout, const struct upstream *upstream,
-		      const char *id);
-/* Is the old version stopped? */
+void soak_rollout_step(struct rollout *rollout, gint64 now_us);
+/*
+ * Counts and checks a request that starts at `upstream`. Makes it fail at
+ * random if the new version is faulty.
+ */
+void soak_rollout_on_request(struct rollout *rollout,
+			     const struct upstream *upstream, const char *id);
+/*
+ * Returns whether the rollout is completed and the old version has been
+ * stopped. `rollout` may be NULL.
+ */
 bool soak_rollout_is_done(const struct rollout *rollout);
-/* One line about what became of it. */
+/* Prints one line with the outcome. */
 void soak_rollout_report(const struct rollout *rollout);
 
 G_END_DECLS
--- a/tools/soak/soak_gateways.c
+++ b/tools/soak/soak_gateways.c
@@ -1,21 +1,21 @@
-/*
- * The soak's gateways: real processes.
- */
+/* Gateways of the soak test, which are real processes. */
 #include "soak.h"
 
 /*
- * Gateways know each other by IP number and one port for all: each has a
- * loopback number of its own. The first two are the seeds of all.
+ * Gateways identify each other by IP address and use the same port numbers, so
+ * each has a loopback address of its own. The first two gateways are the seeds
+ * of all.
  */
 char *soak_gateway_address(const struct gateway *gateway, guint port)
 {
-	return g_strdup_printf("127.0.1.%u:%u", FIRST_IP + gateway->number,
+	return g_strdup_printf("127.0.1.%u:%u",
+			       FIRST_HOST_NUMBER + gateway->number,
 			       gateway->soak->ports[port]);
 }
 
-void soak_gateway_write(struct gateway *gateway)
+void soak_gateway_write_settings(struct gateway *gateway)
 {
-	static const char *const names[PORTS] = {
+	static const char *const names[GATEWAY_PORT_COUNT] = {
 		"callers", "directory", "readiness", "peers", "metrics",
 	};
 	GString *text = g_string_new(NULL);
@@ -28,26 +28,26 @@
 		"retry_slack = 50\nrollout_share = %s\n"
 		"rollout_slack = 50\n",
 		gateway->number, gateway->number % 2,
-		platform_store_address(gateway->soak->store), FIRST_IP,
-		FIRST_IP + 1, gateway->soak->rollout ? "0.1" : "0");
-	for (guint i = 0; i < PORTS; i++) {
+		platform_store_address(gateway->soak->store), FIRST_HOST_NUMBER,
+		FIRST_HOST_NUMBER + 1, gateway->soak->rollout ? "0.1" : "0");
+	for (guint i = 0; i < GATEWAY_PORT_COUNT; i++) {
 		char *address = soak_gateway_address(gateway, i);
 
 		g_string_append_printf(text, "%s = \"%s\"\n", names[i],
 				       address);
 		g_free(address);
 	}
-	gateway->settings =
+	gateway->settings_file =
 		g_strdup_printf("%s/g%u.toml", gateway->soak->folder,
 				gateway->number);
-	if (!g_file_set_contents(gateway->settings, text->str, -1, NULL))
-		g_error("%s can't be written", gateway->settings);
+	if (!g_file_set_contents(gateway->settings_file, text->str, -1, NULL))
+		g_error("cannot write %s", gateway->settings_file);
 	g_string_free(text, TRUE);
 }
 
 void soak_gateway_start(struct gateway *gateway)
 {
-	const char *const arguments[] = { "--settings", gateway->settings,
+	const char *const arguments[] = { "--settings", gateway->settings_file,
 					  NULL };
 	char *log = g_strdup_printf("%s/g%u.log", gateway->soak->folder,
 				    gateway->number);
--- a/tools/standin-store.c
+++ b/tools/standin-store.c
@@ -2,10 +2,10 @@
  * Stand-in for the platform's object API, in memory, for tests and the
  * demonstration. The protocol is the one in auburnstile/store_client.h.
  *
- * Versions rise over the whole store. `POST /fault` makes it slow, down,
- * stale on reads, or lose the answers of writes that took effect; `GET
- * /calls` counts the calls by kind, a waiting watch as one. Neither of the
- * two is touched by faults.
+ * Versions increase over the whole store. `POST /fault` makes it slow,
+ * unavailable, stale on reads, or lose the responses of writes that took
+ * effect; `GET /calls` returns the number of calls by kind, where a waiting
+ * watch counts as one. Faults do not affect these two.
  */
 #include "common/tool.h"
 
@@ -13,9 +13,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define VALUE_LIMIT 1048576 /* bytes of a value */
-#define WAIT_LIMIT_MS 60000 /* longest a watch waits */
-#define HISTORY_LIMIT 64 /* old versions kept of an object */
+#define VALUE_BYTES_MAX 1048576
+#define WATCH_WAIT_MAX_MS 60000
+#define REVISIONS_PER_OBJECT_MAX 64
 
 static const char objects_path[] = "/v1/objects";
 
@@ -30,24 +30,26 @@
 	GPtrArray *revisions; /* of struct revision, oldest first */
 };
 
-enum call_kind { CALL_GET, CALL_LIST, CALL_PUT, CALL_WATCH, CALL_KINDS };
+enum call_kind { CALL_GET, CALL_LIST, CALL_PUT, CALL_WATCH, CALL_KIND_COUNT };
 
-static const char *const call_names[CALL_KINDS] = {
+static const char *const call_names[CALL_KIND_COUNT] = {
 	[CALL_GET] = "get",
 	[CALL_LIST] = "list",
 	[CALL_PUT] = "put",
 	[CALL_WATCH] = "watch",
 };
 
-enum down { DOWN_NO, DOWN_REFUSE, DOWN_HANG };
+enum outage { OUTAGE_NONE, OUTAGE_REFUSE, OUTAGE_HANG };
 
-/* Counts run down by one a call; -1 means always. */
+/*
+ * Counters are decremented by each call that they affect; -1 means all calls.
+ */
 struct fault {
 	guint delay_ms;
-	guint jitter_ms; /* up to this much more */
-	enum down down;
-	guint stale; /* reads see the object so many writes ago */
-	gint64 lose_answers; /* writes that take effect unanswered */
+	guint jitter_ms; /* random delay added to it, less than this */
+	enum outage outage;
+	guint stale_writes; /* reads return the revision so many writes ago */
+	gint64 lose_answers; /* writes that take effect without a response */
 	gint64 reset; /* calls whose connection is reset */
 };
 
@@ -55,10 +57,10 @@
 	SoupServer *server;
 	GHashTable *objects; /* key -> struct object */
 	guint64 version;
-	GPtrArray *watches; /* of struct watch, owned by themselves */
-	GPtrArray *hanging; /* of SoupServerMessage, owned references */
+	GPtrArray *watches; /* of struct watch, owned */
+	GPtrArray *unanswered; /* of SoupServerMessage, owned references */
 	struct fault fault;
-	guint64 calls[CALL_KINDS];
+	guint64 calls[CALL_KIND_COUNT];
 	GRand *random;
 };
 
@@ -70,8 +72,8 @@
 	guint timer;
 };
 
-/* A call put off by the delay. */
-struct delayed {
+/* A call whose processing is delayed. */
+struct delayed_call {
 	struct store *store;
 	SoupServerMessage *message; /* owned reference */
 };
@@ -93,16 +95,16 @@
 	g_free(object);
 }
 
-/* The revision `back` writes ago, or the oldest known. */
+/* Returns the revision `writes_ago` writes ago, or the oldest one kept. */
 static const struct revision *object_revision(const struct object *object,
-					      guint back)
+					      guint writes_ago)
 {
 	guint last = object->revisions->len - 1;
 
-	return object->revisions->pdata[last - MIN(back, last)];
+	return object->revisions->pdata[last - MIN(writes_ago, last)];
 }
 
-static bool spend(gint64 *count)
+static bool consume_count(gint64 *count)
 {
 	if (!*count)
 		return false;
@@ -147,7 +149,7 @@
 	json_builder_end_object(builder);
 }
 
-static gint by_version(gconstpointer a, gconstpointer b)
+static gint compare_by_version(gconstpointer a, gconstpointer b)
 {
 	const struct object *const *first = a;
 	const struct object *const *second = b;
@@ -157,9 +159,12 @@
 	return (one > two) - (one < two);
 }
 
-/* Array of objects below `prefix` newer than `since`, oldest first. */
+/*
+ * Adds an array of the objects whose keys start with `prefix` and whose version
+ * is higher than `since`, oldest first. Returns their number.
+ */
 static guint build_objects(struct store *store, JsonBuilder *builder,
-			   const char *prefix, guint64 since, guint back)
+			   const char *prefix, guint64 since, guint writes_ago)
 {
 	GPtrArray *found = g_ptr_array_new();
 	const struct revision *revision;
@@ -170,16 +175,16 @@
 
 	g_hash_table_iter_init(&iter, store->objects);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&object)) {
-		revision = object_revision(object, back);
+		revision = object_revision(object, writes_ago);
 		if (revision->version > since &&
 		    g_str_has_prefix(object->key, prefix))
 			g_ptr_array_add(found, object);
 	}
-	g_ptr_array_sort(found, by_version);
+	g_ptr_array_sort(found, compare_by_version);
 	json_builder_begin_array(builder);
 	for (i = 0; i < found->len; i++)
 		build_object(builder, found->pdata[i],
-			     object_revision(found->pdata[i], back));
+			     object_revision(found->pdata[i], writes_ago));
 	json_builder_end_array(builder);
 	count = found->len;
 	g_ptr_array_unref(found);
@@ -196,7 +201,7 @@
 		tool_answer_text(message, 404, "no such object\n");
 		return;
 	}
-	revision = object_revision(object, store->fault.stale);
+	revision = object_revision(object, store->fault.stale_writes);
 	set_version(message, revision->version);
 	soup_server_message_set_status(message, 200, NULL);
 	soup_server_message_set_response(message, "application/octet-stream",
@@ -210,7 +215,7 @@
 	GHashTable *query = NULL;
 
 	build_objects(store, builder, query_text(message, "prefix", &query), 0,
-		      store->fault.stale);
+		      store->fault.stale_writes);
 	tool_answer_json(message, 200, json_builder_get_root(builder));
 	g_object_unref(builder);
 	g_hash_table_unref(query);
@@ -227,12 +232,15 @@
 	g_free(watch);
 }
 
-static void watch_end(struct watch *watch)
+static void watch_remove(struct watch *watch)
 {
 	g_ptr_array_remove_fast(watch->store->watches, watch);
 }
 
-/* Answers when there is something new, or when `due`. */
+/*
+ * Sets the response of a watch if there are changes, or if `due` is true.
+ * Returns whether it did.
+ */
 static bool watch_answer(struct watch *watch, bool due)
 {
 	struct store *store = watch->store;
@@ -259,11 +267,11 @@
 	watch->timer = 0;
 	watch_answer(watch, true);
 	soup_server_message_unpause(watch->message);
-	watch_end(watch);
+	watch_remove(watch);
 	return G_SOURCE_REMOVE;
 }
 
-static void wake_watches(struct store *store)
+static void notify_watches(struct store *store)
 {
 	struct watch *watch;
 	guint i;
@@ -273,7 +281,7 @@
 		if (!watch_answer(watch, false))
 			continue;
 		soup_server_message_unpause(watch->message);
-		watch_end(watch);
+		watch_remove(watch);
 	}
 }
 
@@ -293,11 +301,11 @@
 	g_hash_table_unref(query);
 	g_ptr_array_add(store->watches, watch);
 	if (watch_answer(watch, wait_ms <= 0)) {
-		watch_end(watch);
+		watch_remove(watch);
 		return;
 	}
 	soup_server_message_pause(message);
-	watch->timer = g_timeout_add(CLAMP(wait_ms, 1, WAIT_LIMIT_MS),
+	watch->timer = g_timeout_add(CLAMP(wait_ms, 1, WATCH_WAIT_MAX_MS),
 				     on_watch_due, watch);
 }
 
@@ -317,7 +325,7 @@
 	revision->value = g_strndup(body->data ? body->data : "", body->length);
 	revision->length = body->length;
 	g_ptr_array_add(object->revisions, revision);
-	if (object->revisions->len > HISTORY_LIMIT)
+	if (object->revisions->len > REVISIONS_PER_OBJECT_MAX)
 		g_ptr_array_remove_index(object->revisions, 0);
 }
 
@@ -334,11 +342,11 @@
 		tool_answer_text(message, 400, "needs a key and If-Match\n");
 		return;
 	}
-	if (body->length > VALUE_LIMIT ||
+	if (body->length > VALUE_BYTES_MAX ||
 	    !g_utf8_validate(body->data ? body->data : "", body->length,
 			     NULL)) {
 		tool_answer_text(message,
-				 body->length > VALUE_LIMIT ? 413 : 400,
+				 body->length > VALUE_BYTES_MAX ? 413 : 400,
 				 "value too large or not UTF-8\n");
 		return;
 	}
@@ -348,9 +356,9 @@
 		return;
 	}
 	write_object(store, object, key, body);
-	wake_watches(store);
-	if (spend(&store->fault.lose_answers)) {
-		tool_drop(message, false);
+	notify_watches(store);
+	if (consume_count(&store->fault.lose_answers)) {
+		tool_close_connection(message, false);
 		return;
 	}
 	set_version(message, store->version);
@@ -391,30 +399,33 @@
 		store->calls[CALL_GET]++;
 }
 
-static gboolean on_delay_over(gpointer data)
+static gboolean on_delay_elapsed(gpointer data)
 {
-	struct delayed *delayed = data;
-
-	/* Unpaused first: a watch may pause it again for its own wait. */
-	soup_server_message_unpause(delayed->message);
-	answer_call(delayed->store, delayed->message);
-	g_object_unref(delayed->message);
-	g_free(delayed);
+	struct delayed_call *delayed_call = data;
+
+	/*
+	 * Unpaused before the call: a watch may pause the message again for its
+	 * own wait.
+	 */
+	soup_server_message_unpause(delayed_call->message);
+	answer_call(delayed_call->store, delayed_call->message);
+	g_object_unref(delayed_call->message);
+	g_free(delayed_call);
 	return G_SOURCE_REMOVE;
 }
 
 static void delay_call(struct store *store, SoupServerMessage *message)
 {
-	struct delayed *delayed = g_new0(struct delayed, 1);
+	struct delayed_call *delayed_call = g_new0(struct delayed_call, 1);
 	guint delay_ms = store->fault.delay_ms;
 
 	if (store->fault.jitter_ms)
 		delay_ms += g_rand_int_range(store->random, 0,
 					     store->fault.jitter_ms);
-	delayed->store = store;
-	delayed->message = g_object_ref(message);
+	delayed_call->store = store;
+	delayed_call->message = g_object_ref(message);
 	soup_server_message_pause(message);
-	g_timeout_add(delay_ms, on_delay_over, delayed);
+	g_timeout_add(delay_ms, on_delay_elapsed, delayed_call);
 }
 
 static void on_call(SoupServer *server, SoupServerMessage *message,
@@ -423,13 +434,13 @@
 	struct store *store = data;
 
 	count_call(store, message);
-	if (store->fault.down == DOWN_REFUSE) {
+	if (store->fault.outage == OUTAGE_REFUSE) {
 		tool_answer_text(message, 503, "down\n");
-	} else if (store->fault.down == DOWN_HANG) {
+	} else if (store->fault.outage == OUTAGE_HANG) {
 		soup_server_message_pause(message);
-		g_ptr_array_add(store->hanging, g_object_ref(message));
-	} else if (spend(&store->fault.reset)) {
-		tool_drop(message, true);
+		g_ptr_array_add(store->unanswered, g_object_ref(message));
+	} else if (consume_count(&store->fault.reset)) {
+		tool_close_connection(message, true);
 	} else if (store->fault.delay_ms || store->fault.jitter_ms) {
 		delay_call(store, message);
 	} else {
@@ -437,29 +448,29 @@
 	}
 }
 
-/* Calls that hung and waiting watches end without an answer. */
-static void drop_waiting(struct store *store)
+/* Closes the connections of unanswered calls and of waiting watches. */
+static void drop_pending(struct store *store)
 {
 	struct watch *watch;
 	guint i;
 
-	for (i = 0; i < store->hanging->len; i++)
-		tool_drop(store->hanging->pdata[i], false);
-	g_ptr_array_set_size(store->hanging, 0);
+	for (i = 0; i < store->unanswered->len; i++)
+		tool_close_connection(store->unanswered->pdata[i], false);
+	g_ptr_array_set_size(store->unanswered, 0);
 	for (i = 0; i < store->watches->len; i++) {
 		watch = store->watches->pdata[i];
-		tool_drop(watch->message, false);
+		tool_close_connection(watch->message, false);
 	}
 	g_ptr_array_set_size(store->watches, 0);
 }
 
-/* Absent members keep their value; {"clear":true} takes all faults back. */
+/* Absent members keep their values; {"clear": true} clears all faults. */
 static void on_fault(SoupServer *server, SoupServerMessage *message,
 		     const char *path, GHashTable *query, gpointer data)
 {
 	struct store *store = data;
 	struct fault *fault = &store->fault;
-	JsonObject *body = tool_body_json(message);
+	JsonObject *body = tool_request_json(message);
 	const char *down;
 
 	if (!body) {
@@ -470,17 +481,17 @@
 		*fault = (struct fault){ 0 };
 	fault->delay_ms = tool_json_int(body, "delay_ms", fault->delay_ms);
 	fault->jitter_ms = tool_json_int(body, "jitter_ms", fault->jitter_ms);
-	fault->stale = tool_json_int(body, "stale", fault->stale);
+	fault->stale_writes = tool_json_int(body, "stale", fault->stale_writes);
 	fault->lose_answers =
 		tool_json_int(body, "lose_answers", fault->lose_answers);
 	fault->reset = tool_json_int(body, "reset", fault->reset);
 	down = tool_json_string(body, "down", NULL);
 	if (down)
-		fault->down = !strcmp(down, "refuse") ? DOWN_REFUSE :
-			      !strcmp(down, "hang")   ? DOWN_HANG :
-							DOWN_NO;
+		fault->outage = !strcmp(down, "refuse") ? OUTAGE_REFUSE :
+				!strcmp(down, "hang")	? OUTAGE_HANG :
+							  OUTAGE_NONE;
 	if (down || tool_json_int(body, "clear", 0))
-		drop_waiting(store);
+		drop_pending(store);
 	json_object_unref(body);
 	tool_answer_text(message, 200, "");
 }
@@ -494,7 +505,7 @@
 	int i;
 
 	json_builder_begin_object(builder);
-	for (i = 0; i < CALL_KINDS; i++) {
+	for (i = 0; i < CALL_KIND_COUNT; i++) {
 		json_builder_set_member_name(builder, call_names[i]);
 		json_builder_add_int_value(builder, store->calls[i]);
 		total += store->calls[i];
@@ -514,8 +525,9 @@
 };
 
 static const struct argp_option option_table[] = {
-	{ "listen", 'l', "IP:PORT", 0, "address (port 0: a free one)", 0 },
-	{ "seed", 's', "N", 0, "of the delays' jitter", 0 },
+	{ "listen", 'l', "IP:PORT", 0,
+	  "address to listen on (port 0: a free one)", 0 },
+	{ "seed", 's', "N", 0, "seed of the jitter of delays", 0 },
 	{ 0 }
 };
 
@@ -540,10 +552,10 @@
 
 static void store_clear(struct store *store)
 {
-	drop_waiting(store);
+	drop_pending(store);
 	g_object_unref(store->server);
 	g_ptr_array_unref(store->watches);
-	g_ptr_array_unref(store->hanging);
+	g_ptr_array_unref(store->unanswered);
 	g_hash_table_unref(store->objects);
 	g_rand_free(store->random);
 }
@@ -560,7 +572,7 @@
 	store.objects = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					      object_free);
 	store.watches = g_ptr_array_new_with_free_func(watch_free);
-	store.hanging = g_ptr_array_new_with_free_func(g_object_unref);
+	store.unanswered = g_ptr_array_new_with_free_func(g_object_unref);
 	store.random = g_rand_new_with_seed(options.seed);
 	soup_server_add_handler(store.server, "/v1", on_call, &store, NULL);
 	soup_server_add_handler(store.server, "/fault", on_fault, &store, NULL);
--- a/tools/upstream/upstream_answer.c
+++ b/tools/upstream/upstream_answer.c
@@ -1,7 +1,7 @@
 /*
- * Answers of a stand-in upstream, whole or spoiled on purpose. A spoiled one
- * is written by hand on the stolen connection, since a library would not
- * send it.
+ * Responses of a stand-in upstream, valid or invalid on purpose. An invalid one
+ * is written directly to the socket, since libsoup does not send such a
+ * response.
  */
 #include "upstream/upstream.h"
 
@@ -14,7 +14,7 @@
 	const char *state = "warm";
 	char boot[24];
 
-	if (upstream_is_cold(upstream) && !upstream->mislead)
+	if (upstream_is_cold(upstream) && !upstream->report_warm)
 		state = "cold";
 	if (upstream->draining)
 		state = "draining";
@@ -34,7 +34,10 @@
 	tool_answer_text(message, 503, reason);
 }
 
-/* The nonce, the request's line, then filler up to the size asked for. */
+/*
+ * Returns a response body: the nonce, the request line, and filler up to
+ * options.body_bytes. The caller frees it.
+ */
 static char *make_body(const struct upstream_job *job)
 {
 	SoupServerMessage *message = job->message;
@@ -73,9 +76,13 @@
 	g_string_append_printf(data, "%s: %s\r\n", name, value);
 }
 
-/* Writes as much as the socket takes; the answers here are small. */
-static void write_raw(struct upstream_job *job, const char *body, gsize claimed,
-		      gsize sent, bool reset)
+/*
+ * Writes a response with `sent` bytes of the body but a Content-Length of
+ * `claimed_length`, and closes the connection. What the socket does not take in
+ * one call is dropped; these responses are small.
+ */
+static void write_raw(struct upstream_job *job, const char *body,
+		      gsize claimed_length, gsize sent, bool reset)
 {
 	GString *text = g_string_new("HTTP/1.1 200 OK\r\n");
 	GSocket *socket = soup_server_message_get_socket(job->message);
@@ -84,13 +91,13 @@
 					     job->message),
 				     append_header, text);
 	g_string_append_printf(text, "Content-Length: %" G_GSIZE_FORMAT "\r\n",
-			       claimed);
+			       claimed_length);
 	g_string_append(text, "\r\n");
 	g_string_append_len(text, body, sent);
 	if (socket)
 		g_socket_send(socket, text->str, text->len, NULL, NULL);
 	g_string_free(text, TRUE);
-	tool_drop(job->message, reset);
+	tool_close_connection(job->message, reset);
 }
 
 void upstream_answer(struct upstream_job *job)
@@ -101,13 +108,13 @@
 	upstream_add_state(job->upstream, job->message);
 	add_checks(job, body);
 	switch (job->fault) {
-	case UPSTREAM_TRUNCATE:
+	case UPSTREAM_FAULT_TRUNCATE:
 		write_raw(job, body, length, length / 2, false);
 		break;
-	case UPSTREAM_WRONG_LENGTH:
+	case UPSTREAM_FAULT_WRONG_LENGTH:
 		write_raw(job, body, length / 2, length, false);
 		break;
-	case UPSTREAM_RESET_MIDDLE:
+	case UPSTREAM_FAULT_RESET_MIDDLE:
 		write_raw(job, body, length, length / 2, true);
 		break;
 	default:
