--- a/include/auburnstile/internal/placement.h
+++ b/include/auburnstile/internal/placement.h
@@ -205,8 +205,7 @@
 bool aub_placement_probe_next(struct aub_placement *placement, const char *zone,
 			      gint64 now_us, struct aub_probe *probe);
 void aub_placement_probe_finished(struct aub_placement *placement,
-				  const char *upstream,
-				  enum aub_probe_result result,
+				  const char *id, enum aub_probe_result result,
 				  const struct aub_load *load, gint64 now_us);
 
 /*
@@ -214,8 +213,7 @@
  * postpones the local one.
  */
 void aub_placement_probe_received(struct aub_placement *placement,
-				  const char *upstream,
-				  enum aub_probe_result result,
+				  const char *id, enum aub_probe_result result,
 				  const struct aub_load *load, gint64 now_us);
 
 /*
--- a/include/auburnstile/internal/placement_internal.h
+++ b/include/auburnstile/internal/placement_internal.h
@@ -21,10 +21,12 @@
 /* Ratios below this are within the normal spread of service times. */
 #define AUB_SIGNIFICANT_SLOWNESS 1.5
 
-enum aub_endpoint_state {
-	AUB_ENDPOINT_UNKNOWN, /* no response since it was registered */
-	AUB_ENDPOINT_UP,
-	AUB_ENDPOINT_DOWN /* refused, reset or no response; only probed */
+enum aub_placement_upstream_state {
+	AUB_PLACEMENT_UPSTREAM_UNKNOWN, /* no response since it was registered
+					 */
+	AUB_PLACEMENT_UPSTREAM_UP,
+	AUB_PLACEMENT_UPSTREAM_DOWN /* refused, reset or no response; only
+				       probed */
 };
 
 /* The traffic that an upstream's version allows. */
@@ -35,7 +37,7 @@
 };
 
 /* The placement's state of one upstream. */
-struct aub_endpoint {
+struct aub_placement_upstream {
 	char *id;
 	char *address;
 	char *zone;
@@ -48,7 +50,7 @@
 	gint64 departed_us; /* time at which it departed */
 	bool draining;
 	bool zone_out;
-	enum aub_endpoint_state state;
+	enum aub_placement_upstream_state state;
 	gint64 cold_until_us;
 	gint64 next_cold_grant_us; /* while cold: no grant before this time */
 	guint granted; /* grants that have not ended */
@@ -68,7 +70,7 @@
 struct aub_grant {
 	guint64 ticket;
 	guint64 holder;
-	guint endpoint_index;
+	guint upstream_index;
 	guint concurrency; /* at the upstream, including this one, at grant */
 	double slowdown; /* expected at grant for other reasons than that */
 	guint target_ms;
@@ -101,7 +103,8 @@
 	char *health_path;
 	guint warmup_ms;
 	double warmup_per_s;
-	GPtrArray *endpoints; /* of struct aub_endpoint, addressed by index */
+	GPtrArray *upstreams; /* of struct aub_placement_upstream, addressed by
+				 index */
 	GHashTable *by_id; /* id -> index + 1 */
 	GHashTable *zones_out; /* set of names */
 	GHashTable *grants; /* &ticket -> struct aub_grant */
@@ -117,50 +120,55 @@
 	double mean_slot_time_us; /* from grant to report, smoothed */
 	guint64 refused; /* requests that got no upstream, since the start */
 	guint64 cold_grants; /* to cold upstreams, since the start */
-	guint probing; /* endpoints with a probe in progress */
+	guint probing; /* upstreams with a probe in progress */
 	guint next_probe_index; /* where the search for the next probe starts */
 	guint search_start; /* index, rotated to break ties round-robin */
 };
 
-/* Returns the endpoint at `index`, owned by `placement`. */
-struct aub_endpoint *aub_placement_endpoint(
+/* Returns the upstream at `index`, owned by `placement`. */
+struct aub_placement_upstream *aub_placement_get_upstream(
 	const struct aub_placement *placement, guint index);
 /* Returns the index of `id`, or -1. */
-gint aub_placement_find_endpoint(const struct aub_placement *placement,
+gint aub_placement_find_upstream(const struct aub_placement *placement,
 				 const char *id);
 
 /* Applies the load that a response or a probe reported. */
-void aub_endpoint_update_load(struct aub_placement *placement,
-			      struct aub_endpoint *endpoint,
-			      const struct aub_load *load, gint64 now_us);
+void aub_placement_upstream_update_load(struct aub_placement *placement,
+					struct aub_placement_upstream *upstream,
+					const struct aub_load *load,
+					gint64 now_us);
 /* Updates the failure rate: `weight` is 1 for a failure, 0 for a success. */
-void aub_endpoint_update_failures(struct aub_endpoint *endpoint, double weight,
-				  gint64 now_us);
-void aub_endpoint_set_probing(struct aub_placement *placement,
-			      struct aub_endpoint *endpoint, bool probing);
-/* Marks `endpoint` down and schedules a probe. */
-void aub_endpoint_mark_down(struct aub_endpoint *endpoint, gint64 now_us);
+void aub_placement_upstream_update_failures(
+	struct aub_placement_upstream *upstream, double weight, gint64 now_us);
+void aub_placement_upstream_set_probing(struct aub_placement *placement,
+					struct aub_placement_upstream *upstream,
+					bool probing);
+/* Marks `upstream` down and schedules a probe. */
+void aub_placement_upstream_mark_down(struct aub_placement_upstream *upstream,
+				      gint64 now_us);
 /* Returns the concurrency at which the upstream's throughput peaks. */
-guint aub_endpoint_concurrency_limit(const struct aub_placement *placement,
-				     const struct aub_endpoint *endpoint);
+guint aub_placement_upstream_concurrency_limit(
+	const struct aub_placement *placement,
+	const struct aub_placement_upstream *upstream);
 /*
  * Returns the present slowdown of an upstream, as a multiple of the baseline
  * service time, from interference or a cold start. The effect of its own
  * utilization is not included.
  */
-double aub_endpoint_slowdown(const struct aub_placement *placement,
-			     const struct aub_endpoint *endpoint,
-			     gint64 now_us);
+double aub_placement_upstream_slowdown(
+	const struct aub_placement *placement,
+	const struct aub_placement_upstream *upstream, gint64 now_us);
 /* Returns the requests per second that this placement grants a cold upstream.
  */
 double aub_placement_cold_rate_per_s(const struct aub_placement *placement);
-bool aub_endpoint_is_cold(const struct aub_endpoint *endpoint, gint64 now_us);
+bool aub_placement_upstream_is_cold(
+	const struct aub_placement_upstream *upstream, gint64 now_us);
 
 /* Counts an upstream registered with `version`, or removed (NULL). */
-void aub_endpoint_count_version(struct aub_placement *placement,
-				struct aub_endpoint *endpoint,
-				const char *version, bool was_registered,
-				gint64 now_us);
+void aub_placement_upstream_count_version(
+	struct aub_placement *placement,
+	struct aub_placement_upstream *upstream, const char *version,
+	bool was_registered, gint64 now_us);
 /* Which upstreams a request may go to, by their versions. */
 enum aub_canary_choice {
 	AUB_CANARY_NONE, /* those of the active versions */
@@ -174,15 +182,16 @@
  * Returns the share that an upstream has used of the evidence it may
  * contribute against its version; it may exceed 1.
  */
-double aub_endpoint_evidence_share(const struct aub_placement *placement,
-				   const struct aub_endpoint *endpoint);
+double aub_placement_upstream_evidence_share(
+	const struct aub_placement *placement,
+	const struct aub_placement_upstream *upstream);
 /* Counts a new grant as exposure if its upstream is a canary. */
 void aub_grant_count_canary(struct aub_placement *placement,
 			    struct aub_grant *grant,
-			    const struct aub_endpoint *endpoint);
+			    const struct aub_placement_upstream *upstream);
 /* Judges the versions by the result of a grant. */
 void aub_grant_judge(struct aub_placement *placement,
-		     struct aub_endpoint *endpoint,
+		     struct aub_placement_upstream *upstream,
 		     const struct aub_grant *grant,
 		     const struct aub_grant_report *report);
 
@@ -190,15 +199,15 @@
 gint aub_placement_find_queued(const struct aub_placement *placement,
 			       guint64 ticket);
 
-/* Grants `request` a slot of the endpoint at `index` and sets `decision`. */
+/* Grants `request` a slot of the upstream at `index` and sets `decision`. */
 void aub_placement_grant(struct aub_placement *placement, guint index,
 			 const struct aub_placement_request *request,
 			 gint64 now_us,
 			 struct aub_placement_decision *decision);
 
 /*
- * Returns the index of the best endpoint with room for `request`, or -1. Sets
- * `*usable` to the number of slots of the endpoints that may serve it, whether
+ * Returns the index of the best upstream with room for `request`, or -1. Sets
+ * `*usable` to the number of slots of the upstreams that may serve it, whether
  * they have room or not.
  */
 gint aub_placement_choose(struct aub_placement *placement,
--- a/src/state/placement.c
+++ b/src/state/placement.c
@@ -14,26 +14,26 @@
 /* By then, late reports and probes of a departed upstream have arrived. */
 #define DEPARTED_RETENTION_US (60000 * AUB_US_PER_MS)
 
-struct aub_endpoint *aub_placement_endpoint(
+struct aub_placement_upstream *aub_placement_get_upstream(
 	const struct aub_placement *placement, guint index)
 {
-	return g_ptr_array_index(placement->endpoints, index);
+	return g_ptr_array_index(placement->upstreams, index);
 }
 
-gint aub_placement_find_endpoint(const struct aub_placement *placement,
+gint aub_placement_find_upstream(const struct aub_placement *placement,
 				 const char *id)
 {
 	return GPOINTER_TO_INT(g_hash_table_lookup(placement->by_id, id)) - 1;
 }
 
-static void endpoint_free(void *data)
+static void placement_upstream_free(void *data)
 {
-	struct aub_endpoint *endpoint = data;
+	struct aub_placement_upstream *upstream = data;
 
-	g_free(endpoint->id);
-	g_free(endpoint->address);
-	g_free(endpoint->zone);
-	g_free(endpoint);
+	g_free(upstream->id);
+	g_free(upstream->address);
+	g_free(upstream->zone);
+	g_free(upstream);
 }
 
 static void queued_free(void *data)
@@ -58,7 +58,8 @@
 	aub_service_versions_init(&placement->versions);
 	aub_rollout_init(&placement->rollout,
 			 &(struct aub_rollout_limits){ 0 });
-	placement->endpoints = g_ptr_array_new_with_free_func(endpoint_free);
+	placement->upstreams =
+		g_ptr_array_new_with_free_func(placement_upstream_free);
 	placement->by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	placement->zones_out =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -77,7 +78,7 @@
 	g_hash_table_unref(placement->grants);
 	g_hash_table_unref(placement->zones_out);
 	g_hash_table_unref(placement->by_id);
-	g_ptr_array_unref(placement->endpoints);
+	g_ptr_array_unref(placement->upstreams);
 	aub_service_versions_clear(&placement->versions);
 	aub_rollout_clear(&placement->rollout);
 	g_free(placement->health_path);
@@ -107,47 +108,50 @@
 	placement->limits = *limits;
 }
 
-bool aub_endpoint_is_cold(const struct aub_endpoint *endpoint, gint64 now_us)
+bool aub_placement_upstream_is_cold(
+	const struct aub_placement_upstream *upstream, gint64 now_us)
 {
-	return endpoint->cold_until_us > now_us;
+	return upstream->cold_until_us > now_us;
 }
 
-void aub_endpoint_update_load(struct aub_placement *placement,
-			      struct aub_endpoint *endpoint,
-			      const struct aub_load *load, gint64 now_us)
+void aub_placement_upstream_update_load(struct aub_placement *placement,
+					struct aub_placement_upstream *upstream,
+					const struct aub_load *load,
+					gint64 now_us)
 {
 	if (load->slots >= 0) {
-		if (endpoint->load_us && endpoint->load.slowdown > 0 &&
+		if (upstream->load_us && upstream->load.slowdown > 0 &&
 		    load->slowdown > 0)
 			aub_load_trend_observe(&placement->interference,
-					       endpoint->load.slowdown / 100.0,
+					       upstream->load.slowdown / 100.0,
 					       load->slowdown / 100.0,
-					       now_us - endpoint->load_us);
-		endpoint->load = *load;
-		endpoint->load_us = now_us;
+					       now_us - upstream->load_us);
+		upstream->load = *load;
+		upstream->load_us = now_us;
 	}
 	if (load->warmup_ms >= 0)
-		endpoint->cold_until_us =
+		upstream->cold_until_us =
 			now_us + load->warmup_ms * AUB_US_PER_MS;
 }
 
-static void decay_failures(struct aub_endpoint *endpoint, gint64 now_us)
+static void decay_failures(struct aub_placement_upstream *upstream,
+			   gint64 now_us)
 {
-	gint64 age = now_us - endpoint->failures_us;
+	gint64 age = now_us - upstream->failures_us;
 
-	while (age >= AUB_FAILURE_HALF_LIFE_US && endpoint->failures > 0.01) {
-		endpoint->failures /= 2;
+	while (age >= AUB_FAILURE_HALF_LIFE_US && upstream->failures > 0.01) {
+		upstream->failures /= 2;
 		age -= AUB_FAILURE_HALF_LIFE_US;
-		endpoint->failures_us += AUB_FAILURE_HALF_LIFE_US;
+		upstream->failures_us += AUB_FAILURE_HALF_LIFE_US;
 	}
 }
 
-void aub_endpoint_update_failures(struct aub_endpoint *endpoint, double weight,
-				  gint64 now_us)
+void aub_placement_upstream_update_failures(
+	struct aub_placement_upstream *upstream, double weight, gint64 now_us)
 {
-	decay_failures(endpoint, now_us);
-	endpoint->failures += (weight - endpoint->failures) * FAILURE_SMOOTHING;
-	endpoint->failures_us = now_us;
+	decay_failures(upstream, now_us);
+	upstream->failures += (weight - upstream->failures) * FAILURE_SMOOTHING;
+	upstream->failures_us = now_us;
 }
 
 /*
@@ -155,21 +159,22 @@
  * is a refused or reset connection. Full load would bring it down again, so it
  * gets no requests until a probe has reported how cold it is.
  */
-void aub_endpoint_mark_down(struct aub_endpoint *endpoint, gint64 now_us)
+void aub_placement_upstream_mark_down(struct aub_placement_upstream *upstream,
+				      gint64 now_us)
 {
-	endpoint->state = AUB_ENDPOINT_DOWN;
-	endpoint->next_probe_us = MIN(endpoint->next_probe_us, now_us);
+	upstream->state = AUB_PLACEMENT_UPSTREAM_DOWN;
+	upstream->next_probe_us = MIN(upstream->next_probe_us, now_us);
 }
 
-/* Returns the index of an endpoint that may be reused, or -1. */
+/* Returns the index of an upstream that may be reused, or -1. */
 static gint find_reusable(const struct aub_placement *placement, gint64 now_us)
 {
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		if (!endpoint->registered && !endpoint->granted &&
-		    now_us - endpoint->departed_us > DEPARTED_RETENTION_US)
+		if (!upstream->registered && !upstream->granted &&
+		    now_us - upstream->departed_us > DEPARTED_RETENTION_US)
 			return (gint)i;
 	}
 	return -1;
@@ -177,33 +182,34 @@
 
 /*
  * Upstreams are replaced continuously, each under a new id. To keep every
- * decision from iterating over all that ever existed, an endpoint is reused
+ * decision from iterating over all that ever existed, an upstream is reused
  * once its upstream has been gone for a while and has no open grants.
  */
-static struct aub_endpoint *endpoint_add(struct aub_placement *placement,
-					 const char *id, gint64 now_us)
+static struct aub_placement_upstream *placement_upstream_add(
+	struct aub_placement *placement, const char *id, gint64 now_us)
 {
-	struct aub_endpoint *endpoint = g_new0(struct aub_endpoint, 1);
+	struct aub_placement_upstream *upstream =
+		g_new0(struct aub_placement_upstream, 1);
 	gint index = find_reusable(placement, now_us);
 
-	endpoint->id = g_strdup(id);
-	endpoint->slowness = 1.0;
-	endpoint->version = AUB_VERSION_NONE;
+	upstream->id = g_strdup(id);
+	upstream->slowness = 1.0;
+	upstream->version = AUB_VERSION_NONE;
 	if (index < 0) {
-		index = (gint)placement->endpoints->len;
-		g_ptr_array_add(placement->endpoints, endpoint);
+		index = (gint)placement->upstreams->len;
+		g_ptr_array_add(placement->upstreams, upstream);
 	} else {
-		struct aub_endpoint *old =
-			aub_placement_endpoint(placement, (guint)index);
+		struct aub_placement_upstream *old =
+			aub_placement_get_upstream(placement, (guint)index);
 
-		aub_endpoint_set_probing(placement, old, false);
+		aub_placement_upstream_set_probing(placement, old, false);
 		g_hash_table_remove(placement->by_id, old->id);
-		endpoint_free(old);
-		placement->endpoints->pdata[index] = endpoint;
+		placement_upstream_free(old);
+		placement->upstreams->pdata[index] = upstream;
 	}
-	g_hash_table_insert(placement->by_id, endpoint->id,
+	g_hash_table_insert(placement->by_id, upstream->id,
 			    GINT_TO_POINTER(index + 1));
-	return endpoint;
+	return upstream;
 }
 
 static void replace_string(char **to, const char *value)
@@ -218,48 +224,49 @@
 			    const struct aub_upstream_record *record,
 			    gint64 now_us)
 {
-	gint index = aub_placement_find_endpoint(placement, id);
-	struct aub_endpoint *endpoint;
+	gint index = aub_placement_find_upstream(placement, id);
+	struct aub_placement_upstream *upstream;
 	bool was_registered;
 
 	if (!record) {
 		if (index < 0)
 			return;
-		endpoint = aub_placement_endpoint(placement, (guint)index);
-		was_registered = endpoint->registered;
-		endpoint->registered = false;
-		endpoint->departed_us = now_us;
-		aub_endpoint_count_version(placement, endpoint, NULL,
-					   was_registered, now_us);
+		upstream = aub_placement_get_upstream(placement, (guint)index);
+		was_registered = upstream->registered;
+		upstream->registered = false;
+		upstream->departed_us = now_us;
+		aub_placement_upstream_count_version(placement, upstream, NULL,
+						     was_registered, now_us);
 		return;
 	}
-	endpoint = index >= 0 ?
-			   aub_placement_endpoint(placement, (guint)index) :
-			   endpoint_add(placement, id, now_us);
-	if (endpoint->started_ms != record->born_ms ||
-	    g_strcmp0(endpoint->address, record->address) != 0) {
-		endpoint->state = AUB_ENDPOINT_UNKNOWN;
-		endpoint->next_probe_us = now_us;
-		endpoint->failures = 0;
-		endpoint->slowness = 1.0;
-		endpoint->load_us = 0;
-		endpoint->evidence = (struct aub_judge_evidence){ 0 };
+	upstream = index >= 0 ?
+			   aub_placement_get_upstream(placement, (guint)index) :
+			   placement_upstream_add(placement, id, now_us);
+	if (upstream->started_ms != record->born_ms ||
+	    g_strcmp0(upstream->address, record->address) != 0) {
+		upstream->state = AUB_PLACEMENT_UPSTREAM_UNKNOWN;
+		upstream->next_probe_us = now_us;
+		upstream->failures = 0;
+		upstream->slowness = 1.0;
+		upstream->load_us = 0;
+		upstream->evidence = (struct aub_judge_evidence){ 0 };
 	}
-	replace_string(&endpoint->address, record->address);
-	replace_string(&endpoint->zone, record->zone);
-	endpoint->slots = record->slots;
-	endpoint->started_ms = record->born_ms;
-	endpoint->draining = record->draining;
-	was_registered = endpoint->registered;
-	endpoint->registered = true;
-	aub_endpoint_count_version(placement, endpoint,
-				   record->version ? record->version : "",
-				   was_registered, now_us);
-	endpoint->zone_out =
+	replace_string(&upstream->address, record->address);
+	replace_string(&upstream->zone, record->zone);
+	upstream->slots = record->slots;
+	upstream->started_ms = record->born_ms;
+	upstream->draining = record->draining;
+	was_registered = upstream->registered;
+	upstream->registered = true;
+	aub_placement_upstream_count_version(placement, upstream,
+					     record->version ? record->version :
+							       "",
+					     was_registered, now_us);
+	upstream->zone_out =
 		g_hash_table_contains(placement->zones_out, record->zone);
 	if (record->warmup_left_ms)
-		endpoint->cold_until_us =
-			MAX(endpoint->cold_until_us,
+		upstream->cold_until_us =
+			MAX(upstream->cold_until_us,
 			    now_us + record->warmup_left_ms * AUB_US_PER_MS);
 }
 
@@ -275,18 +282,18 @@
 		g_hash_table_add(placement->zones_out, g_strdup(zone));
 	else
 		g_hash_table_remove(placement->zones_out, zone);
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		if (g_strcmp0(endpoint->zone, zone) != 0 ||
-		    endpoint->zone_out == out)
+		if (g_strcmp0(upstream->zone, zone) != 0 ||
+		    upstream->zone_out == out)
 			continue;
-		endpoint->zone_out = out;
-		endpoint->state = AUB_ENDPOINT_UNKNOWN;
-		endpoint->next_probe_us = now_us;
-		endpoint->cold_until_us =
-			MAX(endpoint->cold_until_us,
+		upstream->zone_out = out;
+		upstream->state = AUB_PLACEMENT_UPSTREAM_UNKNOWN;
+		upstream->next_probe_us = now_us;
+		upstream->cold_until_us =
+			MAX(upstream->cold_until_us,
 			    now_us + placement->warmup_ms * AUB_US_PER_MS);
 	}
 }
@@ -294,36 +301,38 @@
 bool aub_placement_may_send(const struct aub_placement *placement,
 			    const char *id)
 {
-	gint index = aub_placement_find_endpoint(placement, id);
-	const struct aub_endpoint *endpoint;
+	gint index = aub_placement_find_upstream(placement, id);
+	const struct aub_placement_upstream *upstream;
 
 	if (index < 0)
 		return false;
-	endpoint = aub_placement_endpoint(placement, (guint)index);
-	return endpoint->registered && !endpoint->draining &&
-	       !endpoint->zone_out && endpoint->traffic != AUB_VERSION_WITHHELD;
+	upstream = aub_placement_get_upstream(placement, (guint)index);
+	return upstream->registered && !upstream->draining &&
+	       !upstream->zone_out && upstream->traffic != AUB_VERSION_WITHHELD;
 }
 
 const char *aub_placement_health_name(const struct aub_placement *placement,
 				      const char *id)
 {
-	gint index = aub_placement_find_endpoint(placement, id);
-	const struct aub_endpoint *endpoint;
+	gint index = aub_placement_find_upstream(placement, id);
+	const struct aub_placement_upstream *upstream;
 
 	if (index < 0)
 		return "gone";
-	endpoint = aub_placement_endpoint(placement, (guint)index);
-	if (endpoint->state == AUB_ENDPOINT_UP)
-		return endpoint->unhealthy ? "ill" : "up";
-	return endpoint->state == AUB_ENDPOINT_DOWN ? "down" : "unknown";
+	upstream = aub_placement_get_upstream(placement, (guint)index);
+	if (upstream->state == AUB_PLACEMENT_UPSTREAM_UP)
+		return upstream->unhealthy ? "ill" : "up";
+	return upstream->state == AUB_PLACEMENT_UPSTREAM_DOWN ? "down" :
+								"unknown";
 }
 
 /* Upstreams that are not reported are up, warm and as fast as the others. */
-static bool is_reportable(const struct aub_endpoint *endpoint, gint64 now_us)
+static bool is_reportable(const struct aub_placement_upstream *upstream,
+			  gint64 now_us)
 {
-	return endpoint->state != AUB_ENDPOINT_UP ||
-	       aub_endpoint_is_cold(endpoint, now_us) ||
-	       endpoint->slowness > AUB_SIGNIFICANT_SLOWNESS;
+	return upstream->state != AUB_PLACEMENT_UPSTREAM_UP ||
+	       aub_placement_upstream_is_cold(upstream, now_us) ||
+	       upstream->slowness > AUB_SIGNIFICANT_SLOWNESS;
 }
 
 guint aub_placement_list_health(const struct aub_placement *placement,
@@ -332,22 +341,24 @@
 {
 	guint count = 0;
 
-	for (guint i = 0; i < placement->endpoints->len && count < limit; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len && count < limit; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		if (!endpoint->registered || !is_reportable(endpoint, now_us))
+		if (!upstream->registered || !is_reportable(upstream, now_us))
 			continue;
 		list[count++] = (struct aub_upstream_health){
-			.upstream = endpoint->id,
-			.down = endpoint->state == AUB_ENDPOINT_DOWN,
-			.unknown = endpoint->state == AUB_ENDPOINT_UNKNOWN,
-			.cold_ms = aub_endpoint_is_cold(endpoint, now_us) ?
-					   (guint)((endpoint->cold_until_us -
+			.upstream = upstream->id,
+			.down = upstream->state == AUB_PLACEMENT_UPSTREAM_DOWN,
+			.unknown = upstream->state ==
+				   AUB_PLACEMENT_UPSTREAM_UNKNOWN,
+			.cold_ms = aub_placement_upstream_is_cold(upstream,
+								  now_us) ?
+					   (guint)((upstream->cold_until_us -
 						    now_us) /
 						   AUB_US_PER_MS) :
 					   0,
-			.slowdown = (guint)(100 * endpoint->slowness),
+			.slowdown = (guint)(100 * upstream->slowness),
 		};
 	}
 	return count;
@@ -355,12 +366,12 @@
 
 void aub_placement_reset_health(struct aub_placement *placement)
 {
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		endpoint->state = AUB_ENDPOINT_UP;
-		endpoint->slowness = 1.0;
+		upstream->state = AUB_PLACEMENT_UPSTREAM_UP;
+		upstream->slowness = 1.0;
 	}
 }
 
@@ -368,18 +379,18 @@
 			      const struct aub_upstream_health *health,
 			      gint64 now_us)
 {
-	gint index = aub_placement_find_endpoint(placement, health->upstream);
-	struct aub_endpoint *endpoint;
+	gint index = aub_placement_find_upstream(placement, health->upstream);
+	struct aub_placement_upstream *upstream;
 
 	if (index < 0)
 		return;
-	endpoint = aub_placement_endpoint(placement, (guint)index);
-	endpoint->state = health->down	  ? AUB_ENDPOINT_DOWN :
-			  health->unknown ? AUB_ENDPOINT_UNKNOWN :
-					    AUB_ENDPOINT_UP;
-	endpoint->cold_until_us = MAX(endpoint->cold_until_us,
+	upstream = aub_placement_get_upstream(placement, (guint)index);
+	upstream->state = health->down	  ? AUB_PLACEMENT_UPSTREAM_DOWN :
+			  health->unknown ? AUB_PLACEMENT_UPSTREAM_UNKNOWN :
+					    AUB_PLACEMENT_UPSTREAM_UP;
+	upstream->cold_until_us = MAX(upstream->cold_until_us,
 				      now_us + health->cold_ms * AUB_US_PER_MS);
-	endpoint->slowness = health->slowdown / 100.0;
+	upstream->slowness = health->slowdown / 100.0;
 }
 
 /*
@@ -388,15 +399,15 @@
  */
 static guint concurrency_limit_percent(const struct aub_placement *placement)
 {
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		if (endpoint->registered && endpoint->slots)
+		if (upstream->registered && upstream->slots)
 			return 100 *
-			       aub_endpoint_concurrency_limit(placement,
-							      endpoint) /
-			       endpoint->slots;
+			       aub_placement_upstream_concurrency_limit(
+				       placement, upstream) /
+			       upstream->slots;
 	}
 	return 100;
 }
@@ -422,24 +433,24 @@
 		.judged_answers = placement->rollout.judge.answers,
 		.bad_answers = placement->rollout.judge.bad,
 	};
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		if (!endpoint->registered)
+		if (!upstream->registered)
 			continue;
-		if (endpoint->draining || endpoint->zone_out)
+		if (upstream->draining || upstream->zone_out)
 			stats->draining++;
-		else if (endpoint->traffic == AUB_VERSION_WITHHELD)
+		else if (upstream->traffic == AUB_VERSION_WITHHELD)
 			stats->withheld++;
-		else if (endpoint->state == AUB_ENDPOINT_DOWN)
+		else if (upstream->state == AUB_PLACEMENT_UPSTREAM_DOWN)
 			stats->down++;
-		else if (endpoint->state == AUB_ENDPOINT_UNKNOWN)
+		else if (upstream->state == AUB_PLACEMENT_UPSTREAM_UNKNOWN)
 			stats->unknown++;
 		else
 			stats->up++;
-		if (endpoint->state == AUB_ENDPOINT_UP &&
-		    aub_endpoint_is_cold(endpoint, now_us))
+		if (upstream->state == AUB_PLACEMENT_UPSTREAM_UP &&
+		    aub_placement_upstream_is_cold(upstream, now_us))
 			stats->cold++;
 	}
 }
@@ -448,19 +459,19 @@
 {
 	GHashTableIter iter;
 	void *value;
-	guint *counts = g_new0(guint, placement->endpoints->len + 1);
+	guint *counts = g_new0(guint, placement->upstreams->len + 1);
 	guint probing = 0;
 
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		counts[((struct aub_grant *)value)->endpoint_index]++;
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
-
-		g_assert(endpoint->granted == counts[i]);
-		probing += endpoint->probing;
-		g_assert(aub_placement_find_endpoint(placement, endpoint->id) ==
+		counts[((struct aub_grant *)value)->upstream_index]++;
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
+
+		g_assert(upstream->granted == counts[i]);
+		probing += upstream->probing;
+		g_assert(aub_placement_find_upstream(placement, upstream->id) ==
 			 (gint)i);
 	}
 	g_assert(placement->probing == probing);
--- a/src/state/placement_choose.c
+++ b/src/state/placement_choose.c
@@ -1,5 +1,5 @@
 /*
- * Chooses the endpoint with room that has the lowest cost for a request.
+ * Chooses the upstream with room that has the lowest cost for a request.
  *
  * Costs are in units of the latency target of the request, so that expected
  * lateness and failures are compared on one scale.
@@ -37,59 +37,63 @@
 	return false;
 }
 
-/* The parameters of one choice, the same for all endpoints. */
+/* The parameters of one choice, the same for all upstreams. */
 struct choice {
 	struct aub_placement *placement;
 	const struct aub_placement_request *request;
 	gint64 now_us;
 	double service_time_ms; /* mean of its class */
-	enum aub_version_traffic traffic; /* of the endpoints considered */
+	enum aub_version_traffic traffic; /* of the upstreams considered */
 	bool judging; /* canary requests that judge a version */
 	bool filling; /* fill one upstream after the other, not evenly */
 };
 
 /* Returns whether the request may go there, regardless of room. */
 static bool is_usable(const struct choice *choice,
-		      const struct aub_endpoint *endpoint)
+		      const struct aub_placement_upstream *upstream)
 {
 	const struct aub_placement_request *request = choice->request;
 
-	if (!endpoint->registered || endpoint->draining || endpoint->zone_out ||
-	    endpoint->traffic != choice->traffic)
+	if (!upstream->registered || upstream->draining || upstream->zone_out ||
+	    upstream->traffic != choice->traffic)
 		return false;
-	if (endpoint->state == AUB_ENDPOINT_DOWN)
+	if (upstream->state == AUB_PLACEMENT_UPSTREAM_DOWN)
 		return false;
 	/*
 	 * Cold upstreams are slow, so their responses say little of the
 	 * version.
 	 */
-	if (choice->judging && aub_endpoint_is_cold(endpoint, choice->now_us))
+	if (choice->judging &&
+	    aub_placement_upstream_is_cold(upstream, choice->now_us))
 		return false;
 	if (request->local_fallback)
-		return !aub_endpoint_is_cold(endpoint, choice->now_us) &&
-		       !was_tried(request, endpoint->id);
-	return endpoint->state == AUB_ENDPOINT_UP &&
-	       !was_tried(request, endpoint->id);
+		return !aub_placement_upstream_is_cold(upstream,
+						       choice->now_us) &&
+		       !was_tried(request, upstream->id);
+	return upstream->state == AUB_PLACEMENT_UPSTREAM_UP &&
+	       !was_tried(request, upstream->id);
 }
 
-static guint busy_slots(const struct aub_endpoint *endpoint, gint64 now_us)
+static guint busy_slots(const struct aub_placement_upstream *upstream,
+			gint64 now_us)
 {
 	guint reported;
 
-	if (endpoint->full_until_us > now_us)
-		return endpoint->slots;
-	if (!endpoint->load_us ||
-	    now_us - endpoint->load_us > LOAD_COUNTS_VALID_US)
-		return endpoint->granted;
-	reported = (guint)MAX(endpoint->load.running, 0) +
-		   (guint)MAX(endpoint->load.waiting, 0);
-	return MAX(endpoint->granted, reported);
+	if (upstream->full_until_us > now_us)
+		return upstream->slots;
+	if (!upstream->load_us ||
+	    now_us - upstream->load_us > LOAD_COUNTS_VALID_US)
+		return upstream->granted;
+	reported = (guint)MAX(upstream->load.running, 0) +
+		   (guint)MAX(upstream->load.waiting, 0);
+	return MAX(upstream->granted, reported);
 }
 
-guint aub_endpoint_concurrency_limit(const struct aub_placement *placement,
-				     const struct aub_endpoint *endpoint)
+guint aub_placement_upstream_concurrency_limit(
+	const struct aub_placement *placement,
+	const struct aub_placement_upstream *upstream)
 {
-	return aub_saturation_limit(&placement->saturation, endpoint->slots);
+	return aub_saturation_limit(&placement->saturation, upstream->slots);
 }
 
 /*
@@ -117,13 +121,14 @@
  * fast upstreams the one with the latest report is chosen.
  */
 static double interference(const struct aub_placement *placement,
-			   const struct aub_endpoint *endpoint, gint64 now_us)
+			   const struct aub_placement_upstream *upstream,
+			   gint64 now_us)
 {
-	if (!endpoint->load_us || endpoint->load.slowdown <= 0)
+	if (!upstream->load_us || upstream->load.slowdown <= 0)
 		return aub_load_trend_mean(&placement->interference);
 	return aub_load_trend_predict(&placement->interference,
-				      endpoint->load.slowdown / 100.0,
-				      now_us - endpoint->load_us);
+				      upstream->load.slowdown / 100.0,
+				      now_us - upstream->load_us);
 }
 
 /*
@@ -132,11 +137,12 @@
  * all later ones. A slot is left empty if waiting for the end of the burst and
  * then executing at normal speed takes less time.
  */
-static bool should_wait_for_interference(const struct choice *choice,
-					 const struct aub_endpoint *endpoint)
+static bool should_wait_for_interference(
+	const struct choice *choice,
+	const struct aub_placement_upstream *upstream)
 {
 	const struct aub_load_trend *trend = &choice->placement->interference;
-	double now = interference(choice->placement, endpoint, choice->now_us);
+	double now = interference(choice->placement, upstream, choice->now_us);
 
 	return now * choice->service_time_ms >
 	       INTERFERENCE_REMAINING_SHARE *
@@ -144,26 +150,28 @@
 		       aub_load_trend_mean(trend) * choice->service_time_ms;
 }
 
-/* `limit` is aub_endpoint_concurrency_limit(). */
+/* `limit` is aub_placement_upstream_concurrency_limit(). */
 static bool has_room(const struct choice *choice,
-		     const struct aub_endpoint *endpoint, guint limit)
+		     const struct aub_placement_upstream *upstream, guint limit)
 {
-	if (aub_endpoint_is_cold(endpoint, choice->now_us))
-		return endpoint->next_cold_grant_us <= choice->now_us &&
-		       endpoint->granted < MAX(1, endpoint->slots / 2);
-	return busy_slots(endpoint, choice->now_us) +
+	if (aub_placement_upstream_is_cold(upstream, choice->now_us))
+		return upstream->next_cold_grant_us <= choice->now_us &&
+		       upstream->granted < MAX(1, upstream->slots / 2);
+	return busy_slots(upstream, choice->now_us) +
 			       reserved_slots(choice->request, limit) <
 		       limit &&
-	       !should_wait_for_interference(choice, endpoint);
+	       !should_wait_for_interference(choice, upstream);
 }
 
-double aub_endpoint_slowdown(const struct aub_placement *placement,
-			     const struct aub_endpoint *endpoint, gint64 now_us)
+double aub_placement_upstream_slowdown(
+	const struct aub_placement *placement,
+	const struct aub_placement_upstream *upstream, gint64 now_us)
 {
-	double factor = interference(placement, endpoint, now_us);
+	double factor = interference(placement, upstream, now_us);
 
-	return aub_endpoint_is_cold(endpoint, now_us) ? factor * COLD_SLOWDOWN :
-							factor;
+	return aub_placement_upstream_is_cold(upstream, now_us) ?
+		       factor * COLD_SLOWDOWN :
+		       factor;
 }
 
 /*
@@ -173,44 +181,46 @@
  * upstream in another zone, with higher utilization or an older report. Ratios
  * within the normal spread of service times are ignored.
  */
-static double own_slowness(const struct aub_endpoint *endpoint)
+static double own_slowness(const struct aub_placement_upstream *upstream)
 {
-	return endpoint->slowness > AUB_SIGNIFICANT_SLOWNESS ?
-		       endpoint->slowness :
+	return upstream->slowness > AUB_SIGNIFICANT_SLOWNESS ?
+		       upstream->slowness :
 		       1.0;
 }
 
 /* Returns the expected slowdown of the next request there. */
 static double slowdown(const struct choice *choice,
-		       const struct aub_endpoint *endpoint)
+		       const struct aub_placement_upstream *upstream)
 {
 	const struct aub_placement *placement = choice->placement;
 
-	return own_slowness(endpoint) *
-	       aub_endpoint_slowdown(placement, endpoint, choice->now_us) *
+	return own_slowness(upstream) *
+	       aub_placement_upstream_slowdown(placement, upstream,
+					       choice->now_us) *
 	       aub_saturation_slowdown(&placement->saturation,
-				       endpoint->granted + 1, endpoint->slots);
+				       upstream->granted + 1, upstream->slots);
 }
 
-static double failure_rate(const struct aub_endpoint *endpoint, gint64 now_us)
+static double failure_rate(const struct aub_placement_upstream *upstream,
+			   gint64 now_us)
 {
-	double half_lives = (double)(now_us - endpoint->failures_us) /
+	double half_lives = (double)(now_us - upstream->failures_us) /
 			    AUB_FAILURE_HALF_LIFE_US;
 
-	return endpoint->failures * exp2(-half_lives);
+	return upstream->failures * exp2(-half_lives);
 }
 
 static double cost(const struct choice *choice,
-		   const struct aub_endpoint *endpoint, bool stuck)
+		   const struct aub_placement_upstream *upstream, bool stuck)
 {
 	const struct aub_placement_request *request = choice->request;
 	double value = choice->service_time_ms / MAX(request->target_ms, 1) *
-		       slowdown(choice, endpoint);
+		       slowdown(choice, upstream);
 
-	value += FAILURE_COST * failure_rate(endpoint, choice->now_us);
-	if (g_strcmp0(endpoint->zone, request->zone) != 0)
+	value += FAILURE_COST * failure_rate(upstream, choice->now_us);
+	if (g_strcmp0(upstream->zone, request->zone) != 0)
 		value += CROSS_ZONE_COST;
-	if (endpoint->unhealthy)
+	if (upstream->unhealthy)
 		value += UNHEALTHY_COST;
 	if (stuck)
 		value += STUCK_COST;
@@ -218,7 +228,7 @@
 }
 
 /*
- * Sets `stuck` for endpoints with a request in progress for longer than
+ * Sets `stuck` for upstreams with a request in progress for longer than
  * successful responses take.
  */
 static void find_stuck(const struct aub_placement *placement, bool *stuck,
@@ -230,15 +240,15 @@
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct aub_grant *grant = value;
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement,
-					       grant->endpoint_index);
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement,
+						   grant->upstream_index);
 
-		if (endpoint->last_ok_us < grant->granted_us &&
+		if (upstream->last_ok_us < grant->granted_us &&
 		    now_us - grant->granted_us > STUCK_TARGET_RATIO *
 							 grant->target_ms *
 							 AUB_US_PER_MS)
-			stuck[grant->endpoint_index] = true;
+			stuck[grant->upstream_index] = true;
 	}
 }
 
@@ -250,12 +260,12 @@
 {
 	const struct aub_placement *placement = choice->placement;
 
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		if (is_usable(choice, endpoint) &&
-		    cost(choice, endpoint, stuck[i]) <= LATE_COST)
+		if (is_usable(choice, upstream) &&
+		    cost(choice, upstream, stuck[i]) <= LATE_COST)
 			return true;
 	}
 	return false;
@@ -267,26 +277,28 @@
  *
  * A version may fail only when its upstreams are nearly full. If its requests
  * were always distributed evenly, they would fill none and the fault would not
- * show. Periodically the endpoint with the most requests that still has room
+ * show. Periodically the upstream with the most requests that still has room
  * takes the next one.
  */
 static double canary_cost(const struct choice *choice,
-			  const struct aub_endpoint *endpoint, bool stuck)
+			  const struct aub_placement_upstream *upstream,
+			  bool stuck)
 {
-	double value = cost(choice, endpoint, stuck);
+	double value = cost(choice, upstream, stuck);
 
 	if (!choice->judging)
 		return value;
 	if (choice->filling && value < LATE_COST)
-		value = -(double)endpoint->granted;
+		value = -(double)upstream->granted;
 	/* An upstream that has contributed much evidence has less to add. */
-	return value + aub_endpoint_evidence_share(choice->placement, endpoint);
+	return value + aub_placement_upstream_evidence_share(choice->placement,
+							     upstream);
 }
 
 static gint choose_by_traffic(const struct choice *choice, guint *usable)
 {
 	struct aub_placement *placement = choice->placement;
-	guint count = placement->endpoints->len;
+	guint count = placement->upstreams->len;
 	bool *stuck = g_newa0(bool, count + 1);
 	double best_cost = INFINITY;
 	gint best = -1;
@@ -295,18 +307,19 @@
 	find_stuck(placement, stuck, choice->now_us);
 	for (guint n = 0; n < count; n++) {
 		guint i = (n + placement->search_start) % count;
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 		guint limit;
 		double value;
 
-		if (!is_usable(choice, endpoint))
+		if (!is_usable(choice, upstream))
 			continue;
-		limit = aub_endpoint_concurrency_limit(placement, endpoint);
+		limit = aub_placement_upstream_concurrency_limit(placement,
+								 upstream);
 		*usable += limit;
-		if (!has_room(choice, endpoint, limit))
+		if (!has_room(choice, upstream, limit))
 			continue;
-		value = canary_cost(choice, endpoint, stuck[i]);
+		value = canary_cost(choice, upstream, stuck[i]);
 		if (value >= best_cost)
 			continue;
 		best_cost = value;
--- a/src/state/placement_grants.c
+++ b/src/state/placement_grants.c
@@ -35,30 +35,31 @@
 			 const struct aub_placement_request *request,
 			 gint64 now_us, struct aub_placement_decision *decision)
 {
-	struct aub_endpoint *endpoint =
-		aub_placement_endpoint(placement, index);
+	struct aub_placement_upstream *upstream =
+		aub_placement_get_upstream(placement, index);
 	struct aub_grant *grant = g_new0(struct aub_grant, 1);
 
 	grant->ticket = request->ticket;
 	grant->holder = request->holder;
-	grant->endpoint_index = index;
-	grant->concurrency = endpoint->granted + 1;
-	grant->slowdown = aub_endpoint_slowdown(placement, endpoint, now_us);
+	grant->upstream_index = index;
+	grant->concurrency = upstream->granted + 1;
+	grant->slowdown =
+		aub_placement_upstream_slowdown(placement, upstream, now_us);
 	grant->target_ms = request->target_ms;
 	grant->route = request->route;
-	grant->cold = aub_endpoint_is_cold(endpoint, now_us);
+	grant->cold = aub_placement_upstream_is_cold(upstream, now_us);
 	grant->granted_us = now_us;
 	g_hash_table_replace(placement->grants, &grant->ticket, grant);
-	endpoint->granted++;
+	upstream->granted++;
 	if (grant->cold) {
 		placement->cold_grants++;
-		endpoint->next_cold_grant_us =
+		upstream->next_cold_grant_us =
 			now_us + (gint64)(1e6 / aub_placement_cold_rate_per_s(
 							placement));
 	}
 	decision->verdict = AUB_VERDICT_GRANTED;
-	decision->upstream = endpoint->id;
-	decision->address = endpoint->address;
+	decision->upstream = upstream->id;
+	decision->address = upstream->address;
 }
 
 /*
@@ -66,7 +67,7 @@
  * slowness of the upstream, each with the effects of the others divided out.
  */
 static void update_times(struct aub_placement *placement,
-			 struct aub_endpoint *endpoint,
+			 struct aub_placement_upstream *upstream,
 			 const struct aub_grant *grant, gint64 elapsed_us,
 			 gint64 now_us)
 {
@@ -74,7 +75,7 @@
 						   grant->target_ms);
 	double saturation =
 		aub_saturation_slowdown(&placement->saturation,
-					grant->concurrency, endpoint->slots);
+					grant->concurrency, upstream->slots);
 	double ms = (double)elapsed_us / AUB_US_PER_MS / grant->slowdown;
 	double slot_time_us = (double)(now_us - grant->granted_us);
 
@@ -90,7 +91,7 @@
 	 * learned from upstreams with room.
 	 */
 	if (aub_saturation_is_lightly_loaded(grant->concurrency,
-					     endpoint->slots) ||
+					     upstream->slots) ||
 	    !aub_service_times_is_informative(&placement->service_times,
 					      grant->target_ms))
 		aub_service_times_observe(&placement->service_times,
@@ -99,47 +100,48 @@
 					      grant->target_ms))
 		return;
 	aub_saturation_observe(&placement->saturation, grant->concurrency,
-			       endpoint->slots,
-			       ms / mean_ms / endpoint->slowness);
-	endpoint->slowness += (ms / mean_ms / saturation - endpoint->slowness) *
+			       upstream->slots,
+			       ms / mean_ms / upstream->slowness);
+	upstream->slowness += (ms / mean_ms / saturation - upstream->slowness) *
 			      SLOWNESS_SMOOTHING;
-	endpoint->slowness = CLAMP(endpoint->slowness, 0.5, SLOWNESS_MAX);
+	upstream->slowness = CLAMP(upstream->slowness, 0.5, SLOWNESS_MAX);
 }
 
 /* Updates the health of the upstream by the result of a grant. */
 static void apply_result(struct aub_placement *placement,
-			 struct aub_endpoint *endpoint,
+			 struct aub_placement_upstream *upstream,
 			 const struct aub_grant *grant,
 			 const struct aub_grant_report *report, gint64 now_us)
 {
 	switch (report->end) {
 	case AUB_GRANT_OK:
-		endpoint->last_ok_us = now_us;
-		aub_endpoint_update_failures(endpoint, 0.0, now_us);
-		update_times(placement, endpoint, grant, report->elapsed_us,
+		upstream->last_ok_us = now_us;
+		aub_placement_upstream_update_failures(upstream, 0.0, now_us);
+		update_times(placement, upstream, grant, report->elapsed_us,
 			     now_us);
 		break;
 	case AUB_GRANT_FAILED:
-		aub_endpoint_update_failures(endpoint, 1.0, now_us);
+		aub_placement_upstream_update_failures(upstream, 1.0, now_us);
 		break;
 	case AUB_GRANT_REFUSED:
-		aub_endpoint_update_failures(endpoint, 0.5, now_us);
-		endpoint->full_until_us = now_us + REFUSED_PAUSE_US;
+		aub_placement_upstream_update_failures(upstream, 0.5, now_us);
+		upstream->full_until_us = now_us + REFUSED_PAUSE_US;
 		break;
 	case AUB_GRANT_TIMEOUT:
-		aub_endpoint_update_failures(endpoint, 1.0, now_us);
+		aub_placement_upstream_update_failures(upstream, 1.0, now_us);
 		break;
 	case AUB_GRANT_WRONG_UPSTREAM:
 	case AUB_GRANT_UNREACHABLE:
 	case AUB_GRANT_LOST:
-		aub_endpoint_update_failures(endpoint, 1.0, now_us);
-		aub_endpoint_mark_down(endpoint, now_us);
+		aub_placement_upstream_update_failures(upstream, 1.0, now_us);
+		aub_placement_upstream_mark_down(upstream, now_us);
 		break;
 	case AUB_GRANT_ABANDONED:
 	case AUB_GRANT_UNUSED:
 		break;
 	}
-	aub_endpoint_update_load(placement, endpoint, &report->load, now_us);
+	aub_placement_upstream_update_load(placement, upstream, &report->load,
+					   now_us);
 }
 
 void aub_placement_report(struct aub_placement *placement,
@@ -147,7 +149,7 @@
 {
 	struct aub_grant *grant =
 		g_hash_table_lookup(placement->grants, &report->ticket);
-	struct aub_endpoint *endpoint;
+	struct aub_placement_upstream *upstream;
 
 	if (!grant) {
 		gint index =
@@ -158,10 +160,10 @@
 						 (guint)index);
 		return;
 	}
-	endpoint = aub_placement_endpoint(placement, grant->endpoint_index);
-	endpoint->granted--;
-	apply_result(placement, endpoint, grant, report, now_us);
-	aub_grant_judge(placement, endpoint, grant, report);
+	upstream = aub_placement_get_upstream(placement, grant->upstream_index);
+	upstream->granted--;
+	apply_result(placement, upstream, grant, report, now_us);
+	aub_grant_judge(placement, upstream, grant, report);
 	g_hash_table_remove(placement->grants, &report->ticket);
 }
 
@@ -187,7 +189,7 @@
 		    now_us - grant->granted_us < HOLDER_LIST_GRACE_US ||
 		    is_listed(tickets, count, grant->ticket))
 			continue;
-		aub_placement_endpoint(placement, grant->endpoint_index)
+		aub_placement_get_upstream(placement, grant->upstream_index)
 			->granted--;
 		g_hash_table_iter_remove(&iter);
 	}
@@ -197,7 +199,7 @@
 			 guint64 ticket, const char *upstream, guint target_ms,
 			 gint64 now_us)
 {
-	gint index = aub_placement_find_endpoint(placement, upstream);
+	gint index = aub_placement_find_upstream(placement, upstream);
 	struct aub_placement_request request = {
 		.ticket = ticket,
 		.holder = holder,
--- a/src/state/placement_probe.c
+++ b/src/state/placement_probe.c
@@ -31,38 +31,39 @@
 #define FAILED_PROBES_DOWN 2
 
 static gint64 probe_interval_us(const struct aub_placement *placement,
-				const struct aub_endpoint *endpoint,
+				const struct aub_placement_upstream *upstream,
 				gint64 now_us)
 {
-	gint64 min_us = (gint64)placement->endpoints->len *
+	gint64 min_us = (gint64)placement->upstreams->len *
 			PROBE_INTERVAL_PER_UPSTREAM_US;
 	gint64 base_us = PROBE_INTERVAL_US;
 
-	if (endpoint->state == AUB_ENDPOINT_DOWN)
+	if (upstream->state == AUB_PLACEMENT_UPSTREAM_DOWN)
 		base_us = PROBE_INTERVAL_DOWN_US;
-	else if (aub_endpoint_is_cold(endpoint, now_us))
+	else if (aub_placement_upstream_is_cold(upstream, now_us))
 		base_us = PROBE_INTERVAL_COLD_US;
 	return MAX(base_us, min_us);
 }
 
-void aub_endpoint_set_probing(struct aub_placement *placement,
-			      struct aub_endpoint *endpoint, bool probing)
+void aub_placement_upstream_set_probing(struct aub_placement *placement,
+					struct aub_placement_upstream *upstream,
+					bool probing)
 {
-	if (endpoint->probing == probing)
+	if (upstream->probing == probing)
 		return;
-	endpoint->probing = probing;
+	upstream->probing = probing;
 	if (probing)
 		placement->probing++;
 	else
 		placement->probing--;
 }
 
-static bool is_due(const struct aub_endpoint *endpoint, const char *zone,
-		   gint64 now_us)
+static bool is_due(const struct aub_placement_upstream *upstream,
+		   const char *zone, gint64 now_us)
 {
-	return endpoint->registered && !endpoint->draining &&
-	       !endpoint->probing && endpoint->next_probe_us <= now_us &&
-	       (!zone || !g_strcmp0(endpoint->zone, zone));
+	return upstream->registered && !upstream->draining &&
+	       !upstream->probing && upstream->next_probe_us <= now_us &&
+	       (!zone || !g_strcmp0(upstream->zone, zone));
 }
 
 /*
@@ -72,24 +73,24 @@
 bool aub_placement_probe_next(struct aub_placement *placement, const char *zone,
 			      gint64 now_us, struct aub_probe *probe)
 {
-	guint count = placement->endpoints->len;
+	guint count = placement->upstreams->len;
 
 	if (placement->probing >= CONCURRENT_PROBES_MAX)
 		return false;
 	for (guint n = 0; n < count; n++) {
 		guint i = (placement->next_probe_index + n) % count;
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		if (!is_due(endpoint, zone, now_us))
+		if (!is_due(upstream, zone, now_us))
 			continue;
-		aub_endpoint_set_probing(placement, endpoint, true);
-		endpoint->next_probe_us =
-			now_us + probe_interval_us(placement, endpoint, now_us);
+		aub_placement_upstream_set_probing(placement, upstream, true);
+		upstream->next_probe_us =
+			now_us + probe_interval_us(placement, upstream, now_us);
 		placement->next_probe_index = i + 1;
 		*probe = (struct aub_probe){
-			.upstream = endpoint->id,
-			.address = endpoint->address,
+			.upstream = upstream->id,
+			.address = upstream->address,
 			.path = placement->health_path,
 		};
 		return true;
@@ -98,51 +99,49 @@
 }
 
 void aub_placement_probe_finished(struct aub_placement *placement,
-				  const char *upstream,
-				  enum aub_probe_result result,
+				  const char *id, enum aub_probe_result result,
 				  const struct aub_load *load, gint64 now_us)
 {
-	gint index = aub_placement_find_endpoint(placement, upstream);
-	struct aub_endpoint *endpoint;
+	gint index = aub_placement_find_upstream(placement, id);
+	struct aub_placement_upstream *upstream;
 
 	if (index < 0)
 		return;
-	endpoint = aub_placement_endpoint(placement, (guint)index);
-	aub_endpoint_set_probing(placement, endpoint, false);
+	upstream = aub_placement_get_upstream(placement, (guint)index);
+	aub_placement_upstream_set_probing(placement, upstream, false);
 	if (result == AUB_PROBE_NO_RESPONSE) {
-		if (++endpoint->failed_probes >= FAILED_PROBES_DOWN)
-			endpoint->state = AUB_ENDPOINT_DOWN;
+		if (++upstream->failed_probes >= FAILED_PROBES_DOWN)
+			upstream->state = AUB_PLACEMENT_UPSTREAM_DOWN;
 		return;
 	}
-	endpoint->failed_probes = 0;
+	upstream->failed_probes = 0;
 	if (result == AUB_PROBE_WRONG_UPSTREAM) {
-		endpoint->state = AUB_ENDPOINT_DOWN;
+		upstream->state = AUB_PLACEMENT_UPSTREAM_DOWN;
 		return;
 	}
-	endpoint->unhealthy = result == AUB_PROBE_UNHEALTHY;
-	endpoint->state = AUB_ENDPOINT_UP;
+	upstream->unhealthy = result == AUB_PROBE_UNHEALTHY;
+	upstream->state = AUB_PLACEMENT_UPSTREAM_UP;
 	if (load->warmup_ms < 0)
-		endpoint->cold_until_us = MIN(endpoint->cold_until_us, now_us);
-	aub_endpoint_update_load(placement, endpoint, load, now_us);
+		upstream->cold_until_us = MIN(upstream->cold_until_us, now_us);
+	aub_placement_upstream_update_load(placement, upstream, load, now_us);
 }
 
 void aub_placement_probe_received(struct aub_placement *placement,
-				  const char *upstream,
-				  enum aub_probe_result result,
+				  const char *id, enum aub_probe_result result,
 				  const struct aub_load *load, gint64 now_us)
 {
-	gint index = aub_placement_find_endpoint(placement, upstream);
-	struct aub_endpoint *endpoint;
+	gint index = aub_placement_find_upstream(placement, id);
+	struct aub_placement_upstream *upstream;
 	bool probing;
 
 	if (index < 0)
 		return;
-	endpoint = aub_placement_endpoint(placement, (guint)index);
-	probing = endpoint->probing;
-	aub_placement_probe_finished(placement, upstream, result, load, now_us);
+	upstream = aub_placement_get_upstream(placement, (guint)index);
+	probing = upstream->probing;
+	aub_placement_probe_finished(placement, id, result, load, now_us);
 	/* A local probe in progress continues. */
-	aub_endpoint_set_probing(placement, endpoint, probing);
-	endpoint->next_probe_us =
+	aub_placement_upstream_set_probing(placement, upstream, probing);
+	upstream->next_probe_us =
 		now_us + REMOTE_PROBE_INTERVALS *
-				 probe_interval_us(placement, endpoint, now_us);
+				 probe_interval_us(placement, upstream, now_us);
 }
--- a/src/state/placement_queue.c
+++ b/src/state/placement_queue.c
@@ -189,13 +189,13 @@
 		g_hash_table_lookup(placement->grants, &request->ticket);
 
 	if (grant) {
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement,
-					       grant->endpoint_index);
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement,
+						   grant->upstream_index);
 
 		decision->verdict = AUB_VERDICT_GRANTED;
-		decision->upstream = endpoint->id;
-		decision->address = endpoint->address;
+		decision->upstream = upstream->id;
+		decision->address = upstream->address;
 		return true;
 	}
 	if (aub_placement_find_queued(placement, request->ticket) < 0)
@@ -229,14 +229,14 @@
 /* Returns whether a pending probe may find an upstream for queued requests. */
 static bool is_any_unknown(const struct aub_placement *placement)
 {
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
-
-		if (endpoint->registered && !endpoint->draining &&
-		    !endpoint->zone_out &&
-		    endpoint->traffic == AUB_VERSION_ACTIVE &&
-		    endpoint->state == AUB_ENDPOINT_UNKNOWN)
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
+
+		if (upstream->registered && !upstream->draining &&
+		    !upstream->zone_out &&
+		    upstream->traffic == AUB_VERSION_ACTIVE &&
+		    upstream->state == AUB_PLACEMENT_UPSTREAM_UNKNOWN)
 			return true;
 	}
 	return false;
@@ -250,7 +250,7 @@
 	aub_grant_count_canary(placement,
 			       g_hash_table_lookup(placement->grants,
 						   &request->ticket),
-			       aub_placement_endpoint(placement, index));
+			       aub_placement_get_upstream(placement, index));
 }
 
 void aub_placement_submit(struct aub_placement *placement,
--- a/src/state/placement_rollout.c
+++ b/src/state/placement_rollout.c
@@ -13,7 +13,7 @@
 
 static enum aub_version_traffic traffic_of(
 	const struct aub_placement *placement,
-	const struct aub_endpoint *endpoint)
+	const struct aub_placement_upstream *upstream)
 {
 	const struct aub_service_versions *versions = &placement->versions;
 
@@ -21,10 +21,10 @@
 		return AUB_VERSION_ACTIVE;
 	if (!placement->rollouts_loaded)
 		return AUB_VERSION_WITHHELD;
-	if (aub_service_versions_is_active(versions, endpoint->version))
+	if (aub_service_versions_is_active(versions, upstream->version))
 		return AUB_VERSION_ACTIVE;
-	if (endpoint->version != AUB_VERSION_NONE &&
-	    endpoint->version == versions->target &&
+	if (upstream->version != AUB_VERSION_NONE &&
+	    upstream->version == versions->target &&
 	    aub_rollout_is_in_progress(&placement->rollout))
 		return AUB_VERSION_CANARY;
 	return AUB_VERSION_WITHHELD;
@@ -34,13 +34,13 @@
 {
 	guint canaries = 0;
 
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		endpoint->traffic = traffic_of(placement, endpoint);
-		canaries += endpoint->registered &&
-			    endpoint->traffic == AUB_VERSION_CANARY;
+		upstream->traffic = traffic_of(placement, upstream);
+		canaries += upstream->registered &&
+			    upstream->traffic == AUB_VERSION_CANARY;
 	}
 	placement->rollout.canary_upstreams = canaries;
 }
@@ -51,24 +51,24 @@
 	struct aub_service_versions *versions = &placement->versions;
 
 	aub_service_versions_begin_count(versions);
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
 
-		if (endpoint->registered)
-			aub_service_versions_add(versions, endpoint->version,
-						 endpoint->started_ms);
+		if (upstream->registered)
+			aub_service_versions_add(versions, upstream->version,
+						 upstream->started_ms);
 	}
 	aub_service_versions_finish_count(versions, now_us);
 	update_traffic(placement);
 }
 
 static bool has_version(const struct aub_placement *placement,
-			const struct aub_endpoint *endpoint,
+			const struct aub_placement_upstream *upstream,
 			const char *version)
 {
-	return endpoint->version != AUB_VERSION_NONE &&
-	       !strcmp(placement->versions.list[endpoint->version].name,
+	return upstream->version != AUB_VERSION_NONE &&
+	       !strcmp(placement->versions.list[upstream->version].name,
 		       version);
 }
 
@@ -77,36 +77,36 @@
  * hundreds of upstreams quadratic in their number. While there is a single
  * version, only the count of the upstream itself is updated.
  */
-void aub_endpoint_count_version(struct aub_placement *placement,
-				struct aub_endpoint *endpoint,
-				const char *version, bool was_registered,
-				gint64 now_us)
+void aub_placement_upstream_count_version(
+	struct aub_placement *placement,
+	struct aub_placement_upstream *upstream, const char *version,
+	bool was_registered, gint64 now_us)
 {
 	struct aub_service_versions *versions = &placement->versions;
 
 	if (!placement->rollouts_enabled) {
-		endpoint->traffic = AUB_VERSION_ACTIVE;
+		upstream->traffic = AUB_VERSION_ACTIVE;
 		return;
 	}
 	if (version && was_registered &&
-	    has_version(placement, endpoint, version))
+	    has_version(placement, upstream, version))
 		return;
 	if (version) {
-		endpoint->version =
+		upstream->version =
 			aub_service_versions_index(versions, version);
-		endpoint->evidence = (struct aub_judge_evidence){ 0 };
+		upstream->evidence = (struct aub_judge_evidence){ 0 };
 	}
 	if (versions->count > 1 || (version && was_registered)) {
 		recount_versions(placement, now_us);
 		return;
 	}
 	if (version)
-		aub_service_versions_add(versions, endpoint->version,
-					 endpoint->started_ms);
+		aub_service_versions_add(versions, upstream->version,
+					 upstream->started_ms);
 	else if (was_registered)
-		aub_service_versions_remove(versions, endpoint->version);
+		aub_service_versions_remove(versions, upstream->version);
 	aub_service_versions_finish_count(versions, now_us);
-	endpoint->traffic = traffic_of(placement, endpoint);
+	upstream->traffic = traffic_of(placement, upstream);
 }
 
 void aub_placement_enable_rollouts(struct aub_placement *placement,
@@ -149,8 +149,8 @@
 	GHashTableIter iter;
 	void *value;
 
-	for (guint i = 0; i < placement->endpoints->len; i++)
-		aub_placement_endpoint(placement, i)->evidence =
+	for (guint i = 0; i < placement->upstreams->len; i++)
+		aub_placement_get_upstream(placement, i)->evidence =
 			(struct aub_judge_evidence){ 0 };
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
@@ -248,9 +248,9 @@
 
 void aub_grant_count_canary(struct aub_placement *placement,
 			    struct aub_grant *grant,
-			    const struct aub_endpoint *endpoint)
+			    const struct aub_placement_upstream *upstream)
 {
-	if (endpoint->traffic != AUB_VERSION_CANARY)
+	if (upstream->traffic != AUB_VERSION_CANARY)
 		return;
 	grant->canary = true;
 	placement->rollout.exposed++;
@@ -277,9 +277,9 @@
 }
 
 static bool is_nearly_full(const struct aub_grant *grant,
-			   const struct aub_endpoint *endpoint)
+			   const struct aub_placement_upstream *upstream)
 {
-	return grant->concurrency >= FULL_UTILIZATION_SHARE * endpoint->slots;
+	return grant->concurrency >= FULL_UTILIZATION_SHARE * upstream->slots;
 }
 
 /*
@@ -287,17 +287,17 @@
  * Only complete responses and their times count.
  */
 static void fill_answer(const struct aub_placement *placement,
-			const struct aub_endpoint *endpoint,
+			const struct aub_placement_upstream *upstream,
 			const struct aub_grant *grant, gint64 elapsed_us,
 			struct aub_judge_answer *answer)
 {
 	double saturation =
 		aub_saturation_slowdown(&placement->saturation,
-					grant->concurrency, endpoint->slots);
+					grant->concurrency, upstream->slots);
 
 	*answer = (struct aub_judge_answer){
 		.route = grant->route,
-		.full = is_nearly_full(grant, endpoint),
+		.full = is_nearly_full(grant, upstream),
 		.ms = grant->cold || grant->judged_early ?
 			      0 :
 			      (double)elapsed_us / AUB_US_PER_MS /
@@ -305,10 +305,11 @@
 	};
 }
 
-double aub_endpoint_evidence_share(const struct aub_placement *placement,
-				   const struct aub_endpoint *endpoint)
+double aub_placement_upstream_evidence_share(
+	const struct aub_placement *placement,
+	const struct aub_placement_upstream *upstream)
 {
-	const double *contributed = endpoint->evidence.contributed;
+	const double *contributed = upstream->evidence.contributed;
 
 	return MAX(contributed[AUB_JUDGE_FAILURES],
 		   contributed[AUB_JUDGE_SLOWNESS]) /
@@ -316,12 +317,12 @@
 }
 
 static void judge_canary_answer(struct aub_placement *placement,
-				struct aub_endpoint *endpoint,
+				struct aub_placement_upstream *upstream,
 				const struct aub_judge_answer *answer)
 {
 	struct aub_rollout *rollout = &placement->rollout;
 
-	aub_judge_add_canary(&rollout->judge, answer, &endpoint->evidence,
+	aub_judge_add_canary(&rollout->judge, answer, &upstream->evidence,
 			     aub_judge_evidence_max(rollout->canary_upstreams));
 }
 
@@ -341,7 +342,7 @@
 }
 
 void aub_grant_judge(struct aub_placement *placement,
-		     struct aub_endpoint *endpoint,
+		     struct aub_placement_upstream *upstream,
 		     const struct aub_grant *grant,
 		     const struct aub_grant_report *report)
 {
@@ -354,16 +355,16 @@
 		count_exposure(rollout, grant, report->end);
 	if (!is_complete_response(report->end))
 		return;
-	fill_answer(placement, endpoint, grant, report->elapsed_us, &answer);
+	fill_answer(placement, upstream, grant, report->elapsed_us, &answer);
 	answer.failed = report->end == AUB_GRANT_FAILED;
 	/*
 	 * Also done while there is no order, so that the next one has a
 	 * baseline.
 	 */
-	if (endpoint->traffic == AUB_VERSION_ACTIVE)
+	if (upstream->traffic == AUB_VERSION_ACTIVE)
 		aub_judge_add_baseline(&rollout->judge, &answer);
-	else if (endpoint->traffic == AUB_VERSION_CANARY && grant->canary)
-		judge_canary_answer(placement, endpoint, &answer);
+	else if (upstream->traffic == AUB_VERSION_CANARY && grant->canary)
+		judge_canary_answer(placement, upstream, &answer);
 }
 
 /*
@@ -381,21 +382,21 @@
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct aub_grant *grant = value;
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement,
-					       grant->endpoint_index);
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement,
+						   grant->upstream_index);
 		struct aub_judge_answer answer;
 		double slow_ms;
 
 		if (!grant->canary || grant->judged_early || grant->cold)
 			continue;
 		slow_ms = aub_judge_slow_ms(&rollout->judge, grant->route,
-					    is_nearly_full(grant, endpoint));
-		fill_answer(placement, endpoint, grant,
+					    is_nearly_full(grant, upstream));
+		fill_answer(placement, upstream, grant,
 			    now_us - grant->granted_us, &answer);
 		if (slow_ms <= 0 || answer.ms <= slow_ms)
 			continue;
-		judge_canary_answer(placement, endpoint, &answer);
+		judge_canary_answer(placement, upstream, &answer);
 		grant->judged_early = true;
 	}
 }
@@ -410,9 +411,9 @@
 	g_hash_table_iter_init(&iter, placement->grants);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct aub_grant *grant = value;
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement,
-					       grant->endpoint_index);
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement,
+						   grant->upstream_index);
 		double mean_ms =
 			aub_service_times_mean_ms(&placement->service_times,
 						  grant->target_ms);
@@ -421,15 +422,16 @@
 			MAX(load->max_service_time_ms, mean_ms);
 		load->mean_service_time_ms += mean_ms / count;
 		load->baseline_running +=
-			endpoint->traffic != AUB_VERSION_CANARY;
+			upstream->traffic != AUB_VERSION_CANARY;
 	}
 }
 
-static void add_endpoint_load(const struct aub_placement *placement,
-			      const struct aub_endpoint *endpoint,
+static void add_upstream_load(const struct aub_placement *placement,
+			      const struct aub_placement_upstream *upstream,
 			      struct aub_rollout_load *load)
 {
-	guint limit = aub_endpoint_concurrency_limit(placement, endpoint);
+	guint limit =
+		aub_placement_upstream_concurrency_limit(placement, upstream);
 
 	load->slots += limit;
 	load->batch_size = MAX(load->batch_size, limit);
@@ -443,15 +445,16 @@
 					g_hash_table_size(placement->grants)),
 	};
 	add_grant_load(placement, load);
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
-
-		if (endpoint->traffic == AUB_VERSION_CANARY &&
-		    endpoint->registered && !endpoint->draining &&
-		    !endpoint->zone_out && endpoint->state == AUB_ENDPOINT_UP &&
-		    !aub_endpoint_is_cold(endpoint, now_us))
-			add_endpoint_load(placement, endpoint, load);
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
+
+		if (upstream->traffic == AUB_VERSION_CANARY &&
+		    upstream->registered && !upstream->draining &&
+		    !upstream->zone_out &&
+		    upstream->state == AUB_PLACEMENT_UPSTREAM_UP &&
+		    !aub_placement_upstream_is_cold(upstream, now_us))
+			add_upstream_load(placement, upstream, load);
 	}
 }
 
--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -125,11 +125,11 @@
 		aub_placement_report(placement, &report, now_us);
 		aub_placement_check_invariants(placement);
 	}
-	struct aub_endpoint *endpoint(const std::string &id)
+	struct aub_placement_upstream *upstream(const std::string &id)
 	{
-		return aub_placement_endpoint(
+		return aub_placement_get_upstream(
 			placement,
-			(guint)aub_placement_find_endpoint(placement,
+			(guint)aub_placement_find_upstream(placement,
 							   id.c_str()));
 	}
 };
--- a/tests/placement_load.h
+++ b/tests/placement_load.h
@@ -65,7 +65,7 @@
 				random() % MAX(spec.interference_ms, 1);
 			upstreams.push_back(upstream);
 			fixture.register_upstream(upstream.id, spec.slots);
-			fixture.endpoint(upstream.id)->next_probe_us +=
+			fixture.upstream(upstream.id)->next_probe_us +=
 				(random() % 100) * US_PER_MS;
 			index[upstream.id] = i;
 		}
--- a/tests/test_placement.cc
+++ b/tests/test_placement.cc
@@ -32,7 +32,7 @@
 	struct aub_placement_request request = fixture.new_request();
 	std::string first = fixture.submit(request).upstream;
 	EXPECT_EQ(fixture.submit(request).upstream, first);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 1u);
 }
 
 TEST(Placement, PrefersZoneOfRequest)
@@ -415,10 +415,10 @@
 	aub_placement_reconcile(fixture.placement, 7, &tickets[1], 1,
 				fixture.now_us);
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 1u);
 	aub_placement_drop_holder(fixture.placement, 7, fixture.now_us);
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 0u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 0u);
 }
 
 TEST(Placement, AdoptsGrantsOfAnotherPlacer)
@@ -433,9 +433,9 @@
 	aub_placement_adopt(fixture.placement, 9, 78, "unregistered", 600,
 			    fixture.now_us);
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 1u);
 	fixture.report(77);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 0u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 0u);
 }
 
 /* Random operations; the invariants have to hold after each. */
@@ -507,13 +507,14 @@
 			decision = fixture.submit(request);
 			open.push_back(request.ticket);
 			if (decision.verdict == AUB_VERDICT_GRANTED) {
-				const struct aub_endpoint *endpoint =
-					fixture.endpoint(decision.upstream);
-
-				ASSERT_TRUE(endpoint->registered);
-				ASSERT_FALSE(endpoint->draining);
-				ASSERT_FALSE(endpoint->zone_out);
-				ASSERT_EQ(endpoint->state, AUB_ENDPOINT_UP);
+				const struct aub_placement_upstream *upstream =
+					fixture.upstream(decision.upstream);
+
+				ASSERT_TRUE(upstream->registered);
+				ASSERT_FALSE(upstream->draining);
+				ASSERT_FALSE(upstream->zone_out);
+				ASSERT_EQ(upstream->state,
+					  AUB_PLACEMENT_UPSTREAM_UP);
 			}
 			break;
 		}
@@ -548,15 +549,15 @@
 	}
 	fixture.now_us += 50 * US_PER_MS;
 	EXPECT_FALSE(fixture.next_decision(&decision));
-	EXPECT_EQ(fixture.endpoint("cold")->granted, 0u);
+	EXPECT_EQ(fixture.upstream("cold")->granted, 0u);
 }
 
 TEST(Placement, ReusesEndpointsOfDepartedUpstreams)
 {
 	/*
-	 * Guards against unbounded growth of the list of endpoints. A service's
+	 * Guards against unbounded growth of the list of upstreams. A service's
 	 * upstreams are replaced one after the other, each with a new id; the
-	 * endpoint of a departed one is kept while it has open grants.
+	 * upstream of a departed one is kept while it has open grants.
 	 */
 	PlacementFixture fixture;
 
@@ -573,13 +574,13 @@
 	}
 	aub_placement_check_invariants(fixture.placement);
 	/* Those of one minute, and the one with a grant. */
-	EXPECT_LE(fixture.placement->endpoints->len, 63u);
-	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "u0"), -1);
-	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "outstanding"),
+	EXPECT_LE(fixture.placement->upstreams->len, 63u);
+	EXPECT_EQ(aub_placement_find_upstream(fixture.placement, "u0"), -1);
+	EXPECT_EQ(aub_placement_find_upstream(fixture.placement, "outstanding"),
 		  0);
 	fixture.report(decision.ticket, AUB_GRANT_OK);
 	fixture.add_healthy("last");
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "outstanding"),
+	EXPECT_EQ(aub_placement_find_upstream(fixture.placement, "outstanding"),
 		  -1);
 }
--- a/tests/test_placement_probe.cc
+++ b/tests/test_placement_probe.cc
@@ -41,7 +41,7 @@
 					      fixture.now_us, &probe));
 	aub_placement_probe_received(fixture.placement, "far",
 				     AUB_PROBE_HEALTHY, &load, fixture.now_us);
-	EXPECT_EQ(fixture.endpoint("far")->state, AUB_ENDPOINT_UP);
+	EXPECT_EQ(fixture.upstream("far")->state, AUB_PLACEMENT_UPSTREAM_UP);
 	fixture.now_us += 200 * US_PER_MS;
 	EXPECT_FALSE(aub_placement_probe_next(fixture.placement, NULL,
 					      fixture.now_us, &probe));
@@ -77,13 +77,13 @@
 
 	fixture.add_healthy("u1");
 	fixture.finish_probe("u1", -1, -1, AUB_PROBE_NO_RESPONSE);
-	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_UP);
+	EXPECT_EQ(fixture.upstream("u1")->state, AUB_PLACEMENT_UPSTREAM_UP);
 	fixture.finish_probe("u1", -1, -1, AUB_PROBE_NO_RESPONSE);
-	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_DOWN);
+	EXPECT_EQ(fixture.upstream("u1")->state, AUB_PLACEMENT_UPSTREAM_DOWN);
 	fixture.finish_probe("u1");
-	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_UP);
+	EXPECT_EQ(fixture.upstream("u1")->state, AUB_PLACEMENT_UPSTREAM_UP);
 	fixture.finish_probe("u1", -1, -1, AUB_PROBE_WRONG_UPSTREAM);
-	EXPECT_EQ(fixture.endpoint("u1")->state, AUB_ENDPOINT_DOWN);
+	EXPECT_EQ(fixture.upstream("u1")->state, AUB_PLACEMENT_UPSTREAM_DOWN);
 }
 
 TEST(PlacementProbe, ProbesLargeServiceLessOften)
