--- a/include/auburnstile/internal/caller_wait.h
+++ b/include/auburnstile/internal/caller_wait.h
@@ -21,8 +21,8 @@
 void aub_caller_wait_observe(struct aub_caller_wait *wait, gint64 remaining_ms);
 
 /*
- * Returns for how long the caller has been waiting, in ms: 0 if it may be a
- * new one, otherwise the distance of `remaining_ms` from the median.
+ * Returns the estimated time for which the caller has been waiting, in ms: 0 if
+ * it may be a new one, otherwise the median minus `remaining_ms`.
  */
 gint64 aub_caller_wait_estimate(const struct aub_caller_wait *wait,
 				gint64 remaining_ms);
--- a/include/auburnstile/internal/crash_counts.h
+++ b/include/auburnstile/internal/crash_counts.h
@@ -1,9 +1,15 @@
 /*
- * Counts the upstream crashes of each request, by request fingerprint.
+ * Counts how often an upstream was lost while it executed a request, by request
+ * fingerprint.
  *
  * A request may crash every upstream that starts to execute it and be retried
  * through any gateway. Gateways exchange their counts; after the third loss in
  * a row without a response the request is refused.
+ *
+ * Each loss counts here, whether the upstream crashed or not, and a response
+ * resets the count. Dispatchers have a table of their own (see
+ * src/state/dispatch_crash.c), which counts a loss only if the upstream turns
+ * out to have restarted or to refuse connections.
  */
 #ifndef AUBURNSTILE_INTERNAL_CRASH_COUNTS_H
 #define AUBURNSTILE_INTERNAL_CRASH_COUNTS_H
@@ -28,8 +34,8 @@
 			      const guint8 *body, gsize length);
 
 /*
- * Records that an upstream was lost while it executed the request. Returns the
- * number of losses so far, 0 if the table is full.
+ * Records that the connection to an upstream was lost while it executed the
+ * request. Returns the number of losses so far, 0 if the table is full.
  */
 guint aub_crash_counts_add(struct aub_crash_counts *counts, guint64 fingerprint,
 			   gint64 now_us);
--- a/include/auburnstile/internal/placement.h
+++ b/include/auburnstile/internal/placement.h
@@ -25,7 +25,7 @@
 
 enum aub_verdict {
 	AUB_VERDICT_GRANTED,
-	AUB_VERDICT_QUEUED, /* aub_placement_next_decision() follows up */
+	AUB_VERDICT_QUEUED, /* aub_placement_next_decision() decides later */
 	AUB_VERDICT_NO_UPSTREAM, /* none may take it at present */
 	AUB_VERDICT_OVERLOAD, /* the wait would exceed its maximum */
 	AUB_VERDICT_NO_BUDGET /* a retry beyond the fleet's budget */
@@ -37,7 +37,8 @@
 	const char *zone;
 	guint priority; /* 0 is the highest */
 	guint target_ms; /* a response within this time is on time */
-	guint on_time_wait_ms; /* granted within this, it can be on time */
+	guint on_time_wait_ms; /* granted within this, it can be on time; 0:
+				  late */
 	guint max_wait_ms; /* longest useful wait for a slot */
 	bool retry; /* it was sent to an upstream before */
 	bool local_fallback; /* placed locally, for lack of a placer */
@@ -85,6 +86,7 @@
 /* Applies the operators' configuration of the service. */
 void aub_placement_configure(struct aub_placement *placement,
 			     const struct aub_service_spec *spec);
+/* Replaces the limits. A different window resets the retry budget. */
 void aub_placement_set_limits(struct aub_placement *placement,
 			      const struct aub_placement_limits *limits);
 
@@ -99,7 +101,7 @@
 
 /*
  * Returns whether new requests may be sent to `id`. False for an upstream that
- * is unknown here: it may have departed before this process started.
+ * is not registered here: it may have departed before this process started.
  */
 bool aub_placement_may_send(const struct aub_placement *placement,
 			    const char *id);
@@ -141,7 +143,7 @@
 				   const struct aub_judge_route *routes,
 				   guint count, guint64 reached,
 				   guint64 exposed, double allowance);
-/* Grants the order's slack to this process, which alone may spend it. */
+/* Grants the order's slack to this process; no other process may spend it. */
 void aub_placement_grant_slack(struct aub_placement *placement);
 /* Called periodically: admits versions for which no order arrived. */
 void aub_placement_admit_versions(struct aub_placement *placement,
@@ -172,7 +174,7 @@
 
 /*
  * Releases those grants of `holder` that are not in `tickets`, unless they are
- * recent. A lost report would otherwise occupy a slot forever.
+ * recent. Otherwise a slot whose report was lost would stay in use forever.
  */
 void aub_placement_reconcile(struct aub_placement *placement, guint64 holder,
 			     const guint64 *tickets, guint count,
@@ -229,7 +231,7 @@
 	bool down;
 	bool unknown; /* not probed so far */
 	guint cold_ms; /* remaining; 0: warm */
-	guint slowdown; /* percent */
+	guint slowdown; /* percent of the expected response time */
 };
 /*
  * Copies up to `limit` entries to `list`, for other processes. Returns their
@@ -262,7 +264,7 @@
 	double cold_rate_per_s; /* requests granted to a cold upstream */
 	guint concurrency_limit_percent; /* of an upstream's slots, learned */
 	guint slowdown_percent; /* mean of the reports; 100 is typical */
-	guint interference_ms; /* typical duration of a burst, learned */
+	guint interference_ms; /* duration of an interference burst, learned */
 	enum aub_rollout_state rollout; /* state of the order, as seen here */
 	guint64 exposed; /* requests placed here at its version */
 	guint judged_answers; /* responses of that version */
--- a/include/auburnstile/internal/placement_internal.h
+++ b/include/auburnstile/internal/placement_internal.h
@@ -15,10 +15,16 @@
 
 #define AUB_US_PER_MS ((gint64)1000)
 
-/* An upstream that failed is tried again after some of these. */
+/*
+ * Without new results, an upstream's failure rate halves in this time, so that
+ * one that failed is chosen again after a few half-lives.
+ */
 #define AUB_FAILURE_HALF_LIFE_US (2000 * AUB_US_PER_MS)
 
-/* Ratios below this are within the normal spread of service times. */
+/*
+ * Ratio of actual to expected response time above which an upstream counts as
+ * slow. Lower ratios are within the normal spread of service times.
+ */
 #define AUB_SIGNIFICANT_SLOWNESS 1.5
 
 enum aub_placement_upstream_state {
@@ -46,7 +52,7 @@
 	gint version; /* index into the service's versions */
 	enum aub_version_traffic traffic;
 	struct aub_judge_evidence evidence; /* against its version */
-	bool registered; /* false: departed; kept while grants are open */
+	bool registered; /* false: departed; retained for open grants */
 	gint64 departed_us; /* time at which it departed */
 	bool draining;
 	bool zone_out;
@@ -121,7 +127,7 @@
 	guint64 refused; /* requests that got no upstream, since the start */
 	guint64 cold_grants; /* to cold upstreams, since the start */
 	guint probing; /* upstreams with a probe in progress */
-	guint next_probe_index; /* where the search for the next probe starts */
+	guint next_probe_index; /* at which the search for the next starts */
 	guint search_start; /* index, rotated to break ties round-robin */
 };
 
--- a/include/auburnstile/internal/request_path.h
+++ b/include/auburnstile/internal/request_path.h
@@ -21,7 +21,7 @@
 char *aub_path_canonicalize(const char *path);
 
 /*
- * Returns whether `path` is `prefix` or below it. Only whole segments match.
+ * Returns whether `path` is `prefix` or below it. Only complete segments match.
  */
 bool aub_path_has_prefix(const char *path, const char *prefix);
 
--- a/include/auburnstile/internal/rollout.h
+++ b/include/auburnstile/internal/rollout.h
@@ -76,7 +76,7 @@
 
 void aub_rollout_init(struct aub_rollout *rollout,
 		      const struct aub_rollout_limits *limits);
-/* Removes the order; the limits and the baseline are kept. */
+/* Removes the order, but not the limits and the baseline. */
 void aub_rollout_clear(struct aub_rollout *rollout);
 
 /* Starts a new order; `order` is copied. */
@@ -91,7 +91,10 @@
  */
 void aub_rollout_import_exposure(struct aub_rollout *rollout, guint64 reached,
 				 guint64 exposed, double allowance);
-/* Others have known the order for `age_us`. */
+/*
+ * Moves the start of the order back if another process has known it longer, for
+ * `age_us`.
+ */
 void aub_rollout_merge_age(struct aub_rollout *rollout, gint64 age_us,
 			   gint64 now_us);
 /*
@@ -119,15 +122,14 @@
  */
 bool aub_rollout_is_filling(const struct aub_rollout *rollout);
 
-/* Grants the order's slack to this process, which alone may spend it. */
+/* Grants the order's slack to this process; no other process may spend it. */
 void aub_rollout_grant_slack(struct aub_rollout *rollout);
 
 /* The load of the service, as seen by the process that places requests. */
 struct aub_rollout_load {
 	guint baseline_running; /* requests at the old version */
 	guint slots_needed; /* for the requests in progress at both versions */
-	guint batch_size; /* requests that fill an upstream of the new version
-			   */
+	guint batch_size; /* requests that fill a new version's upstream */
 	guint slots; /* of warm upstreams of the new version that are up */
 	double max_service_time_ms; /* longest mean of any class in progress */
 	double mean_service_time_ms; /* of all requests in progress */
--- a/include/auburnstile/internal/rollout_judge.h
+++ b/include/auburnstile/internal/rollout_judge.h
@@ -20,7 +20,7 @@
 G_BEGIN_DECLS
 
 #define AUB_JUDGE_ROUTES_MAX 16 /* further routes share the last entry */
-#define AUB_JUDGE_LATENCY_BUCKETS 96 /* four per octave */
+#define AUB_JUDGE_LATENCY_BUCKETS 96 /* of response times; four per octave */
 #define AUB_JUDGE_ALTERNATIVES 4 /* rates of bad responses tested for */
 
 enum aub_judge_fault {
@@ -41,7 +41,8 @@
 	double baseline_answers;
 	double baseline_failures;
 	double baseline_times[AUB_JUDGE_LATENCY_BUCKETS];
-	/* Threshold that another process uses for slow; 0: none received. */
+	/* Time above which another process counts a response as slow; 0:
+	   none received. */
 	double reported_slow_ms;
 	/* Of the new version. */
 	guint answers;
@@ -79,7 +80,7 @@
 	bool full; /* the upstream was nearly full */
 };
 
-/* Resets what is known of the new version; the baseline is kept. */
+/* Removes the evidence about the new version, but not the baseline. */
 void aub_judge_reset_canary(struct aub_judge *judge);
 /* Adds a response of the old version. */
 void aub_judge_add_baseline(struct aub_judge *judge,
--- a/include/auburnstile/internal/routing.h
+++ b/include/auburnstile/internal/routing.h
@@ -37,7 +37,7 @@
 	char *host; /* lower case */
 	char *prefix; /* starts and ends with a slash */
 	bool idempotent;
-	guint timeout_ms; /* maximum time that a caller is kept waiting */
+	guint timeout_ms; /* maximum time that a caller waits */
 	guint target_ms; /* a response within this time is on time */
 	guint priority; /* 0 is the highest */
 	guint max_attempts;
@@ -71,7 +71,7 @@
 /* Drops a reference; the last one frees `routing`, which may be NULL. */
 void aub_routing_unref(struct aub_routing *routing);
 
-/* Returns an empty route; a routing table owns those in its list. */
+/* Returns an empty route. A routing table frees those in its list. */
 struct aub_route *aub_route_new(void);
 void aub_route_free(struct aub_route *route);
 /* Adds a split; the name is copied. */
--- a/src/state/crash_counts.c
+++ b/src/state/crash_counts.c
@@ -1,5 +1,6 @@
 /*
- * A bounded table of crash counts that expire.
+ * A bounded hash table of loss counts by request fingerprint. A count expires a
+ * minute after the last loss.
  */
 #include <auburnstile/internal/crash_counts.h>
 
@@ -12,9 +13,8 @@
  */
 #define LOSSES_MAX 3
 #define EXPIRY_US (60 * G_GINT64_CONSTANT(1000000)) /* since the last loss */
-#define TRACKED_REQUESTS_MAX                             \
-	4096 /* four seconds at one loss per millisecond \
-	      */
+/* Enough for four seconds at one loss per millisecond. */
+#define TRACKED_REQUESTS_MAX 4096
 
 struct crash_count {
 	guint64 fingerprint;
@@ -23,15 +23,16 @@
 };
 
 struct aub_crash_counts {
-	GHashTable *counts; /* &fingerprint -> struct mark */
+	GHashTable *by_fingerprint; /* &fingerprint -> struct crash_count */
 };
 
 struct aub_crash_counts *aub_crash_counts_new(void)
 {
 	struct aub_crash_counts *counts = g_new0(struct aub_crash_counts, 1);
 
-	counts->counts = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					       NULL, g_free);
+	counts->by_fingerprint =
+		g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
+				      g_free);
 	return counts;
 }
 
@@ -39,7 +40,7 @@
 {
 	if (!counts)
 		return;
-	g_hash_table_unref(counts->counts);
+	g_hash_table_unref(counts->by_fingerprint);
 	g_free(counts);
 }
 
@@ -76,21 +77,21 @@
 					   guint64 fingerprint, gint64 now_us)
 {
 	struct crash_count *crash_count =
-		g_hash_table_lookup(counts->counts, &fingerprint);
+		g_hash_table_lookup(counts->by_fingerprint, &fingerprint);
 
 	if (crash_count) {
 		if (is_expired(NULL, crash_count, &now_us))
 			crash_count->losses = 0;
 		return crash_count;
 	}
-	if (g_hash_table_size(counts->counts) >= TRACKED_REQUESTS_MAX)
-		g_hash_table_foreach_remove(counts->counts, is_expired,
+	if (g_hash_table_size(counts->by_fingerprint) >= TRACKED_REQUESTS_MAX)
+		g_hash_table_foreach_remove(counts->by_fingerprint, is_expired,
 					    &now_us);
-	if (g_hash_table_size(counts->counts) >= TRACKED_REQUESTS_MAX)
+	if (g_hash_table_size(counts->by_fingerprint) >= TRACKED_REQUESTS_MAX)
 		return NULL;
 	crash_count = g_new0(struct crash_count, 1);
 	crash_count->fingerprint = fingerprint;
-	g_hash_table_insert(counts->counts, &crash_count->fingerprint,
+	g_hash_table_insert(counts->by_fingerprint, &crash_count->fingerprint,
 			    crash_count);
 	return crash_count;
 }
@@ -122,14 +123,14 @@
 void aub_crash_counts_reset(struct aub_crash_counts *counts,
 			    guint64 fingerprint)
 {
-	g_hash_table_remove(counts->counts, &fingerprint);
+	g_hash_table_remove(counts->by_fingerprint, &fingerprint);
 }
 
 bool aub_crash_counts_is_blocked(const struct aub_crash_counts *counts,
 				 guint64 fingerprint, gint64 now_us)
 {
 	const struct crash_count *crash_count =
-		g_hash_table_lookup(counts->counts, &fingerprint);
+		g_hash_table_lookup(counts->by_fingerprint, &fingerprint);
 
 	return crash_count && crash_count->losses >= LOSSES_MAX &&
 	       now_us - crash_count->last_loss_us <= EXPIRY_US;
--- a/src/state/load_trend.c
+++ b/src/state/load_trend.c
@@ -1,6 +1,6 @@
 /*
  * Models a service's slowdowns as a mean-reverting process: after `t`, exp(-t /
- * correlation time) of a deviation from the mean is left. The mean squared
+ * correlation time) of a deviation from the mean remains. The mean squared
  * change over a short gap `g` is then 2 x variance x g / correlation time.
  */
 #include <auburnstile/internal/load_trend.h>
@@ -15,7 +15,7 @@
 
 /* In upstream time, i.e. summed over all upstreams. */
 #define AVERAGING_TIME_S 60.0
-/* Changes between reports with a longer gap are not seen. */
+/* Pairs of reports with a longer gap are ignored: changes between go unseen. */
 #define REPORT_GAP_MAX_US 500000
 #define CORRELATION_MIN_S 0.02
 #define CORRELATION_MAX_S 60.0
--- a/src/state/placement.c
+++ b/src/state/placement.c
@@ -6,12 +6,15 @@
 #include <string.h>
 
 /*
- * The weight of a new sample. Upstreams share their hosts and change many times
- * a second; three responses make up half of the average.
+ * The weight of a new sample in the failure rate. Upstreams share their hosts
+ * and change many times a second; three responses make up half of the average.
  */
 #define FAILURE_SMOOTHING 0.2
 
-/* By then, late reports and probes of a departed upstream have arrived. */
+/*
+ * For how long the state of a departed upstream is retained. By then, late
+ * reports and probes have arrived.
+ */
 #define DEPARTED_RETENTION_US (60000 * AUB_US_PER_MS)
 
 struct aub_placement_upstream *aub_placement_get_upstream(
@@ -166,7 +169,7 @@
 	upstream->next_probe_us = MIN(upstream->next_probe_us, now_us);
 }
 
-/* Returns the index of an upstream that may be reused, or -1. */
+/* Returns the index of a departed upstream that may be replaced, or -1. */
 static gint find_reusable(const struct aub_placement *placement, gint64 now_us)
 {
 	for (guint i = 0; i < placement->upstreams->len; i++) {
@@ -182,8 +185,8 @@
 
 /*
  * Upstreams are replaced continuously, each under a new id. To keep every
- * decision from iterating over all that ever existed, an upstream is reused
- * once its upstream has been gone for a while and has no open grants.
+ * decision from iterating over all that ever existed, the index of a departed
+ * upstream is reused after a while, if it has no open grants.
  */
 static struct aub_placement_upstream *placement_upstream_add(
 	struct aub_placement *placement, const char *id, gint64 now_us)
--- a/src/state/placement_choose.c
+++ b/src/state/placement_choose.c
@@ -19,14 +19,15 @@
 #define CROSS_ZONE_COST 0.05
 
 #define FAILURE_COST 2.0 /* a failed attempt costs its time and a retry */
-#define UNHEALTHY_COST 1.0 /* reported itself unhealthy: a last resort */
-#define LATE_COST 0.9 /* the response is likely to be late */
-/* The expected remainder of an interference burst in progress. */
+#define UNHEALTHY_COST 1.0 /* it reports itself unhealthy: a last resort */
+#define LATE_COST 0.9 /* above it, the response is likely to be late */
+/* The expected remainder of an interference burst, as a share of its length. */
 #define INTERFERENCE_REMAINING_SHARE 0.5
 
 #define COLD_SLOWDOWN 2.0 /* service time factor of a cold upstream */
-#define STUCK_COST 3.0 /* no response for too long */
-#define STUCK_TARGET_RATIO 1.5 /* a request in progress for longer is stuck */
+#define STUCK_COST 3.0 /* a request in progress there is stuck */
+/* Times the target; a request in progress for longer is stuck. */
+#define STUCK_TARGET_RATIO 1.5
 
 static bool was_tried(const struct aub_placement_request *request,
 		      const char *id)
@@ -134,7 +135,7 @@
 /*
  * In an overload, requests started during an interference burst would each keep
  * their slot for four times as long, long after the burst has ended, and delay
- * all later ones. A slot is left empty if waiting for the end of the burst and
+ * all later ones. A slot stays empty if waiting for the end of the burst and
  * then executing at normal speed takes less time.
  */
 static bool should_wait_for_interference(
@@ -214,17 +215,18 @@
 		   const struct aub_placement_upstream *upstream, bool stuck)
 {
 	const struct aub_placement_request *request = choice->request;
-	double value = choice->service_time_ms / MAX(request->target_ms, 1) *
-		       slowdown(choice, upstream);
+	double total_cost = choice->service_time_ms /
+			    MAX(request->target_ms, 1) *
+			    slowdown(choice, upstream);
 
-	value += FAILURE_COST * failure_rate(upstream, choice->now_us);
+	total_cost += FAILURE_COST * failure_rate(upstream, choice->now_us);
 	if (g_strcmp0(upstream->zone, request->zone) != 0)
-		value += CROSS_ZONE_COST;
+		total_cost += CROSS_ZONE_COST;
 	if (upstream->unhealthy)
-		value += UNHEALTHY_COST;
+		total_cost += UNHEALTHY_COST;
 	if (stuck)
-		value += STUCK_COST;
-	return value;
+		total_cost += STUCK_COST;
+	return total_cost;
 }
 
 /*
@@ -254,7 +256,7 @@
 
 /*
  * Returns whether some upstream could serve the request on time, though it has
- * no room at present. Only needed if those with room can not.
+ * no room at present. Only needed if those with room cannot.
  */
 static bool is_any_on_time(const struct choice *choice, const bool *stuck)
 {
@@ -284,15 +286,16 @@
 			  const struct aub_placement_upstream *upstream,
 			  bool stuck)
 {
-	double value = cost(choice, upstream, stuck);
+	double total_cost = cost(choice, upstream, stuck);
 
 	if (!choice->judging)
-		return value;
-	if (choice->filling && value < LATE_COST)
-		value = -(double)upstream->granted;
+		return total_cost;
+	if (choice->filling && total_cost < LATE_COST)
+		total_cost = -(double)upstream->granted;
 	/* An upstream that has contributed much evidence has less to add. */
-	return value + aub_placement_upstream_evidence_share(choice->placement,
-							     upstream);
+	return total_cost +
+	       aub_placement_upstream_evidence_share(choice->placement,
+						     upstream);
 }
 
 static gint choose_by_traffic(const struct choice *choice, guint *usable)
@@ -310,7 +313,7 @@
 		struct aub_placement_upstream *upstream =
 			aub_placement_get_upstream(placement, i);
 		guint limit;
-		double value;
+		double candidate_cost;
 
 		if (!is_usable(choice, upstream))
 			continue;
@@ -319,10 +322,10 @@
 		*usable += limit;
 		if (!has_room(choice, upstream, limit))
 			continue;
-		value = canary_cost(choice, upstream, stuck[i]);
-		if (value >= best_cost)
+		candidate_cost = canary_cost(choice, upstream, stuck[i]);
+		if (candidate_cost >= best_cost)
 			continue;
-		best_cost = value;
+		best_cost = candidate_cost;
 		best = (gint)i;
 	}
 	/*
--- a/src/state/placement_grants.c
+++ b/src/state/placement_grants.c
@@ -1,9 +1,9 @@
 /*
- * The grants, and what is learned from their reports.
+ * The grants, and the updates of health and service times from their reports.
  */
 #include <auburnstile/internal/placement_internal.h>
 
-#define SLOT_TIME_SMOOTHING 0.05 /* an average over about twenty requests */
+#define SLOT_TIME_SMOOTHING 0.05 /* averages about twenty requests */
 
 /*
  * An upstream that refused a request is considered full for about the time that
@@ -87,7 +87,7 @@
 	/*
 	 * In a long overload all responses come from full upstreams. If these
 	 * counted for the baseline service time, slow would become the baseline
-	 * and the upstreams would be kept that full. The baseline is therefore
+	 * and the upstreams would stay that full. The baseline is therefore
 	 * learned from upstreams with room.
 	 */
 	if (aub_saturation_is_lightly_loaded(grant->concurrency,
--- a/src/state/placement_queue.c
+++ b/src/state/placement_queue.c
@@ -10,16 +10,16 @@
 #define SLOT_TIME_DEFAULT_US (250 * AUB_US_PER_MS)
 
 #define RETRY_AFTER_MIN_MS 700
-#define RETRY_AFTER_BUDGET_MS 100 /* only the retry budget was exhausted */
-/* Of the slots; at a lower utilization no request waits. */
+#define RETRY_AFTER_BUDGET_MS 100 /* only the retry budget is exhausted */
+/* Granted share of the slots below which no request has to wait. */
 #define LOW_UTILIZATION_PERCENT 75
 #define RETRY_AFTER_MAX_MS 5000
 /* Upstreams that are down are probed twice in this time. */
 #define RETRY_AFTER_NO_UPSTREAM_MS 500
 
 /*
- * Of the time in which a request can be on time. Once the longest waiting one
- * has used up more, the newest goes first.
+ * A share of the time in which a request can be on time. Once a queued request
+ * has used up more of its own, the newest goes first.
  */
 #define NEWEST_FIRST_WAIT_SHARE 0.3
 
--- a/src/state/placement_rollout.c
+++ b/src/state/placement_rollout.c
@@ -6,9 +6,9 @@
 
 #include <string.h>
 
-/* of the slots; an upstream is nearly full above */
+/* Share of the slots in use from which an upstream counts as nearly full. */
 #define FULL_UTILIZATION_SHARE 0.7
-/* slots needed, times the requests in progress */
+/* Slots that the new version needs for each request in progress. */
 #define SWITCH_HEADROOM_FACTOR 1.2
 
 static enum aub_version_traffic traffic_of(
@@ -208,7 +208,7 @@
 				   guint count, guint64 reached,
 				   guint64 exposed, double allowance)
 {
-	/* Older than the exposure known here. */
+	/* Outdated: more requests are known here. */
 	if (reached < aub_rollout_total_reached(&placement->rollout))
 		return;
 	aub_rollout_import_exposure(&placement->rollout, reached, exposed,
@@ -237,8 +237,8 @@
 		    now_us))
 		return AUB_CANARY_ONLY;
 	/*
-	 * A caller is exposed to a possibly bad version once, not with its
-	 * retries.
+	 * A caller's retries are not sent to a version that may be bad: only
+	 * its first attempt is.
 	 */
 	if (request->local_fallback || request->retry ||
 	    !aub_rollout_may_send_canary(rollout, now_us))
--- a/src/state/request_path.c
+++ b/src/state/request_path.c
@@ -6,8 +6,9 @@
 #include <string.h>
 
 /*
- * Decodes percent-encoding once; an invalid sequence is left as it is. The
- * caller frees the result.
+ * Decodes percent-encoding in a single pass and replaces backslashes by
+ * slashes. Invalid sequences and %00 are copied unchanged. The caller frees the
+ * result.
  */
 static char *percent_decode(const char *path, gsize length)
 {
--- a/src/state/retry_budget.c
+++ b/src/state/retry_budget.c
@@ -1,7 +1,7 @@
 /*
  * Implements the sliding window as a ring of buckets. The current bucket counts
- * in full, so that no interval of the length of the window ever holds more than
- * is allowed.
+ * in full, so that no interval of the length of the window contains more
+ * retries than allowed.
  */
 #include <auburnstile/internal/retry_budget.h>
 
--- a/src/state/rollout.c
+++ b/src/state/rollout.c
@@ -38,7 +38,7 @@
 #define DRAIN_FACTOR_MAX 7.0
 #define DRAIN_FACTOR_MIN 0.5
 #define DRAIN_DURATION_SHARE 0.25 /* of the duration, at most */
-#define RATE_INTERVAL_MS 1000.0 /* over which the request rate is measured */
+#define RATE_INTERVAL_MS 1000.0 /* for measuring the request rate */
 
 /*
  * Timed responses required before a version can be good, once the given number
@@ -344,8 +344,8 @@
 }
 
 /*
- * Returns whether there are too few responses to call it good, though there
- * were requests.
+ * Returns whether there are too few responses to call it good, although
+ * there were requests.
  */
 static bool lacks_answers(const struct aub_rollout *rollout)
 {
--- a/src/state/rollout_judge.c
+++ b/src/state/rollout_judge.c
@@ -16,16 +16,17 @@
 
 /* Lower bound of the old version's failure rate. */
 #define FAILURE_SHARE_MIN 0.008
-#define FAILURE_SHARE_MARGIN 1.5
+#define FAILURE_SHARE_MARGIN 1.5 /* times the observed share */
 #define FAILURE_PRIOR_ANSWERS 100.0 /* assumed responses without failure */
 
 #define SLOW_QUANTILE 0.85 /* of the old version's times; slow is above it */
 #define SLOW_FACTOR 1.1 /* times that quantile */
 /* Nearly full upstreams are slower, whatever their version. */
 #define FULL_SLOW_FACTOR 1.8
+/* Lower bound of the old version's share of slow responses. */
 #define SLOW_SHARE_MIN 0.25
-#define SLOW_SHARE_MARGIN 1.4
-/* Alternatives below this ratio are too close to the baseline to test. */
+#define SLOW_SHARE_MARGIN 1.4 /* times the observed share */
+/* Alternatives below this multiple of the baseline are too close to test. */
 #define ALTERNATIVE_RATIO_MIN 1.5
 
 /*
@@ -240,7 +241,7 @@
  * alternative.
  */
 static double test_step(struct aub_judge_test *test, enum aub_judge_fault fault,
-			bool bad, double base, double weight)
+			bool bad, double baseline_rate, double weight)
 {
 	double gained = 0;
 
@@ -248,10 +249,10 @@
 		double rate = alternative_rates[fault][i];
 		double step;
 
-		if (rate < ALTERNATIVE_RATIO_MIN * base)
+		if (rate < ALTERNATIVE_RATIO_MIN * baseline_rate)
 			continue;
-		step = weight *
-		       (bad ? log(rate / base) : log((1 - rate) / (1 - base)));
+		step = weight * (bad ? log(rate / baseline_rate) :
+				       log((1 - rate) / (1 - baseline_rate)));
 		test->sums[i] = MAX(test->sums[i] + step, 0);
 		gained = MAX(gained, step);
 	}
@@ -283,29 +284,30 @@
 
 /*
  * Adds one response, good or bad, to the tests, where the old version's share
- * of bad ones is `base`. The more evidence its upstream has contributed, the
- * less it counts, for and against.
+ * of bad ones is `baseline_rate`. The more evidence its upstream has
+ * contributed, the less it counts, for and against.
  */
 static void add_result(struct aub_judge *judge, struct aub_judge_route *route,
 		       enum aub_judge_fault fault, bool full, bool bad,
-		       double base, struct aub_judge_evidence *evidence,
-		       double evidence_max)
+		       double baseline_rate,
+		       struct aub_judge_evidence *evidence, double evidence_max)
 {
 	double *contributed = &evidence->contributed[fault];
 	struct aub_judge_test *test = &route->tests[fault][full];
 	struct aub_judge_test *pooled = &judge->pooled[fault];
-	double strongest = log(
-		alternative_rates[fault][AUB_JUDGE_ALTERNATIVES - 1] / base);
+	double strongest =
+		log(alternative_rates[fault][AUB_JUDGE_ALTERNATIVES - 1] /
+		    baseline_rate);
 	double weight = CLAMP(1 - *contributed / evidence_max, 0, 1) *
 			MIN(evidence_max / MAX(strongest, 1), 1);
-	double gained = test_step(test, fault, bad, base, weight);
+	double gained = test_step(test, fault, bad, baseline_rate, weight);
 
 	/*
 	 * Slowness is hard to judge at nearly full upstreams, so it is not
 	 * pooled.
 	 */
 	if (!full || fault != AUB_JUDGE_SLOWNESS)
-		(void)test_step(pooled, fault, bad, base, weight);
+		(void)test_step(pooled, fault, bad, baseline_rate, weight);
 	if (bad)
 		*contributed += gained;
 	else
--- a/src/state/routing.c
+++ b/src/state/routing.c
@@ -92,10 +92,12 @@
 {
 	const struct aub_route *left = *(struct aub_route *const *)a;
 	const struct aub_route *right = *(struct aub_route *const *)b;
-	gsize l = strlen(left->prefix);
-	gsize r = strlen(right->prefix);
+	gsize left_length = strlen(left->prefix);
+	gsize right_length = strlen(right->prefix);
 
-	return l < r ? 1 : l > r ? -1 : 0;
+	return left_length < right_length ? 1 :
+	       left_length > right_length ? -1 :
+					    0;
 }
 
 static bool check_route(const struct aub_routing *routing,
@@ -180,14 +182,14 @@
 }
 
 static struct aub_route *find_matching(const struct aub_routing *routing,
-				       const struct aub_route *like)
+				       const struct aub_route *wanted)
 {
-	GPtrArray *routes = g_hash_table_lookup(routing->hosts, like->host);
+	GPtrArray *routes = g_hash_table_lookup(routing->hosts, wanted->host);
 
 	for (guint i = 0; routes && i < routes->len; i++) {
 		struct aub_route *route = g_ptr_array_index(routes, i);
 
-		if (!strcmp(route->prefix, like->prefix))
+		if (!strcmp(route->prefix, wanted->prefix))
 			return route;
 	}
 	return NULL;
--- a/src/state/saturation.c
+++ b/src/state/saturation.c
@@ -14,7 +14,11 @@
 #define SAMPLES_MAX 200.0
 /* A bucket loses this share of its samples for each sample of any bucket. */
 #define DECAY_PER_SAMPLE 0.0005
-#define OUTLIER_RATIO 2.0 /* times the bucket's mean: an interference burst */
+/*
+ * Slowdowns are capped at this multiple of the bucket's mean: more is due to an
+ * interference burst.
+ */
+#define OUTLIER_RATIO 2.0
 
 static guint bucket_of(guint running, guint slots)
 {
--- a/src/state/service_times.c
+++ b/src/state/service_times.c
@@ -5,10 +5,10 @@
  */
 #include <auburnstile/internal/service_times.h>
 
-#define PRIOR_TARGET_SHARE 0.35
+#define PRIOR_TARGET_SHARE 0.35 /* prior mean, as a share of the target */
 #define PRIOR_SAMPLES 2.0
 #define SAMPLES_MAX 50.0
-#define OUTLIER_RATIO 3.0 /* times the mean */
+#define OUTLIER_RATIO 3.0 /* longer times are capped at this x mean */
 #define SERVICE_TIME_MIN_MS 0.1
 
 #define INFORMATIVE_SAMPLES 8.0
--- a/src/state/service_versions.c
+++ b/src/state/service_versions.c
@@ -25,8 +25,11 @@
 	aub_service_versions_init(versions);
 }
 
-/* Returns a free index, or that of an unused version if the list is full. */
-static gint find_slot(struct aub_service_versions *versions)
+/*
+ * Returns a new index or, if the list is full, that of an unused version;
+ * AUB_VERSION_NONE if all are in use.
+ */
+static gint find_free_index(struct aub_service_versions *versions)
 {
 	if (versions->count < AUB_VERSIONS_MAX)
 		return (gint)versions->count++;
@@ -40,19 +43,19 @@
 gint aub_service_versions_index(struct aub_service_versions *versions,
 				const char *name)
 {
-	gint slot;
+	gint index;
 
 	for (guint i = 0; i < versions->count; i++)
 		if (!strcmp(versions->list[i].name, name))
 			return (gint)i;
-	slot = find_slot(versions);
-	if (slot == AUB_VERSION_NONE)
-		return slot;
-	g_free(versions->list[slot].name);
-	versions->list[slot] = (struct aub_version){
+	index = find_free_index(versions);
+	if (index == AUB_VERSION_NONE)
+		return index;
+	g_free(versions->list[index].name);
+	versions->list[index] = (struct aub_version){
 		.name = g_strdup(name),
 	};
-	return slot;
+	return index;
 }
 
 void aub_service_versions_begin_count(struct aub_service_versions *versions)
@@ -87,7 +90,7 @@
 }
 
 /*
- * A gateway that starts while two versions run side by side may not have
+ * A gateway that starts while two versions run concurrently may not have
  * received the order yet, and must not send requests to the version that is
  * still withheld. Upstreams of a new version start while the old ones run, so
  * the version of the oldest upstream is the current one.
--- a/tests/test_crash_counts.cc
+++ b/tests/test_crash_counts.cc
@@ -1,5 +1,5 @@
 /*
- * Counts of crashes by request: added, merged, expired.
+ * Counts of lost upstreams by request: added, merged, reset, expired.
  */
 #include <gtest/gtest.h>
 
@@ -45,13 +45,13 @@
 	aub_crash_counts_free(counts);
 }
 
-TEST(CrashCounts, AreBounded)
+TEST(CrashCounts, ReplacesExpiredCountsIfFull)
 {
 	struct aub_crash_counts *counts = aub_crash_counts_new();
 
 	for (guint64 i = 1; i < 100000; i++)
 		aub_crash_counts_add(counts, i, SECOND);
-	/* Expired ones are replaced. */
+	/* By now all of them have expired. */
 	for (int i = 0; i < 3; i++)
 		aub_crash_counts_add(counts, 999999, 200 * SECOND);
 	EXPECT_TRUE(aub_crash_counts_is_blocked(counts, 999999, 200 * SECOND));
--- a/tests/test_load_trend.cc
+++ b/tests/test_load_trend.cc
@@ -64,7 +64,7 @@
 		    0.01);
 }
 
-TEST(LoadTrend, KeepsConstantReports)
+TEST(LoadTrend, PredictsNoChangeAfterConstantReports)
 {
 	struct aub_load_trend trend;
 
--- a/tests/test_placement.cc
+++ b/tests/test_placement.cc
@@ -150,8 +150,8 @@
 TEST(Placement, RefusesImmediatelyIfAllUpstreamsAreDown)
 {
 	/*
-	 * Guards against callers that wait for a slot in vain. All upstreams
-	 * are down, so the retry time is reported immediately.
+	 * Guards against callers that use up their time in the queue while all
+	 * upstreams are down. The retry time is returned immediately.
 	 */
 	PlacementFixture fixture;
 
@@ -337,7 +337,7 @@
 	EXPECT_GE(granted["healthy"], 150);
 }
 
-TEST(Placement, LearnsSlowUpstreams)
+TEST(Placement, SendsFewRequestsToSlowUpstream)
 {
 	PlacementFixture fixture;
 	int slow = 0;
@@ -387,10 +387,10 @@
 	fixture.add_healthy("u1", 6);
 	for (int i = 0; i < 100; i++) {
 		fixture.report(fixture.submit().ticket);
-		struct aub_placement_request again = fixture.new_request();
+		struct aub_placement_request retry = fixture.new_request();
 
-		again.retry = true;
-		struct aub_placement_decision decision = fixture.submit(again);
+		retry.retry = true;
+		struct aub_placement_decision decision = fixture.submit(retry);
 		if (decision.verdict == AUB_VERDICT_GRANTED) {
 			granted++;
 			fixture.report(decision.ticket);
@@ -453,10 +453,11 @@
 	for (int step = 0; step < 3000; step++) {
 		std::string id =
 			"u" + std::to_string(g_rand_int_range(random, 0, 8));
-		guint at = open.empty() ?
-				   0 :
-				   (guint)g_rand_int_range(random, 0,
-							   (gint)open.size());
+		guint position =
+			open.empty() ?
+				0 :
+				(guint)g_rand_int_range(random, 0,
+							(gint)open.size());
 
 		fixture.now_us += g_rand_int_range(random, 0, 20) * US_PER_MS;
 		switch (g_rand_int_range(random, 0, 10)) {
@@ -485,7 +486,7 @@
 			break;
 		case 4:
 			if (!open.empty())
-				fixture.report(open[at],
+				fixture.report(open[position],
 					       (enum aub_grant_result)
 						       g_rand_int_range(random,
 									0, 9));
@@ -552,12 +553,12 @@
 	EXPECT_EQ(fixture.upstream("cold")->granted, 0u);
 }
 
-TEST(Placement, ReusesEndpointsOfDepartedUpstreams)
+TEST(Placement, ReusesIndexOfDepartedUpstream)
 {
 	/*
 	 * Guards against unbounded growth of the list of upstreams. A service's
-	 * upstreams are replaced one after the other, each with a new id; the
-	 * upstream of a departed one is kept while it has open grants.
+	 * upstreams are replaced one after the other, each with a new id; a
+	 * departed one is retained while it has open grants.
 	 */
 	PlacementFixture fixture;
 
--- a/tests/test_placement_load.cc
+++ b/tests/test_placement_load.cc
@@ -68,8 +68,8 @@
 /*
  * Deployments with other parameters of the model that the choice of an upstream
  * is based on. `min_on_time_share` is the share of requests on time with a
- * choice that has service times, saturation points and bursts as constants; the
- * learned ones must not be worse.
+ * choice that has service times, saturation points and bursts as constants;
+ * with the learned values it must not be lower.
  */
 struct Deployment {
 	const char *name;
@@ -94,12 +94,12 @@
 {
 	std::vector<Deployment> deployments = {
 		{ "short work", deployment(13, 40, 100, 600), 0.925 },
-		{ "short work, nearly too much", deployment(13, 40, 100, 800),
+		{ "short work, near capacity", deployment(13, 40, 100, 800),
 		  0.726 },
 		{ "long bursts", deployment(13, 120, 300, 260), 0.824 },
 		{ "one upstream", deployment(1, 120, 300, 20), 0.507 },
 		{ "no reports", deployment(13, 120, 300, 150), 0.793 },
-		{ "nothing slows down", deployment(13, 120, 300, 400), 0.999 },
+		{ "no slowdowns", deployment(13, 120, 300, 400), 0.999 },
 		{ "two slots", deployment(12, 220, 600, 50), 0.54 },
 	};
 
@@ -108,11 +108,11 @@
 	deployments[5].spec.interference_share = 0;
 	deployments[5].spec.saturated_slowdown = 1;
 	deployments[6].spec.slots = 2;
-	for (const Deployment &each : deployments) {
-		LoadResult result = run_seeds(each.spec);
+	for (const Deployment &deployment : deployments) {
+		LoadResult result = run_seeds(deployment.spec);
 
-		EXPECT_GT(result.on_time_share(), each.min_on_time_share)
-			<< each.name;
+		EXPECT_GT(result.on_time_share(), deployment.min_on_time_share)
+			<< deployment.name;
 	}
 }
 
--- a/tests/test_placement_probe.cc
+++ b/tests/test_placement_probe.cc
@@ -45,7 +45,7 @@
 	fixture.now_us += 200 * US_PER_MS;
 	EXPECT_FALSE(aub_placement_probe_next(fixture.placement, NULL,
 					      fixture.now_us, &probe));
-	/* Its prober sends no results: it is probed locally. */
+	/* Without results from its zone's prober it is probed locally. */
 	fixture.now_us += 200 * US_PER_MS;
 	ASSERT_TRUE(aub_placement_probe_next(fixture.placement, NULL,
 					     fixture.now_us, &probe));
--- a/tests/test_placement_queue.cc
+++ b/tests/test_placement_queue.cc
@@ -11,13 +11,13 @@
 	fixture.add_healthy("u1");
 	guint64 outstanding = fixture.submit().ticket;
 	fixture.submit();
-	struct aub_placement_request late = fixture.new_request(2);
-	struct aub_placement_request urgent = fixture.new_request(0);
-	fixture.submit(late);
-	fixture.submit(urgent);
+	struct aub_placement_request low_priority = fixture.new_request(2);
+	struct aub_placement_request high_priority = fixture.new_request(0);
+	fixture.submit(low_priority);
+	fixture.submit(high_priority);
 	fixture.report(outstanding);
 	ASSERT_TRUE(fixture.next_decision(&decision));
-	EXPECT_EQ(decision.ticket, urgent.ticket);
+	EXPECT_EQ(decision.ticket, high_priority.ticket);
 }
 
 TEST(Placement, ServesNewestOnceOldestHasWaitedLong)
@@ -57,20 +57,20 @@
 
 	fixture.add_healthy("u1", 1);
 	guint64 outstanding = fixture.submit().ticket;
-	struct aub_placement_request patient = fixture.new_request();
-	patient.target_ms = 1000;
-	patient.on_time_wait_ms = 600;
-	patient.max_wait_ms = 600;
-	fixture.submit(patient);
+	struct aub_placement_request long_target = fixture.new_request();
+	long_target.target_ms = 1000;
+	long_target.on_time_wait_ms = 600;
+	long_target.max_wait_ms = 600;
+	fixture.submit(long_target);
 	fixture.now_us += 20 * US_PER_MS;
-	struct aub_placement_request urgent = fixture.new_request();
-	urgent.on_time_wait_ms = 240;
-	urgent.max_wait_ms = 3000;
-	fixture.submit(urgent);
+	struct aub_placement_request short_target = fixture.new_request();
+	short_target.on_time_wait_ms = 240;
+	short_target.max_wait_ms = 3000;
+	fixture.submit(short_target);
 	fixture.now_us += 70 * US_PER_MS;
 	fixture.report(outstanding);
 	ASSERT_TRUE(fixture.next_decision(&decision));
-	EXPECT_EQ(decision.ticket, urgent.ticket);
+	EXPECT_EQ(decision.ticket, short_target.ticket);
 }
 
 TEST(Placement, QueuesNewRequestThatWouldBeServedFirst)
@@ -151,18 +151,18 @@
 TEST(PlacementQueue, AllowsEarlyRetryIfThereIsRoom)
 {
 	PlacementFixture fixture(0.0, 0);
-	struct aub_placement_request again = fixture.new_request();
+	struct aub_placement_request retry = fixture.new_request();
 
 	fixture.add_healthy("u1");
-	again.retry = true;
-	struct aub_placement_decision decision = fixture.submit(again);
+	retry.retry = true;
+	struct aub_placement_decision decision = fixture.submit(retry);
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_NO_BUDGET);
 	EXPECT_LE(decision.retry_after_ms, 100u);
 	/* Without room the retry time is the normal one. */
 	fixture.submit();
 	fixture.submit();
-	again.ticket = ++fixture.last_ticket;
-	decision = fixture.submit(again);
+	retry.ticket = ++fixture.last_ticket;
+	decision = fixture.submit(retry);
 	EXPECT_EQ(decision.verdict, AUB_VERDICT_NO_BUDGET);
 	EXPECT_GE(decision.retry_after_ms, 700u);
 }
--- a/tests/test_retry_budget.cc
+++ b/tests/test_retry_budget.cc
@@ -35,7 +35,7 @@
 	EXPECT_TRUE(aub_retry_budget_take_retry(&budget, 0, 1, 900000000));
 }
 
-TEST(RetryBudget, HoldsInEveryIntervalOfItsWindow)
+TEST(RetryBudget, IsNotExceededInAnyIntervalOfItsWindow)
 {
 	struct aub_retry_budget budget;
 	std::deque<gint64> taken;
--- a/tests/test_rollout.cc
+++ b/tests/test_rollout.cc
@@ -238,12 +238,12 @@
 {
 	RolloutFixture rollout;
 	enum aub_rollout_state wanted = AUB_ROLLOUT_NONE;
-	gint64 began = rollout.fixture.now_us;
+	gint64 started_us = rollout.fixture.now_us;
 
 	rollout.add_new_version();
 	rollout.order();
 	while (wanted != AUB_ROLLOUT_COMPLETED &&
-	       rollout.fixture.now_us < began + 12 * SECOND) {
+	       rollout.fixture.now_us < started_us + 12 * SECOND) {
 		rollout.serve(1);
 		wanted = aub_placement_rollout_step(rollout.fixture.placement,
 						    rollout.fixture.now_us);
@@ -253,7 +253,7 @@
 		  0.1 * (rollout.sent["v1"] + rollout.sent["v2"]) + 50);
 }
 
-/* Guards against a switch to upstreams that can not handle all requests. */
+/* Guards against a switch to upstreams that cannot handle all requests. */
 TEST(Rollout, DoesNotSwitchToFewerSlotsThanNeeded)
 {
 	RolloutFixture rollout(8);
@@ -413,7 +413,7 @@
 	EXPECT_EQ(rollout.sent["v1"], 200);
 }
 
-/* Guards against admitting the version of an order that can not be parsed. */
+/* Guards against admitting the version of an order that cannot be parsed. */
 TEST(Rollout, UnreadableOrderAdmitsNoVersion)
 {
 	RolloutFixture rollout;
--- a/tests/test_rollout_judge.cc
+++ b/tests/test_rollout_judge.cc
@@ -170,7 +170,7 @@
 	}
 }
 
-/* Guards against blaming a version for failures of the whole service. */
+/* Guards against blaming a version for failures of both versions. */
 TEST(RolloutJudge, ComparesWithConcurrentOldVersion)
 {
 	JudgeFixture fixture;
--- a/tests/test_routing.cc
+++ b/tests/test_routing.cc
@@ -113,7 +113,7 @@
 {
 	/*
 	 * Guards against taking callers that retry for new ones right after a
-	 * configuration change: the wait statistics of a route are kept by host
+	 * configuration change: the wait statistics of a route follow its host
 	 * and prefix.
 	 */
 	struct aub_routing *before = example();
--- a/tests/test_saturation.cc
+++ b/tests/test_saturation.cc
@@ -81,12 +81,12 @@
 	EXPECT_EQ(aub_saturation_limit(&saturation, 6), 6u);
 }
 
-TEST(Saturation, RetriesAbandonedUtilization)
+TEST(Saturation, TriesAvoidedUtilizationAgain)
 {
 	/*
 	 * Guards against slots that stay unused forever while callers wait:
-	 * upstreams were slow for a while for another reason, so a given up
-	 * utilization has to be tried again.
+	 * upstreams were slow for a while for another reason, so a
+	 * utilization that was given up has to be tried again.
 	 */
 	struct aub_saturation saturation = learned(6, 0.8, 3);
 
--- a/tests/test_service_versions.cc
+++ b/tests/test_service_versions.cc
@@ -116,7 +116,7 @@
 	EXPECT_TRUE(is_active("v2"));
 }
 
-TEST_F(Versions, ActivatesOtherVersionImmediatelyIfOldOneIsGone)
+TEST_F(Versions, ActivatesOtherVersionImmediatelyIfOldOneHasNoUpstreams)
 {
 	upstreams = { { "v1", 5 }, { "v2", 900 } };
 	count();
