--- a/include/auburnstile/internal/crash_counts.h
+++ b/include/auburnstile/internal/crash_counts.h
@@ -8,8 +8,8 @@
  *
  * Each loss counts here, whether the upstream crashed or not, and a response
  * resets the count. Dispatchers have a table of their own (see
- * src/state/dispatch_crash.c), which counts a loss only if the upstream turns
- * out to have restarted or to refuse connections.
+ * src/state/dispatch_crash.c), in which a loss expires within seconds unless
+ * the upstream turns out to have crashed.
  */
 #ifndef AUBURNSTILE_INTERNAL_CRASH_COUNTS_H
 #define AUBURNSTILE_INTERNAL_CRASH_COUNTS_H
--- a/src/state/placement_queue.c
+++ b/src/state/placement_queue.c
@@ -94,9 +94,9 @@
  * share of their own limit, and the others get the remaining slots.
  */
 struct queue_ends {
-	gint longest_waiting; /* index, or -1; used up the largest share */
-	gint shortest_waiting; /* used up the smallest share */
-	bool newest_first; /* serve shortest_waiting first */
+	gint largest_share; /* index of the one that used up most, or -1 */
+	gint smallest_share; /* index of the one that used up least, or -1 */
+	bool newest_first; /* serve smallest_share first */
 };
 
 /*
@@ -120,8 +120,8 @@
 	double min_share = INFINITY;
 	guint priority = 0;
 
-	*ends = (struct queue_ends){ .longest_waiting = -1,
-				     .shortest_waiting = -1 };
+	*ends = (struct queue_ends){ .largest_share = -1,
+				     .smallest_share = -1 };
 	for (guint i = 0; i < placement->queue->len; i++) {
 		const struct aub_queued_request *queued =
 			g_ptr_array_index(placement->queue, i);
@@ -129,17 +129,17 @@
 
 		if ((queued->on_time_until_us <= now_us) != late)
 			continue;
-		if (ends->longest_waiting >= 0 && queued->priority != priority)
+		if (ends->largest_share >= 0 && queued->priority != priority)
 			break;
 		priority = queued->priority;
 		share = wait_share(queued, now_us);
 		if (share > max_share) {
 			max_share = share;
-			ends->longest_waiting = (gint)i;
+			ends->largest_share = (gint)i;
 		}
 		if (share <= min_share) {
 			min_share = share;
-			ends->shortest_waiting = (gint)i;
+			ends->smallest_share = (gint)i;
 		}
 	}
 	ends->newest_first = max_share > NEWEST_FIRST_WAIT_SHARE;
@@ -386,12 +386,12 @@
 
 	find_queue_ends(placement, false, now_us, &ends);
 	if (ends.newest_first &&
-	    grant_queued(placement, ends.shortest_waiting, now_us, decision))
+	    grant_queued(placement, ends.smallest_share, now_us, decision))
 		return true;
-	if (grant_queued(placement, ends.longest_waiting, now_us, decision))
+	if (grant_queued(placement, ends.largest_share, now_us, decision))
 		return true;
 	find_queue_ends(placement, true, now_us, &ends);
-	if (grant_queued(placement, ends.longest_waiting, now_us, decision))
+	if (grant_queued(placement, ends.largest_share, now_us, decision))
 		return true;
 	return expire_queued(placement, now_us, decision);
 }
--- a/src/state/rollout.c
+++ b/src/state/rollout.c
@@ -41,15 +41,15 @@
 #define RATE_INTERVAL_MS 1000.0 /* for measuring the request rate */
 
 /*
- * Timed responses required before a version can be good, once the given number
- * of requests has reached the service.
+ * Timed responses without which a version is not considered good, once this
+ * number of requests has reached the service.
  */
 #define TIMED_ANSWERS_MIN 8
 #define REACHED_REQUESTS_MIN 40
 
 /*
- * As many bad responses, if they are this share of the timed ones, make a bad
- * version.
+ * A version is rejected after this number of bad responses if they exceed this
+ * share of the timed ones.
  */
 #define BAD_ANSWERS_MIN 20
 #define BAD_ANSWERS_SHARE 0.4
