--- a/include/auburnstile/internal/request_path.h
+++ b/include/auburnstile/internal/request_path.h
@@ -21,7 +21,8 @@
 char *aub_path_canonicalize(const char *path);
 
 /*
- * Returns whether `path` is `prefix` or below it. Only complete segments match.
+ * Returns whether `path` is `prefix` or below it, ignoring the case of ASCII
+ * letters. Both are in canonical form; only complete segments match.
  */
 bool aub_path_has_prefix(const char *path, const char *prefix);
 
