--- a/include/auburnstile/internal/gateway_parts.h
+++ b/include/auburnstile/internal/gateway_internal.h
@@ -1,6 +1,6 @@
 /* Internals of a gateway's data path, shared by its source files. */
-#ifndef AUBURNSTILE_INTERNAL_GATEWAY_PARTS_H
-#define AUBURNSTILE_INTERNAL_GATEWAY_PARTS_H
+#ifndef AUBURNSTILE_INTERNAL_GATEWAY_INTERNAL_H
+#define AUBURNSTILE_INTERNAL_GATEWAY_INTERNAL_H
 
 #include <auburnstile/internal/crash_counts.h>
 #include <auburnstile/internal/gateway.h>
--- a/include/auburnstile/internal/node_parts.h
+++ b/include/auburnstile/internal/node_internal.h
@@ -1,6 +1,6 @@
 /* Internals of a gateway process, shared by its source files. */
-#ifndef AUBURNSTILE_INTERNAL_NODE_PARTS_H
-#define AUBURNSTILE_INTERNAL_NODE_PARTS_H
+#ifndef AUBURNSTILE_INTERNAL_NODE_INTERNAL_H
+#define AUBURNSTILE_INTERNAL_NODE_INTERNAL_H
 
 #include <auburnstile/internal/gateway.h>
 #include <auburnstile/internal/http_listener.h>
--- a/include/auburnstile/internal/peers_parts.h
+++ b/include/auburnstile/internal/peers_internal.h
@@ -1,6 +1,6 @@
 /* Internals of the membership, shared by its source files. */
-#ifndef AUBURNSTILE_INTERNAL_PEERS_PARTS_H
-#define AUBURNSTILE_INTERNAL_PEERS_PARTS_H
+#ifndef AUBURNSTILE_INTERNAL_PEERS_INTERNAL_H
+#define AUBURNSTILE_INTERNAL_PEERS_INTERNAL_H
 
 #include <auburnstile/internal/peers.h>
 
--- a/include/auburnstile/internal/placer_parts.h
+++ b/include/auburnstile/internal/placer_internal.h
@@ -1,6 +1,6 @@
 /* Internals of the placer, shared by its source files. */
-#ifndef AUBURNSTILE_INTERNAL_PLACER_PARTS_H
-#define AUBURNSTILE_INTERNAL_PLACER_PARTS_H
+#ifndef AUBURNSTILE_INTERNAL_PLACER_INTERNAL_H
+#define AUBURNSTILE_INTERNAL_PLACER_INTERNAL_H
 
 #include <auburnstile/internal/placer.h>
 
--- a/src/coordination/gateway.c
+++ b/src/coordination/gateway.c
@@ -2,7 +2,7 @@
  * Start and end of a gateway, and accepting callers' connections. The
  * connections themselves are handled in gateway_caller.c.
  */
-#include <auburnstile/internal/gateway_parts.h>
+#include <auburnstile/internal/gateway_internal.h>
 #include <auburnstile/internal/tcp.h>
 
 #include <string.h>
--- a/src/coordination/gateway_answer.c
+++ b/src/coordination/gateway_answer.c
@@ -1,6 +1,6 @@
 /* The end of a request: local answers, the log line, and releasing it. */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/gateway_parts.h>
+#include <auburnstile/internal/gateway_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/gateway_attempt.c
+++ b/src/coordination/gateway_attempt.c
@@ -6,7 +6,7 @@
  * upstreams may answer twice, late, or with malformed bytes.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/gateway_parts.h>
+#include <auburnstile/internal/gateway_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/gateway_caller.c
+++ b/src/coordination/gateway_caller.c
@@ -6,7 +6,7 @@
  * most once isn't forwarded before its turn, because an earlier answer may end
  * the connection, and the caller would then send it again.
  */
-#include <auburnstile/internal/gateway_parts.h>
+#include <auburnstile/internal/gateway_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/gateway_headers.c
+++ b/src/coordination/gateway_headers.c
@@ -1,5 +1,5 @@
 /* Selection of the headers that are forwarded. */
-#include <auburnstile/internal/gateway_parts.h>
+#include <auburnstile/internal/gateway_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -1,6 +1,6 @@
 /* A request from its head to its answer: routing, placement and retries. */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/gateway_parts.h>
+#include <auburnstile/internal/gateway_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -4,7 +4,7 @@
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/node_parts.h>
+#include <auburnstile/internal/node_internal.h>
 #include <auburnstile/internal/problems.h>
 
 #include <string.h>
--- a/src/coordination/node_endpoints.c
+++ b/src/coordination/node_endpoints.c
@@ -2,7 +2,7 @@
  * HTTP endpoints of a gateway process: the address directory for callers and
  * the readiness check.
  */
-#include <auburnstile/internal/node_parts.h>
+#include <auburnstile/internal/node_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -6,7 +6,7 @@
  * upstreams or callers.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/node_parts.h>
+#include <auburnstile/internal/node_internal.h>
 
 #include <sys/resource.h>
 
--- a/src/coordination/node_rollouts.c
+++ b/src/coordination/node_rollouts.c
@@ -7,7 +7,7 @@
  * which the store refuses if it was.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/node_parts.h>
+#include <auburnstile/internal/node_internal.h>
 
 #define WRITE_RETRY_DELAY_US (250 * AUB_MS)
 /* time before watchers write in place of the placer */
--- a/src/coordination/node_store.c
+++ b/src/coordination/node_store.c
@@ -3,7 +3,7 @@
  * changes within the zone and discovers other gateways.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/node_parts.h>
+#include <auburnstile/internal/node_internal.h>
 #include <auburnstile/internal/compression.h>
 
 /* A seed answers within milliseconds. */
--- a/src/coordination/peers.c
+++ b/src/coordination/peers.c
@@ -1,7 +1,7 @@
 /* Membership by heartbeats over UDP. */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/peers_parts.h>
+#include <auburnstile/internal/peers_internal.h>
 #include <auburnstile/internal/tcp.h>
 
 #include <arpa/inet.h>
--- a/src/coordination/peers_introduction.c
+++ b/src/coordination/peers_introduction.c
@@ -2,7 +2,7 @@
  * Introductions: a gateway that starts gets the addresses of all others from
  * one of them.
  */
-#include <auburnstile/internal/peers_parts.h>
+#include <auburnstile/internal/peers_internal.h>
 
 #include <arpa/inet.h>
 #include <string.h>
--- a/src/coordination/peers_rank.c
+++ b/src/coordination/peers_rank.c
@@ -2,7 +2,7 @@
  * Ranking of the gateways as seen by this process: the order in which they
  * place for a service, and the store watchers of each zone.
  */
-#include <auburnstile/internal/peers_parts.h>
+#include <auburnstile/internal/peers_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/peers_table.c
+++ b/src/coordination/peers_table.c
@@ -2,7 +2,7 @@
  * The table of gateways, indexed by address and, once a heartbeat arrived, by
  * incarnation.
  */
-#include <auburnstile/internal/peers_parts.h>
+#include <auburnstile/internal/peers_internal.h>
 #include <auburnstile/internal/tcp.h>
 
 void aub_peer_free(void *data)
--- a/src/coordination/placer.c
+++ b/src/coordination/placer.c
@@ -1,5 +1,5 @@
 /* The placer: the placements of all services, and the start-up grace. */
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -2,7 +2,7 @@
  * Placement messages between gateways: incoming requests and reports, and
  * outgoing decisions.
  */
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 struct aub_reported_load aub_load_encode(const struct aub_load *load)
 {
--- a/src/coordination/placer_periodic.c
+++ b/src/coordination/placer_periodic.c
@@ -4,7 +4,7 @@
  * another gateway can take over as placer or place locally.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -1,6 +1,6 @@
 /* Health probes of the upstreams that this gateway places for. */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 #include <string.h>
 
--- a/src/coordination/placer_rollouts.c
+++ b/src/coordination/placer_rollouts.c
@@ -8,7 +8,7 @@
  * gateway that received the notification sends it nothing.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 #define STEP_PERIOD_US (25 * AUB_MS)
 /* period of publishing evidence while an order is open */
--- a/src/coordination/placer_tickets.c
+++ b/src/coordination/placer_tickets.c
@@ -3,7 +3,7 @@
  * report of the outcome.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 #include <string.h>
 
--- a/tests/placer_fixture.h
+++ b/tests/placer_fixture.h
@@ -8,7 +8,7 @@
 #include "gateway_fixture.h"
 
 #include <auburnstile/incarnation.h>
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 struct TestGateway {
 	std::string name;
--- a/tests/test_peers.cc
+++ b/tests/test_peers.cc
@@ -4,7 +4,7 @@
  */
 #include "placer_fixture.h"
 
-#include <auburnstile/internal/peers_parts.h>
+#include <auburnstile/internal/peers_internal.h>
 
 using PeersTest = PlacerTest;
 
--- a/tests/test_placer.cc
+++ b/tests/test_placer.cc
@@ -4,8 +4,8 @@
  */
 #include "placer_fixture.h"
 
-#include <auburnstile/internal/peers_parts.h>
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/peers_internal.h>
+#include <auburnstile/internal/placer_internal.h>
 
 TEST_F(PlacerTest, CountsSlotsAcrossGateways)
 {
