--- a/include/auburnstile/internal/gateway_internal.h
+++ b/include/auburnstile/internal/gateway_internal.h
@@ -35,12 +35,12 @@
 	struct aub_routing *routing; /* NULL until a configuration is known */
 	int listener;
 	struct aub_poll_watch *watch;
-	struct aub_crash_counts *crash_marks;
+	struct aub_crash_counts *crash_counts;
 	guint sweep_timer;
 	GQueue callers; /* of struct aub_caller */
 	guint active_requests;
 	bool draining;
-	bool closed;
+	bool listener_closed;
 	guint attempts_counter;
 	guint retries_counter;
 };
@@ -97,7 +97,7 @@
 	GString *headers; /* headers to forward, without framing and deadline */
 	bool is_head;
 	bool keep_alive; /* the caller allows reuse of the connection */
-	bool deferred; /* no placement until its turn to be answered */
+	bool placement_deferred; /* no placement until its turn to be answered */
 	bool answered; /* the answer is complete but not all written */
 	GByteArray *pending_output; /* answer bytes buffered until its turn */
 	gint64 start_us;
@@ -115,7 +115,7 @@
 	/* of char *: upstreams that it was sent to */
 	GPtrArray *tried_upstreams;
 	/* `head` is NULL if there is none */
-	struct aub_retained_answer retained;
+	struct aub_retained_answer retained_answer;
 	guint connect_failures; /* attempts that never connected */
 	guint64 ticket; /* ticket of the placement request; 0: none */
 	bool placement_pending;
@@ -173,7 +173,7 @@
 bool aub_request_is_first(const struct aub_request *request);
 bool aub_request_is_last(const struct aub_request *request);
 /* Called when all requests before this one have been answered. */
-void aub_request_on_turn(struct aub_request *request);
+void aub_request_on_became_first(struct aub_request *request);
 
 /* Events of the request's attempts. */
 void aub_request_on_attempt_failed(struct aub_request *request,
--- a/include/auburnstile/internal/node_internal.h
+++ b/include/auburnstile/internal/node_internal.h
@@ -28,7 +28,7 @@
 	/* service -> struct stored_order (node_rollouts.c) */
 	GHashTable *rollout_orders;
 	bool rollouts_enabled;
-	guint64 records_refused; /* store objects that could not be read */
+	guint64 unreadable_records; /* store objects that could not be read */
 	guint address_ms;
 	guint grace_ms;
 	gint64 config_version; /* of the active configuration */
@@ -43,7 +43,7 @@
 	/* of char *: listed addresses not yet contacted */
 	GPtrArray *pending_contacts;
 	guint isolation_timer;
-	guint register_timer;
+	guint startup_grace_timer;
 	char *ip; /* IP of the peers' address */
 	guint stop_timer;
 	void (*on_stopped)(void *context);
--- a/include/auburnstile/internal/placer_internal.h
+++ b/include/auburnstile/internal/placer_internal.h
@@ -30,8 +30,8 @@
 
 /* A service whose upstreams this gateway probes. */
 struct aub_probed_service {
-	gint64 all_until_us; /* as placer: probe all upstreams */
-	gint64 zone_until_us; /* for the placer: probe those in the own zone */
+	gint64 probe_all_until_us; /* as placer: probe all upstreams */
+	gint64 probe_zone_until_us; /* for the placer: probe those in the own zone */
 	struct aub_place_probe_results *pending_results; /* unsent; or NULL */
 	guint64 refused_logged; /* count of refusals as last logged */
 };
--- a/src/coordination/gateway.c
+++ b/src/coordination/gateway.c
@@ -120,7 +120,7 @@
 	gateway->options = *options;
 	gateway->listener = listener;
 	g_queue_init(&gateway->callers);
-	gateway->crash_marks = aub_crash_counts_new();
+	gateway->crash_counts = aub_crash_counts_new();
 	register_metrics(gateway);
 	gateway->watch = aub_poller_add(options->poller, listener, EPOLLIN,
 					on_listener_readable, gateway);
@@ -141,11 +141,11 @@
 		link = link->next;
 		aub_caller_free(caller);
 	}
-	if (!gateway->closed) {
+	if (!gateway->listener_closed) {
 		aub_poll_watch_remove(gateway->watch);
 		close(gateway->listener);
 	}
-	aub_crash_counts_free(gateway->crash_marks);
+	aub_crash_counts_free(gateway->crash_counts);
 	aub_routing_unref(gateway->routing);
 	g_free(gateway);
 }
@@ -161,7 +161,7 @@
 void aub_gateway_add_reported_crashes(struct aub_gateway *gateway,
 				      guint64 fingerprint, guint crash_count)
 {
-	aub_crash_counts_merge(gateway->crash_marks, fingerprint, crash_count,
+	aub_crash_counts_merge(gateway->crash_counts, fingerprint, crash_count,
 			       aub_timer_now(gateway->options.timers));
 }
 
@@ -172,8 +172,8 @@
 
 void aub_gateway_stop_accepting(struct aub_gateway *gateway)
 {
-	if (!gateway->closed) {
-		gateway->closed = true;
+	if (!gateway->listener_closed) {
+		gateway->listener_closed = true;
 		aub_poll_watch_remove(gateway->watch);
 		close(gateway->listener);
 	}
--- a/src/coordination/gateway_answer.c
+++ b/src/coordination/gateway_answer.c
@@ -23,8 +23,8 @@
 	gateway->active_requests--;
 	g_queue_remove(&request->caller->requests, request);
 	g_byte_array_unref(request->pending_output);
-	if (request->retained.head)
-		retained_answer_clear(&request->retained);
+	if (request->retained_answer.head)
+		retained_answer_clear(&request->retained_answer);
 	g_ptr_array_unref(request->tried_upstreams);
 	g_byte_array_unref(request->body);
 	g_string_free(request->headers, TRUE);
@@ -158,7 +158,7 @@
 
 void aub_request_send_retained_answer(struct aub_request *request)
 {
-	const struct aub_retained_answer *retained = &request->retained;
+	const struct aub_retained_answer *retained = &request->retained_answer;
 
 	aub_request_log(request, AUB_REQUEST_ANSWERED, retained->status,
 			"no-better-answer", retained->upstream);
--- a/src/coordination/gateway_caller.c
+++ b/src/coordination/gateway_caller.c
@@ -165,8 +165,8 @@
 	 * Nothing is read after a deferred request, and the caller may be freed
 	 * here.
 	 */
-	deferred = request->deferred;
-	aub_request_on_turn(request);
+	deferred = request->placement_deferred;
+	aub_request_on_became_first(request);
 	if (!deferred)
 		resume_reading(caller);
 }
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -42,7 +42,7 @@
 			      const char *reason, const char *detail,
 			      guint retry_after_ms)
 {
-	if (request->retained.head)
+	if (request->retained_answer.head)
 		aub_request_send_retained_answer(request);
 	else if (request->may_have_run)
 		aub_request_fail(request, status, reason, detail);
@@ -224,7 +224,7 @@
 	struct aub_gateway *gateway = request->gateway;
 	guint64 fingerprint = request_fingerprint(request);
 	guint crash_count =
-		aub_crash_counts_add(gateway->crash_marks, fingerprint,
+		aub_crash_counts_add(gateway->crash_counts, fingerprint,
 				     request_now_us(request));
 
 	if (gateway->options.on_crash && crash_count > 1)
@@ -235,7 +235,7 @@
 static bool is_known_to_crash(const struct aub_request *request)
 {
 	return request->body_complete &&
-	       aub_crash_counts_is_blocked(request->gateway->crash_marks,
+	       aub_crash_counts_is_blocked(request->gateway->crash_counts,
 					   request_fingerprint(request),
 					   request_now_us(request));
 }
@@ -337,7 +337,7 @@
 static void retain_answer(struct aub_request *request,
 			  struct aub_upstream_attempt *attempt)
 {
-	struct aub_retained_answer *retained = &request->retained;
+	struct aub_retained_answer *retained = &request->retained_answer;
 
 	/*
 	 * A 503 would state that the request did not run, but a later attempt
@@ -378,7 +378,7 @@
 					 attempt->buffered_body);
 	}
 	if (request->body_complete && !request->body_discarded)
-		aub_crash_counts_reset(request->gateway->crash_marks,
+		aub_crash_counts_reset(request->gateway->crash_counts,
 				       request_fingerprint(request));
 	aub_request_log(request, AUB_REQUEST_ANSWERED, attempt->status, "",
 			attempt->upstream);
@@ -458,7 +458,7 @@
 void aub_request_on_body_end(struct aub_request *request)
 {
 	request->body_complete = true;
-	if (request->deferred)
+	if (request->placement_deferred)
 		return;
 	if (needs_complete_body(request)) {
 		start_placement(request);
@@ -470,7 +470,7 @@
 	aub_exchange_flush(request->attempt->exchange);
 }
 
-void aub_request_on_turn(struct aub_request *request)
+void aub_request_on_became_first(struct aub_request *request)
 {
 	struct aub_upstream_attempt *attempt = request->attempt;
 
@@ -479,9 +479,9 @@
 		aub_request_begin_streaming(request, attempt);
 		aub_exchange_pause_reading(attempt->exchange, false);
 	}
-	if (!request->deferred)
+	if (!request->placement_deferred)
 		return;
-	request->deferred = false;
+	request->placement_deferred = false;
 	if (request->body_complete || !needs_complete_body(request))
 		start_placement(request);
 }
@@ -599,9 +599,9 @@
 				      on_deadline, request);
 	if (!request->body_complete && aub_http_head_find(head, "Expect"))
 		aub_request_write(request, "HTTP/1.1 100 Continue\r\n\r\n", 25);
-	request->deferred =
+	request->placement_deferred =
 		!aub_request_is_first(request) && !request->route->idempotent;
-	if (!request->deferred && !needs_complete_body(request))
+	if (!request->placement_deferred && !needs_complete_body(request))
 		start_placement(request);
 	return request;
 }
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -284,7 +284,7 @@
 		return;
 	aub_timer_cancel(node->timers, node->store_check_timer);
 	aub_timer_cancel(node->timers, node->isolation_timer);
-	aub_timer_cancel(node->timers, node->register_timer);
+	aub_timer_cancel(node->timers, node->startup_grace_timer);
 	aub_timer_cancel(node->timers, node->stop_timer);
 	aub_node_rollouts_clear(node);
 	aub_store_sync_free(node->store);
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -88,9 +88,9 @@
 	return (gint64)aub_peers_get_counts(node->peers)->introductions;
 }
 
-static gint64 read_records_rejected(const struct aub_node *node)
+static gint64 read_unreadable_records(const struct aub_node *node)
 {
-	return (gint64)node->records_refused;
+	return (gint64)node->unreadable_records;
 }
 
 /* Linux reports kilobytes. Returns -1 on error. */
@@ -137,7 +137,7 @@
 	  "introductions sent to gateways that knew no peers", true,
 	  read_introductions },
 	{ "auburnstile_records_refused_total",
-	  "store objects that could not be read", true, read_records_rejected },
+	  "store objects that could not be read", true, read_unreadable_records },
 	{ "auburnstile_memory_peak_bytes", "peak resident memory; -1: unknown",
 	  false, read_memory },
 };
--- a/src/coordination/node_store.c
+++ b/src/coordination/node_store.c
@@ -97,7 +97,7 @@
 	struct aub_node *node = context;
 
 	if (record->problem) {
-		node->records_refused++;
+		node->unreadable_records++;
 		aub_log_begin(AUB_LOG_RECORD_REFUSED);
 		aub_log_text("name", record->name);
 		aub_log_text("problem", record->problem);
@@ -263,7 +263,7 @@
 					MEMBER_RECORDS_TARGET +
 				1;
 
-	node->register_timer = 0;
+	node->startup_grace_timer = 0;
 	node->startup_grace_over = true;
 	aub_store_sync_check_watch_duty(node->store);
 	add_pending_contacts(node);
@@ -296,7 +296,7 @@
 					     aub_timer_now(node->timers) +
 						     ISOLATION_CHECK_DELAY_US,
 					     on_isolation_check, node);
-	node->register_timer =
+	node->startup_grace_timer =
 		aub_timer_at(node->timers, "enrol",
 			     aub_timer_now(node->timers) + STARTUP_GRACE_US,
 			     on_startup_grace_over, node);
--- a/src/coordination/placer_periodic.c
+++ b/src/coordination/placer_periodic.c
@@ -250,7 +250,7 @@
 		message->relay = false;
 		aub_peers_send_to_zone(placer->options.peers, &message->base);
 	}
-	if (probed_service && probed_service->all_until_us > now)
+	if (probed_service && probed_service->probe_all_until_us > now)
 		return;
 	aub_placement_reset_health(placement);
 	for (guint i = 0; i < message->rows->len; i++) {
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -103,7 +103,7 @@
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_reported_probe *probed;
 
-	if (!probed_service || probed_service->all_until_us >= now)
+	if (!probed_service || probed_service->probe_all_until_us >= now)
 		return;
 	if (!probed_service->pending_results) {
 		probed_service->pending_results =
@@ -205,10 +205,10 @@
 		struct aub_placement *placement =
 			aub_placer_placement(placer, key);
 		const struct aub_probed_service *probed_service = value;
-		bool is_placer = probed_service->all_until_us >= now_us;
+		bool is_placer = probed_service->probe_all_until_us >= now_us;
 		struct aub_probe due;
 
-		if (!is_placer && probed_service->zone_until_us < now_us) {
+		if (!is_placer && probed_service->probe_zone_until_us < now_us) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
@@ -249,17 +249,17 @@
 	struct aub_probed_service *probed_service =
 		activate_probing(placer, service);
 
-	if (probed_service->all_until_us < now) {
+	if (probed_service->probe_all_until_us < now) {
 		aub_log_begin(AUB_LOG_PLACER_ACTIVE);
 		aub_log_text("service", service);
 		aub_log_end();
 	}
-	probed_service->all_until_us = now + PROBING_ACTIVE_US;
+	probed_service->probe_all_until_us = now + PROBING_ACTIVE_US;
 }
 
 void aub_placer_probe_own_zone(struct aub_placer *placer, const char *service)
 {
-	activate_probing(placer, service)->zone_until_us =
+	activate_probing(placer, service)->probe_zone_until_us =
 		aub_timer_now(placer->options.timers) + PROBING_ACTIVE_US;
 }
 
