--- a/include/auburnstile/internal/gateway.h
+++ b/include/auburnstile/internal/gateway.h
@@ -30,8 +30,10 @@
 	void *context;
 };
 
+/* Returns NULL and sets an error if it can't listen at the address. */
 struct aub_gateway *aub_gateway_new(const struct aub_gateway_options *options,
 				    GError **error);
+/* Requests in progress end as if their callers had disconnected. */
 void aub_gateway_free(struct aub_gateway *gateway);
 
 /* Activates `routing` as the configuration and takes a reference to it. */
--- a/include/auburnstile/internal/gateway_internal.h
+++ b/include/auburnstile/internal/gateway_internal.h
@@ -14,7 +14,10 @@
  * pressure.
  */
 #define AUB_BODY_BUFFER_BYTES (64u << 10)
-/* Queued bytes beyond which reading from the source is paused. */
+/*
+ * Bytes queued for a slow reader, an upstream or a caller, beyond which reading
+ * from the other side is paused.
+ */
 #define AUB_WRITE_QUEUE_HIGH_BYTES (128u << 10)
 
 struct aub_caller; /* a caller's connection */
@@ -41,8 +44,8 @@
 	guint active_requests;
 	bool draining;
 	bool listener_closed;
-	guint attempts_counter;
-	guint retries_counter;
+	guint attempts_counter; /* handle in the metrics */
+	guint retries_counter; /* likewise */
 };
 
 struct aub_caller {
@@ -50,7 +53,8 @@
 	GList *callers_link; /* in gateway->callers */
 	struct aub_http_stream *stream;
 	GQueue requests; /* of struct aub_request, in order of arrival */
-	gint64 state_since_us; /* start of the idle period or of the shutdown */
+	/* start of the idle period or of the shutdown */
+	gint64 state_since_us;
 	/* an answer has announced the end of the connection */
 	bool close_after_answer;
 	bool shutting_down; /* no further answers are sent */
@@ -62,9 +66,9 @@
 struct aub_upstream_attempt {
 	struct aub_request *request;
 	struct aub_exchange *exchange;
-	guint64 ticket;
-	char *upstream;
-	gint64 sent_us;
+	guint64 ticket; /* of the grant */
+	char *upstream; /* id of the upstream's incarnation */
+	gint64 sent_us; /* start of the attempt */
 	guint status; /* HTTP status of the answer; 0: none yet */
 	bool not_run; /* the upstream states that it did not run it */
 	bool malformed; /* the answer can't be forwarded */
@@ -91,35 +95,37 @@
 	struct aub_routing *routing;
 	struct aub_route *route; /* borrowed from `routing` */
 	const char *service; /* borrowed from `routing` */
-	char *id;
+	char *id; /* request ID; "" if the caller sent none */
 	char *host;
 	char *request_line; /* "METHOD target HTTP/1.1" */
 	GString *headers; /* headers to forward, without framing and deadline */
 	bool is_head;
 	bool keep_alive; /* the caller allows reuse of the connection */
-	bool placement_deferred; /* no placement until its turn to be answered */
+	/* not placed until all earlier requests have been answered */
+	bool placement_deferred;
 	bool answered; /* the answer is complete but not all written */
-	GByteArray *pending_output; /* answer bytes buffered until its turn */
+	/* answer bytes, buffered until the earlier answers are written */
+	GByteArray *pending_output;
 	gint64 start_us;
 	gint64 slot_wait_us; /* total time spent waiting for slots */
 	gint64 deadline_us; /* deadline set by the caller */
 	/* the earlier of the caller's deadline and the route's timeout */
 	gint64 effective_deadline_us;
-	guint timer;
+	guint timer; /* fires at the deadline */
 	gint64 body_length; /* -1: chunked; 0: no body */
-	guint64 body_read;
+	guint64 body_read; /* bytes received so far */
 	bool body_complete;
 	bool body_discarded; /* part of the sent body is not buffered */
 	GByteArray *body; /* buffered so that it can be sent again */
 	struct aub_upstream_attempt *attempt; /* in progress; or NULL */
 	/* of char *: upstreams that it was sent to */
 	GPtrArray *tried_upstreams;
-	/* `head` is NULL if there is none */
+	/* of an earlier attempt; its `head` is NULL if there is none */
 	struct aub_retained_answer retained_answer;
 	guint connect_failures; /* attempts that never connected */
 	guint64 ticket; /* ticket of the placement request; 0: none */
 	bool placement_pending;
-	bool may_have_run;
+	bool may_have_run; /* an upstream may have run it */
 	bool answer_started; /* answer bytes have been sent to the caller */
 };
 
@@ -133,10 +139,10 @@
 void aub_request_on_caller_closed(struct aub_request *request);
 
 /*
- * Ways to end a request; each frees it. "Refuse": the request did not run and
- * will not. "Deny": the configuration doesn't allow it. "Fail": it may have
- * run; only the statuses 502 and 504 leave that open. `detail` is for the log
- * and may be NULL.
+ * Ways to end a request with a local answer; each frees it. "Refuse": the
+ * request did not run and will not. "Deny": the configuration doesn't allow it.
+ * "Fail": it may have run; only the statuses 502 and 504 leave that open.
+ * `detail` is for the log and may be NULL.
  */
 void aub_request_refuse(struct aub_request *request, const char *reason,
 			guint retry_after_ms);
@@ -165,14 +171,15 @@
 const char *aub_request_connection_line(struct aub_request *request);
 
 /*
- * Sends bytes of the answer to the caller, or buffers them until it is the
- * request's turn.
+ * Sends bytes of the answer to the caller, or buffers them until all earlier
+ * requests have been answered.
  */
 void aub_request_write(struct aub_request *request, const void *data,
 		       gsize length);
+/* Return whether it is the oldest or the newest request of its connection. */
 bool aub_request_is_first(const struct aub_request *request);
 bool aub_request_is_last(const struct aub_request *request);
-/* Called when all requests before this one have been answered. */
+/* Called when all earlier requests of the connection have been answered. */
 void aub_request_on_became_first(struct aub_request *request);
 
 /* Events of the request's attempts. */
@@ -189,7 +196,7 @@
 			      const char *data, gsize length);
 void aub_request_on_upstream_writable(struct aub_request *request);
 
-/* Attempts. */
+/* Starts to send the request to `upstream` under the grant `ticket`. */
 struct aub_upstream_attempt *aub_attempt_start(struct aub_request *request,
 					       guint64 ticket,
 					       const char *upstream,
@@ -202,7 +209,7 @@
 		       enum aub_grant_result end);
 void aub_attempt_free(struct aub_upstream_attempt *attempt);
 
-/* Callers' connections. */
+/* Starts to read requests from `fd`, which is owned by the new connection. */
 void aub_caller_new(struct aub_gateway *gateway, int fd, guint header_bytes);
 /* Frees the connection; its requests end as if the caller had closed it. */
 void aub_caller_free(struct aub_caller *caller);
@@ -218,9 +225,13 @@
 /* Resets the connection, so that a truncated answer doesn't look complete. */
 void aub_caller_abort(struct aub_caller *caller);
 
-/* Headers. */
+/*
+ * Appends the headers of `head` that are forwarded. `request` is true for a
+ * request and false for an answer.
+ */
 void aub_headers_forward(GString *out, const struct aub_http_head *head,
 			 const struct aub_platform *platform, bool request);
+/* Returns false if `text` is NULL or not a decimal number below 2^31. */
 bool aub_header_parse_number(const char *text, gint64 *value);
 
 /* Counts a finished request in the metrics. */
--- a/include/auburnstile/internal/node.h
+++ b/include/auburnstile/internal/node.h
@@ -17,20 +17,20 @@
 	char *directory; /* listening address of the address directory */
 	char *readiness; /* listening address of the readiness check */
 	char *peers; /* address for datagrams of other gateways */
-	char *metrics;
-	char *store;
+	char *metrics; /* listening address of the metrics export */
+	char *store; /* address of the platform's store */
 	char **seeds; /* possible gateways; only their IPs are used */
 	double grace_s; /* seconds from SIGTERM to SIGKILL */
 	gint64 retry_percent; /* retries per hundred first attempts */
-	double retry_slack;
+	double retry_slack; /* retries beyond that percentage, per window */
 	double retry_window_s;
-	/* of requests to a new version; 0: rollouts are off */
+	/* share of requests to a new version; 0: rollouts are off */
 	double rollout_share;
 	double rollout_slack; /* requests beyond that share, per order */
 	gint64 address_ms; /* how long callers may cache an address list */
 	double processor_share; /* usable share of each core, 0 to 1 */
 	double processor_cores;
-	char *log_level;
+	char *log_level; /* least severe level that is logged */
 };
 
 extern const struct aub_setting aub_node_settings_table[];
--- a/include/auburnstile/internal/node_internal.h
+++ b/include/auburnstile/internal/node_internal.h
@@ -29,11 +29,11 @@
 	GHashTable *rollout_orders;
 	bool rollouts_enabled;
 	guint64 unreadable_records; /* store objects that could not be read */
-	guint address_ms;
-	guint grace_ms;
+	guint address_ms; /* how long callers may cache an address list */
+	guint grace_ms; /* maximum duration of a planned stop */
 	gint64 config_version; /* of the active configuration */
-	bool upstreams_listed;
-	/* heartbeats of the other gateways had time to arrive */
+	bool upstreams_listed; /* the first listing is complete */
+	/* heartbeats of the other gateways have had time to arrive */
 	bool startup_grace_over;
 	bool stopping;
 	gint64 stop_start_us; /* start of the planned stop */
@@ -72,6 +72,7 @@
 /* Rollout orders. */
 void aub_node_rollouts_init(struct aub_node *node);
 void aub_node_rollouts_clear(struct aub_node *node);
+/* Applies an order as read from the store, or its removal. */
 void aub_node_apply_rollout_order(struct aub_node *node,
 				  const struct aub_record *record);
 /* See struct aub_placer_options; `context` is the node. */
--- a/include/auburnstile/internal/peers.h
+++ b/include/auburnstile/internal/peers.h
@@ -33,13 +33,14 @@
 	gint64 suspected_until_us; /* did not answer: skipped until then */
 	/* length of the last suspicion; 0: it has answered since */
 	gint64 suspicion_us;
-	GHashTable *rank_keys; /* role -> guint64, cache of hashes */
+	/* service or watch role -> guint64, cache of hashes */
+	GHashTable *rank_keys;
 	bool ready;
 	bool stopping;
 	bool store_current; /* the store was reachable recently */
 	bool store_reachable; /* the store is reachable now */
 	bool alive; /* heartbeats arrive in time */
-	bool self;
+	bool self; /* it is this process */
 };
 
 struct aub_peers_options {
@@ -66,6 +67,7 @@
 	void *context;
 };
 
+/* Returns NULL and sets an error if the address can't be bound. */
 struct aub_peers *aub_peers_new(const struct aub_peers_options *options,
 				GError **error);
 void aub_peers_free(struct aub_peers *peers);
@@ -82,7 +84,7 @@
 	/* the store is reachable now: the process may watch it for others */
 	bool store_reachable;
 	gint64 config_version;
-	/* Store revision of the last known change, by kind. */
+	/* store revision of the last known change, by kind */
 	gint64 revisions[AUB_STORE_KINDS];
 };
 void aub_peers_publish_state(struct aub_peers *peers,
@@ -92,7 +94,7 @@
 const GPtrArray *aub_peers_all(const struct aub_peers *peers);
 /* Returns when a peer last appeared or became ready. */
 gint64 aub_peers_last_join_us(const struct aub_peers *peers);
-/* Returns the number of peers alive, without this process. */
+/* Returns the number of live peers, excluding this process. */
 guint aub_peers_count_alive(const struct aub_peers *peers);
 struct aub_peer *aub_peers_self(const struct aub_peers *peers);
 
@@ -118,8 +120,8 @@
  */
 bool aub_peers_self_is_watcher(struct aub_peers *peers);
 /*
- * Returns whether this process watches the store, and if so whether another
- * watcher of its zone ranks before it.
+ * Returns whether this process watches the store: as the primary, or as a
+ * standby if another watcher of its zone ranks before it.
  */
 enum aub_watch_duty aub_peers_watch_duty(struct aub_peers *peers);
 
@@ -138,6 +140,7 @@
 const struct aub_peers_counts *aub_peers_get_counts(
 	const struct aub_peers *peers);
 
+/* Returns NULL if no heartbeat of that incarnation has arrived. Borrowed. */
 struct aub_peer *aub_peers_by_incarnation(const struct aub_peers *peers,
 					  guint64 incarnation);
 
--- a/include/auburnstile/internal/peers_internal.h
+++ b/include/auburnstile/internal/peers_internal.h
@@ -11,15 +11,16 @@
 	int fd;
 	struct aub_poll_watch *watch;
 	guint timer;
-	guint start_timer; /* 0: the start phase is over */
-	guint start_rounds_left; /* of the start phase */
+	/* timer of the frequent heartbeats at the start; 0: they are over */
+	guint start_timer;
+	guint start_rounds_left; /* rounds of these heartbeats */
 	GPtrArray *all; /* of struct aub_peer; the first is this process */
 	/* address -> peer in `all`; keys are the peers' own */
 	GHashTable *by_address;
-	/* likewise, for peers that sent a heartbeat */
+	/* incarnation -> peer in `all`, once a heartbeat has arrived */
 	GHashTable *by_incarnation;
 	struct aub_heartbeat *heartbeat;
-	guint round;
+	guint round; /* number of heartbeat periods so far */
 	/* current period of heartbeats to other zones */
 	guint cross_zone_period_rounds;
 	gint64 last_join_us; /* when a peer last appeared or became ready */
--- a/include/auburnstile/internal/placer.h
+++ b/include/auburnstile/internal/placer.h
@@ -24,10 +24,10 @@
 	const char *address;
 	guint retry_after_ms;
 	const char *placer; /* name of the gateway that decided */
-	gint64 waited_us;
+	gint64 waited_us; /* from the placement request to the decision */
 };
 typedef void aub_placement_result_callback(
-	const struct aub_placement_result *placed, void *context);
+	const struct aub_placement_result *result, void *context);
 
 struct aub_placer_options {
 	const struct aub_platform *platform;
@@ -82,13 +82,13 @@
 guint64 aub_placer_new_ticket(struct aub_placer *placer);
 
 /*
- * Requests an upstream under a new ticket. The callback is called exactly once,
- * possibly before this function returns, unless aub_placer_cancel() is called
- * first.
+ * Requests an upstream under the new ticket `id`. The callback is called
+ * exactly once, possibly before this function returns, unless
+ * aub_placer_cancel() is called first.
  */
 void aub_placer_request(struct aub_placer *placer, const char *service,
 			const struct aub_placement_request *request, guint64 id,
-			aub_placement_result_callback *placed, void *context);
+			aub_placement_result_callback *callback, void *context);
 /* Cancels a request whose caller has disconnected before the decision. */
 void aub_placer_cancel(struct aub_placer *placer, guint64 ticket);
 /* Reports the outcome of a granted request and invalidates the ticket. */
@@ -104,9 +104,10 @@
 		      void *context);
 
 struct aub_placer_counts {
-	guint64 requested;
+	guint64 requested; /* placement requests of this gateway */
 	guint64 placed_here; /* as placer, for any gateway */
-	guint64 placed_in_fallback; /* no placer answered */
+	/* placed locally because no placer answered */
+	guint64 placed_in_fallback;
 	guint64 placers_suspected; /* placers that did not answer in time */
 	guint64 forwarded; /* requests passed on to a higher-ranked gateway */
 	guint64 probes_sent;
--- a/include/auburnstile/internal/placer_internal.h
+++ b/include/auburnstile/internal/placer_internal.h
@@ -18,11 +18,11 @@
 	gint64 start_us;
 	guint64 asked_placer; /* incarnation that was asked last */
 	bool forwardable; /* the asked placer may have forwarded it */
-	guint64 granted_by;
+	guint64 granted_by; /* incarnation of the placer; 0: not granted */
 	char *upstream; /* set once granted */
 	guint placers_asked; /* number of placers tried */
 	guint sends_to_placer; /* transmissions to the last placer asked */
-	gint64 sent_us;
+	gint64 sent_us; /* first transmission to that placer */
 	gint64 next_action_us; /* time to resend or to skip the placer */
 	bool queued; /* the placer has acknowledged it */
 	bool placed_locally; /* decided by this process */
@@ -30,8 +30,9 @@
 
 /* A service whose upstreams this gateway probes. */
 struct aub_probed_service {
-	gint64 probe_all_until_us; /* as placer: probe all upstreams */
-	gint64 probe_zone_until_us; /* for the placer: probe those in the own zone */
+	gint64 probe_all_until_us; /* as placer: probes all upstreams */
+	/* for a remote placer: probes the upstreams in the own zone */
+	gint64 probe_zone_until_us;
 	struct aub_place_probe_results *pending_results; /* unsent; or NULL */
 	guint64 refused_logged; /* count of refusals as last logged */
 };
@@ -57,12 +58,13 @@
 	guint round_timer;
 	guint rollout_timer; /* 0: no order is open */
 	gint64 rollouts_sent_us; /* when evidence was last sent */
-	bool orders_known;
+	bool orders_known; /* all orders in the store have been read */
 	guint probe_timer;
-	guint report_timer;
+	guint report_timer; /* sends queued probe results */
 	struct aub_placer_counts counts;
 };
 
+/* Returns the placement of `service`, which is created if necessary. */
 struct aub_placement *aub_placer_placement(struct aub_placer *placer,
 					   const char *service);
 
@@ -73,14 +75,17 @@
 
 /* Tickets. */
 void aub_ticket_free(void *data);
-/* Passes a decision to the request. The ticket ends unless it was granted. */
+/*
+ * Passes a decision of the placer with incarnation `from` to the request. The
+ * ticket ends unless it was granted.
+ */
 void aub_ticket_resolve(struct aub_placer *placer, struct aub_ticket *ticket,
 			const struct aub_placement_decision *decision,
 			guint64 from);
 void aub_ticket_send_report(struct aub_placer *placer,
 			    struct aub_ticket *ticket,
 			    const struct aub_grant_report *report);
-/* Resends requests, or tries the next placer, where no answer came in time. */
+/* Resends requests without a timely answer, or tries the next placer. */
 void aub_tickets_process_due(struct aub_placer *placer, gint64 now_us);
 
 /* Applies a report to a local placement, which may free a slot. */
@@ -125,7 +130,10 @@
 				     const char *service, gint64 now_us);
 void aub_placer_stop_probes(struct aub_placer *placer);
 
-/* Convert loads for messages between gateways, whose fields are unsigned. */
+/*
+ * Convert loads for messages between gateways. Fields are sent increased by
+ * one, since they are unsigned and -1 stands for an unknown value.
+ */
 struct aub_reported_load aub_load_encode(const struct aub_load *load);
 struct aub_load aub_load_decode(const struct aub_reported_load *encoded);
 
@@ -141,12 +149,13 @@
 				    const char *service);
 /*
  * Sends `message` to all gateways, with relays in other zones. `relay` points
- * to the flag in the message.
+ * to the message's flag that makes the receiver forward it within its zone.
  */
 void aub_placer_send_to_zones(struct aub_placer *placer, const char *service,
 			      struct aub_message *message, bool *relay);
 
 /* Periodic exchange between gateways. */
+/* Called every second. */
 void aub_placer_on_round(void *context, gint64 now_us);
 void aub_placer_apply_outstanding(struct aub_placer *placer,
 				  const struct aub_place_outstanding *message);
--- a/include/auburnstile/internal/platform.h
+++ b/include/auburnstile/internal/platform.h
@@ -25,7 +25,7 @@
 /* Role of a process in watching the store. */
 enum aub_watch_duty {
 	AUB_WATCH_NONE, /* learns of changes from other gateways */
-	AUB_WATCH_STANDBY, /* watches as a backup for the primary */
+	AUB_WATCH_STANDBY, /* watches for changes that the primary misses */
 	AUB_WATCH_PRIMARY /* watches and announces changes to the others */
 };
 
@@ -64,6 +64,7 @@
 	char *problem; /* why the object is unreadable; else NULL */
 };
 
+/* An answer to a listing or a watch. */
 struct aub_store_page {
 	gint64 revision; /* store revision to start a watch from */
 	bool more; /* continue the listing after `last` */
@@ -73,11 +74,11 @@
 
 /* The load that an upstream reports in an answer; -1 where unknown. */
 struct aub_load {
-	gint running;
-	gint waiting;
+	gint running; /* requests that are running */
+	gint waiting; /* requests that wait for a slot */
 	gint slots;
 	gint slowdown; /* service time in percent of the baseline */
-	gint warmup_ms;
+	gint warmup_ms; /* remaining time of the warm-up */
 };
 
 /* Initializer for a load that was not reported. */
@@ -125,14 +126,14 @@
 	void (*decode_load)(const struct aub_http_head *head,
 			    struct aub_load *load);
 
-	/* media type of bodies, for the store and for callers */
+	/* Media type of bodies, for the store and for callers. */
 	const char *content_type;
 	/* Returns the body of the answer to an address request. */
 	GBytes *(*addresses_body)(GPtrArray *addresses, guint ttl_ms);
 	/* Path of address requests, and the query parameter with the zone. */
 	const char *addresses_path;
 	const char *zone_parameter;
-	const char *ready_path;
+	const char *ready_path; /* of the readiness check */
 };
 
 struct aub_record *aub_record_new(const char *name);
--- a/src/coordination/gateway.c
+++ b/src/coordination/gateway.c
@@ -8,11 +8,11 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Bounds the delay in closing an idle connection. */
+/* maximum delay in closing a connection that has timed out */
 #define SWEEP_PERIOD_US (500 * AUB_MS)
 #define ACCEPTS_PER_WAKEUP 32
 
-/* used until a configuration is known */
+/* Used until a configuration is known. */
 #define HEADER_BYTES_DEFAULT (16u << 10)
 
 /*
--- a/src/coordination/gateway_attempt.c
+++ b/src/coordination/gateway_attempt.c
@@ -137,7 +137,7 @@
 		aub_request_begin_streaming(attempt->request, attempt);
 }
 
-static enum aub_grant_result attempt_end_of(
+static enum aub_grant_result classify_attempt(
 	const struct aub_upstream_attempt *attempt,
 	enum aub_exchange_result end)
 {
@@ -157,7 +157,7 @@
 {
 	struct aub_upstream_attempt *attempt = context;
 	struct aub_request *request = attempt->request;
-	enum aub_grant_result end = attempt_end_of(attempt, exchange_end);
+	enum aub_grant_result end = classify_attempt(attempt, exchange_end);
 
 	attempt->exchange = NULL;
 	report_attempt_end(attempt, end);
--- a/src/coordination/gateway_caller.c
+++ b/src/coordination/gateway_caller.c
@@ -2,9 +2,10 @@
  * A caller's connection: reads requests, answers them in order and shuts down.
  *
  * Callers may pipeline requests. Idempotent requests are served concurrently
- * and their answers are buffered until their turn. A request that may run at
- * most once isn't forwarded before its turn, because an earlier answer may end
- * the connection, and the caller would then send it again.
+ * and their answers are buffered until the earlier ones are written. A request
+ * that may run at most once isn't forwarded before all earlier requests have
+ * been answered, because an earlier answer may end the connection, and the
+ * caller would then send the request again.
  */
 #include <auburnstile/internal/gateway_internal.h>
 
@@ -147,7 +148,7 @@
 void aub_caller_on_first_finished(struct aub_caller *caller)
 {
 	struct aub_request *request;
-	bool deferred;
+	bool was_deferred;
 
 	while ((request = first_request(caller)) != NULL) {
 		write_and_flush(caller, request->pending_output->data,
@@ -162,12 +163,12 @@
 		return;
 	}
 	/*
-	 * Nothing is read after a deferred request, and the caller may be freed
-	 * here.
+	 * Nothing is read after a deferred request, and its answer may free the
+	 * caller here.
 	 */
-	deferred = request->placement_deferred;
+	was_deferred = request->placement_deferred;
 	aub_request_on_became_first(request);
-	if (!deferred)
+	if (!was_deferred)
 		resume_reading(caller);
 }
 
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -23,10 +23,10 @@
 /* Beyond that wait the answer is late anyway, and only the deadline matters. */
 #define MAX_WAIT_REMAINING_SHARE 0.15 /* share of the remaining time */
 
-/* covers nearly all of the users' request bodies */
+/* Nearly all request bodies are smaller. */
 #define SMALL_BODY_MAX_BYTES (16u << 10)
 
-#define CRASH_RETRY_AFTER_MS 60000 /* lifetime of a crash mark */
+#define CRASH_RETRY_AFTER_MS 60000 /* lifetime of a crash count */
 #define NOT_READY_RETRY_AFTER_MS 1000 /* typical start-up time */
 
 static gint64 request_now_us(const struct aub_request *request)
@@ -138,6 +138,7 @@
 						 remaining_us / AUB_MS);
 }
 
+/* Returns how long the request may wait for a slot to be answered on time. */
 static guint on_time_wait_ms(const struct aub_request *request, gint64 now_us)
 {
 	gint64 remaining_us = (gint64)(MAX_WAIT_TARGET_SHARE *
@@ -148,6 +149,7 @@
 	return (guint)(MAX(remaining_us, 0) / AUB_MS);
 }
 
+/* Returns how long the request may wait for a slot in all. */
 static guint max_wait_ms(const struct aub_request *request, gint64 now_us)
 {
 	gint64 late_wait_ms =
@@ -208,10 +210,10 @@
 }
 
 /*
- * A request may crash each upstream that runs it while its caller keeps
- * resending it, so that the service would lose one upstream after the other.
- * After three crashes in a row, counted over all gateways, the request is
- * refused everywhere.
+ * Returns the key under which the crashes of a request are counted. A request
+ * may crash each upstream that runs it while its caller keeps resending it, so
+ * that the service would lose one upstream after the other. After three crashes
+ * in a row, counted over all gateways, the request is refused everywhere.
  */
 static guint64 request_fingerprint(const struct aub_request *request)
 {
@@ -295,7 +297,10 @@
 void aub_request_begin_streaming(struct aub_request *request,
 				 struct aub_upstream_attempt *attempt)
 {
-	/* Before its turn, no more is read than the buffer holds. */
+	/*
+	 * While earlier requests are unanswered, no more is read than the
+	 * buffer holds.
+	 */
 	if (!aub_request_is_first(request)) {
 		aub_exchange_pause_reading(attempt->exchange, true);
 		return;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -33,14 +33,16 @@
 #define STOP_CHECK_PERIOD_US (50 * AUB_MS)
 
 /*
- * Each change of a service's placer loses its slot counts, and a store that is
- * slow or drops its watches is back within seconds. Shorter outages don't
- * change the placer.
+ * A gateway without the store for longer ranks behind those that reach it. A
+ * store that is slow or drops its watches is back within seconds, and each
+ * change of a service's placer loses the slot counts, so shorter outages are
+ * tolerated.
  */
 #define STORE_OUTAGE_TOLERATED_US (4000 * AUB_MS)
 
 /*
- * Delay until this process notices that another gateway must watch the store.
+ * Maximum delay until this process notices that the zone needs another store
+ * watcher.
  */
 #define STORE_CHECK_PERIOD_US (500 * AUB_MS)
 
--- a/src/coordination/node_metrics.c
+++ b/src/coordination/node_metrics.c
@@ -137,7 +137,8 @@
 	  "introductions sent to gateways that knew no peers", true,
 	  read_introductions },
 	{ "auburnstile_records_refused_total",
-	  "store objects that could not be read", true, read_unreadable_records },
+	  "store objects that could not be read", true,
+	  read_unreadable_records },
 	{ "auburnstile_memory_peak_bytes", "peak resident memory; -1: unknown",
 	  false, read_memory },
 };
--- a/src/coordination/node_store.c
+++ b/src/coordination/node_store.c
@@ -17,7 +17,7 @@
 #define STARTUP_GRACE_US (1000 * AUB_MS)
 /* approximate number of gateways listed in the store */
 #define MEMBER_RECORDS_TARGET 24
-#define FIRST_CONTACTS 3 /* of these, contacted at once */
+#define FIRST_CONTACTS 3 /* of these, contacted immediately */
 
 static void apply_routing(struct aub_node *node, struct aub_record *record)
 {
@@ -138,9 +138,9 @@
 static enum aub_watch_duty watch_duty(void *context)
 {
 	struct aub_node *node = context;
-	bool is_only_member = aub_peers_all(node->peers)->len == 1;
+	bool knows_no_peers = aub_peers_all(node->peers)->len == 1;
 
-	if (!is_only_member && !node->startup_grace_over)
+	if (!knows_no_peers && !node->startup_grace_over)
 		return AUB_WATCH_NONE;
 	return aub_peers_watch_duty(node->peers);
 }
@@ -178,7 +178,7 @@
 	aub_node_publish_state(node);
 }
 
-/* limit for packed changes: they are sent in one datagram */
+/* Limit for packed changes, which are sent in one datagram. */
 #define SHARED_PACKED_MAX_BYTES (48u << 10)
 /* Limit for unpacked changes; pages of the store are smaller. */
 #define SHARED_UNPACKED_MAX_BYTES (4u << 20)
--- a/src/coordination/peers.c
+++ b/src/coordination/peers.c
@@ -34,10 +34,10 @@
 /* After this an unresponsive peer gets every tenth heartbeat only. */
 #define UNRESPONSIVE_AFTER_US (15 * AUB_SECOND)
 #define UNRESPONSIVE_PERIOD_ROUNDS 10
-/* long after callers have dropped the address */
+/* time without a heartbeat; long after callers have dropped the address */
 #define REMOVE_AFTER_US (300 * AUB_SECOND)
 
-/* a list of upstreams takes about 100 bytes per upstream */
+/* A list of upstreams takes about 100 bytes per upstream. */
 #define DATAGRAM_MAX_BYTES 60000
 #define DATAGRAMS_PER_WAKEUP 64
 
--- a/src/coordination/placer.c
+++ b/src/coordination/placer.c
@@ -3,8 +3,10 @@
 
 #include <string.h>
 
-#define TICK_PERIOD_US (10 * AUB_MS) /* delay of a queue's decisions */
-#define ROUND_PERIOD_US (1000 * AUB_MS) /* bounds the cost of a lost report */
+/* maximum delay in processing queued requests */
+#define TICK_PERIOD_US (10 * AUB_MS)
+/* Bounds how long a slot whose report was lost stays in use. */
+#define ROUND_PERIOD_US (1000 * AUB_MS)
 
 /*
  * If many gateways start at once and each places for itself until it has
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -49,7 +49,6 @@
 	aub_message_free(&message->base);
 }
 
-/* Delivers a decision of a local placement to the requesting gateway. */
 void aub_placer_deliver(struct aub_placer *placer,
 			const struct aub_placement_decision *decision)
 {
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -208,7 +208,8 @@
 		bool is_placer = probed_service->probe_all_until_us >= now_us;
 		struct aub_probe due;
 
-		if (!is_placer && probed_service->probe_zone_until_us < now_us) {
+		if (!is_placer &&
+		    probed_service->probe_zone_until_us < now_us) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
--- a/src/coordination/placer_tickets.c
+++ b/src/coordination/placer_tickets.c
@@ -13,7 +13,8 @@
  */
 #define RESEND_AFTER_US (15 * AUB_MS)
 #define NEXT_PLACER_AFTER_US (50 * AUB_MS)
-#define PLACERS_ASKED_MAX 2 /* then the request is placed locally */
+/* Then the request is placed locally. */
+#define PLACERS_ASKED_MAX 2
 /*
  * The first suspicion lasts for as long as it takes to detect a death within a
  * zone.
@@ -94,7 +95,6 @@
 	return true;
 }
 
-/* Passes a decision to the request. The ticket ends unless it was granted. */
 void aub_ticket_resolve(struct aub_placer *placer, struct aub_ticket *ticket,
 			const struct aub_placement_decision *decision,
 			guint64 from)
@@ -330,14 +330,14 @@
 
 void aub_placer_request(struct aub_placer *placer, const char *service,
 			const struct aub_placement_request *request, guint64 id,
-			aub_placement_result_callback *result, void *context)
+			aub_placement_result_callback *callback, void *context)
 {
 	struct aub_ticket *ticket = g_new0(struct aub_ticket, 1);
 
 	ticket->id = id;
 	ticket->service = g_strdup(service);
 	ticket->request = *request;
-	ticket->callback = result;
+	ticket->callback = callback;
 	ticket->context = context;
 	ticket->start_us = aub_timer_now(placer->options.timers);
 	ticket->avoid = g_ptr_array_new_with_free_func(g_free);
@@ -386,13 +386,13 @@
 		       enum aub_grant_result end, gint64 elapsed_us,
 		       const struct aub_load *load)
 {
-	const struct aub_load nothing = AUB_LOAD_UNKNOWN;
+	const struct aub_load unknown = AUB_LOAD_UNKNOWN;
 	struct aub_ticket *ticket = g_hash_table_lookup(placer->tickets, &id);
 	const struct aub_grant_report report = {
 		.ticket = id,
 		.end = end,
 		.elapsed_us = elapsed_us,
-		.load = load ? *load : nothing,
+		.load = load ? *load : unknown,
 	};
 
 	if (!ticket)
--- a/tests/caller.h
+++ b/tests/caller.h
@@ -35,7 +35,7 @@
 	 * Appends the received bytes to `input`. Returns true once the other
 	 * end has closed the connection.
 	 */
-	bool is_closed()
+	bool poll_closed()
 	{
 		char bytes[4096];
 		gssize count;
@@ -56,7 +56,7 @@
 
 		input.clear();
 		while (g_get_monotonic_time() < end) {
-			if (is_closed() || has_complete_answer())
+			if (poll_closed() || has_complete_answer())
 				break;
 			g_main_context_iteration(nullptr, FALSE);
 		}
--- a/tests/gateway_fixture.h
+++ b/tests/gateway_fixture.h
@@ -89,10 +89,11 @@
 			aub_http_stream_free(stream_);
 		stream_ = NULL;
 	}
-	void set_reading_paused(bool set_reading_paused)
+	void set_reading_paused(bool paused)
 	{
-		aub_http_stream_pause_reading(stream_, set_reading_paused);
+		aub_http_stream_pause_reading(stream_, paused);
 	}
+	/* Returns whether an answer or the end of the connection arrived. */
 	bool done() const
 	{
 		return answers > 0 || ended;
--- a/tests/scripted_server.h
+++ b/tests/scripted_server.h
@@ -68,7 +68,7 @@
 
       private:
 	struct Connection {
-		ScriptedServer *peer;
+		ScriptedServer *server;
 		GSocketConnection *connection;
 		GSource *source;
 		std::string input;
@@ -87,22 +87,24 @@
 		delete state;
 	}
 
-	static gboolean on_incoming(GSocketService *, GSocketConnection *c,
-				    GObject *, void *data)
+	static gboolean on_incoming(GSocketService *,
+				    GSocketConnection *incoming, GObject *,
+				    void *data)
 	{
-		ScriptedServer *peer = static_cast<ScriptedServer *>(data);
-		Connection *state = new Connection{ peer, c, nullptr, "" };
-		GSocket *socket = g_socket_connection_get_socket(c);
+		ScriptedServer *server = static_cast<ScriptedServer *>(data);
+		Connection *state =
+			new Connection{ server, incoming, nullptr, "" };
+		GSocket *socket = g_socket_connection_get_socket(incoming);
 
-		g_object_ref(c);
+		g_object_ref(incoming);
 		g_socket_set_blocking(socket, FALSE);
 		state->source =
 			g_socket_create_source(socket, G_IO_IN, nullptr);
 		g_source_set_callback(state->source, G_SOURCE_FUNC(on_readable),
 				      state, nullptr);
 		g_source_attach(state->source, nullptr);
-		peer->open_connections.push_back(state);
-		peer->connections++;
+		server->open_connections.push_back(state);
+		server->connections++;
 		return TRUE;
 	}
 
@@ -129,26 +131,26 @@
 	static gboolean on_readable(GSocket *socket, GIOCondition, void *data)
 	{
 		Connection *state = static_cast<Connection *>(data);
-		ScriptedServer *peer = state->peer;
+		ScriptedServer *server = state->server;
 		char bytes[4096];
 		gssize count = g_socket_receive(socket, bytes, sizeof(bytes),
 						nullptr, nullptr);
 		bool closing = count <= 0;
 
 		if (closing)
-			peer->closed++;
+			server->closed++;
 		else
 			state->input.append(bytes, count);
 		std::string request = closing ? "" : take_request(state->input);
 		if (!request.empty()) {
-			peer->requests.push_back(request);
-			ScriptedReply reply = peer->script(request);
+			server->requests.push_back(request);
+			ScriptedReply reply = server->script(request);
 			g_socket_send(socket, reply.bytes.data(),
 				      reply.bytes.size(), nullptr, nullptr);
 			closing = reply.close;
 		}
 		if (closing) {
-			std::erase(peer->open_connections, state);
+			std::erase(server->open_connections, state);
 			close_connection(state);
 		}
 		return closing ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -263,7 +263,7 @@
 		closing.send("GET / HTTP/1.1\r\nHost: h\r\n"
 			     "Connection: close\r\n\r\n");
 		EXPECT_NE(closing.read_answer(), "");
-		run_until([&] { return closing.is_closed(); });
+		run_until([&] { return closing.poll_closed(); });
 		EXPECT_EQ(aub_caller_server_active(server), 0u);
 	}
 	run_until([&] { return !aub_caller_server_connections(server); });
@@ -299,6 +299,6 @@
 
 	header.send("GET / HTTP");
 	body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\na");
-	run_until([&] { return header.is_closed() && body.is_closed(); });
+	run_until([&] { return header.poll_closed() && body.poll_closed(); });
 	EXPECT_TRUE(calls.empty());
 }
--- a/tests/test_gateway.cc
+++ b/tests/test_gateway.cc
@@ -250,7 +250,7 @@
 					  PLATFORM_ANSWER_FAILED);
 	platform_upstream_set_next_answer(second_upstream,
 					  PLATFORM_ANSWER_FAILED);
-	/* Whichever is tried first fails; the other doesn't answer. */
+	/* The upstream that is tried first fails; the other never answers. */
 	platform_upstream_set_run_callback(
 		first_upstream,
 		[](const char *, void *other) {
@@ -426,9 +426,9 @@
 TEST_F(GatewayTest, ForwardsEarlyAnswerAndDoesNotReuseConnections)
 {
 	/*
-	 * The upstream answers before the whole body has arrived. The rest of
-	 * the body would be read as the next request, so neither connection may
-	 * be reused.
+	 * The upstream answers before the complete body has arrived. The rest
+	 * of the body would be read as the next request, so neither connection
+	 * may be reused.
 	 */
 	struct platform_upstream *first_upstream = add_upstream("u1");
 
--- a/tests/test_gateway_caller.cc
+++ b/tests/test_gateway_caller.cc
@@ -19,11 +19,12 @@
 	 * Starts a ready gateway and `count` upstreams with the given service
 	 * time.
 	 */
-	void serve_requests(int count, guint work_ms)
+	void start_with_upstreams(int count, guint service_ms)
 	{
 		for (int i = 1; i <= count; i++)
 			platform_upstream_set_service_time(
-				add_upstream("u" + std::to_string(i)), work_ms);
+				add_upstream("u" + std::to_string(i)),
+				service_ms);
 		configure();
 		start_and_wait_until_ready();
 	}
@@ -44,7 +45,7 @@
 	 * in sequence, the last would wait for three others before it is
 	 * forwarded.
 	 */
-	serve_requests(2, 300);
+	start_with_upstreams(2, 300);
 	Caller caller(poller, listen_addresses[0]);
 	gint64 start_us = g_get_monotonic_time();
 	for (const char *id : { "p1", "p2", "p3", "p4" })
@@ -56,7 +57,7 @@
 
 TEST_F(CallerTest, BuffersEarlyAnswerUntilItsTurn)
 {
-	serve_requests(1, 300);
+	start_with_upstreams(1, 300);
 	Caller caller(poller, listen_addresses[0]);
 	caller.send(request("GET /safe/a", "slow") +
 		    request("GET /none/", "quick") +
@@ -75,7 +76,7 @@
 	 * before it ended the connection, the request would run and the caller
 	 * would send it again.
 	 */
-	serve_requests(2, 300);
+	start_with_upstreams(2, 300);
 	Caller caller(poller, listen_addresses[0]);
 	caller.send(request("GET /safe/a", "p1") +
 		    request("POST /once/pay", "p2"));
@@ -108,7 +109,7 @@
 TEST_F(CallerTest, CancelsAllPipelinedRequestsOnDisconnect)
 {
 	timeout_ms = 5000;
-	serve_requests(1, 2000);
+	start_with_upstreams(1, 2000);
 	Caller caller(poller, listen_addresses[0]);
 	caller.send(request("GET /safe/a", "p1") +
 		    request("GET /safe/b", "p2"));
@@ -125,7 +126,7 @@
 	 * If the connection ended with the first answer, the second would be
 	 * lost although its upstream is working on it. Both must arrive.
 	 */
-	serve_requests(1, 400);
+	start_with_upstreams(1, 400);
 	Caller caller(poller, listen_addresses[0]);
 	caller.send(request("GET /safe/a", "p1") +
 		    request("GET /safe/b", "p2"));
@@ -141,7 +142,7 @@
 
 TEST_F(CallerTest, AnswersRequestsBeforeMalformedInput)
 {
-	serve_requests(1, 200);
+	start_with_upstreams(1, 200);
 	Caller caller(poller, listen_addresses[0]);
 	caller.send(request("GET /safe/a", "p1") + "no request at all\r\n\r\n");
 	ASSERT_TRUE(run_until([&] { return caller.ended; }, 3000));
--- a/tests/test_gateway_process.cc
+++ b/tests/test_gateway_process.cc
@@ -76,7 +76,7 @@
 			},
 			START_TIMEOUT_MS));
 	}
-	/* Waits until the address directory returns the given TTL. */
+	/* Waits up to `ms` for the address directory to return this TTL. */
 	bool returns_ttl(const std::string &ttl, int ms)
 	{
 		return run_until(
--- a/tests/test_node_rollouts.cc
+++ b/tests/test_node_rollouts.cc
@@ -1,5 +1,5 @@
 /*
- * Rollout orders in a whole gateway process with a simulated store: the
+ * Rollout orders in a complete gateway process with a simulated store: the
  * requests that upstreams get and the state stored at the end.
  */
 #include "gateway_fixture.h"
@@ -43,13 +43,13 @@
 		for (auto upstream : new_upstreams)
 			platform_upstream_set_answer(upstream, answer);
 	}
-	static guint runs(const std::vector<struct platform_upstream *> &which)
+	static guint runs(const std::vector<struct platform_upstream *> &list)
 	{
-		guint runs = 0;
+		guint sum = 0;
 
-		for (auto upstream : which)
-			runs += platform_upstream_runs(upstream);
-		return runs;
+		for (auto upstream : list)
+			sum += platform_upstream_runs(upstream);
+		return sum;
 	}
 	void order(double duration_s = 3, const std::string &target = "v2")
 	{
@@ -61,7 +61,7 @@
 		platform_store_put(store, "rollouts", "svc", text);
 		g_free(text);
 	}
-	std::string stored()
+	std::string stored_status()
 	{
 		const char *status =
 			platform_store_status(store, "rollouts", "svc");
@@ -70,7 +70,8 @@
 	}
 	bool stored_state_is(const std::string &state)
 	{
-		return stored().find("\"" + state + "\"") != std::string::npos;
+		return stored_status().find("\"" + state + "\"") !=
+		       std::string::npos;
 	}
 	/* Starts with the old version only, then registers the new one. */
 	void start_with_both_versions()
@@ -128,7 +129,7 @@
 	order();
 	ASSERT_TRUE(serve_requests_until(
 		[&] { return stored_state_is("rolled_back"); }, 5000))
-		<< stored();
+		<< stored_status();
 	guint new_version_runs = runs(new_upstreams);
 	EXPECT_GT(new_version_runs, 0u);
 	EXPECT_LE(new_version_runs, 0.1 * serial + 50);
@@ -139,19 +140,19 @@
 
 TEST_F(NodeRolloutTest, CompletesRolloutOfGoodVersionInTime)
 {
-	gint64 began;
+	gint64 start_us;
 
 	start_with_both_versions();
-	began = g_get_monotonic_time();
+	start_us = g_get_monotonic_time();
 	order();
 	ASSERT_TRUE(serve_requests_until(
 		[&] { return stored_state_is("completed"); }, 5000))
-		<< stored();
-	EXPECT_LE(g_get_monotonic_time() - began, 3 * 1000 * 1000);
-	guint new_version_runs = runs(old_upstreams);
+		<< stored_status();
+	EXPECT_LE(g_get_monotonic_time() - start_us, 3 * 1000 * 1000);
+	guint old_version_runs = runs(old_upstreams);
 	for (int i = 0; i < 10; i++)
 		serve_requests();
-	EXPECT_EQ(runs(old_upstreams), new_version_runs);
+	EXPECT_EQ(runs(old_upstreams), old_version_runs);
 }
 
 TEST_F(NodeRolloutTest, StoresRunningState)
@@ -159,7 +160,7 @@
 	start_with_both_versions();
 	order(30);
 	EXPECT_TRUE(run_until([&] { return stored_state_is("running"); }, 2000))
-		<< stored();
+		<< stored_status();
 }
 
 /* Guards against an order that stays open after a lost answer of the store. */
@@ -174,7 +175,8 @@
 	platform_store_set_fault(store, PLATFORM_STORE_LOSE_ANSWERS);
 	ASSERT_TRUE(serve_requests_until(
 		[&] { return stored_state_is("rolled_back"); }, 6000))
-		<< stored() << " " << runs(new_upstreams) << " of " << serial;
+		<< stored_status() << " " << runs(new_upstreams) << " of "
+		<< serial;
 	guint new_version_runs = runs(new_upstreams);
 	platform_store_set_fault(store, PLATFORM_STORE_NO_FAULT);
 	run_for(2500);
@@ -215,10 +217,10 @@
 	set_new_version_answer(PLATFORM_ANSWER_COMPLETE);
 	order(4);
 	ASSERT_TRUE(run_until([&] { return stored_state_is("running"); }, 2000))
-		<< stored();
+		<< stored_status();
 	EXPECT_TRUE(serve_requests_until(
 		[&] { return stored_state_is("completed"); }, 6000))
-		<< stored();
+		<< stored_status();
 }
 
 TEST_F(NodeRolloutTest, DeletedOrderReturnsToOldVersion)
@@ -236,7 +238,7 @@
 	EXPECT_EQ(runs(new_upstreams), new_version_runs);
 }
 
-/* Guards against an unreadable order that lets a version get requests. */
+/* Guards against an unreadable order that lets its version get requests. */
 TEST_F(NodeRolloutTest, InvalidOrderMovesNoTraffic)
 {
 	std::string metrics;
--- a/tests/test_peers.cc
+++ b/tests/test_peers.cc
@@ -219,8 +219,8 @@
 		struct aub_peers_self_state state = {};
 
 		state.ready = true;
-		state.store_current =
-			true; /* lost only recently, so it may still place */
+		/* The store was lost only recently, so it may still place. */
+		state.store_current = true;
 		state.store_reachable = false;
 		aub_peers_publish_state(gateway->peers, &state);
 	}
@@ -320,7 +320,7 @@
 	GBytes *bytes = aub_message_encode(&heartbeat->base, NULL);
 	gsize length;
 	const void *data = g_bytes_get_data(bytes, &length);
-	for (guint asked = 1; asked <= 2; asked++) {
+	for (guint attempt = 1; attempt <= 2; attempt++) {
 		char answer[1000];
 		guint64 before = datagrams_of(gateway->peers);
 
@@ -328,7 +328,7 @@
 		EXPECT_TRUE(run_until(
 			[&] { return datagrams_of(gateway->peers) > before; },
 			100))
-			<< asked;
+			<< attempt;
 		EXPECT_GT(recv(fd, answer, sizeof(answer), MSG_DONTWAIT), 0);
 	}
 	g_bytes_unref(bytes);
--- a/tests/test_placer.cc
+++ b/tests/test_placer.cc
@@ -74,8 +74,8 @@
 	auto upstream = start_all({ "a", "b" });
 	TestGateway *newcomer = start_gateway("fresh");
 	register_upstream(*newcomer, upstream);
-	publish_state(*newcomer,
-		      false); /* ranks last: the store was not reached yet */
+	/* It ranks last, since it has not reached the store yet. */
+	publish_state(*newcomer, false);
 	aub_peers_add(newcomer->peers, gateways[0]->address.c_str());
 	request_placement(*newcomer, &result, 2000);
 	for (int i = 0; i < 6 && !result.done; i++) {
@@ -175,8 +175,8 @@
 TEST_F(PlacerTest, AsksNextPlacerWhenOneDoesNotAnswer)
 {
 	/*
-	 * The placer sends heartbeats but doesn't answer, as when its CPU share
-	 * is used up. The caller waits about 50 ms more.
+	 * The placer sends heartbeats but doesn't answer requests, as when its
+	 * CPU share is used up. The caller waits about 50 ms more.
 	 */
 	PlacementResult result;
 
@@ -224,7 +224,7 @@
 	EXPECT_LE(aub_placer_get_counts(far->placer)->placers_suspected, 2u);
 }
 
-/* Guards against a long suspicion of a placer that was slow once. */
+/* Guards against a long suspicion after one unresponsive period. */
 TEST_F(PlacerTest, SuspectsOncePerUnresponsivePeriod)
 {
 	PlacementResult results[6];
