--- a/include/auburnstile/internal/answer.h
+++ b/include/auburnstile/internal/answer.h
@@ -21,6 +21,7 @@
 /* Returns an answer for a request that may have run and is not retried. */
 struct aub_answer *aub_answer_outcome_unknown(const char *reason);
 
+/* Returns a deep copy. */
 struct aub_answer *aub_answer_copy(const struct aub_answer *answer);
 
 /*
--- a/include/auburnstile/internal/placer.h
+++ b/include/auburnstile/internal/placer.h
@@ -52,7 +52,7 @@
 struct aub_placer *aub_placer_new(const struct aub_placer_options *options);
 void aub_placer_free(struct aub_placer *placer);
 
-/* Apply objects of the store. */
+/* Apply objects of the store. A NULL `record` removes the upstream. */
 void aub_placer_configure(struct aub_placer *placer,
 			  const struct aub_routing *routing);
 void aub_placer_update_upstream(struct aub_placer *placer, const char *id,
@@ -70,12 +70,14 @@
 void aub_placer_on_order_stored(struct aub_placer *placer, const char *service,
 				const struct aub_rollout_record *record);
 
+/* Applies changed settings. */
 void aub_placer_set_limits(struct aub_placer *placer,
 			   const struct aub_placement_limits *limits);
 
 /* Handles a peer's message and frees it. */
 void aub_placer_handle_message(struct aub_placer *placer,
 			       struct aub_message *message);
+/* Releases the grants of a dead gateway and asks another placer instead. */
 void aub_placer_on_peer_lost(struct aub_placer *placer, guint64 incarnation);
 
 /* Returns a new ticket, unique in the fleet and never 0. */
--- a/src/coordination/addresses.c
+++ b/src/coordination/addresses.c
@@ -8,6 +8,7 @@
 
 #include <json-glib/json-glib.h>
 
+/* how long callers may cache a list */
 #define VALID_DEFAULT_MS 5000
 #define VALID_STOPPING_MS 500 /* while this entry is stopping */
 #define ADDRESSES_MAX 3 /* length of a list */
@@ -73,6 +74,10 @@
 	};
 }
 
+/*
+ * Adds the owner and the stand-by. If neither accepts callers, adds this entry
+ * or, while it is stopping, other entries. The list is never empty.
+ */
 static void collect_endpoints(struct endpoints *endpoints, const char *service)
 {
 	const struct aub_entry_view *view = endpoints->options->view;
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -45,7 +45,7 @@
  * Logs only changes, since an unhealthy upstream is probed ten times a second.
  */
 static void log_health(const struct probe *probe, const char *health_before,
-		       const char *now, enum aub_probe_result end,
+		       const char *health_now, enum aub_probe_result end,
 		       const struct aub_load *load)
 {
 	static const char *const names[] = {
@@ -55,13 +55,13 @@
 		[AUB_PROBE_NO_RESPONSE] = "silent",
 	};
 
-	if (!strcmp(health_before, now))
+	if (!strcmp(health_before, health_now))
 		return;
 	aub_log_begin(AUB_LOG_HEALTH);
 	aub_log_text("upstream", probe->upstream);
 	aub_log_text("service", probe->service);
 	aub_log_text("was", health_before);
-	aub_log_text("now", now);
+	aub_log_text("now", health_now);
 	aub_log_text("probe", names[end]);
 	aub_log_number("warmup_ms", load->warmup_ms);
 	aub_log_number("running", load->running);
--- a/tests/caller.h
+++ b/tests/caller.h
@@ -32,8 +32,8 @@
 	}
 
 	/*
-	 * Appends the received bytes to `input`. Returns true once the other
-	 * end has closed the connection.
+	 * Appends the bytes received so far to `input`, without waiting.
+	 * Returns true if the other end has closed the connection.
 	 */
 	bool poll_closed()
 	{
