--- a/include/auburnstile/internal/dispatch_probes.h
+++ b/include/auburnstile/internal/dispatch_probes.h
@@ -15,7 +15,7 @@
 	/* The one at the time of sending. */
 	const struct aub_inventory *inventory;
 	bool answered;
-	const struct aub_upstream_signals *signs;
+	const struct aub_upstream_signals *signals;
 	guint32 busy; /* concurrent requests, as reported by the upstream */
 };
 
--- a/include/auburnstile/internal/membership.h
+++ b/include/auburnstile/internal/membership.h
@@ -73,7 +73,7 @@
  * control. Messages 1 and 4 carry no ages.
  */
 bool aubi_membership_receive(struct aubi_membership *membership,
-			     const char *from, guint64 start,
+			     const char *from, guint64 sender_incarnation,
 			     const struct aub_gossip *gossip, gint64 now_us);
 
 /*
@@ -152,7 +152,7 @@
  */
 typedef bool aubi_member_filter(const struct aub_member *member, void *context);
 guint aubi_membership_rank(const struct aubi_membership *membership,
-			   aubi_member_filter *same, void *context,
+			   aubi_member_filter *filter, void *context,
 			   gint64 now_us);
 
 G_END_DECLS
--- a/include/auburnstile/internal/membership_table.h
+++ b/include/auburnstile/internal/membership_table.h
@@ -13,7 +13,7 @@
 	struct aub_member *member; /* owned */
 	char *key; /* name, or name#incarnation of a stopped entry */
 	guint32 tag;
-	gint64 last_heard_us; /* last sign of life of any kind; 0: none */
+	gint64 last_seen_us; /* last sign of life of any kind; 0: none */
 	gint64 last_proof_us; /* last sign of life bounded by a round trip */
 	guint64 held_version; /* newest version its control is known to hold */
 	bool reported_live; /* as last reported by aubi_membership_tick() */
--- a/src/coordination/assignments.c
+++ b/src/coordination/assignments.c
@@ -73,21 +73,21 @@
 	struct aubi_assignments *assignments = NULL;
 	JsonObject *root =
 		aub_json_parse(json, length, ERROR_STEP, NULL, error);
-	JsonArray *lines;
+	JsonArray *list;
 	guint i;
 
 	if (!root)
 		return NULL;
-	lines = aub_json_array(root, "assignments");
-	if (!lines) {
+	list = aub_json_array(root, "assignments");
+	if (!list) {
 		aub_error_set(error, AUB_ERROR_INVALID, ERROR_STEP, NULL,
 			      "no list of assignments");
 		goto out;
 	}
 	assignments = aubi_assignments_new();
 	assignments->epoch = version;
-	for (i = 0; i < json_array_get_length(lines); i++) {
-		JsonObject *assignment = aub_json_element(lines, i);
+	for (i = 0; i < json_array_get_length(list); i++) {
+		JsonObject *assignment = aub_json_element(list, i);
 
 		if (assignment)
 			g_ptr_array_add(assignments->list,
--- a/src/coordination/control.c
+++ b/src/coordination/control.c
@@ -52,13 +52,13 @@
 
 bool aubi_control_owns_services(const struct aubi_control *control)
 {
-	const GPtrArray *lines = control->assignments->list;
+	const GPtrArray *list = control->assignments->list;
 	guint i;
 
-	for (i = 0; i < lines->len; i++) {
-		const struct aub_assignment *line = lines->pdata[i];
+	for (i = 0; i < list->len; i++) {
+		const struct aub_assignment *assignment = list->pdata[i];
 
-		if (!strcmp(line->owner, control->settings->name))
+		if (!strcmp(assignment->owner, control->settings->name))
 			return true;
 	}
 	return false;
--- a/src/coordination/control_admin.c
+++ b/src/coordination/control_admin.c
@@ -45,24 +45,24 @@
 
 	for (i = 0; i < members->len; i++) {
 		const struct aub_member *member = members->pdata[i];
-		JsonObject *line;
+		JsonObject *object;
 
 		if (!is_counted(member))
 			continue;
-		line = json_object_new();
-		json_object_set_string_member(line, "member", member->name);
-		json_object_set_int_member(line, "version",
+		object = json_object_new();
+		json_object_set_string_member(object, "member", member->name);
+		json_object_set_int_member(object, "version",
 					   (gint64)member->config_version);
 		json_object_set_string_member(
-			line, "state",
+			object, "state",
 			member->incarnation ||
 					member->state != AUB_MEMBER_LIVE ?
 				aub_member_state_name(member->state) :
 				"no entry");
-		json_object_set_boolean_member(line, "in_force",
+		json_object_set_boolean_member(object, "in_force",
 					       member->config_version >=
 						       version);
-		json_array_add_object_element(list, line);
+		json_array_add_object_element(list, object);
 	}
 	g_ptr_array_unref(members);
 	return list;
@@ -122,29 +122,32 @@
 
 static JsonObject *json_member(const struct aub_member *member)
 {
-	JsonObject *line = json_object_new();
+	JsonObject *object = json_object_new();
 	char *incarnation;
 
 	incarnation =
 		g_strdup_printf("%" G_GINT64_MODIFIER "x", member->incarnation);
-	json_object_set_string_member(line, "name", member->name);
-	json_object_set_string_member(line, "zone", member->zone);
-	json_object_set_string_member(line, "state",
+	json_object_set_string_member(object, "name", member->name);
+	json_object_set_string_member(object, "zone", member->zone);
+	json_object_set_string_member(object, "state",
 				      aub_member_state_name(member->state));
-	json_object_set_string_member(line, "incarnation", incarnation);
-	json_object_set_string_member(line, "callers", member->callers_address);
-	json_object_set_string_member(line, "inner", member->inner_address);
-	json_object_set_string_member(line, "control", member->control_address);
-	json_object_set_string_member(line, "entry_admin", member->entry_admin);
-	json_object_set_string_member(line, "control_admin",
+	json_object_set_string_member(object, "incarnation", incarnation);
+	json_object_set_string_member(object, "callers",
+				      member->callers_address);
+	json_object_set_string_member(object, "inner", member->inner_address);
+	json_object_set_string_member(object, "control",
+				      member->control_address);
+	json_object_set_string_member(object, "entry_admin",
+				      member->entry_admin);
+	json_object_set_string_member(object, "control_admin",
 				      member->control_admin);
-	json_object_set_int_member(line, "age_ms", member->age_ms);
-	json_object_set_int_member(line, "config_version",
+	json_object_set_int_member(object, "age_ms", member->age_ms);
+	json_object_set_int_member(object, "config_version",
 				   (gint64)member->config_version);
-	json_object_set_int_member(line, "load_permille",
+	json_object_set_int_member(object, "load_permille",
 				   member->load_permille);
 	g_free(incarnation);
-	return line;
+	return object;
 }
 
 static JsonArray *json_members(const struct aubi_control *control,
@@ -163,19 +166,22 @@
 
 static JsonArray *json_assignments(const struct aubi_control *control)
 {
-	const GPtrArray *lines = control->assignments->list;
+	const GPtrArray *assignments = control->assignments->list;
 	JsonArray *list = json_array_new();
 	guint i;
 
-	for (i = 0; i < lines->len; i++) {
-		const struct aub_assignment *line = lines->pdata[i];
+	for (i = 0; i < assignments->len; i++) {
+		const struct aub_assignment *assignment = assignments->pdata[i];
 		JsonObject *object = json_object_new();
 
-		json_object_set_string_member(object, "service", line->service);
-		json_object_set_string_member(object, "owner", line->owner);
-		json_object_set_string_member(object, "standby", line->standby);
+		json_object_set_string_member(object, "service",
+					      assignment->service);
+		json_object_set_string_member(object, "owner",
+					      assignment->owner);
+		json_object_set_string_member(object, "standby",
+					      assignment->standby);
 		json_object_set_int_member(object, "epoch",
-					   (gint64)line->epoch);
+					   (gint64)assignment->epoch);
 		json_array_add_object_element(list, object);
 	}
 	return list;
--- a/src/coordination/control_entry.c
+++ b/src/coordination/control_entry.c
@@ -48,13 +48,13 @@
 static void copy_assignments(struct aubi_entry_task *task,
 			     struct aub_view *view)
 {
-	const GPtrArray *lines = task->control->assignments->list;
+	const GPtrArray *list = task->control->assignments->list;
 	guint i;
 
 	view->epoch = task->control->assignments->epoch;
-	for (i = 0; i < lines->len; i++)
+	for (i = 0; i < list->len; i++)
 		g_ptr_array_add(view->assignments,
-				aub_assignment_copy(lines->pdata[i]));
+				aub_assignment_copy(list->pdata[i]));
 }
 
 /* Includes the configuration's bytes only while they are not acknowledged. */
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -35,8 +35,8 @@
 struct aubi_peers {
 	struct aubi_control *control;
 	struct aub_link_server *server;
-	GHashTable *outward; /* address -> struct peer, owned */
-	GHashTable *inward; /* set of struct peer, owned */
+	GHashTable *outbound; /* address -> struct peer, owned */
+	GHashTable *inbound; /* set of struct peer, owned */
 	guint gossip_timer;
 	gint64 pulled_us;
 	guint64 pulled_version;
@@ -63,9 +63,9 @@
 static void peer_drop(struct peer *peer)
 {
 	if (peer->address)
-		g_hash_table_remove(peer->task->outward, peer->address);
+		g_hash_table_remove(peer->task->outbound, peer->address);
 	else
-		g_hash_table_remove(peer->task->inward, peer);
+		g_hash_table_remove(peer->task->inbound, peer);
 }
 
 static void peer_send(struct peer *peer, const struct aub_message *message)
@@ -310,7 +310,7 @@
 	peer->task = task;
 	peer->link = link;
 	peer->used_us = now(task);
-	g_hash_table_add(task->inward, peer);
+	g_hash_table_add(task->inbound, peer);
 	*context = peer;
 	return &peer_callbacks;
 }
@@ -329,7 +329,7 @@
 
 static struct peer *connect_to(struct aubi_peers *task, const char *address)
 {
-	struct peer *peer = g_hash_table_lookup(task->outward, address);
+	struct peer *peer = g_hash_table_lookup(task->outbound, address);
 	struct aub_hello *hello;
 
 	if (peer)
@@ -340,7 +340,7 @@
 	peer->task = task;
 	peer->address = g_strdup(address);
 	peer->used_us = now(task);
-	g_hash_table_insert(task->outward, peer->address, peer);
+	g_hash_table_insert(task->outbound, peer->address, peer);
 	peer->link = aub_link_connect(address, hello, CONNECT_TIMEOUT_MS,
 				      &peer_callbacks, peer);
 	aub_message_free(&hello->base);
@@ -403,8 +403,8 @@
 {
 	struct aubi_peers *task = context;
 
-	g_hash_table_foreach_remove(task->outward, should_close, NULL);
-	g_hash_table_foreach_remove(task->inward, should_close, NULL);
+	g_hash_table_foreach_remove(task->outbound, should_close, NULL);
+	g_hash_table_foreach_remove(task->inbound, should_close, NULL);
 	begin_exchange(task);
 }
 
@@ -414,9 +414,9 @@
 	struct aub_hello *hello;
 
 	task->control = control;
-	task->outward =
+	task->outbound =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, peer_free);
-	task->inward = g_hash_table_new_full(NULL, NULL, peer_free, NULL);
+	task->inbound = g_hash_table_new_full(NULL, NULL, peer_free, NULL);
 	hello = (struct aub_hello *)aub_message_new(AUB_MESSAGE_HELLO);
 	aubi_peers_fill_hello(control, hello);
 	task->server = aub_link_server_new(control->settings->inner, hello,
@@ -438,7 +438,7 @@
 		return;
 	aub_timer_cancel(task->control->timers, task->gossip_timer);
 	aub_link_server_free(task->server);
-	g_hash_table_destroy(task->outward);
-	g_hash_table_destroy(task->inward);
+	g_hash_table_destroy(task->outbound);
+	g_hash_table_destroy(task->inbound);
 	g_free(task);
 }
--- a/src/coordination/dispatch_probes.c
+++ b/src/coordination/dispatch_probes.c
@@ -54,7 +54,7 @@
 	g_free(probes);
 }
 
-static void on_done(bool answered, const struct aub_upstream_signals *signs,
+static void on_done(bool answered, const struct aub_upstream_signals *signals,
 		    guint32 busy, void *context)
 {
 	struct probe *probe = context;
@@ -64,7 +64,7 @@
 		.upstream = probe->upstream,
 		.inventory = probe->inventory,
 		.answered = answered,
-		.signs = signs,
+		.signals = signals,
 		.busy = busy,
 	};
 
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -33,7 +33,7 @@
 	struct service *service;
 	const struct aub_call *call; /* NULL: the caller no longer waits */
 	guint64 id;
-	bool once;
+	bool at_most_once;
 	GPtrArray *attempts; /* of struct attempt, still open */
 	/* Complete answers, awaiting a decision. */
 	struct aub_answer *answers[2];
@@ -278,7 +278,7 @@
 };
 
 static void on_attempt_done(enum aub_attempt_result result,
-			    const struct aub_upstream_signals *signs,
+			    const struct aub_upstream_signals *signals,
 			    struct aub_answer *answer, const GError *error,
 			    void *context)
 {
@@ -304,7 +304,7 @@
 	g_hash_table_remove(task->attempts, attempt);
 	g_free(attempt);
 	aub_dispatcher_attempt_done(service->dispatcher, request->id, number,
-				    result, signs, now(task));
+				    result, signals, now(task));
 	free_if_done(request);
 	run_actions(service);
 }
@@ -336,7 +336,7 @@
 	else if (is_retry)
 		record_event(attempt, AUB_EVENT_RETRIED, action->attempt, NULL);
 	record_event(attempt, AUB_EVENT_DISPATCHED, action->attempt,
-		     request->once ? "once" : NULL);
+		     request->at_most_once ? "once" : NULL);
 	attempt->handle =
 		aub_upstream_send(client, request->call, is_retry,
 				  action->timeout_us, on_attempt_done, attempt);
@@ -368,8 +368,8 @@
 	if (upstream == AUB_NO_HANDLE)
 		return;
 	aub_dispatcher_probe_done(service->dispatcher, upstream,
-				  report->answered, report->signs, report->busy,
-				  now(task));
+				  report->answered, report->signals,
+				  report->busy, now(task));
 	run_actions(service);
 }
 
@@ -504,7 +504,7 @@
 	request->service = service;
 	request->call = call;
 	request->id = call->id;
-	request->once = call->once;
+	request->at_most_once = call->once;
 	request->attempts = g_ptr_array_new();
 	request->callback = callback;
 	request->context = context;
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -100,7 +100,7 @@
 			return false;
 		record = aubi_membership_insert(membership,
 						g_strdup(member->name), member);
-		record->last_heard_us = MAX(1, now_us - age_us);
+		record->last_seen_us = MAX(1, now_us - age_us);
 		return true;
 	}
 	if (compare_records(member, record->member) < 0 &&
@@ -111,7 +111,7 @@
 		return false;
 	old = record->member;
 	record->member = aub_member_copy(member);
-	record->last_heard_us = MAX(record->last_heard_us, now_us - age_us);
+	record->last_seen_us = MAX(record->last_seen_us, now_us - age_us);
 	if (old->incarnation != member->incarnation)
 		aubi_membership_retain_stopped(membership, old, now_us);
 	if (old->control_incarnation != member->control_incarnation)
@@ -197,7 +197,7 @@
 }
 
 bool aubi_membership_receive(struct aubi_membership *membership,
-			     const char *from, guint64 start,
+			     const char *from, guint64 sender_incarnation,
 			     const struct aub_gossip *gossip, gint64 now_us)
 {
 	struct aubi_member_record *sender;
@@ -211,8 +211,8 @@
 		aubi_membership_rehash(membership);
 	sender = aubi_membership_find(membership, from);
 	if (sender && sender != membership->self &&
-	    sender->member->control_incarnation == start)
-		sender->last_heard_us = now_us;
+	    sender->member->control_incarnation == sender_incarnation)
+		sender->last_seen_us = now_us;
 	if (gossip->ages.length)
 		receive_ages(membership, gossip, now_us);
 	return changed;
--- a/src/coordination/idempotency.c
+++ b/src/coordination/idempotency.c
@@ -203,7 +203,7 @@
 	const struct aub_key_record *record = NULL;
 	guint8 fingerprint[AUB_FINGERPRINT_BYTES];
 	const char *authorization;
-	enum aub_key_decision verdict;
+	enum aub_key_decision decision;
 	const char *cookie;
 
 	authorization = aub_headers_find(call->headers, "Authorization");
@@ -211,14 +211,14 @@
 	aub_request_fingerprint(call->method, call->path, &call->body,
 				authorization ? authorization : "",
 				cookie ? cookie : "", fingerprint);
-	verdict = aub_key_table_begin(idempotency->table, call->key,
-				      fingerprint, grant_age_us(call->key),
-				      now(idempotency), &record);
-	if (verdict == AUB_KEY_RECORDED)
+	decision = aub_key_table_begin(idempotency->table, call->key,
+				       fingerprint, grant_age_us(call->key),
+				       now(idempotency), &record);
+	if (decision == AUB_KEY_RECORDED)
 		*cached = cached_answer(record);
-	else if (verdict == AUB_KEY_RUNNING)
+	else if (decision == AUB_KEY_RUNNING)
 		add_waiter(idempotency, call->key, waiter, context);
-	return verdict;
+	return decision;
 }
 
 void aub_idempotency_stop_waiting(struct aub_idempotency *idempotency,
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -119,9 +119,9 @@
 	       record->member->state != AUB_MEMBER_STOPPED;
 }
 
-static gint64 last_sign_us(const struct aubi_member_record *record)
+static gint64 latest_seen_us(const struct aubi_member_record *record)
 {
-	return MAX(record->last_heard_us, record->last_proof_us);
+	return MAX(record->last_seen_us, record->last_proof_us);
 }
 
 static bool is_live(const struct aubi_membership *membership,
@@ -131,15 +131,15 @@
 		return false;
 	if (record == membership->self)
 		return true;
-	return last_sign_us(record) &&
-	       now_us - last_sign_us(record) < AUBI_MEMBER_TIMEOUT_US;
+	return latest_seen_us(record) &&
+	       now_us - latest_seen_us(record) < AUBI_MEMBER_TIMEOUT_US;
 }
 
 guint32 aubi_membership_age_ms(const struct aubi_membership *membership,
 			       const struct aubi_member_record *record,
 			       gint64 now_us)
 {
-	gint64 age_us = now_us - last_sign_us(record);
+	gint64 age_us = now_us - latest_seen_us(record);
 
 	if (record == membership->self)
 		return 0;
@@ -207,7 +207,7 @@
 		return false;
 	}
 	record = aubi_membership_insert(membership, key, stopped);
-	record->last_heard_us = MAX(1, now_us - (gint64)stopped->age_ms * 1000);
+	record->last_seen_us = MAX(1, now_us - (gint64)stopped->age_ms * 1000);
 	return true;
 }
 
@@ -264,7 +264,7 @@
 		       const struct aubi_member_record *record, bool forget,
 		       gint64 now_us)
 {
-	gint64 age_us = now_us - last_sign_us(record);
+	gint64 age_us = now_us - latest_seen_us(record);
 
 	if (record == membership->self)
 		return false;
@@ -479,7 +479,7 @@
 }
 
 guint aubi_membership_rank(const struct aubi_membership *membership,
-			   aubi_member_filter *same, void *context,
+			   aubi_member_filter *filter, void *context,
 			   gint64 now_us)
 {
 	const struct aub_member *self = membership->self->member;
@@ -492,7 +492,7 @@
 
 		if (!is_live(membership, record, now_us))
 			continue;
-		if (same && !same(record->member, context))
+		if (filter && !filter(record->member, context))
 			continue;
 		if (outranks(record->member, self))
 			rank++;
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -372,15 +372,16 @@
  */
 static bool check_peer(struct peer *peer, gint64 now_us)
 {
-	gint64 heard_us;
+	gint64 last_received_us;
 
 	if (!peer->link)
 		return false;
 	if (!peer->watched && !g_hash_table_size(peer->calls))
 		return false;
-	heard_us = MAX(aub_link_last_received_us(peer->link), peer->up_us);
+	last_received_us =
+		MAX(aub_link_last_received_us(peer->link), peer->up_us);
 	if (peer->state == AUB_PEER_UP && peer->last_ping &&
-	    now_us - heard_us > LINK_TIMEOUT_US)
+	    now_us - last_received_us > LINK_TIMEOUT_US)
 		return true;
 	if (peer->state == AUB_PEER_UP)
 		send_ping(peer->link, ++peer->last_ping);
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -207,8 +207,8 @@
 	return true;
 }
 
-static void on_key_owner_finished(const struct aub_answer *answer,
-				  void *context)
+static void on_running_request_ended(const struct aub_answer *answer,
+				     void *context)
 {
 	struct routed_request *request = context;
 
@@ -236,7 +236,7 @@
 	struct aub_answer *cached = NULL;
 
 	switch (aub_idempotency_begin(idempotency, request->call,
-				      on_key_owner_finished, request,
+				      on_running_request_ended, request,
 				      &cached)) {
 	case AUB_KEY_NEW:
 		request->holds_key = true;
--- a/src/coordination/store_changes.c
+++ b/src/coordination/store_changes.c
@@ -59,18 +59,18 @@
 			  bool mass_expiry, gint64 now_us)
 {
 	struct aub_timer_service *timers = task->sync->options.timers;
-	gint64 until = task->recovered_us + MASS_EXPIRY_HOLD_US;
+	gint64 until_us = task->recovered_us + MASS_EXPIRY_HOLD_US;
 
 	if (!g_hash_table_contains(task->existing_names, name))
 		return;
-	if (!mass_expiry || !task->recovered_us || now_us >= until) {
+	if (!mass_expiry || !task->recovered_us || now_us >= until_us) {
 		report_removed(task, name);
 		return;
 	}
 	g_hash_table_add(task->withheld_removals, g_strdup(name));
 	if (!task->removal_timer)
 		task->removal_timer =
-			aub_timer_at(timers, "lapsed", until,
+			aub_timer_at(timers, "lapsed", until_us,
 				     report_withheld_removals, task);
 }
 
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -167,20 +167,21 @@
 static gint64 retry_max_us(const struct aub_store_sync_task *task)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
-	gint64 us =
+	gint64 interval_us =
 		options->fleet_size(options->context) * RETRY_PER_GATEWAY_US;
 
-	return CLAMP(us, AUB_STORE_RETRY_MAX_US, RETRY_LARGE_FLEET_MAX_US);
+	return CLAMP(interval_us, AUB_STORE_RETRY_MAX_US,
+		     RETRY_LARGE_FLEET_MAX_US);
 }
 
 static void store_failed(struct aub_store_sync_task *task, const char *why)
 {
-	gint64 now = aub_timer_now(task->sync->options.timers);
+	gint64 now_us = aub_timer_now(task->sync->options.timers);
 
 	if (!task->failing) {
 		log_store_event(task, AUB_LOG_STORE_LOST, why,
-				now - task->answered_us);
-		task->failing_since_us = now;
+				now_us - task->answered_us);
+		task->failing_since_us = now_us;
 	}
 	task->failing = true;
 	if (!is_recovery_probe(task))
@@ -216,7 +217,7 @@
 		       gsize length)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
-	gint64 now = aub_timer_now(options->timers);
+	gint64 now_us = aub_timer_now(options->timers);
 	GError *error = NULL;
 	struct aub_store_page *page =
 		options->platform->decode_page(task->kind, body, length,
@@ -230,14 +231,14 @@
 		return;
 	}
 	aub_store_count_result(task->sync, task->kind, AUB_STORE_ANSWERED);
-	store_answered(task, now);
+	store_answered(task, now_us);
 	if (task->step == AUB_STORE_LIST) {
-		aub_store_apply_listing(task, page, now);
+		aub_store_apply_listing(task, page, now_us);
 		run_task(task);
 	} else {
 		gint64 before = task->changed_revision;
 
-		aub_store_apply_changes(task, page, now);
+		aub_store_apply_changes(task, page, now_us);
 		if (page->records->len)
 			options->share(task->kind, before,
 				       task->changed_revision, body, length,
@@ -292,11 +293,11 @@
  */
 static bool may_watch(const struct aub_store_sync_task *task)
 {
-	enum aub_watch_duty now = duty(task);
+	enum aub_watch_duty watch_duty = duty(task);
 
 	if (task->kind == AUB_STORE_ROLLOUTS)
-		return is_followed(task) && now == AUB_WATCH_PRIMARY;
-	return is_followed(task) && now != AUB_WATCH_NONE;
+		return is_followed(task) && watch_duty == AUB_WATCH_PRIMARY;
+	return is_followed(task) && watch_duty != AUB_WATCH_NONE;
 }
 
 static guint watch_ms(const struct aub_store_sync_task *task)
@@ -510,14 +511,14 @@
 
 gint64 aub_store_sync_unavailable_us(const struct aub_store_sync *sync)
 {
-	gint64 now = aub_timer_now(sync->options.timers);
+	gint64 now_us = aub_timer_now(sync->options.timers);
 	gint64 longest = 0;
 
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
 		const struct aub_store_sync_task *task = &sync->tasks[i];
 
 		if (i != AUB_STORE_MEMBERS && task->failing)
-			longest = MAX(longest, now - task->failing_since_us);
+			longest = MAX(longest, now_us - task->failing_since_us);
 	}
 	return longest;
 }
--- a/tests/test_agreement.cc
+++ b/tests/test_agreement.cc
@@ -9,7 +9,7 @@
 
 #include "simulated_fleet.h"
 
-TEST(Agreement, VersionsOnlyRise)
+TEST(Agreement, VersionsNeverDecrease)
 {
 	struct aubi_agreement agreement = aubi_agreement_start(1);
 
--- a/tests/test_idempotency.cc
+++ b/tests/test_idempotency.cc
@@ -13,10 +13,10 @@
 const guint64 SELF = 100;
 
 /* An entry that receives keys and never acknowledges them. */
-class SilentSuccessor
+class UnresponsiveSuccessor
 {
       public:
-	SilentSuccessor(const char *name, guint64 incarnation)
+	UnresponsiveSuccessor(const char *name, guint64 incarnation)
 	{
 		GSocketListener *listener = g_socket_listener_new();
 		guint16 port = g_socket_listener_add_any_inet_port(listener,
@@ -38,7 +38,7 @@
 		EXPECT_NE(server, nullptr);
 	}
 
-	~SilentSuccessor()
+	~UnresponsiveSuccessor()
 	{
 		aub_link_free(link);
 		aub_link_server_free(server);
@@ -60,7 +60,7 @@
 			.down = on_down,
 		};
 
-		((SilentSuccessor *)server_context)->link = link;
+		((UnresponsiveSuccessor *)server_context)->link = link;
 		*context = server_context;
 		return &callbacks;
 	}
@@ -69,14 +69,14 @@
 			       struct aub_message *message, void *context)
 	{
 		if (message->type == AUB_MESSAGE_KEYS)
-			((SilentSuccessor *)context)->received_parts++;
+			((UnresponsiveSuccessor *)context)->received_parts++;
 		aub_message_free(message);
 	}
 
 	static void on_down(struct aub_link *link, const GError *error,
 			    void *context)
 	{
-		((SilentSuccessor *)context)->link = NULL;
+		((UnresponsiveSuccessor *)context)->link = NULL;
 		aub_link_free(link);
 	}
 
@@ -135,7 +135,7 @@
 		struct aub_view *message =
 			(struct aub_view *)aub_message_new(AUB_MESSAGE_VIEW);
 
-		for (const SilentSuccessor *one : { &first, &second })
+		for (const UnresponsiveSuccessor *one : { &first, &second })
 			g_ptr_array_add(message->members,
 					aub_member_copy(one->member));
 		message->serve = true;
@@ -156,8 +156,8 @@
 		test->done = true;
 	}
 
-	SilentSuccessor first{ "first", 201 };
-	SilentSuccessor second{ "second", 202 };
+	UnresponsiveSuccessor first{ "first", 201 };
+	UnresponsiveSuccessor second{ "second", 202 };
 	struct aub_hello *hello;
 	struct aub_timer_service *timers;
 	struct aub_entry_view *view;
