--- a/include/auburnstile/internal/agreement.h
+++ b/include/auburnstile/internal/agreement.h
@@ -4,6 +4,9 @@
  * may take new work, whether operators' changes may be accepted, and which
  * controls watch the store.
  *
+ * A member is called reachable while it was proved alive, directly or through
+ * other members, within the last AUBI_CONFIG_FRESH_MAX_US.
+ *
  * Pure logic without I/O: the caller passes the current time as `now_us`.
  * agreement_notes.txt discusses the rule.
  */
@@ -14,20 +17,21 @@
 
 G_BEGIN_DECLS
 
-/* An older confirmation is not relied on. */
+/* Older confirmations and proofs of life are not relied on. */
 #define AUBI_CONFIG_FRESH_MAX_US ((gint64)3000000)
-/* Longest serving lease handed out. */
+/* Longest serving lease that is granted. */
 #define AUBI_SERVE_LEASE_MAX_US ((gint64)1500000)
+/* Controls of one region that watch the store. */
 #define AUBI_STORE_WATCHERS_PER_REGION 2
 
 struct aubi_agreement {
-	guint64 config_version; /* version held; never decreases */
-	guint64 epoch; /* version of the assignments held; never decreases */
+	guint64 config_version; /* current version; never decreases */
+	guint64 epoch; /* version of the current assignments; never decreases */
 	guint64 confirmed_version; /* newest version known to be in the store */
 	gint64 confirmed_us; /* when it was known to be the newest; 0: never */
 	gint64 store_answered_us; /* last answer from the store itself */
 	guint64 peer_version; /* newest version that a peer reported */
-	/* Since when peer_version is newer than the version held. */
+	/* Since when peer_version is newer than the current version. */
 	gint64 behind_since_us;
 	gint64 last_serving_us; /* last time a serving lease could be granted */
 	gint64 started_us;
@@ -37,8 +41,8 @@
 struct aubi_agreement aubi_agreement_start(gint64 now_us);
 
 /*
- * Adopts a version if it is newer than the one held. Returns false, without any
- * change, for a stale read, a peer that is behind, or the version already held.
+ * Adopts a version if it is newer than the current one. Returns false, without
+ * any change, for a stale read, a peer that is behind, or the current version.
  */
 bool aubi_agreement_adopt_config(struct aubi_agreement *agreement,
 				 guint64 version);
@@ -47,8 +51,8 @@
 
 /*
  * Records that `version` was the newest configuration at `at_us`, according to
- * the store or to a peer that was informed by it. A version older than the one
- * held is ignored.
+ * the store or to a peer that was informed by it. A version older than the
+ * current one is ignored.
  */
 void aubi_agreement_confirm(struct aubi_agreement *agreement, guint64 version,
 			    gint64 at_us);
@@ -64,16 +68,16 @@
 bool aubi_agreement_is_behind(const struct aubi_agreement *agreement);
 
 /*
- * Returns the time in us since the held configuration was last confirmed to be
- * the newest, or AUBI_AGE_UNKNOWN_US.
+ * Returns the time in us since the current configuration was last confirmed to
+ * be the newest, or AUBI_AGE_UNKNOWN_US.
  */
 gint64 aubi_agreement_config_age_us(const struct aubi_agreement *agreement,
 				    gint64 now_us);
 
 /*
  * Returns how long the entry may continue to take new work, in us; 0 if it may
- * not. The lease is positive while a configuration is held and either it was
- * confirmed recently, or so many members are heard that the remaining ones
+ * not. The lease is positive while there is a configuration and either it was
+ * confirmed recently, or so many members are reachable that the remaining ones
  * cannot be a majority.
  */
 gint64 aubi_agreement_serve_lease_us(const struct aubi_agreement *agreement,
@@ -90,7 +94,7 @@
 
 /*
  * Returns true if an operator's change may be written by this control, which
- * requires recent proofs of life from a majority.
+ * requires that a majority is reachable.
  */
 bool aubi_agreement_can_accept_changes(const struct aubi_membership *membership,
 				       gint64 now_us);
--- a/include/auburnstile/internal/control.h
+++ b/include/auburnstile/internal/control.h
@@ -2,7 +2,7 @@
  * The control process of one VM: tasks that own their sockets and state, and
  * the hub that informs the tasks of each other's changes.
  *
- *   control.c         hub: state held, periodic tick, planned stop
+ *   control.c         hub: shared state, periodic tick, planned stop
  *   control_peers.c   gossip and configuration exchange with other controls
  *   control_store.c   watches the store, proposes assignments
  *   control_entry.c   views sent to the local entry, its acknowledgements
@@ -120,8 +120,13 @@
 /* Returns the region of `zone`, "" if it is unknown; borrowed. */
 const char *aubi_control_region(const struct aubi_control *control,
 				const char *zone);
+/*
+ * Returns the number of live members that rank before this one, in the whole
+ * fleet or in this control's region; see aubi_membership_rank().
+ */
 guint aubi_control_rank(const struct aubi_control *control, bool in_region,
 			gint64 now_us);
+/* Returns true if this member owns a service by the current assignments. */
 bool aubi_control_owns_services(const struct aubi_control *control);
 
 /* config_history.c: recent configurations, the current one last. */
--- a/include/auburnstile/internal/control_json.h
+++ b/include/auburnstile/internal/control_json.h
@@ -24,8 +24,8 @@
 
 /*
  * Returns true if `version` or a newer one is active at each live member that
- * has an entry. A member not heard for three seconds takes no new work, so it
- * is not waited for.
+ * has an entry. A member that is dead, that is, was not seen for three seconds,
+ * takes no new work and is not waited for.
  */
 bool aubi_config_active_everywhere(const struct aubi_control *control,
 				   guint64 version, gint64 now_us);
--- a/include/auburnstile/internal/dispatch_probes.h
+++ b/include/auburnstile/internal/dispatch_probes.h
@@ -12,7 +12,7 @@
 struct aub_probe_report {
 	const char *service;
 	const char *upstream;
-	/* The one at the time of sending. */
+	/* The inventory at the time of sending. */
 	const struct aub_inventory *inventory;
 	bool answered;
 	const struct aub_upstream_signals *signals;
--- a/include/auburnstile/internal/entry_internal.h
+++ b/include/auburnstile/internal/entry_internal.h
@@ -32,7 +32,7 @@
 	struct aub_relay *relay;
 	struct aub_caller_server *callers;
 	struct aub_admin *admin;
-	/* Borrowed: the one last configured. */
+	/* Inventory last passed to `dispatch`; borrowed. */
 	const struct aub_inventory *inventory;
 	bool local_only;
 
--- a/include/auburnstile/internal/entry_view.h
+++ b/include/auburnstile/internal/entry_view.h
@@ -1,5 +1,5 @@
 /*
- * The state by which an entry works, as last received from its control:
+ * The state that an entry works with, as last received from its control:
  * configuration, assignments, members, and the lease during which it may take
  * new work.
  */
--- a/include/auburnstile/internal/idempotency.h
+++ b/include/auburnstile/internal/idempotency.h
@@ -1,6 +1,9 @@
 /*
- * Idempotency keys: locates the entry that owns a key, lets repeated requests
- * wait for the running one, and transfers the keys at a planned stop.
+ * Idempotency keys. A caller puts a key into a request that may be executed at
+ * most once; requests with the same key are repeats of it. Each key is owned by
+ * the entry whose grant it contains. This module locates the owner of a key,
+ * lets repeats wait for the running request, and transfers the keys at a
+ * planned stop.
  */
 #ifndef AUBURNSTILE_INTERNAL_IDEMPOTENCY_H
 #define AUBURNSTILE_INTERNAL_IDEMPOTENCY_H
@@ -32,7 +35,7 @@
 enum aub_key_location {
 	AUB_KEY_LOCATION_HERE,
 	AUB_KEY_LOCATION_REMOTE, /* at another member */
-	/* No entry still knows which requests ran under it. */
+	/* No entry knows any more which requests ran under it. */
 	AUB_KEY_LOCATION_LOST,
 	AUB_KEY_LOCATION_INVALID /* no entry issued such a grant */
 };
--- a/include/auburnstile/internal/membership.h
+++ b/include/auburnstile/internal/membership.h
@@ -27,11 +27,15 @@
 
 G_BEGIN_DECLS
 
-/* Without a proof of life: dead. */
+/* A member that was not seen for this long counts as dead. */
 #define AUBI_MEMBER_TIMEOUT_US ((gint64)3000000)
-/* Until a dead member is forgotten. */
+/* Time after which a dead member is forgotten. */
 #define AUBI_MEMBER_DEAD_RETENTION_US ((gint64)900000000)
-/* Longer than keys are retained. */
+/*
+ * Time for which the record of a stopped entry is retained, so that the
+ * successor for its keys can be found. Longer than keys are retained by
+ * default.
+ */
 #define AUBI_MEMBER_STOPPED_RETENTION_US ((gint64)3900000000)
 #define AUBI_GOSSIP_INTERVAL_US ((gint64)333000) /* between exchanges */
 #define AUBI_AGE_UNKNOWN_US G_MAXINT64 /* an age that is not known */
@@ -60,7 +64,7 @@
 void aubi_membership_update_self(struct aubi_membership *membership,
 				 const struct aub_member *self, gint64 now_us);
 
-/* Returns true once a newer process with the same name has been heard. */
+/* Returns true once a newer process with the same name is known. */
 bool aubi_membership_superseded(const struct aubi_membership *membership);
 
 /* Fills in message 1. The caller sets the versions and the store's state. */
@@ -91,15 +95,15 @@
 gint64 aubi_gossip_delay_us(const struct aub_gossip *gossip, gint64 now_us);
 
 /*
- * Removes expired records and detects members that have become silent. Returns
+ * Removes expired records and detects members that are no longer seen. Returns
  * true if a state changed. Dead members are only forgotten while a majority is
- * heard.
+ * reachable.
  */
 bool aubi_membership_tick(struct aubi_membership *membership, gint64 now_us);
 
 /*
- * Marks all members that are not heard as permanently gone, on behalf of an
- * operator: they no longer count here or at any member that learns of it.
+ * Marks all dead members as permanently departed, on behalf of an operator:
+ * they no longer count here or at any member that learns of it.
  * Returns their number. A member that is alive after all increments its own
  * revision when it receives that record.
  */
@@ -146,9 +150,9 @@
 
 /*
  * Returns the number of live members that rank before this one and for which
- * `same` returns true; `same` may be NULL. Members are ranked by start time,
- * oldest first, so that a restart does not take a duty away from those that
- * have it.
+ * `filter` returns true; `filter` may be NULL. Members are ranked by start
+ * time, oldest first, so that a restart does not take a duty away from those
+ * that have it.
  */
 typedef bool aubi_member_filter(const struct aub_member *member, void *context);
 guint aubi_membership_rank(const struct aubi_membership *membership,
--- a/include/auburnstile/internal/membership_table.h
+++ b/include/auburnstile/internal/membership_table.h
@@ -13,8 +13,8 @@
 	struct aub_member *member; /* owned */
 	char *key; /* name, or name#incarnation of a stopped entry */
 	guint32 tag;
-	gint64 last_seen_us; /* last sign of life of any kind; 0: none */
-	gint64 last_proof_us; /* last sign of life bounded by a round trip */
+	gint64 last_seen_us; /* last message or relayed sign of life; 0: none */
+	gint64 last_proof_us; /* last proof of life; see membership.h */
 	guint64 held_version; /* newest version its control is known to hold */
 	bool reported_live; /* as last reported by aubi_membership_tick() */
 };
--- a/include/auburnstile/internal/relay.h
+++ b/include/auburnstile/internal/relay.h
@@ -97,8 +97,7 @@
 
 /*
  * Keeps a link to this member open and checks frequently whether it responds.
- * aub_relay_unwatch_all() ends all watches; the links stay open until they are
- * unused.
+ * aub_relay_unwatch_all() ends all watches; the links stay open.
  */
 void aub_relay_watch(struct aub_relay *relay, const struct aub_member *member);
 void aub_relay_unwatch_all(struct aub_relay *relay);
--- a/include/auburnstile/internal/request_router.h
+++ b/include/auburnstile/internal/request_router.h
@@ -1,7 +1,8 @@
 /*
- * Routes a request through an entry: to the owner of its key, to the owner of
- * its service's queue, to an upstream, and back to the caller with exactly one
- * answer.
+ * Routes a request through an entry: to the owner of its idempotency key, to
+ * the owner of its service's queue, to an upstream, and back to the caller with
+ * exactly one answer. Both owners may be this entry or another one, to which
+ * the request is then relayed.
  */
 #ifndef AUBURNSTILE_INTERNAL_REQUEST_ROUTER_H
 #define AUBURNSTILE_INTERNAL_REQUEST_ROUTER_H
--- a/include/auburnstile/internal/routed_request.h
+++ b/include/auburnstile/internal/routed_request.h
@@ -1,6 +1,7 @@
 /*
- * One request in the request router, and request statistics. Shared only by the
- * files of the router.
+ * A routed request: one request from its arrival at this entry, from a caller
+ * or another entry, to its answer. Also request statistics. Shared only by the
+ * files of the request router.
  */
 #ifndef AUBURNSTILE_INTERNAL_ROUTED_REQUEST_H
 #define AUBURNSTILE_INTERNAL_ROUTED_REQUEST_H
@@ -20,7 +21,7 @@
 	ROUTED_WAITING_FOR_KEY, /* for the running request with the same key */
 	ROUTED_DISPATCHED, /* in this entry's dispatcher */
 	ROUTED_RELAYED, /* sent to another entry */
-	ROUTED_DELAYED /* will be routed again soon */
+	ROUTED_DELAYED /* will be routed again after a short delay */
 };
 
 struct routed_request {
--- a/include/auburnstile/internal/store_sync_internal.h
+++ b/include/auburnstile/internal/store_sync_internal.h
@@ -27,9 +27,9 @@
 	/* Names reported as removed, withheld from users. */
 	GHashTable *withheld_removals;
 	guint removal_timer;
-	gint64 answered_us;
+	gint64 answered_us; /* last answer of the store; 0: none */
 	gint64 recovered_us; /* when the store answered again after an outage */
-	gint64 retry_us;
+	gint64 retry_us; /* delay before the next retry */
 	gint64 changed_revision; /* revision of the last change known here */
 	/*
 	 * The same, or a later one up to which no change of this kind is known
@@ -43,7 +43,10 @@
 	gint64 awaited_revision;
 	gint64 overdue_revision; /* did not arrive in time: must be fetched */
 	bool listed;
-	/* The last listing's history was gone: list without cached results. */
+	/*
+	 * Changes since the last, cached listing were no longer available: list
+	 * without cached results.
+	 */
 	bool consistent_listing;
 	/* No changes received since a cached listing. */
 	bool listing_unconfirmed;
--- a/src/coordination/agreement.c
+++ b/src/coordination/agreement.c
@@ -2,20 +2,27 @@
  * Monotonic versions, freshness of the configuration, and the two majority
  * rules that keep an accepted configuration active everywhere.
  *
- * With N members known, a change is written only where more than N/2 are heard,
- * and it is called accepted only once more than N/2 hold it. A process that
- * cannot reach the store takes new work only where at least N/2 are heard.
- * Every serving process therefore hears a member that holds each accepted
- * version.
+ * With N members known, a change is written only where more than N/2 are
+ * reachable, and it is called accepted only once more than N/2 hold it. A
+ * process that cannot reach the store takes new work only where at least N/2
+ * are reachable. Every serving process can therefore reach a member that holds
+ * the accepted version.
  */
 #include <auburnstile/internal/agreement.h>
 
-/* After a start, only peers are asked. */
+/* Time after a start in which a control asks only its peers. */
 #define STARTUP_GRACE_US ((gint64)1000000)
-/* Half of AUBI_CONFIG_FRESH_MAX_US. */
+/*
+ * A control without a confirmation for this long watches the store itself. Half
+ * of AUBI_CONFIG_FRESH_MAX_US.
+ */
 #define CONFIRMATION_OVERDUE_US ((gint64)1500000)
-/* A pull from a peer takes much less. */
+/*
+ * Time for a control that is behind to pull the newer version from a peer,
+ * which takes much less.
+ */
 #define BEHIND_GRACE_US ((gint64)1000000)
+/* Minimum duration of a watch. */
 #define WATCH_MIN_US ((gint64)5000000)
 
 struct aubi_agreement aubi_agreement_start(gint64 now_us)
@@ -90,7 +97,7 @@
 	return MAX(now_us - agreement->confirmed_us, 0);
 }
 
-/* Returns the age of the proof that the members not heard are no majority. */
+/* Returns the age of the proof that unreachable members are no majority. */
 static gint64 half_proof_age_us(const struct aubi_membership *membership,
 				gint64 now_us)
 {
@@ -101,8 +108,8 @@
 }
 
 /*
- * A control that resumes after a pause or a partition hears all its peers at
- * the same moment, shortly before it has pulled the version they hold. A
+ * A control that resumes after a pause or a partition receives gossip from all
+ * its peers at the same moment, shortly before it has pulled their version. A
  * serving lease for the old version would send requests to a zone that was
  * taken out. A control that could not grant a lease within the last second
  * therefore gets none while it is behind, and one that could may continue for
@@ -133,7 +140,7 @@
 	 * A process without contact to store and peers would never learn of a
 	 * change and would keep sending requests to a zone that was taken out.
 	 * The lease ends AUBI_CONFIG_FRESH_MAX_US after the last proof wherever
-	 * the process hangs, because it is handed out as remaining time.
+	 * the process hangs, because it is granted as remaining time.
 	 */
 	if (age_us >= AUBI_CONFIG_FRESH_MAX_US)
 		return 0;
@@ -166,10 +173,10 @@
 	/*
 	 * A partition may begin between the last proof of life and the write. A
 	 * majority would then continue with the old version while the partition
-	 * lasts, although operators were told that the new one is accepted. The
-	 * change is therefore only reported as accepted once a majority holds
-	 * it: every process that serves without the store hears one of these
-	 * members.
+	 * lasts, although the new one was reported to operators as accepted.
+	 * The change is therefore only reported as accepted once a majority
+	 * holds it: every process that serves without the store can reach one
+	 * of these members.
 	 */
 	return agreement->config_version >= version &&
 	       aubi_membership_count_holding(membership, version) * 2 >
--- a/src/coordination/config_history.c
+++ b/src/coordination/config_history.c
@@ -5,7 +5,7 @@
 #include <auburnstile/internal/control.h>
 #include <auburnstile/internal/compression.h>
 
-#define CONFIG_HISTORY_MAX 32 /* a large inventory takes about 0.1 MB */
+#define CONFIG_HISTORY_MAX 32 /* each about 0.1 MB for a large inventory */
 
 struct aubi_config_history {
 	/* Of struct aub_config, in ascending order of version. */
--- a/src/coordination/control.c
+++ b/src/coordination/control.c
@@ -1,5 +1,6 @@
 /*
- * The hub of a control: holds the state and informs the tasks when it changes.
+ * The hub of a control: owns the shared state and notifies the tasks when it
+ * changes.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
@@ -10,9 +11,9 @@
 
 #define TICK_INTERVAL_US ((gint64)100000)
 #define METRICS_INTERVAL_US ((gint64)1000000)
-/* For gossip to spread the state STOPPED. */
+/* Time for gossip to spread the state STOPPED. */
 #define STOP_ANNOUNCE_US ((gint64)500000)
-/* After this the entry stays: only the control stops. */
+/* If the entry has not begun to stop by then, only the control stops. */
 #define CONTROL_ONLY_STOP_US ((gint64)2000000)
 
 struct aubi_member_last_state {
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -16,9 +16,9 @@
 
 #include <string.h>
 
-/* 9 s are required by the brief. */
+/* Maximum wait for a change to become active; the brief requires 9 s. */
 #define ACTIVATION_TIMEOUT_US ((gint64)9000000)
-/* Lets peers report before the answer. */
+/* Delay of the answer, so that peers can report activation. */
 #define ANSWER_DELAY_US ((gint64)300000)
 #define WRITE_ATTEMPTS_MAX 5 /* for a change that is rebased automatically */
 #define ERROR_STEP "apply change"
@@ -33,7 +33,7 @@
 	char *change_id;
 	bool client_chosen_id; /* the request contained "change" */
 	guint64 base_version;
-	bool override; /* the operator knows that a majority is gone */
+	bool override; /* accept without a reachable majority */
 	guint attempts;
 	char *json; /* the configuration being written */
 	guint64 version; /* the version written; 0: not yet */
@@ -190,8 +190,8 @@
 /*
  * A change written in a minority partition would not reach entries in the other
  * partition that continue to serve, and they would send requests to a zone that
- * operators believe to be empty. Nothing is written unless a majority is heard;
- * is_accepted() covers a partition that begins during the write.
+ * operators believe to be empty. Nothing is written unless a majority is
+ * reachable; is_accepted() covers a partition that begins during the write.
  */
 static bool can_accept(struct change *change)
 {
@@ -217,7 +217,7 @@
 					control->inventory, config, &error) :
 			 aubi_edit_inventory(config, change->text, &error);
 	if (change->edit && !edited && !change->attempts) {
-		/* The configuration held needs no change; check the store. */
+		/* The local configuration needs no change; check the store. */
 		g_clear_error(&error);
 		change_read_store(change);
 	} else if (error) {
@@ -230,7 +230,7 @@
 	} else if (!can_accept(change)) {
 		change_refuse(
 			change, AUB_ERROR_UNAVAILABLE,
-			"no majority of the members is heard: nothing was "
+			"no majority of the members is reachable: nothing was "
 			"changed (\"override\" accepts the change anyway)");
 	} else {
 		if (!change->client_chosen_id) {
@@ -333,7 +333,7 @@
 /*
  * Reads from the store may be stale or slow while writes work, and an
  * operator's change would be refused although peers have the newest version.
- * The change is therefore applied to the configuration held; the condition of
+ * The change is therefore applied to the local configuration; the condition of
  * the write detects whether that was not the newest, and only then the store is
  * read.
  */
@@ -350,8 +350,9 @@
 }
 
 /*
- * Returns the request's body as an object. If it is none, answers the request
- * with an error and returns NULL.
+ * Returns the request's body as a JSON object, an empty one for an empty body.
+ * If the body is no JSON object, answers the request with an error and returns
+ * NULL.
  */
 static JsonObject *parse_body(struct aub_admin_request *request)
 {
@@ -372,8 +373,8 @@
 }
 
 /*
- * Forgets all members that are not heard, because the operator knows that they
- * are permanently gone.
+ * Forgets all dead members, because the operator knows that they are
+ * permanently gone.
  */
 static void forget_dead(struct aubi_control *control)
 {
@@ -383,8 +384,8 @@
 					    aub_timer_now(control->timers));
 	if (!count)
 		return;
-	aub_log_warning("forgot %u members that are not heard, as requested "
-			"by an operator's override",
+	aub_log_warning("forgot %u dead members, as requested by an "
+			"operator's override",
 			count);
 	aubi_control_members_changed(control);
 }
--- a/src/coordination/control_entry.c
+++ b/src/coordination/control_entry.c
@@ -9,10 +9,11 @@
 #include <string.h>
 
 #define VIEW_INTERVAL_US ((gint64)500000) /* between views without changes */
-/* Until an unacknowledged configuration is resent. */
+/* Time after which an unacknowledged configuration is resent. */
 #define CONFIG_RESEND_US ((gint64)2000000)
-#define RECONNECT_GRACE_US ((gint64)300000) /* time to reconnect */
-/* Without acknowledgements: treated as paused. */
+/* Time for an entry to reconnect before its services move. */
+#define RECONNECT_GRACE_US ((gint64)300000)
+/* An entry that acknowledges no view for this long is treated as paused. */
 #define ACK_TIMEOUT_US ((gint64)1500000)
 
 struct aubi_entry_task {
--- a/src/coordination/control_metrics.c
+++ b/src/coordination/control_metrics.c
@@ -113,7 +113,7 @@
 	{ "auburnstile_epoch", "epoch of the current assignments", read_epoch },
 	{ "auburnstile_members_known", "members counted for majorities",
 	  read_known },
-	{ "auburnstile_members_live", "members heard recently", read_live },
+	{ "auburnstile_members_live", "members seen recently", read_live },
 	{ "auburnstile_store_reachable",
 	  "1 if the store answered the last call", read_reachable },
 	{ "auburnstile_fresh_ms", "age of the last confirmation, -1 if none",
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -11,15 +11,17 @@
 #include <string.h>
 
 #define CONNECT_TIMEOUT_MS 700
-/* For an answer, before the link counts as dead. */
+/* A link whose answer is overdue by this time is closed as unresponsive. */
 #define ANSWER_TIMEOUT_US ((gint64)1000000)
-/* Until an unused link is closed. */
+/* Time after which an unused link is closed. */
 #define LINK_IDLE_TIMEOUT_US ((gint64)60000000)
 #define PULL_TIMEOUT_US ((gint64)1000000) /* before another pull may start */
 #define OBJECT_MAX_BYTES ((gsize)2 << 20) /* the store's limit is 1 MB */
+/* Extra exchanges started for one change. */
 #define EXTRA_EXCHANGE_PEERS 3
-#define EXTRA_EXCHANGES_PER_S 6 /* extra exchanges after member changes */
-/* And after configuration or assignment changes. */
+/* Limit of extra exchanges a second after member changes. */
+#define EXTRA_EXCHANGES_PER_S 6
+/* The same after configuration or assignment changes, which are rare. */
 #define URGENT_EXCHANGES_PER_S 24
 
 /* A link to or from one peer. */
@@ -120,7 +122,7 @@
 }
 
 /*
- * Requests what the peer holds and this control does not; one pull at a time.
+ * Requests the newer versions that the peer holds; one pull at a time.
  */
 static void pull(struct peer *peer, const struct aub_gossip *received)
 {
--- a/src/coordination/control_store.c
+++ b/src/coordination/control_store.c
@@ -10,13 +10,13 @@
 
 #define STORE_PREFIX "auburnstile/"
 #define CALL_TIMEOUT_MS 1000
-#define WATCH_WAIT_MS 500 /* confirms the version held twice a second */
+#define WATCH_WAIT_MS 500 /* confirms the current version twice a second */
 #define CALLS_PER_S_MAX 10
-/* Between computations, at rank 0. */
+/* Interval between computations of a proposal, at rank 0. */
 #define PROPOSE_INTERVAL_US ((gint64)250000)
-/* Longer for each further rank. */
+/* Added to the interval for each further rank. */
 #define PROPOSE_RANK_DELAY_US ((gint64)500000)
-/* Between moves that only balance load. */
+/* Interval between moves that only balance load. */
 #define REBALANCE_INTERVAL_US ((gint64)5000000)
 #define BACKOFF_MIN_US ((gint64)500000)
 #define BACKOFF_MAX_US ((gint64)8000000)
@@ -30,7 +30,7 @@
 	guint64 newest_config_version;
 	bool dirty; /* members, configuration or assignments changed */
 	gint64 computed_us;
-	gint64 needed_us; /* since when other assignments are needed; 0: not */
+	gint64 needed_us; /* since when a change is needed; 0: none */
 	gint64 rebalanced_us;
 	gint64 retry_after_us; /* backoff after a failed write */
 	gint64 backoff_us;
@@ -182,7 +182,7 @@
 	return proposal;
 }
 
-/* Proposes assignments where a majority is heard, in order of rank. */
+/* Proposes assignments if a majority is reachable, in order of rank. */
 static void propose(struct aubi_store_task *task, gint64 now_us)
 {
 	struct aubi_control *control = task->control;
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -9,13 +9,13 @@
 #include <sys/resource.h>
 
 #define HEADER_TIMEOUT_MS 10000
-/* Maximum age of a stand-by's upstream states. */
+/* Between messages with upstream states; their maximum age at a stand-by. */
 #define STATES_INTERVAL_US (250 * AUB_MS)
 #define IDLE_TIMEOUT_MS 60000
 #define BODY_TIMEOUT_MS 30000
 #define WRITE_TIMEOUT_MS 30000
 #define KEY_RETENTION_MAX_S G_GINT64_CONSTANT(604800) /* one week */
-/* If no service is known for a path. */
+/* Limit of a request body if no service is known for its path. */
 #define BODY_DEFAULT_MAX_BYTES (1u << 20)
 
 #define FIELD(name) offsetof(struct aub_entry_settings, name)
--- a/src/coordination/entry_shutdown.c
+++ b/src/coordination/entry_shutdown.c
@@ -3,8 +3,8 @@
  * running requests finish, its keys are transferred to a successor, and callers
  * move to other entries.
  *
- * Each phase may take part of the remaining time; the deadline of the whole
- * stop ends it in any phase.
+ * Each phase may take part of the remaining time; at the deadline of the whole
+ * stop the entry stops in any phase.
  */
 #include <auburnstile/internal/entry_internal.h>
 #include <auburnstile/log.h>
--- a/src/coordination/entry_view.c
+++ b/src/coordination/entry_view.c
@@ -138,8 +138,9 @@
 /*
  * A control that has just started knows few members. If the others were
  * forgotten, the keys they own would count as lost and their callers would get
- * "unknown". Members are therefore only forgotten when the control is sure
- * enough to grant a serving lease.
+ * "unknown". Members are therefore only forgotten by a view that grants a
+ * serving lease, which requires recent contact to the store, directly or
+ * through peers, or to half of the members.
  */
 static void apply_members(struct aub_entry_view *view,
 			  const struct aub_view *message)
@@ -187,7 +188,7 @@
 /*
  * A control that read a stale copy could renew the lease of an entry that
  * already holds newer versions, and requests would go to a zone that was taken
- * out. A lease is only accepted with exactly the versions held.
+ * out. A lease is only accepted with exactly the versions that are active here.
  */
 static void apply_lease(struct aub_entry_view *view,
 			const struct aub_view *message)
--- a/src/coordination/idempotency.c
+++ b/src/coordination/idempotency.c
@@ -38,7 +38,7 @@
 	bool awaiting_ack; /* a part has been sent */
 	bool last_part_sent; /* and it was the last one */
 	guint64 successor;
-	GHashTable *tried;
+	GHashTable *tried; /* set of incarnations tried as successor */
 	guint attempts;
 	gint64 attempt_started_us;
 	guint timer;
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -30,6 +30,7 @@
 
 #define HASH_STEP G_GUINT64_CONSTANT(0x9e3779b97f4a7c15)
 
+/* The mixing function of SplitMix64. */
 static guint64 mix(guint64 x)
 {
 	x ^= x >> 30;
@@ -249,7 +250,7 @@
 /*
  * A minority partition that forgot the other members as dead would count itself
  * complete and would serve again, with an old version. Members are only
- * forgotten where a majority is heard, which cannot be true on both sides.
+ * forgotten where a majority is reachable, which cannot be true on both sides.
  */
 static bool can_forget_dead(const struct aubi_membership *membership,
 			    gint64 now_us)
--- a/src/coordination/ownership.c
+++ b/src/coordination/ownership.c
@@ -91,7 +91,7 @@
 	return NULL;
 }
 
-/* Returns the region of a service's upstreams; "" if there is none. */
+/* Returns the region of a service's first upstream; "" if there is none. */
 static const char *service_region(const struct aub_inventory *inventory,
 				  guint16 service)
 {
@@ -385,7 +385,7 @@
 	g_ptr_array_sort(proposal->list, by_service);
 	/*
 	 * Without any candidate a write would gain nothing, and the existing
-	 * assignments still tell a stand-by which owner it stands in for.
+	 * assignments still name the owner that a stand-by stands in for.
 	 */
 	if (!placement.candidates->len) {
 		aubi_assignments_free(proposal);
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -43,7 +43,7 @@
 	enum aub_peer_state state;
 	bool watched;
 	gint64 down_us; /* time of the last failure */
-	gint64 up_us;
+	gint64 up_us; /* when the link was last opened or came up */
 	guint64 last_ping;
 	GHashTable *calls; /* id -> struct aub_relay_call */
 	GQueue waiting; /* of struct aub_relay_call, not yet written */
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -11,6 +11,7 @@
 
 #include <string.h>
 
+/* Retry-After of refusals: for a cause that ends soon, and for any other. */
 #define RETRY_SHORT_MS 300
 #define RETRY_LONG_MS 1000
 #define DEADLINE_MAX_MS (10 * 60 * 1000)
@@ -84,8 +85,8 @@
 	/*
 	 * An entry without contact to its control refuses requests, but callers
 	 * would return to it because its outdated view still names it as owner.
-	 * Callers are told to ask other entries, and addresses() omits this
-	 * one.
+	 * The answer directs callers to other entries, and addresses() omits
+	 * this one.
 	 */
 	if (!aub_entry_view_serving(router->options.view))
 		return true;
--- a/src/coordination/request_router_forward.c
+++ b/src/coordination/request_router_forward.c
@@ -16,6 +16,7 @@
  */
 #define REROUTE_MAX_US (2500 * AUB_MS)
 #define REROUTE_STEP_US (50 * AUB_MS) /* first delay; later ones are longer */
+/* The delay grows by one step per attempt, up to this many steps. */
 #define REROUTE_STEPS_MAX 4
 
 #define NO_OWNER_RETRY_MS 500
@@ -199,8 +200,8 @@
 	aub_timer_cancel(request->router->options.timers, request->timer);
 	request->timer = 0;
 	/*
-	 * The owner of a key, or its successor, runs a key once however often
-	 * the request arrives.
+	 * A retry is safe: the owner of a key, or its successor, runs the
+	 * request once, however often it arrives.
 	 */
 	if ((result != AUB_RELAY_ANSWERED ||
 	     !g_strcmp0(answer->reason, REASON_KEY_OWNER_MOVED)) &&
--- a/src/coordination/store_registration.c
+++ b/src/coordination/store_registration.c
@@ -16,8 +16,8 @@
 
 /*
  * Each gateway registers before it lists the others: of two that start
- * concurrently, at least one finds the other, and its heartbeat informs the
- * other in turn.
+ * concurrently, at least one finds the other, which then learns of it by
+ * heartbeat.
  */
 static void on_registered(enum aub_exchange_result end,
 			  const struct aub_http_head *head, const char *body,
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -17,14 +17,14 @@
 #define WATCH_WAIT_MS 4000
 #define WATCH_TIMEOUT_MARGIN_MS 500
 #define FETCH_WAIT_MS 1 /* returns what is available immediately */
-/* Collects changes that occur together. */
+/* Pause before the next call, which collects changes that occur together. */
 #define BATCH_PAUSE_US (250 * AUB_MS)
 
 /*
  * If both watchers of a zone fetched each change, most calls to the store
  * during a replacement of upstreams would return what the other watcher has
  * just shared. The second watcher therefore calls a quarter as often, and
- * becomes the first one as soon as the other no longer hears the store.
+ * becomes the first one as soon as the other no longer reaches the store.
  */
 #define STANDBY_WATCH_WAIT_MS 8000
 #define STANDBY_BATCH_PAUSE_US (1000 * AUB_MS)
@@ -37,8 +37,8 @@
 #define CONNECTION_IDLE_US (20 * AUB_SECOND)
 
 /*
- * Rollout orders are rare, and the time by which one is noticed late is lost
- * for the rollout.
+ * Rollout orders are rare. One that is noticed late loses that part of its
+ * time.
  */
 #define ROLLOUTS_WATCH_WAIT_MS 16000
 
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -23,7 +23,7 @@
 	gint64 now_us = 1000 * 1000000LL;
 	std::vector<Node> nodes;
 	std::function<bool(int, int)> reaches = [](int, int) { return true; };
-	std::function<bool(int)> store = [](int) { return true; };
+	std::function<bool(int)> store_reachable = [](int) { return true; };
 	guint64 store_version = 0;
 	std::vector<std::pair<int, guint64>> pulls;
 	gsize bytes = 0; /* of encoded gossip, sent by all nodes */
@@ -149,7 +149,7 @@
 					    now_us);
 			if (to >= 0 && to != (int)i)
 				exchange((int)i, to);
-			if (store((int)i) &&
+			if (store_reachable((int)i) &&
 			    aubi_agreement_should_watch_store(&node.agreement,
 							      node.membership,
 							      rank, now_us)) {
@@ -163,9 +163,9 @@
 
 	void run(double seconds)
 	{
-		gint64 until = now_us + (gint64)(seconds * 1e6);
+		gint64 end_us = now_us + (gint64)(seconds * 1e6);
 
-		while (now_us < until)
+		while (now_us < end_us)
 			round();
 	}
 
--- a/tests/test_agreement.cc
+++ b/tests/test_agreement.cc
@@ -93,7 +93,7 @@
 			return (a < partition.minority) ==
 			       (b < partition.minority);
 		};
-		fleet.store = [&](int i) {
+		fleet.store_reachable = [&](int i) {
 			return i < partition.minority ?
 				       partition.store_minority :
 				       partition.store_majority;
@@ -136,12 +136,13 @@
 				fleet.reaches = [&](int a, int b) {
 					return (a < side) == (b < side);
 				};
-				fleet.store = [&](int i) {
+				fleet.store_reachable = [&](int i) {
 					return (i < side) == (with_store == 1);
 				};
 				fleet.run(delay_s);
 				for (int i = 0; i < 9; i++)
-					if (fleet.store(i) && fleet.accepts(i))
+					if (fleet.store_reachable(i) &&
+					    fleet.accepts(i))
 						writer = i;
 				if (writer < 0)
 					continue;
@@ -196,7 +197,7 @@
 
 	start_fleet(fleet, 7);
 	fleet.reaches = [](int a, int b) { return (a < 3) == (b < 3); };
-	fleet.store = [](int i) { return i >= 3; };
+	fleet.store_reachable = [](int i) { return i >= 3; };
 	fleet.run(1200);
 	for (int i = 0; i < 7; i++) {
 		EXPECT_EQ(fleet.serves(i), i >= 3) << i;
@@ -246,7 +247,7 @@
 			return side[a] == side[b] && !blocked[a][b] &&
 			       !paused[a] && !paused[b];
 		};
-		fleet.store = [this](int i) {
+		fleet.store_reachable = [this](int i) {
 			return store_reachable[i] && !paused[i];
 		};
 		for (bool &reachable : store_reachable)
@@ -290,7 +291,7 @@
 	{
 		int i = below(n);
 
-		if (!fleet.store(i) || !fleet.accepts(i) ||
+		if (!fleet.store_reachable(i) || !fleet.accepts(i) ||
 		    fleet.nodes[i].agreement.config_version !=
 			    fleet.store_version)
 			return;
@@ -361,7 +362,7 @@
 /*
  * More than half of the members are permanently gone. After the operator's
  * override the others forget them and can accept changes and move owners again.
- * A forgotten member that is alive rejoins as soon as it is heard.
+ * A forgotten member that is alive rejoins as soon as it is reachable.
  */
 TEST(Agreement, ForgettingTheDeadRestoresAMajorityAndLiveMembersRejoin)
 {
--- a/tests/test_control.cc
+++ b/tests/test_control.cc
@@ -81,7 +81,8 @@
 
 	void apply_view(const struct aub_view *view)
 	{
-		EXPECT_GE(view->config_version, config_version) << "went back";
+		EXPECT_GE(view->config_version, config_version)
+			<< "version decreased";
 		EXPECT_FALSE(view->serve &&
 			     view->config_version < min_serving_version);
 		config_transfers += view->config.length > 0;
@@ -96,10 +97,11 @@
 						 ->owner);
 		successors.clear();
 		for (guint i = 0; i < view->members->len; i++) {
-			auto *it = (struct aub_member *)view->members->pdata[i];
+			auto *member =
+				(struct aub_member *)view->members->pdata[i];
 
 			successors.push_back(
-				{ it->incarnation, it->successor });
+				{ member->incarnation, member->successor });
 		}
 		acknowledge();
 	}
@@ -180,14 +182,14 @@
 	}
 
 	/*
-	 * Runs the main loop until `what` returns true; returns false after
-	 * `seconds`.
+	 * Runs the main loop until `condition` returns true; returns false
+	 * after `seconds`.
 	 */
-	bool wait_until(const std::function<bool()> &what, double seconds)
+	bool wait_until(const std::function<bool()> &condition, double seconds)
 	{
 		gint64 end = g_get_monotonic_time() + (gint64)(seconds * 1e6);
 
-		while (!what()) {
+		while (!condition()) {
 			if (g_get_monotonic_time() > end)
 				return false;
 			fleet_run_main_loop_ms(20);
@@ -257,7 +259,7 @@
 				  member_at(i)->control_admin + path;
 		SoupMessage *message = soup_message_new("POST", url.c_str());
 		GBytes *bytes = g_bytes_new(body.data(), body.size());
-		struct Box {
+		struct PendingCall {
 			std::shared_ptr<Call> call;
 			SoupMessage *message;
 		};
@@ -273,27 +275,28 @@
 			session, message, 0, nullptr,
 			[](GObject *source, GAsyncResult *result,
 			   void *context) {
-				auto *box = (Box *)context;
+				auto *pending_call = (PendingCall *)context;
 				GBytes *answer =
 					soup_session_send_and_read_finish(
 						SOUP_SESSION(source), result,
 						nullptr);
 
-				box->call->status =
-					soup_message_get_status(box->message);
+				pending_call->call->status =
+					soup_message_get_status(
+						pending_call->message);
 				if (answer) {
 					gsize n;
 					auto *p = (const char *)
 						g_bytes_get_data(answer, &n);
 
-					box->call->body.assign(p, n);
+					pending_call->call->body.assign(p, n);
 					g_bytes_unref(answer);
 				}
-				box->call->done = true;
-				g_object_unref(box->message);
-				delete box;
+				pending_call->call->done = true;
+				g_object_unref(pending_call->message);
+				delete pending_call;
 			},
-			new Box{ call, message });
+			new PendingCall{ call, message });
 		g_bytes_unref(bytes);
 		g_object_unref(session);
 		return call;
@@ -363,7 +366,8 @@
 		<< call->body;
 	for (auto &entry : entries) {
 		EXPECT_EQ(entry->config_version, 1u);
-		EXPECT_EQ(entry->config_transfers, 1u) << "bytes went twice";
+		EXPECT_EQ(entry->config_transfers, 1u)
+			<< "configuration sent more than once";
 		EXPECT_TRUE(entry->serve);
 	}
 	EXPECT_TRUE(wait_until(
@@ -412,8 +416,8 @@
 
 /*
  * The store links of one control, one of the two watchers, become half-open.
- * Its entry continues to serve because peers are heard, and receives a change
- * made elsewhere; a change requested from this control is refused.
+ * Its entry continues to serve because peers are reachable, and receives a
+ * change made elsewhere; a change requested from this control is refused.
  */
 TEST_F(Control, UnresponsiveStoreLinkBlocksOnlyWritesOfThatControl)
 {
@@ -421,10 +425,12 @@
 	ASSERT_EQ(apply(1, 0)->status, 200u);
 	fleet_run_main_loop_ms(2000);
 	std::string port = strrchr(member_at(0)->store_url, ':') + 1;
-	std::string silence = "{\"port\":" + port + ",\"silence\":\"both\"}";
-	std::string clear = "{\"port\":" + port + ",\"clear\":1,\"cut\":1}";
+	std::string half_open_fault =
+		"{\"port\":" + port + ",\"silence\":\"both\"}";
+	std::string clear_fault =
+		"{\"port\":" + port + ",\"clear\":1,\"cut\":1}";
 
-	ASSERT_TRUE(fleet_proxy_fault(fleet, silence.c_str()));
+	ASSERT_TRUE(fleet_proxy_fault(fleet, half_open_fault.c_str()));
 	fleet_run_main_loop_ms(4000);
 	EXPECT_TRUE(entries[0]->serve);
 	auto out = post(1, "/v1/zones/z1/out", "{}");
@@ -435,7 +441,7 @@
 	auto refused = post(0, "/v1/zones/z1/in", "{}");
 	ASSERT_TRUE(wait_until([&] { return refused->done; }, 14));
 	EXPECT_GE(refused->status, 500u) << refused->body;
-	ASSERT_TRUE(fleet_proxy_fault(fleet, clear.c_str()));
+	ASSERT_TRUE(fleet_proxy_fault(fleet, clear_fault.c_str()));
 	EXPECT_TRUE(wait_until(
 		[&] {
 			auto in = post(0, "/v1/zones/z1/in", "{}");
@@ -575,12 +581,12 @@
 	ASSERT_LT(owner, 4u);
 	guint other = (owner + 1) % 4;
 	std::string name = member_at(owner)->name;
-	gint64 began = g_get_monotonic_time();
+	gint64 started_us = g_get_monotonic_time();
 
 	entries[owner]->paused = true;
 	EXPECT_TRUE(wait_until([&] { return !entries[other]->owns(name); }, 8));
 	printf("moved after %.1f s\n",
-	       (double)(g_get_monotonic_time() - began) / 1e6);
+	       (double)(g_get_monotonic_time() - started_us) / 1e6);
 }
 
 /*
--- a/tests/test_idempotency.cc
+++ b/tests/test_idempotency.cc
@@ -172,8 +172,8 @@
 /*
  * A stopping entry transfers its keys, and the successor's acknowledgement is
  * lost. If a second entry got the keys too, a request could start at one and
- * its repeat at the other, and run twice. Only one entry may ever be sent the
- * last part.
+ * its repeat at the other, and be executed twice. Only one entry may ever be
+ * sent the last part.
  */
 TEST_F(IdempotencyTransfer, SendsTheLastPartToOnlyOneSuccessor)
 {
--- a/tests/test_membership.cc
+++ b/tests/test_membership.cc
@@ -37,7 +37,7 @@
 		EXPECT_EQ(fleet.live(i), 19u) << i;
 }
 
-/* While all members live, none may appear dead, because owners would move. */
+/* Live members must never appear dead, because owners would move. */
 TEST(Membership, NeverMarksLiveMembersDead)
 {
 	for (int nodes : { 3, 19, 100 }) {
@@ -117,7 +117,7 @@
 		GPtrArray *list =
 			aubi_membership_list(node.membership, fleet.now_us);
 		guint64 successor = 0;
-		guint64 now = 0;
+		guint64 replacement = 0;
 
 		for (guint i = 0; i < list->len; i++) {
 			auto *member = (struct aub_member *)list->pdata[i];
@@ -125,10 +125,10 @@
 			if (member->incarnation == 102)
 				successor = member->successor;
 			if (member->incarnation == 500)
-				now = member->incarnation;
+				replacement = member->incarnation;
 		}
 		EXPECT_EQ(successor, 104u) << node.name;
-		EXPECT_EQ(now, 500u) << node.name;
+		EXPECT_EQ(replacement, 500u) << node.name;
 		g_ptr_array_unref(list);
 	}
 }
@@ -173,30 +173,30 @@
 
 /*
  * A control is paused for ten seconds and resumes with sockets full of old
- * gossip. It must not conclude that it hears a majority, or it would grant its
- * entry a serving lease for an old configuration.
+ * gossip. It must not conclude that a majority is reachable, or it would grant
+ * its entry a serving lease for an old configuration.
  */
 TEST(Membership, DelayedAnswerIsNoProofOfLife)
 {
 	SimulatedFleet fleet;
-	struct aub_gossip *ask;
+	struct aub_gossip *request;
 	struct aub_gossip *answer;
 
 	add_nodes(fleet, 3);
 	fleet.run(4);
-	ask = fleet.new_gossip(0);
-	aubi_membership_begin_exchange(fleet.nodes[0].membership, ask,
+	request = fleet.new_gossip(0);
+	aubi_membership_begin_exchange(fleet.nodes[0].membership, request,
 				       fleet.now_us);
 	answer = fleet.new_gossip(1);
-	ASSERT_TRUE(aubi_membership_reply(fleet.nodes[1].membership, ask, false,
-					  answer, fleet.now_us));
+	ASSERT_TRUE(aubi_membership_reply(fleet.nodes[1].membership, request,
+					  false, answer, fleet.now_us));
 	fleet.now_us += 10 * 1000000LL;
 	aubi_membership_receive(fleet.nodes[0].membership, "n1", 101, answer,
 				fleet.now_us);
 	EXPECT_GE(aubi_membership_proof_age_us(fleet.nodes[0].membership, 2,
 					       fleet.now_us),
 		  10 * 1000000LL);
-	aub_message_free(&ask->base);
+	aub_message_free(&request->base);
 	aub_message_free(&answer->base);
 }
 
--- a/tests/test_ownership.cc
+++ b/tests/test_ownership.cc
@@ -60,14 +60,14 @@
 	struct aub_member *add_member(const char *name, const char *zone,
 				      guint64 incarnation)
 	{
-		struct aub_member *it = aub_member_new();
-
-		aub_string_set(&it->name, name);
-		aub_string_set(&it->zone, zone);
-		it->incarnation = incarnation;
-		it->state = AUB_MEMBER_LIVE;
-		g_ptr_array_add(members, it);
-		return it;
+		struct aub_member *member = aub_member_new();
+
+		aub_string_set(&member->name, name);
+		aub_string_set(&member->zone, zone);
+		member->incarnation = incarnation;
+		member->state = AUB_MEMBER_LIVE;
+		g_ptr_array_add(members, member);
+		return member;
 	}
 
 	/*
@@ -116,10 +116,10 @@
 	std::string zone_of(const char *name)
 	{
 		for (guint i = 0; i < members->len; i++) {
-			auto *it = (struct aub_member *)members->pdata[i];
+			auto *member = (struct aub_member *)members->pdata[i];
 
-			if (!strcmp(it->name, name))
-				return it->zone;
+			if (!strcmp(member->name, name))
+				return member->zone;
 		}
 		return "";
 	}
@@ -201,10 +201,10 @@
 	std::string standby = assignment->standby;
 
 	for (guint i = 0; i < members->len; i++) {
-		auto *it = (struct aub_member *)members->pdata[i];
+		auto *member = (struct aub_member *)members->pdata[i];
 
-		if (owner == it->name)
-			it->incarnation += 100;
+		if (owner == member->name)
+			member->incarnation += 100;
 	}
 	converge();
 	EXPECT_EQ(((struct aub_assignment *)current->list->pdata[0])->owner,
--- a/tests/test_processes.cc
+++ b/tests/test_processes.cc
@@ -18,7 +18,7 @@
 #include <vector>
 
 #define READY_TIMEOUT_MS 30000
-#define STOP_TIMEOUT_MS 15000 /* the processes' own limit is 10 s */
+#define STOP_TIMEOUT_MS 15000 /* longer than the programs' limit of 10 s */
 
 static bool contains(const std::string &text, const std::string &part)
 {
--- a/tests/test_request_router.cc
+++ b/tests/test_request_router.cc
@@ -200,21 +200,22 @@
 	static std::string request(const std::string &line,
 				   const std::string &key,
 				   const std::string &body,
-				   const std::string &more = "")
+				   const std::string &headers = "")
 	{
 		return line + " HTTP/1.1\r\nHost: h\r\n" +
 		       (key.empty() ? "" : "Auburnstile-Key: " + key + "\r\n") +
-		       more + "Content-Length: " + std::to_string(body.size()) +
+		       headers +
+		       "Content-Length: " + std::to_string(body.size()) +
 		       "\r\n\r\n" + body;
 	}
 
 	std::string send_request(int node, const std::string &line,
 				 const std::string &key,
 				 const std::string &body = "",
-				 const std::string &more = "")
+				 const std::string &headers = "")
 	{
 		Caller caller(nodes[node]->port);
-		caller.send(request(line, key, body, more));
+		caller.send(request(line, key, body, headers));
 		return caller.read_answer();
 	}
 
@@ -481,11 +482,11 @@
 	 * By its view it owns the service, yet it directs callers to other
 	 * entries.
 	 */
-	std::string where =
+	std::string addresses =
 		send_request(0, "GET /.auburnstile/addresses?service=pay", "");
-	EXPECT_EQ(where.find(loopback_address(nodes[0]->port)),
+	EXPECT_EQ(addresses.find(loopback_address(nodes[0]->port)),
 		  std::string::npos);
-	EXPECT_NE(where.find(loopback_address(nodes[1]->port)),
+	EXPECT_NE(addresses.find(loopback_address(nodes[1]->port)),
 		  std::string::npos);
 	EXPECT_NE(send_request(0, "GET /pay/x", "").find("Addresses-Stale: 1"),
 		  std::string::npos);
--- a/tests/test_store_sync.cc
+++ b/tests/test_store_sync.cc
@@ -18,7 +18,7 @@
 	std::set<std::string> present;
 	std::vector<std::string> shared;
 	enum aub_watch_duty duty = AUB_WATCH_PRIMARY;
-	guint fleet = 0;
+	guint fleet_size = 0;
 	int changes = 0;
 
 	void SetUp() override
@@ -74,7 +74,7 @@
 			.fleet_size =
 				[](void *context) {
 					return ((StoreSyncTest *)context)
-						->fleet;
+						->fleet_size;
 				},
 			.listed = [](enum aub_store_kind, void *) {},
 			.context = this,
@@ -102,16 +102,17 @@
 {
 	guint64 calls[2];
 
-	for (auto now : { AUB_WATCH_PRIMARY, AUB_WATCH_STANDBY }) {
-		guint64 *count = &calls[now == AUB_WATCH_STANDBY];
+	for (auto watch_duty : { AUB_WATCH_PRIMARY, AUB_WATCH_STANDBY }) {
+		guint64 *count = &calls[watch_duty == AUB_WATCH_STANDBY];
 
-		duty = now;
+		duty = watch_duty;
 		if (!sync)
 			start();
 		run_for(1200);
 		*count = platform_store_call_count(store);
 		for (int i = 0; i < 40; i++) {
-			put_upstream("u" + std::to_string(now * 100 + i));
+			put_upstream("u" +
+				     std::to_string(watch_duty * 100 + i));
 			run_for(50);
 		}
 		*count = platform_store_call_count(store) - *count;
@@ -124,7 +125,7 @@
 /* The retries of a large fleet must not keep the store from recovering. */
 TEST_F(StoreSyncTest, RetriesLessOftenInALargeFleet)
 {
-	fleet = 300;
+	fleet_size = 300;
 	put_upstream("u1");
 	start();
 	ASSERT_TRUE(has_upstreams(1));
@@ -141,7 +142,7 @@
  */
 TEST_F(StoreSyncTest, FetchesAnnouncedRevisionImmediatelyWhileStoreFails)
 {
-	fleet = 300;
+	fleet_size = 300;
 	put_upstream("u1");
 	start();
 	ASSERT_TRUE(has_upstreams(1));
@@ -268,8 +269,8 @@
 	/*
 	 * During a release something changes several times a second, and each
 	 * change is announced before the zone's watcher shares it. There always
-	 * is a newer announced revision but never an overdue one, so the store
-	 * must not be queried; it would be hundreds of times.
+	 * is a newer announced revision but never an overdue one. Without the
+	 * wait for shared changes the store would be queried hundreds of times.
 	 */
 	put_upstream("u1");
 	start();
@@ -356,15 +357,18 @@
 	start();
 	ASSERT_TRUE(has_upstreams(1));
 	run_for(200); /* confirms the listing */
-	gint64 now = aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
-	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, now + 5, now + 6,
-				    shared[0].data(), shared[0].size());
+	gint64 listed =
+		aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS);
+	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, listed + 5,
+				    listed + 6, shared[0].data(),
+				    shared[0].size());
 	EXPECT_EQ(present.size(), 1u);
-	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, known, now + 6,
-				    shared[0].data(), shared[0].size());
+	aub_store_sync_apply_shared(sync, AUB_STORE_UPSTREAMS, known,
+				    listed + 6, shared[0].data(),
+				    shared[0].size());
 	EXPECT_EQ(present.size(), 2u);
 	EXPECT_EQ(aub_store_sync_known_revision(sync, AUB_STORE_UPSTREAMS),
-		  now + 6);
+		  listed + 6);
 }
 
 TEST_F(StoreSyncTest, RetriesRegistrationUntilItSucceeds)
