--- a/include/auburnstile/internal/control.h
+++ b/include/auburnstile/internal/control.h
@@ -1,6 +1,6 @@
 /*
  * The control process of one VM: tasks that own their sockets and state, and
- * the hub that informs the tasks of each other's changes.
+ * the hub that notifies the tasks of each other's changes.
  *
  *   control.c         hub: shared state, periodic tick, planned stop
  *   control_peers.c   gossip and configuration exchange with other controls
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -190,7 +190,7 @@
 /*
  * A change written in a minority partition would not reach entries in the other
  * partition that continue to serve, and they would send requests to a zone that
- * operators believe to be empty. Nothing is written unless a majority is
+ * operators consider empty. Nothing is written unless a majority is
  * reachable; is_accepted() covers a partition that begins during the write.
  */
 static bool can_accept(struct change *change)
--- a/tests/test_control.cc
+++ b/tests/test_control.cc
@@ -502,9 +502,11 @@
 	ASSERT_TRUE(wait_until([&] { return one->done && two->done; }, 14));
 	EXPECT_EQ(MIN(one->status, two->status), 200u);
 	EXPECT_EQ(MAX(one->status, two->status), 409u);
-	const std::string &lost = one->status == 409 ? one->body : two->body;
-	EXPECT_NE(lost.find("\"base_config\":{"), std::string::npos) << lost;
-	EXPECT_NE(lost.find("\"current_config\":{"), std::string::npos);
+	const std::string &conflict =
+		one->status == 409 ? one->body : two->body;
+	EXPECT_NE(conflict.find("\"base_config\":{"), std::string::npos)
+		<< conflict;
+	EXPECT_NE(conflict.find("\"current_config\":{"), std::string::npos);
 	/* Taking out a zone is rebased automatically and never conflicts. */
 	auto three = post(1, "/v1/zones/z1/out", "{}");
 	auto four = post(2, "/v1/zones/z2/out", "{}");
--- a/tests/test_store_sync.cc
+++ b/tests/test_store_sync.cc
@@ -231,9 +231,9 @@
 TEST_F(StoreSyncTest, ReportsSingleRemovalImmediatelyAfterPartition)
 {
 	/*
-	 * A request must not reach an upstream that left ten seconds ago. Only
-	 * this process was partitioned from the store; one of six records is
-	 * missing, which is no mass expiry, so it is removed immediately.
+	 * A request must not reach an upstream that departed ten seconds ago.
+	 * Only this process was partitioned from the store; one of six records
+	 * is missing, which is no mass expiry, so it is removed immediately.
 	 */
 	for (int i = 0; i < 6; i++)
 		put_upstream("u" + std::to_string(i));
@@ -298,9 +298,9 @@
 TEST_F(StoreSyncTest, FetchesChangesMadeDuringListing)
 {
 	/*
-	 * A request must not reach an upstream that left while this process was
-	 * listing: the first page of the listing is older than a change that a
-	 * later page already contains.
+	 * A request must not reach an upstream that departed while this process
+	 * was listing: the first page of the listing is older than a change
+	 * that a later page already contains.
 	 */
 	for (int i = 0; i < 6; i++)
 		put_upstream("u" + std::to_string(i));
