--- a/include/auburnstile/internal/dispatch.h
+++ b/include/auburnstile/internal/dispatch_internal.h
@@ -6,8 +6,8 @@
  * it. A request is kept after its final action until all its attempts are
  * reported. Only such a report frees a slot.
  */
-#ifndef AUBURNSTILE_INTERNAL_DISPATCH_H
-#define AUBURNSTILE_INTERNAL_DISPATCH_H
+#ifndef AUBURNSTILE_INTERNAL_DISPATCH_INTERNAL_H
+#define AUBURNSTILE_INTERNAL_DISPATCH_INTERNAL_H
 
 #include <auburnstile/dispatch.h>
 #include <auburnstile/timer.h>
--- a/include/auburnstile/internal/timeline_data.h
+++ b/include/auburnstile/internal/timeline_internal.h
@@ -1,6 +1,6 @@
 /* The data structures that the source files of the timeline share. */
-#ifndef AUBURNSTILE_INTERNAL_TIMELINE_DATA_H
-#define AUBURNSTILE_INTERNAL_TIMELINE_DATA_H
+#ifndef AUBURNSTILE_INTERNAL_TIMELINE_INTERNAL_H
+#define AUBURNSTILE_INTERNAL_TIMELINE_INTERNAL_H
 
 #include <auburnstile/internal/timeline.h>
 
--- a/src/state/dispatch.c
+++ b/src/state/dispatch.c
@@ -1,5 +1,5 @@
 /* The dispatcher's entry points: events go in, actions come out. */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 static void request_free(gpointer data)
 {
--- a/src/state/dispatch_attempt.c
+++ b/src/state/dispatch_attempt.c
@@ -5,7 +5,7 @@
  * if it is idempotent, and only within its own retry budget, that of the
  * service, and its deadline. Each request gets exactly one final action.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 #define RETRY_COST_MILLITOKENS 1000
 #define RETRY_BUDGET_UNITS_PER_ATTEMPT 100 /* hundredths */
--- a/src/state/dispatch_check.c
+++ b/src/state/dispatch_check.c
@@ -1,5 +1,5 @@
 /* Checks the dispatcher's invariants, for tests. */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 static void check_attempt(const struct request *request,
 			  const struct attempt *attempt)
--- a/src/state/dispatch_crash.c
+++ b/src/state/dispatch_crash.c
@@ -8,7 +8,7 @@
  * recently is not blamed, since a request that merely ran concurrently with the
  * crashing one is answered elsewhere.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 #define SUSPICION_US (2 * AUB_SECOND) /* unless confirmed */
 #define CONFIRMATION_WINDOW_US (30 * AUB_SECOND) /* after the loss */
--- a/src/state/dispatch_hedge.c
+++ b/src/state/dispatch_hedge.c
@@ -7,7 +7,7 @@
  * cancelled. A hedge takes one attempt from the request's own retry budget, so
  * that nested calls do not multiply hedges.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 #define HEDGE_COST_MILLITOKENS (1000 / AUB_HEDGES_PER_MEAN_TIME)
 #define RETRY_BUDGET_UNITS_PER_ATTEMPT 100 /* hundredths */
--- a/src/state/dispatch_policy.c
+++ b/src/state/dispatch_policy.c
@@ -5,7 +5,7 @@
  * A baseline ignores slot counts and has no queue: each entry sends
  * immediately, as load balancers with outdated or only local information do.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 static const char *const policy_names[] = {
 	[AUB_POLICY_AUBURNSTILE] = "auburnstile",
--- a/src/state/dispatch_probe.c
+++ b/src/state/dispatch_probe.c
@@ -7,7 +7,7 @@
  * the owner stay within the budget together. The bucket starts empty, so that
  * restarts do not add to the budget.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 #define PROBE_TIMEOUT_US (500 * AUB_MS)
 #define LEAST_REPORTED_PROBE_PERIOD_US (100 * AUB_MS)
--- a/src/state/dispatch_queue.c
+++ b/src/state/dispatch_queue.c
@@ -4,7 +4,7 @@
  * A request that failed before it ran goes back to the head of the queue, since
  * it has waited longer than all others.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 /*
  * Returns the time in us after which the queue will be empty at the current
--- a/src/state/dispatch_upstream.c
+++ b/src/state/dispatch_upstream.c
@@ -2,7 +2,7 @@
  * The upstreams of one service: exact counts of attempts, availability, and
  * selection of the best free slot.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 #define OVERDUE_MEAN_FACTOR 4 /* times the mean service time */
 #define MEAN_WINDOW_ANSWERS 64 /* answers in the service's smoothed mean */
--- a/src/state/dispatch_warmup.c
+++ b/src/state/dispatch_warmup.c
@@ -9,7 +9,7 @@
  * report of "warm" alone just after a start does not raise the limit, because
  * upstreams have been seen to report it too early.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 #define SLOW_ANSWER_MEAN_FACTOR 4 /* times the mean service time */
 #define MEAN_SAMPLES_MIN 64 /* with fewer samples the mean is unreliable */
--- a/src/state/timeline.c
+++ b/src/state/timeline.c
@@ -1,5 +1,5 @@
 /* Merges the events of many processes into one order. */
-#include <auburnstile/internal/timeline_data.h>
+#include <auburnstile/internal/timeline_internal.h>
 
 #include <string.h>
 
--- a/src/state/timeline_causality.c
+++ b/src/state/timeline_causality.c
@@ -1,5 +1,5 @@
 /* Links events of one process to their causes in another. */
-#include <auburnstile/internal/timeline_data.h>
+#include <auburnstile/internal/timeline_internal.h>
 
 #include <string.h>
 
--- a/src/state/timeline_svg.c
+++ b/src/state/timeline_svg.c
@@ -7,7 +7,7 @@
  * the right of the previous one, further after a longer pause; the times are
  * written below.
  */
-#include <auburnstile/internal/timeline_data.h>
+#include <auburnstile/internal/timeline_internal.h>
 
 #include <math.h>
 #include <string.h>
--- a/src/state/timeline_text.c
+++ b/src/state/timeline_text.c
@@ -1,6 +1,6 @@
 /* Formats the timeline as text and JSON, and a request as sentences. */
 #include <auburnstile/internal/json.h>
-#include <auburnstile/internal/timeline_data.h>
+#include <auburnstile/internal/timeline_internal.h>
 
 #include <string.h>
 
