--- a/fuzz/fuzz_pack.c
+++ b/fuzz/fuzz_pack.c
@@ -6,22 +6,24 @@
 
 #include <auburnstile/internal/compression.h>
 
-#define LIMIT 65536
+#define DECOMPRESSED_BYTES_MAX 65536
 
-static void check_there_and_back(const guint8 *data, gsize size)
+static void check_round_trip(const guint8 *data, gsize size)
 {
-	GBytes *packed = aubi_compress(data, size);
-	GBytes *back =
-		aubi_decompress(g_bytes_get_data(packed, NULL),
-				g_bytes_get_size(packed), size, "fuzz", NULL);
+	GBytes *compressed = aubi_compress(data, size);
+	GBytes *decompressed =
+		aubi_decompress(g_bytes_get_data(compressed, NULL),
+				g_bytes_get_size(compressed), size, "fuzz",
+				NULL);
 
-	g_assert(back);
-	g_assert(g_bytes_get_size(back) == size);
+	g_assert(decompressed);
+	g_assert(g_bytes_get_size(decompressed) == size);
 	for (gsize i = 0; i < size; i++)
-		g_assert(((const guint8 *)g_bytes_get_data(back, NULL))[i] ==
+		g_assert(((const guint8 *)g_bytes_get_data(decompressed,
+							   NULL))[i] ==
 			 data[i]);
-	g_bytes_unref(packed);
-	g_bytes_unref(back);
+	g_bytes_unref(compressed);
+	g_bytes_unref(decompressed);
 }
 
 #ifdef FUZZ_REPLAY
@@ -31,14 +33,15 @@
 #endif
 {
 	GError *error = NULL;
-	GBytes *bytes = aubi_decompress(data, size, LIMIT, "fuzz", &error);
+	GBytes *bytes = aubi_decompress(data, size, DECOMPRESSED_BYTES_MAX,
+					"fuzz", &error);
 
 	g_assert((bytes == NULL) == (error != NULL));
 	if (bytes) {
-		g_assert(g_bytes_get_size(bytes) <= LIMIT);
+		g_assert(g_bytes_get_size(bytes) <= DECOMPRESSED_BYTES_MAX);
 		g_bytes_unref(bytes);
 	}
 	g_clear_error(&error);
-	check_there_and_back(data, size);
+	check_round_trip(data, size);
 	return 0;
 }
--- a/fuzz/fuzz_toml.c
+++ b/fuzz/fuzz_toml.c
@@ -54,25 +54,27 @@
 	g_clear_error(&error);
 }
 
-static void check_inventory(const struct aub_inventory *it)
+static void check_inventory(const struct aub_inventory *inventory)
 {
-	g_assert(it->services->len > 0);
-	for (guint i = 0; i < it->services->len; i++) {
-		const struct aub_service *service = aub_service_at(it, i);
+	g_assert(inventory->services->len > 0);
+	for (guint i = 0; i < inventory->services->len; i++) {
+		const struct aub_service *service =
+			aub_service_at(inventory, i);
 
-		g_assert(aub_inventory_service(it, service->name) == i);
-		g_assert(aub_inventory_route(it, service->path) == i);
+		g_assert(aub_inventory_service(inventory, service->name) == i);
+		g_assert(aub_inventory_route(inventory, service->path) == i);
 		aub_service_at_most_once_rule(service, "POST", service->path);
 	}
-	for (guint i = 0; i < it->upstreams->len; i++) {
-		const struct aub_upstream *upstream = aub_upstream_at(it, i);
+	for (guint i = 0; i < inventory->upstreams->len; i++) {
+		const struct aub_upstream *upstream =
+			aub_upstream_at(inventory, i);
 
-		g_assert(upstream->service < it->services->len);
-		g_assert(upstream->vm < it->vms->len);
-		g_assert(upstream->zone < it->zones->len);
+		g_assert(upstream->service < inventory->services->len);
+		g_assert(upstream->vm < inventory->vms->len);
+		g_assert(upstream->zone < inventory->zones->len);
 		g_assert(upstream->host && upstream->port);
 		g_assert(upstream->cold_slots <= upstream->slots);
-		g_assert(aub_upstream_accepts_new(it, (guint16)i));
+		g_assert(aub_upstream_accepts_new(inventory, (guint16)i));
 	}
 }
 
--- a/src/state/dispatch_attempt.c
+++ b/src/state/dispatch_attempt.c
@@ -198,30 +198,32 @@
 	dispatch_free_if_done(dispatcher, request);
 }
 
-static void on_answered(struct aub_dispatcher *dispatcher, struct upstream *u,
+static void on_answered(struct aub_dispatcher *dispatcher,
+			struct upstream *upstream,
 			const struct request *request,
 			const struct aub_upstream_signals *signals,
 			gint64 sent_us, gint64 now_us)
 {
 	bool failed = signals && signals->failed;
-	guint64 boot_id = u->boot_id;
+	guint64 boot_id = upstream->boot_id;
 	gint64 took_us = now_us - sent_us;
 
-	u->answered++;
-	u->last_answer_us = now_us;
-	warmup_on_signals(dispatcher, u, signals, now_us);
-	if (u->boot_id == boot_id)
-		crash_on_upstream_alive(u, sent_us);
+	upstream->answered++;
+	upstream->last_answer_us = now_us;
+	warmup_on_signals(dispatcher, upstream, signals, now_us);
+	if (upstream->boot_id == boot_id)
+		crash_on_upstream_alive(upstream, sent_us);
 	crash_on_request_answered(dispatcher, request->fingerprint, now_us);
-	upstream_record_result(dispatcher, u, failed, now_us);
+	upstream_record_result(dispatcher, upstream, failed, now_us);
 	if (failed)
 		return;
-	warmup_on_answer(dispatcher, u, took_us, now_us);
-	upstream_record_latency(dispatcher, u, took_us, true);
+	warmup_on_answer(dispatcher, upstream, took_us, now_us);
+	upstream_record_latency(dispatcher, upstream, took_us, true);
 }
 
 static void on_attempt_ended(struct aub_dispatcher *dispatcher,
-			     struct upstream *u, const struct request *request,
+			     struct upstream *upstream,
+			     const struct request *request,
 			     enum aub_attempt_result result,
 			     const struct aub_upstream_signals *signals,
 			     gint64 sent_us, gint64 now_us)
@@ -230,31 +232,33 @@
 
 	switch (result) {
 	case AUB_ATTEMPT_ANSWERED:
-		on_answered(dispatcher, u, request, signals, sent_us, now_us);
+		on_answered(dispatcher, upstream, request, signals, sent_us,
+			    now_us);
 		break;
 	case AUB_ATTEMPT_SHED:
-		warmup_on_signals(dispatcher, u, signals, now_us);
-		if (!u->draining)
-			upstream_on_shed(u, now_us);
+		warmup_on_signals(dispatcher, upstream, signals, now_us);
+		if (!upstream->draining)
+			upstream_on_shed(upstream, now_us);
 		break;
 	case AUB_ATTEMPT_NOT_CONNECTED:
-		crash_on_upstream_crash(dispatcher, u, now_us);
-		upstream_on_unreachable(u, now_us);
+		crash_on_upstream_crash(dispatcher, upstream, now_us);
+		upstream_on_unreachable(upstream, now_us);
 		break;
 	case AUB_ATTEMPT_CONNECTION_LOST:
-		u->lost_count++;
-		warmup_reset_to_unknown(u, now_us);
-		crash_on_connection_lost(dispatcher, u, request->fingerprint,
-					 now_us);
+		upstream->lost_count++;
+		warmup_reset_to_unknown(upstream, now_us);
+		crash_on_connection_lost(dispatcher, upstream,
+					 request->fingerprint, now_us);
 		break;
 	case AUB_ATTEMPT_TIMEOUT:
-		u->lost_count++;
-		upstream_record_latency(dispatcher, u, took_us, false);
+		upstream->lost_count++;
+		upstream_record_latency(dispatcher, upstream, took_us, false);
 		if (took_us > 2 * dispatcher->tail_latency_us)
-			upstream_record_result(dispatcher, u, true, now_us);
+			upstream_record_result(dispatcher, upstream, true,
+					       now_us);
 		break;
 	default:
-		upstream_record_latency(dispatcher, u, took_us, false);
+		upstream_record_latency(dispatcher, upstream, took_us, false);
 		break;
 	}
 }
@@ -285,11 +289,11 @@
  * the retry to the budgets.
  */
 static bool may_retry(struct aub_dispatcher *dispatcher,
-		      struct request *request, const struct upstream *u,
+		      struct request *request, const struct upstream *upstream,
 		      enum aub_attempt_result result, gint64 now_us)
 {
 	bool never_reached = result == AUB_ATTEMPT_NOT_CONNECTED ||
-			     (result == AUB_ATTEMPT_SHED && u->draining);
+			     (result == AUB_ATTEMPT_SHED && upstream->draining);
 
 	if (request->may_have_run && request->at_most_once)
 		return false;
@@ -308,7 +312,8 @@
 }
 
 static void on_attempt_failed(struct aub_dispatcher *dispatcher,
-			      struct request *request, struct upstream *u,
+			      struct request *request,
+			      struct upstream *upstream,
 			      enum aub_attempt_result result, gint64 now_us)
 {
 	enum aub_refusal refusal = AUB_REFUSAL_RETRY_BUDGET_EXHAUSTED;
@@ -317,9 +322,9 @@
 		request->may_have_run = true;
 	if (request_active_attempts(request))
 		return;
-	if (may_retry(dispatcher, request, u, result, now_us)) {
+	if (may_retry(dispatcher, request, upstream, result, now_us)) {
 		dispatcher->counts.retries++;
-		request->avoid_upstream = u;
+		request->avoid_upstream = upstream;
 		dispatch_timer_clear(dispatcher, request);
 		dispatch_enqueue(dispatcher, request, true);
 		return;
@@ -337,7 +342,7 @@
 			   const struct aub_upstream_signals *signals,
 			   gint64 now_us)
 {
-	struct upstream *u = attempt->upstream;
+	struct upstream *upstream = attempt->upstream;
 	guint32 number = attempt->number;
 	bool hedge = attempt->hedge;
 	gint64 sent_us = attempt->sent_us;
@@ -348,15 +353,16 @@
 	else if (result == AUB_ATTEMPT_CONNECTION_LOST && attempt->cancelled)
 		result = AUB_ATTEMPT_CANCELLED;
 	attempt_free(attempt);
-	upstream_on_attempt_abandoned(u, result, now_us);
-	on_attempt_ended(dispatcher, u, request, result, signals, sent_us,
-			 now_us);
+	upstream_on_attempt_abandoned(upstream, result, now_us);
+	on_attempt_ended(dispatcher, upstream, request, result, signals,
+			 sent_us, now_us);
 	if (request->finished) {
 		dispatch_free_if_done(dispatcher, request);
 		return;
 	}
 	if (result != AUB_ATTEMPT_ANSWERED)
-		on_attempt_failed(dispatcher, request, u, result, now_us);
+		on_attempt_failed(dispatcher, request, upstream, result,
+				  now_us);
 	else if (failed && request_active_attempts(request))
 		request->may_have_run = true; /* the other may succeed */
 	else
--- a/src/state/dispatch_crash.c
+++ b/src/state/dispatch_crash.c
@@ -69,11 +69,11 @@
 	guint marks = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		const struct upstream *u = upstream_at(dispatcher, i);
+		const struct upstream *upstream = upstream_at(dispatcher, i);
 
-		for (guint n = 0; n < u->lost_attempts->len; n++) {
+		for (guint n = 0; n < upstream->lost_attempts->len; n++) {
 			const struct lost_attempt *lost =
-				&g_array_index(u->lost_attempts,
+				&g_array_index(upstream->lost_attempts,
 					       struct lost_attempt, n);
 
 			if (lost->fingerprint == fingerprint &&
--- a/src/state/dispatch_policy.c
+++ b/src/state/dispatch_policy.c
@@ -71,27 +71,28 @@
 }
 
 static struct upstream *least_reported(struct aub_dispatcher *dispatcher,
-				       const GPtrArray *open)
+				       const GPtrArray *candidates)
 {
-	guint start = dispatch_random(dispatcher, open->len);
+	guint start = dispatch_random(dispatcher, candidates->len);
 	struct upstream *best = NULL;
 
-	for (guint i = 0; i < open->len; i++) {
-		struct upstream *u = open->pdata[(start + i) % open->len];
+	for (guint i = 0; i < candidates->len; i++) {
+		struct upstream *upstream =
+			candidates->pdata[(start + i) % candidates->len];
 
-		if (!best || u->reported_busy < best->reported_busy)
-			best = u;
+		if (!best || upstream->reported_busy < best->reported_busy)
+			best = upstream;
 	}
 	return best;
 }
 
 static struct upstream *two_choices(struct aub_dispatcher *dispatcher,
-				    const GPtrArray *open)
+				    const GPtrArray *candidates)
 {
-	guint first = dispatch_random(dispatcher, open->len);
-	guint second = dispatch_random(dispatcher, open->len);
-	struct upstream *a = open->pdata[first];
-	struct upstream *b = open->pdata[second];
+	guint first = dispatch_random(dispatcher, candidates->len);
+	guint second = dispatch_random(dispatcher, candidates->len);
+	struct upstream *a = candidates->pdata[first];
+	struct upstream *b = candidates->pdata[second];
 
 	return upstream_in_flight(b) < upstream_in_flight(a) ? b : a;
 }
@@ -104,36 +105,37 @@
 			       const struct request *request)
 {
 	struct upstream *chosen = NULL;
-	GPtrArray *open = g_ptr_array_new();
+	GPtrArray *candidates = g_ptr_array_new();
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		struct upstream *u = dispatcher->upstreams->pdata[i];
+		struct upstream *upstream = dispatcher->upstreams->pdata[i];
 
-		if (u->accepts_new && !u->draining &&
-		    u != request->avoid_upstream)
-			g_ptr_array_add(open, u);
+		if (upstream->accepts_new && !upstream->draining &&
+		    upstream != request->avoid_upstream)
+			g_ptr_array_add(candidates, upstream);
 	}
-	if (!open->len && request->avoid_upstream &&
+	if (!candidates->len && request->avoid_upstream &&
 	    request->avoid_upstream->accepts_new)
-		g_ptr_array_add(open, request->avoid_upstream);
-	if (!open->len)
+		g_ptr_array_add(candidates, request->avoid_upstream);
+	if (!candidates->len)
 		goto out;
 	switch (dispatcher->policy) {
 	case AUB_POLICY_ROUND_ROBIN:
-		chosen =
-			open->pdata[dispatcher->round_robin_next++ % open->len];
+		chosen = candidates->pdata[dispatcher->round_robin_next++ %
+					   candidates->len];
 		break;
 	case AUB_POLICY_LEAST_REPORTED:
-		chosen = least_reported(dispatcher, open);
+		chosen = least_reported(dispatcher, candidates);
 		break;
 	case AUB_POLICY_TWO_CHOICES:
-		chosen = two_choices(dispatcher, open);
+		chosen = two_choices(dispatcher, candidates);
 		break;
 	default:
-		chosen = open->pdata[dispatch_random(dispatcher, open->len)];
+		chosen = candidates->pdata[dispatch_random(dispatcher,
+							   candidates->len)];
 		break;
 	}
 out:
-	g_ptr_array_free(open, TRUE);
+	g_ptr_array_free(candidates, TRUE);
 	return chosen;
 }
--- a/src/state/dispatch_probe.c
+++ b/src/state/dispatch_probe.c
@@ -74,38 +74,39 @@
  * traffic shows its state.
  */
 static gint64 probe_period(const struct aub_dispatcher *dispatcher,
-			   const struct upstream *u)
+			   const struct upstream *upstream)
 {
 	gint64 now_us = dispatcher->now_us;
 
-	if (u->lost_attempts->len)
+	if (upstream->lost_attempts->len)
 		return 100 * AUB_MS;
-	if (u->draining)
+	if (upstream->draining)
 		return AUB_SECOND;
-	if (upstream_in_flight(u) || now_us < u->unavailable_until_us)
+	if (upstream_in_flight(upstream) ||
+	    now_us < upstream->unavailable_until_us)
 		return NEVER;
-	if (u->half_open)
+	if (upstream->half_open)
 		return 500 * AUB_MS;
-	if (u->state == UPSTREAM_UNKNOWN && dispatcher->queue.length)
+	if (upstream->state == UPSTREAM_UNKNOWN && dispatcher->queue.length)
 		return 100 * AUB_MS;
-	if (u->state != UPSTREAM_WARM)
+	if (upstream->state != UPSTREAM_WARM)
 		return AUB_SECOND;
 	return 5 * AUB_SECOND;
 }
 
 static gint64 probe_due_us(const struct aub_dispatcher *dispatcher,
-			   const struct upstream *u)
+			   const struct upstream *upstream)
 {
 	gint64 period;
 
-	if (!u->accepts_new || u->probing)
+	if (!upstream->accepts_new || upstream->probing)
 		return NEVER;
 	if (dispatcher->policy == AUB_POLICY_LEAST_REPORTED)
-		return u->last_probe_us + LEAST_REPORTED_PROBE_PERIOD_US;
-	period = probe_period(dispatcher, u);
+		return upstream->last_probe_us + LEAST_REPORTED_PROBE_PERIOD_US;
+	period = probe_period(dispatcher, upstream);
 	if (period == NEVER)
 		return NEVER;
-	return MAX(u->last_probe_us, u->last_answer_us) + period;
+	return MAX(upstream->last_probe_us, upstream->last_answer_us) + period;
 }
 
 /*
@@ -118,12 +119,12 @@
 	gint64 next_due = dispatcher->now_us;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		struct upstream *u = upstream_at(dispatcher, i);
-		gint64 due = probe_due_us(dispatcher, u);
+		struct upstream *upstream = upstream_at(dispatcher, i);
+		gint64 due = probe_due_us(dispatcher, upstream);
 
 		if (due > dispatcher->now_us || (next && due >= next_due))
 			continue;
-		next = u;
+		next = upstream;
 		next_due = due;
 	}
 	return next;
@@ -131,24 +132,25 @@
 
 void probe_send_due(struct aub_dispatcher *dispatcher, gint64 now_us)
 {
-	struct upstream *u;
+	struct upstream *upstream;
 
 	probe_refill(dispatcher, now_us);
 	if (!may_probe(dispatcher))
 		return;
-	for (u = probe_next(dispatcher); u; u = probe_next(dispatcher)) {
+	for (upstream = probe_next(dispatcher); upstream;
+	     upstream = probe_next(dispatcher)) {
 		if (!token_bucket_take(&dispatcher->probes,
-				       1000 * (gint64)u->probe_cost_us))
+				       1000 * (gint64)upstream->probe_cost_us))
 			return;
-		u->probing = true;
-		u->probes++;
-		u->last_probe_us = now_us;
+		upstream->probing = true;
+		upstream->probes++;
+		upstream->last_probe_us = now_us;
 		dispatcher->counts.probes++;
-		dispatcher->counts.probe_us += u->probe_cost_us;
+		dispatcher->counts.probe_us += upstream->probe_cost_us;
 		dispatch_push_action(dispatcher,
 				     &(struct aub_action){
 					     .type = AUB_ACTION_PROBE,
-					     .upstream = u->handle,
+					     .upstream = upstream->handle,
 					     .timeout_us =
 						     now_us + PROBE_TIMEOUT_US,
 				     });
@@ -156,10 +158,10 @@
 }
 
 static gint64 probe_affordable_at_us(const struct aub_dispatcher *dispatcher,
-				     const struct upstream *u)
+				     const struct upstream *upstream)
 {
-	gint64 missing =
-		1000 * (gint64)u->probe_cost_us - dispatcher->probes.tokens;
+	gint64 missing = 1000 * (gint64)upstream->probe_cost_us -
+			 dispatcher->probes.tokens;
 	gint64 rate = probe_rate_us_per_second(dispatcher);
 
 	if (missing <= 0)
@@ -180,35 +182,35 @@
 	if (!may_probe(dispatcher))
 		return wake;
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		const struct upstream *u = upstream_at(dispatcher, i);
-		gint64 due = probe_due_us(dispatcher, u);
+		const struct upstream *upstream = upstream_at(dispatcher, i);
+		gint64 due = probe_due_us(dispatcher, upstream);
 
 		if (due == NEVER)
 			continue;
-		due = MAX(due, probe_affordable_at_us(dispatcher, u));
+		due = MAX(due, probe_affordable_at_us(dispatcher, upstream));
 		wake = MIN(wake, MAX(due, dispatcher->now_us + 1));
 	}
 	return wake;
 }
 
 static void probe_answered(struct aub_dispatcher *dispatcher,
-			   struct upstream *u,
+			   struct upstream *upstream,
 			   const struct aub_upstream_signals *signals,
 			   gint64 now_us)
 {
-	guint64 boot_id = u->boot_id;
+	guint64 boot_id = upstream->boot_id;
 
-	warmup_on_signals(dispatcher, u, signals, now_us);
+	warmup_on_signals(dispatcher, upstream, signals, now_us);
 	if (!signals || !signals->boot_id || signals->boot_id != boot_id)
 		boot_id = 0;
 	if (boot_id)
-		crash_on_upstream_alive(u, u->last_probe_us);
-	if (u->state != UPSTREAM_UNKNOWN || !signals || signals->cold)
+		crash_on_upstream_alive(upstream, upstream->last_probe_us);
+	if (upstream->state != UPSTREAM_UNKNOWN || !signals || signals->cold)
 		return;
 	if (boot_id)
-		u->state = UPSTREAM_WARM;
+		upstream->state = UPSTREAM_WARM;
 	else
-		u->probed_warm = true;
+		upstream->probed_warm = true;
 }
 
 void aub_dispatcher_probe_done(struct aub_dispatcher *dispatcher,
@@ -216,18 +218,18 @@
 			       const struct aub_upstream_signals *signals,
 			       guint32 reported_busy, gint64 now_us)
 {
-	struct upstream *u = upstream_by_handle(dispatcher, upstream);
+	struct upstream *probed = upstream_by_handle(dispatcher, upstream);
 
 	dispatcher->now_us = MAX(dispatcher->now_us, now_us);
-	if (!u || !u->probing)
+	if (!probed || !probed->probing)
 		return; /* sent under an earlier inventory */
-	u->probing = false;
-	u->reported_busy = reported_busy;
+	probed->probing = false;
+	probed->reported_busy = reported_busy;
 	if (answered) {
-		probe_answered(dispatcher, u, signals, now_us);
-	} else if (!upstream_in_flight(u)) {
-		crash_on_upstream_crash(dispatcher, u, now_us);
-		upstream_on_unreachable(u, now_us);
+		probe_answered(dispatcher, probed, signals, now_us);
+	} else if (!upstream_in_flight(probed)) {
+		crash_on_upstream_crash(dispatcher, probed, now_us);
+		upstream_on_unreachable(probed, now_us);
 	}
 	dispatch_run_queue(dispatcher, now_us);
 }
--- a/src/state/dispatch_queue.c
+++ b/src/state/dispatch_queue.c
@@ -44,13 +44,13 @@
 
 static gint compare_timers(gconstpointer a, gconstpointer b, gpointer context)
 {
-	const struct request *x = a;
-	const struct request *y = b;
+	const struct request *left = a;
+	const struct request *right = b;
 
-	if (x->timer_us != y->timer_us)
-		return x->timer_us < y->timer_us ? -1 : 1;
-	if (x->id != y->id)
-		return x->id < y->id ? -1 : 1;
+	if (left->timer_us != right->timer_us)
+		return left->timer_us < right->timer_us ? -1 : 1;
+	if (left->id != right->id)
+		return left->id < right->id ? -1 : 1;
 	return 0;
 }
 
--- a/src/state/dispatch_upstream.c
+++ b/src/state/dispatch_upstream.c
@@ -22,21 +22,21 @@
 
 struct upstream *upstream_new(const char *name)
 {
-	struct upstream *u = g_new0(struct upstream, 1);
+	struct upstream *upstream = g_new0(struct upstream, 1);
 
-	u->name = g_strdup(name);
-	u->lost_attempts =
+	upstream->name = g_strdup(name);
+	upstream->lost_attempts =
 		g_array_new(FALSE, FALSE, sizeof(struct lost_attempt));
-	return u;
+	return upstream;
 }
 
 void upstream_free(gpointer data)
 {
-	struct upstream *u = data;
+	struct upstream *upstream = data;
 
-	g_array_free(u->lost_attempts, TRUE);
-	g_free(u->name);
-	g_free(u);
+	g_array_free(upstream->lost_attempts, TRUE);
+	g_free(upstream->name);
+	g_free(upstream);
 }
 
 guint upstream_in_flight(const struct upstream *upstream)
@@ -61,16 +61,16 @@
 static struct upstream *steal_by_name(GPtrArray *list, const char *name)
 {
 	for (guint i = 0; i < list->len; i++) {
-		struct upstream *u = list->pdata[i];
+		struct upstream *upstream = list->pdata[i];
 
-		if (g_str_equal(u->name, name))
+		if (g_str_equal(upstream->name, name))
 			return g_ptr_array_steal_index_fast(list, i);
 	}
 	return NULL;
 }
 
 static void upstream_configure(struct aub_dispatcher *dispatcher,
-			       struct upstream *u, guint16 handle,
+			       struct upstream *upstream, guint16 handle,
 			       gint64 now_us)
 {
 	const struct aub_upstream *settings =
@@ -78,24 +78,24 @@
 	bool accepts_new =
 		aub_upstream_accepts_new(dispatcher->inventory, handle);
 
-	if (u->slots != settings->slots)
-		u->concurrency_limit = settings->slots;
-	u->handle = handle;
-	u->slots = settings->slots;
-	if (accepts_new && !u->accepts_new) {
-		upstream_clear_backoff(u);
-		u->draining = false;
-		warmup_reset_to_unknown(u, now_us);
+	if (upstream->slots != settings->slots)
+		upstream->concurrency_limit = settings->slots;
+	upstream->handle = handle;
+	upstream->slots = settings->slots;
+	if (accepts_new && !upstream->accepts_new) {
+		upstream_clear_backoff(upstream);
+		upstream->draining = false;
+		warmup_reset_to_unknown(upstream, now_us);
 	}
-	u->cold_slots = settings->cold_slots;
-	u->zone = settings->zone;
-	u->probe_cost_us = settings->probe_cost_us;
-	u->accepts_new = accepts_new;
-	u->probing = false;
+	upstream->cold_slots = settings->cold_slots;
+	upstream->zone = settings->zone;
+	upstream->probe_cost_us = settings->probe_cost_us;
+	upstream->accepts_new = accepts_new;
+	upstream->probing = false;
 }
 
 static void upstream_remove(struct aub_dispatcher *dispatcher,
-			    struct upstream *u)
+			    struct upstream *upstream)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -104,10 +104,10 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct request *request = value;
 
-		if (request->avoid_upstream == u)
+		if (request->avoid_upstream == upstream)
 			request->avoid_upstream = NULL;
 	}
-	upstream_free(u);
+	upstream_free(upstream);
 }
 
 /*
@@ -123,26 +123,26 @@
 	for (guint i = 0; i < upstreams->len; i++) {
 		const struct aub_upstream *settings =
 			&g_array_index(upstreams, struct aub_upstream, i);
-		struct upstream *u;
+		struct upstream *upstream;
 
 		if (settings->service != dispatcher->service)
 			continue;
-		u = steal_by_name(before, settings->name);
-		if (!u)
-			u = upstream_new(settings->name);
-		upstream_configure(dispatcher, u, (guint16)i, now_us);
-		g_ptr_array_add(dispatcher->upstreams, u);
+		upstream = steal_by_name(before, settings->name);
+		if (!upstream)
+			upstream = upstream_new(settings->name);
+		upstream_configure(dispatcher, upstream, (guint16)i, now_us);
+		g_ptr_array_add(dispatcher->upstreams, upstream);
 	}
 	for (guint i = 0; i < before->len; i++) {
-		struct upstream *u = before->pdata[i];
+		struct upstream *upstream = before->pdata[i];
 
-		if (!u->running.length) {
-			upstream_remove(dispatcher, u);
+		if (!upstream->running.length) {
+			upstream_remove(dispatcher, upstream);
 			continue;
 		}
-		u->handle = AUB_NO_HANDLE;
-		u->accepts_new = false;
-		g_ptr_array_add(dispatcher->upstreams, u);
+		upstream->handle = AUB_NO_HANDLE;
+		upstream->accepts_new = false;
+		g_ptr_array_add(dispatcher->upstreams, upstream);
 	}
 	g_ptr_array_free(before, TRUE);
 }
@@ -215,10 +215,10 @@
 	guint total = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		const struct upstream *u = upstream_at(dispatcher, i);
+		const struct upstream *upstream = upstream_at(dispatcher, i);
 		guint allowed =
-			upstream_allowed_attempts(dispatcher, u, now_us);
-		guint in_flight = upstream_in_flight(u);
+			upstream_allowed_attempts(dispatcher, upstream, now_us);
+		guint in_flight = upstream_in_flight(upstream);
 
 		total += allowed > in_flight ? allowed - in_flight : 0;
 	}
@@ -265,30 +265,31 @@
 };
 
 static struct score upstream_score(const struct aub_dispatcher *dispatcher,
-				   const struct upstream *u,
+				   const struct upstream *upstream,
 				   const struct request *request, gint64 now_us)
 {
-	struct score score = { .cost_us = u->mean_us };
-	gint64 busy = upstream_in_flight(u);
+	struct score score = { .cost_us = upstream->mean_us };
+	gint64 busy = upstream_in_flight(upstream);
 
 	if (!score.cost_us)
 		score.cost_us = dispatcher->mean_us;
-	score.cost_us += score.cost_us * busy / (2 * (gint64)u->slots);
-	if (request->zone != AUB_NO_HANDLE && request->zone != u->zone)
+	score.cost_us += score.cost_us * busy / (2 * (gint64)upstream->slots);
+	if (request->zone != AUB_NO_HANDLE && request->zone != upstream->zone)
 		score.cost_us += CROSS_ZONE_COST_US;
-	if (upstream_is_overdue(dispatcher, u, now_us))
+	if (upstream_is_overdue(dispatcher, upstream, now_us))
 		score.class = 1;
-	if (u == request->avoid_upstream)
+	if (upstream == request->avoid_upstream)
 		score.class = 2;
 	return score;
 }
 
-static bool runs_on(const struct request *request, const struct upstream *u)
+static bool runs_on(const struct request *request,
+		    const struct upstream *upstream)
 {
 	for (guint i = 0; i < request->running->len; i++) {
 		const struct attempt *attempt = request->running->pdata[i];
 
-		if (attempt->upstream == u)
+		if (attempt->upstream == upstream)
 			return true;
 	}
 	return false;
@@ -309,21 +310,21 @@
 	guint start = count ? dispatch_random(dispatcher, count) : 0;
 
 	for (guint i = 0; i < count; i++) {
-		struct upstream *u =
+		struct upstream *upstream =
 			upstream_at(dispatcher, (start + i) % count);
 		struct score score;
 
-		if (upstream_in_flight(u) >=
-		    upstream_allowed_attempts(dispatcher, u, now_us))
+		if (upstream_in_flight(upstream) >=
+		    upstream_allowed_attempts(dispatcher, upstream, now_us))
 			continue;
-		score = upstream_score(dispatcher, u, request, now_us);
-		if (hedge && (score.class || runs_on(request, u)))
+		score = upstream_score(dispatcher, upstream, request, now_us);
+		if (hedge && (score.class || runs_on(request, upstream)))
 			continue;
 		if (best && (score.class > best_score.class ||
 			     (score.class == best_score.class &&
 			      score.cost_us >= best_score.cost_us)))
 			continue;
-		best = u;
+		best = upstream;
 		best_score = score;
 	}
 	return best;
@@ -437,15 +438,15 @@
 	guint failed = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		const struct upstream *u = upstream_at(dispatcher, i);
+		const struct upstream *other = upstream_at(dispatcher, i);
 
-		if (u == upstream || !u->accepts_new)
+		if (other == upstream || !other->accepts_new)
 			continue;
 		others++;
-		if (u->ejected)
+		if (other->ejected)
 			ejected++;
 		else
-			failed += u->failed_permille;
+			failed += other->failed_permille;
 	}
 	if (ejected >= (others + 1) / AUB_EJECTED_UPSTREAMS_DIVISOR)
 		return false;
@@ -520,13 +521,15 @@
 		earliest_future_us(now_us, dispatcher->takeover_grace_until_us,
 				   wake_us);
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		const struct upstream *u = upstream_at(dispatcher, i);
+		const struct upstream *upstream = upstream_at(dispatcher, i);
 
-		if (!u->accepts_new)
+		if (!upstream->accepts_new)
 			continue;
-		wake_us = earliest_future_us(now_us, u->unavailable_until_us,
+		wake_us = earliest_future_us(now_us,
+					     upstream->unavailable_until_us,
 					     wake_us);
-		wake_us = earliest_future_us(now_us, u->cancel_grace_until_us,
+		wake_us = earliest_future_us(now_us,
+					     upstream->cancel_grace_until_us,
 					     wake_us);
 	}
 	return wake_us;
--- a/src/state/dispatch_warmup.c
+++ b/src/state/dispatch_warmup.c
@@ -156,21 +156,24 @@
 	guint count = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		const struct upstream *u = upstream_at(dispatcher, i);
-		gint64 last_seen_us = MAX(u->last_answer_us, u->last_probe_us);
+		const struct upstream *upstream = upstream_at(dispatcher, i);
+		gint64 last_seen_us =
+			MAX(upstream->last_answer_us, upstream->last_probe_us);
 		gint64 age_ms = (now_us - last_seen_us) / AUB_MS;
 
 		if (count == limit)
 			break;
-		if (u->state == UPSTREAM_UNKNOWN || !u->accepts_new)
+		if (upstream->state == UPSTREAM_UNKNOWN ||
+		    !upstream->accepts_new)
 			continue;
 		list[count++] = (struct aub_upstream_snapshot){
-			.name = u->name,
-			.boot_id = u->boot_id,
-			.cold = u->state == UPSTREAM_COLD,
-			.draining = u->draining,
+			.name = upstream->name,
+			.boot_id = upstream->boot_id,
+			.cold = upstream->state == UPSTREAM_COLD,
+			.draining = upstream->draining,
 			.age_ms = (guint32)CLAMP(age_ms, 0, G_MAXUINT32),
-			.mean_us = (guint32)CLAMP(u->mean_us, 0, G_MAXUINT32),
+			.mean_us = (guint32)CLAMP(upstream->mean_us, 0,
+						  G_MAXUINT32),
 		};
 	}
 	return count;
@@ -195,21 +198,21 @@
 	struct aub_dispatcher *dispatcher,
 	const struct aub_upstream_snapshot *snapshot, gint64 now_us)
 {
-	struct upstream *u = find_by_name(dispatcher, snapshot->name);
+	struct upstream *upstream = find_by_name(dispatcher, snapshot->name);
 
-	if (!u || dispatcher->role != AUB_DISPATCH_NONE)
+	if (!upstream || dispatcher->role != AUB_DISPATCH_NONE)
 		return;
-	if (snapshot->boot_id && snapshot->boot_id != u->boot_id) {
-		u->previous_boot_id = u->boot_id;
-		u->boot_id = snapshot->boot_id;
+	if (snapshot->boot_id && snapshot->boot_id != upstream->boot_id) {
+		upstream->previous_boot_id = upstream->boot_id;
+		upstream->boot_id = snapshot->boot_id;
 	}
-	u->draining = snapshot->draining;
-	u->last_answer_us = now_us - (gint64)snapshot->age_ms * AUB_MS;
-	u->mean_us = snapshot->mean_us;
+	upstream->draining = snapshot->draining;
+	upstream->last_answer_us = now_us - (gint64)snapshot->age_ms * AUB_MS;
+	upstream->mean_us = snapshot->mean_us;
 	if (!dispatcher->latency_samples)
 		dispatcher->mean_us = snapshot->mean_us;
-	if (snapshot->cold && u->state != UPSTREAM_COLD)
-		warmup_begin(dispatcher, u, now_us);
+	if (snapshot->cold && upstream->state != UPSTREAM_COLD)
+		warmup_begin(dispatcher, upstream, now_us);
 	else if (!snapshot->cold)
-		u->state = UPSTREAM_WARM;
+		upstream->state = UPSTREAM_WARM;
 }
--- a/src/state/inventory_check.c
+++ b/src/state/inventory_check.c
@@ -90,25 +90,25 @@
 				       struct aub_at_most_once_rule, i);
 		const struct aub_toml_node *list =
 			aub_toml_member(origin->node, "once");
-		struct aub_draft_origin at = { .node = origin->node };
+		struct aub_draft_origin rule_origin = { .node = origin->node };
 
-		at.label =
+		rule_origin.label =
 			g_strdup_printf("%s.once[#%u]", origin->label, i + 1);
 		if (i < aub_toml_size(list))
-			at.node = aub_toml_item(list, i);
+			rule_origin.node = aub_toml_item(list, i);
 		if (!method_is_valid(rule->method))
 			aub_draft_add_problem(
-				draft, &at, "method", "method",
+				draft, &rule_origin, "method", "method",
 				"\"%s\" is neither a method such as "
 				"POST nor \"*\"",
 				rule->method);
 		if (!rule_can_match(draft->inventory, handle, rule))
 			aub_draft_add_problem(
-				draft, &at, "path", "once-unmatched",
+				draft, &rule_origin, "path", "once-unmatched",
 				"no request to service \"%s\" (path "
 				"\"%s\") has a path below \"%s\"",
 				service->name, service->path, rule->path);
-		g_free(at.label);
+		g_free(rule_origin.label);
 	}
 }
 
--- a/src/state/inventory_parse.c
+++ b/src/state/inventory_parse.c
@@ -127,17 +127,18 @@
 	}
 	for (guint i = 0; i < aub_toml_size(list); i++) {
 		const struct aub_toml_node *node = aub_toml_item(list, i);
-		struct aub_draft_origin at = { node, origin->label };
+		struct aub_draft_origin name_origin = { node, origin->label };
 
 		if (!aub_toml_string(node, &name))
 			aub_draft_add_type_problem(draft, origin, "vms",
 						   "a list of names", node);
 		else if (!aub_name_is_valid(name))
-			aub_draft_add_problem(draft, &at, "vms", "name",
+			aub_draft_add_problem(draft, &name_origin, "vms",
+					      "name",
 					      "\"%s\" is not a valid name",
 					      name);
 		else
-			vm_add(draft, &at, g_strdup(name), zone);
+			vm_add(draft, &name_origin, g_strdup(name), zone);
 	}
 }
 
--- a/src/state/key_table.c
+++ b/src/state/key_table.c
@@ -351,7 +351,7 @@
 	return *end == '\0';
 }
 
-static bool printable(const char *text)
+static bool is_printable(const char *text)
 {
 	for (; *text; text++)
 		if (!g_ascii_isgraph(*text))
@@ -381,7 +381,7 @@
 	guint64 random;
 	guint64 issued;
 
-	if (strlen(key) > AUB_KEY_BYTES_MAX || !printable(key) || !slash ||
+	if (strlen(key) > AUB_KEY_BYTES_MAX || !is_printable(key) || !slash ||
 	    !slash[1])
 		goto invalid;
 	grant = g_strndup(key, (gsize)(slash - key));
--- a/src/state/log_events.c
+++ b/src/state/log_events.c
@@ -57,7 +57,7 @@
 	const struct aub_timeline_filter *filter;
 	GHashTable *processes; /* node -> handle of its latest start + 1 */
 	guint64 last_sequence;
-	guint64 kept_count;
+	guint64 retained_count;
 	guint64 dropped_count;
 };
 
@@ -200,8 +200,8 @@
 	if (matches_filter(events, mapping, object, &event)) {
 		guint process = process_handle_of(events, object);
 
-		if (events->kept_count < AUB_LOG_EVENTS_MAX) {
-			events->kept_count++;
+		if (events->retained_count < AUB_LOG_EVENTS_MAX) {
+			events->retained_count++;
 			aub_timeline_add_event(events->timeline, process,
 					       &event);
 		} else {
--- a/src/state/timeline.c
+++ b/src/state/timeline.c
@@ -5,11 +5,11 @@
 
 static void lane_clear(gpointer data)
 {
-	struct aub_timeline_lane *process = data;
+	struct aub_timeline_lane *lane = data;
 
-	g_free(process->name);
-	g_free(process->zone);
-	g_array_unref(process->events);
+	g_free(lane->name);
+	g_free(lane->zone);
+	g_array_unref(lane->events);
 }
 
 struct aub_timeline *aub_timeline_new(void)
@@ -92,13 +92,13 @@
 		for (guint i = 0; i < merge->nodes->len; i++) {
 			const struct aub_timeline_node *node =
 				aub_timeline_node_at(merge, i);
-			struct aub_timeline_lane *to;
+			struct aub_timeline_lane *lane;
 			gint64 earliest_us;
 
 			if (node->cause == AUB_NO_NODE)
 				continue;
-			to = aub_timeline_lane_at(merge->timeline,
-						  node->process);
+			lane = aub_timeline_lane_at(merge->timeline,
+						    node->process);
 			earliest_us =
 				aub_timeline_event_at(merge, node->cause)
 					->wall_us +
@@ -108,10 +108,10 @@
 						->process)
 					->offset_us;
 			if (aub_timeline_event_at(merge, i)->wall_us +
-				    to->offset_us >=
+				    lane->offset_us >=
 			    earliest_us)
 				continue;
-			to->offset_us =
+			lane->offset_us =
 				earliest_us -
 				aub_timeline_event_at(merge, i)->wall_us;
 			changed = true;
@@ -350,15 +350,15 @@
 			   const struct aub_timeline_filter *filter)
 {
 	const struct aub_event *event = &entry->event;
-	const struct aub_timeline_lane *from =
+	const struct aub_timeline_lane *lane =
 		aub_timeline_lane_at(timeline, entry->process);
 
 	return (!filter->request || event->request == filter->request) &&
 	       (!filter->upstream ||
 		strcmp(event->upstream, filter->upstream) == 0) &&
 	       (!filter->zone || strcmp(event->zone, filter->zone) == 0 ||
-		strcmp(from->zone, filter->zone) == 0) &&
-	       (!filter->process || strcmp(from->name, filter->process) == 0) &&
+		strcmp(lane->zone, filter->zone) == 0) &&
+	       (!filter->process || strcmp(lane->name, filter->process) == 0) &&
 	       (!filter->since_us || entry->time_us >= filter->since_us) &&
 	       (!filter->until_us || entry->time_us <= filter->until_us);
 }
--- a/src/state/timeline_svg.c
+++ b/src/state/timeline_svg.c
@@ -240,7 +240,7 @@
 		const struct aub_timeline_entry *entry = entry_at(diagram, i);
 		gpointer before;
 		char colour[24];
-		guint j;
+		guint previous;
 
 		if (!entry->event.request)
 			continue;
@@ -249,15 +249,15 @@
 				    GUINT_TO_POINTER(i + 1));
 		if (!before)
 			continue;
-		j = GPOINTER_TO_UINT(before) - 1;
+		previous = GPOINTER_TO_UINT(before) - 1;
 		request_colour(entry->event.request, colour);
 		g_string_append_printf(
 			diagram->out,
 			"<line x1=\"%.1f\" y1=\"%.1f\" x2=\"%.1f\" "
 			"y2=\"%.1f\" stroke=\"%s\" stroke-width=\"2\" "
 			"stroke-opacity=\"0.65\"/>\n",
-			diagram->x[j],
-			lane_y(diagram, entry_at(diagram, j)->process),
+			diagram->x[previous],
+			lane_y(diagram, entry_at(diagram, previous)->process),
 			diagram->x[i], lane_y(diagram, entry->process), colour);
 	}
 	g_hash_table_unref(last);
--- a/src/state/timeline_text.c
+++ b/src/state/timeline_text.c
@@ -9,13 +9,13 @@
 /*
  * Returns the UTC time as "23:59:59.000001", optionally preceded by the date.
  */
-static char *time_text(gint64 time_us, bool date)
+static char *time_text(gint64 time_us, bool with_date)
 {
 	GDateTime *moment =
 		g_date_time_new_from_unix_utc(time_us / US_PER_SECOND);
-	char *second =
-		moment ? g_date_time_format(moment, date ? "%F %T" : "%T") :
-			 g_strdup("?");
+	char *second = moment ? g_date_time_format(moment,
+						   with_date ? "%F %T" : "%T") :
+				g_strdup("?");
 	char *text = g_strdup_printf("%s.%06d", second,
 				     (int)(time_us % US_PER_SECOND));
 
--- a/tests/dispatch_fixture.h
+++ b/tests/dispatch_fixture.h
@@ -139,7 +139,7 @@
 		std::vector<struct aub_action> sent;
 
 		for (guint i = 0; i < options.upstreams * options.slots; i++)
-			submit(warm_id++);
+			submit(warm_up_id++);
 		for (int round = 0; aub_dispatcher_pending(dispatcher);
 		     round++) {
 			g_assert_cmpint(round, <, 100);
@@ -167,7 +167,7 @@
 							boot_ids.at(
 								action.upstream));
 	}
-	guint64 warm_id = 1u << 30;
+	guint64 warm_up_id = 1u << 30;
 
       private:
 	std::string service() const
--- a/tests/test_dispatch_faults.cc
+++ b/tests/test_dispatch_faults.cc
@@ -114,7 +114,7 @@
 {
 	DispatchFixture fixture;
 	fixture.warm_up();
-	guint deaths = 0;
+	guint crashes = 0;
 	fixture.submit(50, false, 0, 5 * AUB_SECOND, 77);
 	fixture.attempt_done(fixture.take_one());
 	fixture.take_actions();
@@ -124,13 +124,13 @@
 		     list = fixture.take_actions())
 			for (const auto &action : list)
 				if (action.type == AUB_ACTION_SEND) {
-					deaths++;
+					crashes++;
 					fixture.attempt_done(
 						action,
 						AUB_ATTEMPT_CONNECTION_LOST);
 				}
 	}
-	EXPECT_EQ(deaths, 2u);
+	EXPECT_EQ(crashes, 2u);
 	fixture.submit(20, false, 100, 5 * AUB_SECOND, 666);
 	auto action = fixture.take_one();
 	EXPECT_EQ(action.type, AUB_ACTION_REFUSE);
--- a/tests/test_dispatch_state.cc
+++ b/tests/test_dispatch_state.cc
@@ -21,9 +21,9 @@
 	guint32 value;
 };
 
-static void showValue(const command &c, std::ostream &out)
+static void showValue(const command &input, std::ostream &out)
 {
-	out << "{" << (int)c.type << "," << c.value << "}";
+	out << "{" << (int)input.type << "," << input.value << "}";
 }
 
 /* An attempt that was sent and is not reported yet. */
@@ -64,8 +64,8 @@
 
 	void run(const std::vector<command> &commands)
 	{
-		for (const auto &c : commands) {
-			run_command(c);
+		for (const auto &input : commands) {
+			run_command(input);
 			process_actions();
 		}
 		finish_all();
@@ -92,67 +92,69 @@
 	 * Returns the limit of concurrent attempts that follows from the state
 	 * which the upstream has reported.
 	 */
-	guint attempt_limit(const upstream_model &u) const
+	guint attempt_limit(const upstream_model &upstream) const
 	{
-		bool cold = u.reported_cold ||
-			    (u.cold_since_us &&
-			     fixture.now - u.cold_since_us <
+		bool cold = upstream.reported_cold ||
+			    (upstream.cold_since_us &&
+			     fixture.now - upstream.cold_since_us <
 				     fixture.options.cold_ms * AUB_MS);
 		bool shared = role == AUB_DISPATCH_STANDBY ||
 			      fixture.now < takeover_grace_until_us;
 
 		if (shared)
 			return cold ? 0 : fixture.options.slots / 2;
-		return cold || !u.reported_boot_id ?
+		return cold || !upstream.reported_boot_id ?
 			       fixture.options.cold_slots :
 			       fixture.options.slots;
 	}
 
-	void check_send(const struct aub_action &a)
+	void check_send(const struct aub_action &action)
 	{
-		request_model &request = requests.at(a.request);
-		upstream_model &u = upstreams[a.upstream];
+		request_model &request = requests.at(action.request);
+		upstream_model &upstream = upstreams[action.upstream];
 
 		RC_ASSERT(role != AUB_DISPATCH_NONE);
-		RC_ASSERT(a.upstream < fixture.options.upstreams);
-		RC_ASSERT(!(fixture.options.out >> a.upstream & 1));
+		RC_ASSERT(action.upstream < fixture.options.upstreams);
+		RC_ASSERT(!(fixture.options.out >> action.upstream & 1));
 		RC_ASSERT(request.final_actions == 0u);
 		RC_ASSERT(!request.abandoned);
-		RC_ASSERT(u.in_flight + 1 <= attempt_limit(u));
+		RC_ASSERT(upstream.in_flight + 1 <= attempt_limit(upstream));
 		if (request.at_most_once) {
 			RC_ASSERT(!request.may_have_run);
 			RC_ASSERT(request.outstanding_attempts == 0u);
 		}
 		for (const auto &other : running)
-			if (a.hedge && other.sent.request == a.request)
-				RC_ASSERT(other.sent.upstream != a.upstream);
-		RC_ASSERT(a.hedge == (request.outstanding_attempts > 0));
-		u.in_flight++;
+			if (action.hedge &&
+			    other.sent.request == action.request)
+				RC_ASSERT(other.sent.upstream !=
+					  action.upstream);
+		RC_ASSERT(action.hedge == (request.outstanding_attempts > 0));
+		upstream.in_flight++;
 		request.outstanding_attempts++;
-		running.push_back({ a, false });
+		running.push_back({ action, false });
 	}
 
-	void check_final(const struct aub_action &a)
+	void check_final(const struct aub_action &action)
 	{
-		request_model &request = requests.at(a.request);
+		request_model &request = requests.at(action.request);
 
 		request.final_actions++;
 		RC_ASSERT(request.final_actions == 1u);
 		RC_ASSERT(!request.abandoned);
-		if (a.type == AUB_ACTION_REFUSE) {
+		if (action.type == AUB_ACTION_REFUSE) {
 			RC_ASSERT(!request.may_have_run);
 			RC_ASSERT(request.answered.empty());
 			RC_ASSERT(request.outstanding_attempts == 0u);
-			RC_ASSERT(a.refusal != AUB_REFUSAL_NONE);
-			RC_ASSERT(a.retry_after_ms >= 1u);
-		} else if (a.type == AUB_ACTION_UNKNOWN) {
+			RC_ASSERT(action.refusal != AUB_REFUSAL_NONE);
+			RC_ASSERT(action.retry_after_ms >= 1u);
+		} else if (action.type == AUB_ACTION_UNKNOWN) {
 			RC_ASSERT(request.may_have_run);
 		} else {
-			RC_ASSERT(request.answered.count(a.attempt) == 1u);
+			RC_ASSERT(request.answered.count(action.attempt) == 1u);
 		}
 	}
 
-	void check_probe(const struct aub_action &a)
+	void check_probe(const struct aub_action &action)
 	{
 		guint64 spent_us;
 
@@ -162,52 +164,56 @@
 			probe_times.pop_front();
 		spent_us = probe_times.size() * fixture.options.probe_cost_us;
 		RC_ASSERT(spent_us <= fixture.options.probe_budget_us / 2);
-		probes.push_back(a);
+		probes.push_back(action);
 	}
 
 	void process_actions()
 	{
-		for (const auto &a : fixture.take_actions()) {
-			add_to_digest(a.type);
-			add_to_digest(a.request << 16 | a.attempt << 8 |
-				      a.upstream);
-			switch (a.type) {
+		for (const auto &action : fixture.take_actions()) {
+			add_to_digest(action.type);
+			add_to_digest(action.request << 16 |
+				      action.attempt << 8 | action.upstream);
+			switch (action.type) {
 			case AUB_ACTION_SEND:
-				check_send(a);
+				check_send(action);
 				break;
 			case AUB_ACTION_CANCEL:
 				for (auto &attempt : running)
-					if (attempt.sent.request == a.request &&
-					    attempt.sent.attempt == a.attempt)
+					if (attempt.sent.request ==
+						    action.request &&
+					    attempt.sent.attempt ==
+						    action.attempt)
 						attempt.cancelled = true;
 				break;
 			case AUB_ACTION_PROBE:
-				check_probe(a);
+				check_probe(action);
 				break;
 			default:
-				check_final(a);
+				check_final(action);
 				break;
 			}
 		}
 	}
 
-	void record_report(upstream_model &u, bool cold)
+	void record_report(upstream_model &upstream, bool cold)
 	{
-		if (u.reported_boot_id && u.reported_boot_id != u.boot_id) {
-			u.cold_since_us = fixture.now;
-			u.reported_cold = false;
+		if (upstream.reported_boot_id &&
+		    upstream.reported_boot_id != upstream.boot_id) {
+			upstream.cold_since_us = fixture.now;
+			upstream.reported_cold = false;
 		}
-		if (cold && !u.reported_cold && !u.cold_since_us)
-			u.cold_since_us = fixture.now;
-		if (!cold && u.reported_cold)
-			u.cold_since_us = 0;
-		u.reported_cold = cold;
-		u.reported_boot_id = u.boot_id;
+		if (cold && !upstream.reported_cold && !upstream.cold_since_us)
+			upstream.cold_since_us = fixture.now;
+		if (!cold && upstream.reported_cold)
+			upstream.cold_since_us = 0;
+		upstream.reported_cold = cold;
+		upstream.reported_boot_id = upstream.boot_id;
 	}
 
-	bool reports_cold(const upstream_model &u) const
+	bool reports_cold(const upstream_model &upstream) const
 	{
-		return fixture.now < u.cold_until_us && !u.hides_cold;
+		return fixture.now < upstream.cold_until_us &&
+		       !upstream.hides_cold;
 	}
 
 	enum aub_attempt_result choose_result(
@@ -218,11 +224,12 @@
 			AUB_ATTEMPT_CONNECTION_LOST, AUB_ATTEMPT_TIMEOUT,
 			AUB_ATTEMPT_CANCELLED
 		};
-		const upstream_model &u = upstreams[attempt.sent.upstream];
+		const upstream_model &upstream =
+			upstreams[attempt.sent.upstream];
 
 		if (attempt.cancelled && value % 4)
 			return AUB_ATTEMPT_CANCELLED;
-		if (u.unreachable)
+		if (upstream.unreachable)
 			return value % 2 ? AUB_ATTEMPT_CONNECTION_LOST :
 					   AUB_ATTEMPT_NOT_CONNECTED;
 		if (value % 10 < 7)
@@ -238,22 +245,22 @@
 		outstanding_attempt attempt = running[index];
 		enum aub_attempt_result result = choose_result(attempt, value);
 		request_model &request = requests.at(attempt.sent.request);
-		upstream_model &u = upstreams[attempt.sent.upstream];
-		bool cold = reports_cold(u);
+		upstream_model &upstream = upstreams[attempt.sent.upstream];
+		bool cold = reports_cold(upstream);
 
 		running.erase(running.begin() + index);
-		u.in_flight--;
+		upstream.in_flight--;
 		request.outstanding_attempts--;
 		if (result == AUB_ATTEMPT_ANSWERED ||
 		    result == AUB_ATTEMPT_SHED)
-			record_report(u, cold);
+			record_report(upstream, cold);
 		if (result == AUB_ATTEMPT_ANSWERED)
 			request.answered.insert(attempt.sent.attempt);
 		if (result != AUB_ATTEMPT_SHED &&
 		    result != AUB_ATTEMPT_NOT_CONNECTED)
 			request.may_have_run = true;
-		fixture.attempt_done(attempt.sent, result, u.boot_id, cold,
-				     value % 7 == 0, u.draining);
+		fixture.attempt_done(attempt.sent, result, upstream.boot_id,
+				     cold, value % 7 == 0, upstream.draining);
 	}
 
 	void report_probe(guint32 value)
@@ -261,13 +268,14 @@
 		if (probes.empty())
 			return;
 		struct aub_action probe = probes.back();
-		upstream_model &u = upstreams[probe.upstream];
-		bool answered = !u.unreachable && value % 5;
+		upstream_model &upstream = upstreams[probe.upstream];
+		bool answered = !upstream.unreachable && value % 5;
 
 		probes.pop_back();
 		if (answered)
-			record_report(u, reports_cold(u));
-		fixture.probe_done(probe, answered, u.boot_id, reports_cold(u));
+			record_report(upstream, reports_cold(upstream));
+		fixture.probe_done(probe, answered, upstream.boot_id,
+				   reports_cold(upstream));
 	}
 
 	void arrive(guint32 value)
@@ -307,23 +315,23 @@
 		fixture.configure();
 	}
 
-	void reset_reported_state(upstream_model &u)
+	void reset_reported_state(upstream_model &upstream)
 	{
-		u.reported_boot_id = 0;
-		u.reported_cold = false;
-		u.cold_since_us = 0;
+		upstream.reported_boot_id = 0;
+		upstream.reported_cold = false;
+		upstream.cold_since_us = 0;
 	}
 
 	void restart(guint32 value)
 	{
-		upstream_model &u = upstreams[value % UPSTREAMS_MAX];
+		upstream_model &upstream = upstreams[value % UPSTREAMS_MAX];
 
-		u.boot_id++;
-		u.cold_until_us =
+		upstream.boot_id++;
+		upstream.cold_until_us =
 			fixture.now + fixture.options.cold_ms * AUB_MS;
-		u.hides_cold = value / 8 % 2;
-		u.unreachable = value / 16 % 4 == 0;
-		u.draining = value / 64 % 8 == 0;
+		upstream.hides_cold = value / 8 % 2;
+		upstream.unreachable = value / 16 % 4 == 0;
+		upstream.draining = value / 64 % 8 == 0;
 	}
 
 	void abandon(guint32 value)
@@ -361,35 +369,35 @@
 		}
 	}
 
-	void run_command(const command &c)
+	void run_command(const command &input)
 	{
-		switch (c.type % 20) {
+		switch (input.type % 20) {
 		case 0 ... 6:
-			arrive(c.value);
+			arrive(input.value);
 			break;
 		case 7 ... 12:
-			report(c.value);
+			report(input.value);
 			break;
 		case 13:
-			advance_time(1 + c.value % (20 * AUB_MS));
+			advance_time(1 + input.value % (20 * AUB_MS));
 			break;
 		case 14:
-			advance_time(1 + c.value % (2 * AUB_SECOND));
+			advance_time(1 + input.value % (2 * AUB_SECOND));
 			break;
 		case 15:
-			restart(c.value);
+			restart(input.value);
 			break;
 		case 16:
-			change_role(c.value);
+			change_role(input.value);
 			break;
 		case 17:
-			reconfigure(c.value);
+			reconfigure(input.value);
 			break;
 		case 18:
-			abandon(c.value);
+			abandon(input.value);
 			break;
 		default:
-			report_probe(c.value);
+			report_probe(input.value);
 			break;
 		}
 	}
@@ -412,8 +420,8 @@
 		for (const auto &[id, request] : requests)
 			RC_ASSERT(request.final_actions ==
 				  (request.abandoned ? 0u : 1u));
-		for (const auto &u : upstreams)
-			RC_ASSERT(u.in_flight == 0u);
+		for (const auto &upstream : upstreams)
+			RC_ASSERT(upstream.in_flight == 0u);
 	}
 };
 
