--- a/fuzz/fuzz_pack.c
+++ b/fuzz/fuzz_pack.c
@@ -1,6 +1,6 @@
 /*
- * Fuzzes the compression of byte strings: unpacked data never exceeds the
- * limit, and packed data is unchanged by a round trip.
+ * Fuzzes the compression of byte strings: decompressed data never exceeds the
+ * limit, and data is unchanged by compression and decompression.
  */
 #include "fuzz.h"
 
--- a/fuzz/fuzz_toml.c
+++ b/fuzz/fuzz_toml.c
@@ -1,7 +1,7 @@
 /*
  * Fuzzes the TOML reader through its two users: a parsed inventory satisfies
- * the assumptions of its readers, and a settings file is accepted completely or
- * not at all.
+ * the assumptions of its readers, and a settings file is either accepted
+ * completely or rejected.
  */
 #include "fuzz.h"
 
--- a/include/auburnstile/config.h
+++ b/include/auburnstile/config.h
@@ -26,11 +26,12 @@
 	char *author;
 	char *inventory_text; /* inventory TOML */
 	GPtrArray *zones_out; /* of char *, owned */
-	GPtrArray *vms_leaving;
-	GPtrArray *upstreams_leaving;
+	GPtrArray *vms_leaving; /* of char *, owned */
+	GPtrArray *upstreams_leaving; /* of char *, owned */
 	GPtrArray *recent_changes; /* digests of the ids of earlier changes */
 };
 
+/* Return an empty configuration or a deep copy, owned by the caller. */
 struct aub_config *aub_config_new(void);
 struct aub_config *aub_config_copy(const struct aub_config *config);
 void aub_config_free(struct aub_config *config);
@@ -49,14 +50,15 @@
  * becomes one of the recent ones. These are stored as digests, so that the text
  * of an id is in the object only while its edit is the newest.
  */
-#define AUB_CONFIG_RECENT_CHANGES_MAX 32 /* remembered edits */
+#define AUB_CONFIG_RECENT_CHANGES_MAX 32 /* earlier edits */
 void aub_config_set_change(struct aub_config *config, const char *change);
 
 /* Returns true if the edit with this id is the newest or a recent one. */
 bool aub_config_has_change(const struct aub_config *config, const char *change);
 
 /*
- * Parses the inventory and marks what is out or leaving. Returns a reference
+ * Parses the inventory and marks the zones, VMs and upstreams that are out or
+ * leaving. Returns a reference
  * owned by the caller, or NULL with `error` set.
  */
 struct aub_inventory *aub_config_inventory(const struct aub_config *config,
--- a/include/auburnstile/dispatch.h
+++ b/include/auburnstile/dispatch.h
@@ -1,5 +1,5 @@
 /*
- * The dispatcher of one service. It holds a bounded queue at the service's
+ * The dispatcher of one service. It has a bounded queue at the service's
  * owner, counts the slots in use at each upstream exactly, and decides on cold
  * starts, probes, retries, hedges and refusals.
  *
@@ -32,7 +32,7 @@
 
 /*
  * Whether, and with which share of the slots, this process may send requests to
- * the upstreams of the service.
+ * the upstreams of the service. A stand-by acts while the owner is unavailable.
  */
 enum aub_dispatch_role {
 	AUB_DISPATCH_NONE, /* refuses everything */
@@ -43,21 +43,21 @@
 struct aub_dispatch_request {
 	guint64 id;
 	gint64 deadline_us; /* monotonic */
-	bool at_most_once; /* no hedges, no doubtful retries */
+	bool at_most_once; /* no hedges; retried only if not run */
 	guint32 retry_budget; /* attempts beyond the first, in hundredths */
 	guint64 fingerprint; /* hash of method, path and body; 0: none */
-	const char *zone; /* preferred zone, or NULL */
+	const char *zone; /* preferred: where it arrived, or NULL */
 };
 
 /* The reason for which a request was refused. */
 enum aub_refusal {
 	AUB_REFUSAL_NONE,
 	AUB_REFUSAL_QUEUE_FULL,
-	AUB_REFUSAL_DEADLINE_UNREACHABLE, /* cannot be met any more */
+	AUB_REFUSAL_DEADLINE_UNREACHABLE, /* on arrival or in the queue */
 	AUB_REFUSAL_NO_UPSTREAM, /* none accepts requests */
 	AUB_REFUSAL_CRASHES_UPSTREAMS, /* upstreams crashed while running it */
 	AUB_REFUSAL_NOT_OWNER,
-	AUB_REFUSAL_RETRY_BUDGET_EXHAUSTED, /* failed without a retry left */
+	AUB_REFUSAL_RETRY_BUDGET_EXHAUSTED, /* failed, no retry left */
 	AUB_REFUSAL_STOPPING
 };
 
@@ -65,7 +65,7 @@
 	AUB_ATTEMPT_ANSWERED, /* complete answer, whatever its status */
 	AUB_ATTEMPT_SHED, /* refused by the upstream: provably not run */
 	AUB_ATTEMPT_NOT_CONNECTED, /* provably not run */
-	AUB_ATTEMPT_CONNECTION_LOST, /* or truncated: may have run */
+	AUB_ATTEMPT_CONNECTION_LOST, /* or answer truncated: may have run */
 	AUB_ATTEMPT_TIMEOUT, /* timed out: may have run */
 	AUB_ATTEMPT_CANCELLED /* after AUB_ACTION_CANCEL */
 };
@@ -95,8 +95,8 @@
 	guint64 request;
 	guint32 attempt; /* unique within the request, from 1 */
 	guint16 upstream; /* handle in the current inventory */
-	enum aub_refusal refusal;
-	guint32 retry_after_ms;
+	enum aub_refusal refusal; /* REFUSE: the reason */
+	guint32 retry_after_ms; /* REFUSE: time until the next try */
 	gint64 timeout_us; /* SEND, PROBE: monotonic time to give up at */
 	bool hedge; /* SEND: runs concurrently with another attempt */
 };
@@ -115,7 +115,7 @@
 	guint64 probe_us; /* upstream time spent on probes, by probe_cost_us */
 	guint64 ejections;
 	guint64 cold_starts; /* detected cold starts of upstreams */
-	guint64 crash_count; /* upstream crashes under requests */
+	guint64 crash_count; /* upstream crashes that lost attempts */
 };
 
 /* A request during which upstreams crashed, as exchanged between entries. */
@@ -156,7 +156,10 @@
 			     enum aub_dispatch_role role,
 			     gint64 takeover_grace_us, gint64 now_us);
 
-/* Accepts a request. Its outcome is reported by actions. */
+/*
+ * Accepts a request, whose id must not be pending already. Its outcome is
+ * reported by actions.
+ */
 void aub_dispatcher_submit(struct aub_dispatcher *dispatcher,
 			   const struct aub_dispatch_request *request,
 			   gint64 now_us);
@@ -245,8 +248,8 @@
 				      gint64 now_us);
 
 /*
- * State that a stand-by needs before it has to take over: which upstreams are
- * known to be warm or cold, and when each of them was last seen. The export
+ * State of an upstream that a stand-by needs before it has to take over:
+ * whether it is known to be warm or cold, and when it was last seen. The export
  * writes at most `limit` snapshots to `list` and returns their number. The
  * import has an effect only while the role is AUB_DISPATCH_NONE; other roles
  * rely on their own observations.
@@ -256,8 +259,8 @@
 	guint64 boot_id;
 	bool cold;
 	bool draining;
-	guint32 age_ms;
-	guint32 mean_us;
+	guint32 age_ms; /* since it was last seen */
+	guint32 mean_us; /* smoothed service time */
 };
 guint aub_dispatcher_export_upstreams(const struct aub_dispatcher *dispatcher,
 				      struct aub_upstream_snapshot *list,
--- a/include/auburnstile/internal/dispatch_internal.h
+++ b/include/auburnstile/internal/dispatch_internal.h
@@ -18,7 +18,7 @@
 #define AUB_RETRY_BUDGET_PERCENT 15 /* of the service's requests */
 #define AUB_RETRY_BURST_MAX 10 /* retries */
 #define AUB_HEDGE_BURST_MAX 8 /* hedges */
-#define AUB_HEDGES_PER_MEAN_TIME 3 /* that cost one mean time */
+#define AUB_HEDGES_PER_MEAN_TIME 3 /* take one mean service time */
 #define AUB_REFUSED_AFTER_CRASHES 2 /* upstream crashes */
 
 enum upstream_state {
@@ -38,7 +38,7 @@
 
 	GQueue running; /* of struct attempt, oldest first */
 	guint16 concurrency_limit; /* slots, lowered when the upstream sheds */
-	guint32 limit_successes; /* good answers since the last change */
+	guint32 limit_successes; /* good answers since the limit changed */
 
 	enum upstream_state state;
 	guint64 boot_id; /* 0: none reported yet */
@@ -52,9 +52,9 @@
 	gint64 mean_us; /* smoothed time of good answers, 0: none yet */
 	gint64 last_answer_us;
 	guint32 failed_permille; /* smoothed share of failed answers */
-	guint32 judged_answers; /* answers since backoff_count last changed */
+	guint32 judged_answers; /* answers since the last back-off */
 	gint64 unavailable_until_us; /* end of the back-off */
-	gint64 cancel_grace_until_us; /* abandoned attempts may run */
+	gint64 cancel_grace_until_us; /* abandoned attempts may still run */
 	guint32 backoff_count; /* each back-off doubles the next */
 	bool half_open; /* after a back-off: one attempt until a success */
 	bool ejected; /* backed off because of failed answers */
@@ -128,7 +128,7 @@
 	guint16 service;
 	guint32 queue_limit;
 	guint32 probe_budget_us;
-	gint64 cold_us;
+	gint64 cold_us; /* duration of the warm-up */
 	guint32 hedge_percent;
 
 	GPtrArray *upstreams; /* of struct upstream, owned */
@@ -141,11 +141,11 @@
 
 	gint64 mean_us; /* smoothed time of good answers, all upstreams */
 	guint64 latency_samples; /* number of samples in mean_us */
-	gint64 tail_latency_us; /* see update_tail_latency() */
+	gint64 tail_latency_us; /* exceeded by a few per cent of answers */
 	struct token_bucket retries;
 	struct token_bucket hedges;
 	struct token_bucket probes; /* 1/1000 us of upstream time */
-	gint64 probes_filled_us;
+	gint64 probes_filled_us; /* time of the last refill of `probes` */
 
 	struct crash_table *crashes;
 	struct aub_dispatch_counts counts;
--- a/include/auburnstile/internal/timeline_internal.h
+++ b/include/auburnstile/internal/timeline_internal.h
@@ -25,12 +25,12 @@
 /* An event in the merge; nodes are numbered over all processes. */
 struct aub_timeline_node {
 	guint process;
-	guint index; /* in the process */
+	guint index; /* in the events of its process */
 	guint cause; /* node of another process, or AUB_NO_NODE */
 	guint next_effect; /* next node with the same cause */
 	guint first_effect; /* first node with this one as its cause */
 	gint64 time_us; /* corrected */
-	bool done;
+	bool done; /* was emitted */
 };
 
 struct aub_timeline_merge {
--- a/src/state/config.c
+++ b/src/state/config.c
@@ -205,9 +205,9 @@
 }
 
 /*
- * Applies the marks. Names that are no longer in the inventory are skipped:
- * they get no requests anyway, and an obsolete mark must not prevent the rest
- * from taking effect.
+ * Marks the zones, VMs and upstreams that are out or leaving. Names that are no
+ * longer in the inventory are skipped: they get no requests anyway, and an
+ * obsolete mark must not prevent the rest from taking effect.
  */
 static void apply_drain_marks(const struct aub_config *config,
 			      struct aub_inventory *inventory)
--- a/src/state/dispatch_attempt.c
+++ b/src/state/dispatch_attempt.c
@@ -35,10 +35,11 @@
 }
 
 /*
- * Returns the time at which an attempt is given up. If an intermediate hop
- * loses track of the connection, no answer and no error arrives. Attempts of
- * requests that may be retried therefore time out after half of the time left,
- * so that there is time for a retry.
+ * Returns the time at which an attempt times out. If an intermediate hop loses
+ * track of the connection, neither an answer nor an error arrives, and the
+ * request would wait until its deadline and fail. Attempts of requests that may
+ * be retried therefore time out after half of the time left, so that there is
+ * time for a retry.
  */
 static gint64 attempt_timeout_us(const struct request *request, gint64 now_us)
 {
@@ -285,8 +286,8 @@
 }
 
 /*
- * Returns true if the request may be retried after `result` on `u`, and charges
- * the retry to the budgets.
+ * Returns true if the request may be retried after `result` on `upstream`, and
+ * charges the retry to the budgets.
  */
 static bool may_retry(struct aub_dispatcher *dispatcher,
 		      struct request *request, const struct upstream *upstream,
@@ -364,7 +365,7 @@
 		on_attempt_failed(dispatcher, request, upstream, result,
 				  now_us);
 	else if (failed && request_active_attempts(request))
-		request->may_have_run = true; /* the other may succeed */
+		request->may_have_run = true; /* other attempt may succeed */
 	else
 		request_deliver(dispatcher, request, number, hedge);
 }
--- a/src/state/dispatch_crash.c
+++ b/src/state/dispatch_crash.c
@@ -10,9 +10,9 @@
  */
 #include <auburnstile/internal/dispatch_internal.h>
 
-#define SUSPICION_US (2 * AUB_SECOND) /* unless confirmed */
-#define CONFIRMATION_WINDOW_US (30 * AUB_SECOND) /* after the loss */
-#define REFUSAL_BASE_US (30 * AUB_SECOND) /* doubles with each crash */
+#define SUSPICION_US (2 * AUB_SECOND) /* while it is not confirmed */
+#define CONFIRMATION_WINDOW_US (30 * AUB_SECOND) /* after the lost attempt */
+#define REFUSAL_BASE_US (30 * AUB_SECOND) /* doubles with further crashes */
 #define REFUSAL_MAX_US (3600 * AUB_SECOND)
 #define CRASH_FINGERPRINTS_MAX 1024
 #define KNOWN_GOOD_FINGERPRINTS_MAX 4096
--- a/src/state/dispatch_probe.c
+++ b/src/state/dispatch_probe.c
@@ -3,9 +3,9 @@
  * information, within a budget.
  *
  * The budget is upstream time per second. An owner uses three eighths of it and
- * saves at most one eighth, so that two processes that both consider themselves
- * the owner stay within the budget together. The bucket starts empty, so that
- * restarts do not add to the budget.
+ * accumulates at most one eighth, so that two processes that both consider
+ * themselves the owner stay within the budget together. The bucket starts
+ * empty, so that restarts do not add to the budget.
  */
 #include <auburnstile/internal/dispatch_internal.h>
 
--- a/src/state/dispatch_upstream.c
+++ b/src/state/dispatch_upstream.c
@@ -6,13 +6,14 @@
 
 #define OVERDUE_MEAN_FACTOR 4 /* times the mean service time */
 #define MEAN_WINDOW_ANSWERS 64 /* answers in the service's smoothed mean */
-#define TAIL_PERCENT_WITHOUT_HEDGES 1 /* if hedging is off */
+#define TAIL_PERCENT_WITHOUT_HEDGES 1 /* as hedge_percent, if that is 0 */
 #define CROSS_ZONE_COST_US 1000 /* as additional service time */
-#define CANCEL_GRACE_US (100 * AUB_MS) /* to notice a close */
+#define CANCEL_GRACE_US (100 * AUB_MS) /* to notice a closed connection */
 #define EJECT_FAILED_PERMILLE_MIN 500 /* smoothed share of failed answers */
 #define EJECT_ANSWERS_MIN 5 /* sample size before an ejection */
-#define BACKOFF_RESET_ANSWERS 32 /* since the back-off */
-#define LIMIT_GROWTH_ANSWERS 16 /* per shed slot */
+#define BACKOFF_RESET_ANSWERS 32 /* since the last back-off; resets it */
+#define LIMIT_GROWTH_ANSWERS 16 /* good ones before one more slot is used */
+/* Back-off times, doubled from base to maximum with each repetition. */
 #define EJECT_BASE_US (1 * AUB_SECOND)
 #define EJECT_MAX_US (30 * AUB_SECOND)
 #define UNREACHABLE_BASE_US (50 * AUB_MS)
@@ -176,11 +177,12 @@
 }
 
 /*
- * Handles the end of an attempt that was cancelled or timed out. The upstream
- * may not have noticed the cancellation when the next attempt arrives; a cold
- * upstream would then run two requests where it can handle only one, and be
- * overloaded. An upstream that is not known to be warm gets no new attempt
- * until it must have noticed.
+ * Handles the end of an attempt that was cancelled (for example because its
+ * hedge was answered first) or timed out. The upstream may not have noticed the
+ * cancellation when the next attempt arrives; a cold upstream would then run
+ * two requests where it can handle only one, be overloaded, and fail them all.
+ * An upstream that is not known to be warm gets no new attempt until it must
+ * have noticed.
  */
 void upstream_on_attempt_abandoned(struct upstream *upstream,
 				   enum aub_attempt_result result,
@@ -406,14 +408,14 @@
 {
 	warmup_reset_to_unknown(upstream, now_us);
 	if (now_us < upstream->unavailable_until_us)
-		return; /* several attempts failed by the same cause */
+		return; /* several attempts failed for the same reason */
 	upstream_back_off(upstream, UNREACHABLE_BASE_US, UNREACHABLE_MAX_US,
 			  now_us);
 }
 
 /*
- * Handles a refusal by an upstream with a slot counted as free: another sender
- * uses the slot.
+ * Handles a shed request. The upstream refused it although one of its slots was
+ * counted as free, so another sender uses that slot.
  */
 void upstream_on_shed(struct upstream *upstream, gint64 now_us)
 {
@@ -456,10 +458,11 @@
 
 /*
  * Records a good or failed answer. An upstream that answers every request with
- * an immediate error is always idle and would attract most requests. Errors
- * therefore do not count as fast answers, and they eject the upstream with a
- * back-off. The share of ejected upstreams is bounded, because errors caused by
- * the requests themselves must not eject upstreams.
+ * an immediate error is always idle and would attract most requests, so that
+ * most callers would get an error. Errors therefore do not count as fast
+ * answers, and they eject the upstream with a back-off. The share of ejected
+ * upstreams is bounded, because errors caused by the requests themselves must
+ * not eject upstreams.
  */
 void upstream_record_result(struct aub_dispatcher *dispatcher,
 			    struct upstream *upstream, bool failed,
--- a/src/state/dispatch_warmup.c
+++ b/src/state/dispatch_warmup.c
@@ -29,9 +29,10 @@
 
 /*
  * Returns true if the upstream was not seen recently. An idle upstream may
- * restart without any connection being closed by it; the next peak of load in
- * full would then overload it. Its state therefore expires, and it gets the
- * cold share until one answer confirms that it did not restart.
+ * restart without any connection being closed by it; if it then got its full
+ * share of the next load peak, it would be overloaded. Its state therefore
+ * expires, and it gets the cold share until one answer confirms that it did not
+ * restart.
  */
 bool warmup_state_is_stale(const struct upstream *upstream, gint64 now_us)
 {
@@ -189,10 +190,10 @@
 }
 
 /*
- * Takes over the owner's knowledge of an upstream. Without it, a successor
- * would not know any upstream as warm, and callers would wait for seconds until
- * all were probed or warmed up. The stand-by receives the state of each within
- * a second; the first answer with its boot id corrects what has changed since.
+ * Imports the owner's state of an upstream. Without it, a successor would not
+ * consider any upstream warm, and callers would wait for seconds until all were
+ * probed or warmed up. The stand-by receives the state of each within a second;
+ * the first answer with its boot id corrects what has changed since.
  */
 void aub_dispatcher_import_upstream(
 	struct aub_dispatcher *dispatcher,
--- a/src/state/key_table.c
+++ b/src/state/key_table.c
@@ -395,7 +395,7 @@
 invalid:
 	g_free(grant);
 	aub_error_set(error, AUB_ERROR_INVALID, "parse key", NULL,
-		      "want GRANT/TEXT in at most %d printable characters",
+		      "must be GRANT/TEXT of at most %d printable characters",
 		      AUB_KEY_BYTES_MAX);
 	return false;
 }
--- a/src/state/request_trace.c
+++ b/src/state/request_trace.c
@@ -18,10 +18,10 @@
 
 struct trace_line {
 	gint64 time_ms; /* Unix time, ms */
-	guint read_index; /* order of reading */
+	guint read_index; /* position in the order of reading */
 	guint causal_rank; /* index into causal_order */
 	char *node;
-	char *text; /* text for output */
+	char *text; /* event name and fields */
 };
 
 struct aub_request_trace {
--- a/src/state/timeline.c
+++ b/src/state/timeline.c
@@ -80,9 +80,10 @@
 
 /*
  * Estimates clock offsets: the least fixed point of "an effect is not earlier
- * than its cause", starting from offsets of 0. If a clock was set in between,
- * there may be none. The number of rounds is therefore bounded by the number of
- * processes, and the merge ensures the order where offsets cannot.
+ * than its cause", starting from offsets of 0. If a clock was set between two
+ * events, such offsets may not exist. The number of rounds is therefore bounded
+ * by the number of processes, and the merge ensures the order where offsets
+ * cannot.
  */
 static void estimate_offsets(struct aub_timeline_merge *merge)
 {
@@ -124,7 +125,7 @@
 /* A heap of process handles, ordered by the time of their next event. */
 struct heap {
 	guint *process;
-	gint64 *key; /* by process */
+	gint64 *key; /* by process: time of its next event, in us */
 	guint count;
 };
 
--- a/src/state/timeline_svg.c
+++ b/src/state/timeline_svg.c
@@ -16,11 +16,11 @@
 #define LABELLED_LANE_HEIGHT_PX 84 /* with labels, which slope downwards */
 #define LEFT_MARGIN_PX 150 /* for the names of processes */
 #define RIGHT_MARGIN_PX 40
-#define WIDTH_MIN_PX 1180.0 /* for the legend */
+#define WIDTH_MIN_PX 1180.0 /* the legend on one line */
 #define TOP_MARGIN_PX 96 /* title and legend */
 #define BOTTOM_MARGIN_PX 40
 #define EVENT_DISTANCE_MIN_PX 14.0 /* between two events */
-#define EVENT_DISTANCE_PER_DECADE_PX 9.0 /* per decade of the pause */
+#define EVENT_DISTANCE_PER_DECADE_PX 9.0 /* for each tenfold pause */
 #define LABELLED_EVENTS_MAX 80 /* with more events labels would overlap */
 #define TICK_DISTANCE_MIN_PX 110.0
 
@@ -57,10 +57,10 @@
 struct diagram {
 	const struct aub_timeline *timeline;
 	const GPtrArray *entries;
-	double *x; /* by entry */
+	double *x; /* by entry, px */
 	guint *row; /* by process; G_MAXUINT if it has no event */
 	guint rows;
-	int lane_height; /* in points */
+	int lane_height; /* px, as are all lengths */
 	double width;
 	double height;
 	GString *out;
@@ -170,7 +170,7 @@
 
 	g_string_append_printf(diagram->out,
 			       "<text x=\"16\" y=\"28\" font-size=\"17\" "
-			       "font-weight=\"bold\">Time line: %u events of "
+			       "font-weight=\"bold\">Timeline: %u events of "
 			       "%u processes</text>\n"
 			       "<text x=\"16\" y=\"48\" fill=\"#6b7280\">left "
 			       "to right in causal order; distances are not "
--- a/src/state/timeline_text.c
+++ b/src/state/timeline_text.c
@@ -7,7 +7,8 @@
 #define US_PER_SECOND 1000000
 
 /*
- * Returns the UTC time as "23:59:59.000001", optionally preceded by the date.
+ * Returns the UTC time as "23:59:59.000001"; with `with_date`, the date
+ * precedes it.
  */
 static char *time_text(gint64 time_us, bool with_date)
 {
@@ -180,10 +181,11 @@
 			last = entry;
 	}
 	if (!last) {
-		g_string_append_printf(out,
-				       "No final answer is on record; it was "
-				       "sent to an upstream %u time%s.\n",
-				       sent, sent == 1 ? "" : "s");
+		g_string_append_printf(
+			out,
+			"No final answer is recorded; the request was "
+			"sent to an upstream %u time%s.\n",
+			sent, sent == 1 ? "" : "s");
 		return;
 	}
 	g_string_append_printf(out,
--- a/tests/dispatch_fixture.h
+++ b/tests/dispatch_fixture.h
@@ -167,6 +167,7 @@
 							boot_ids.at(
 								action.upstream));
 	}
+	/* id of the next request of warm_up(), above those of tests */
 	guint64 warm_up_id = 1u << 30;
 
       private:
--- a/tests/test_log_events.cc
+++ b/tests/test_log_events.cc
@@ -103,7 +103,7 @@
 
 TEST_F(LogEventsTest, DropsAndCountsEventsBeyondLimit)
 {
-	/* Memory has to stay bounded for a gigabyte of lines. */
+	/* A gigabyte of lines must not need a gigabyte of memory. */
 	struct aub_log_events *events = aub_log_events_new(timeline, &filter);
 
 	for (int i = 0; i < AUB_LOG_EVENTS_MAX + 10; i++)
--- a/tests/test_timeline.cc
+++ b/tests/test_timeline.cc
@@ -99,7 +99,7 @@
 	EXPECT_EQ(aub_timeline_offset_us(timeline, b), 5000010);
 }
 
-/* The clock of b1 is five seconds ahead. */
+/* The clock of b1 is five seconds ahead; that of a1 moves forward. */
 TEST_F(Timeline, MovesOtherClocksIfOneIsAhead)
 {
 	guint a = aub_timeline_add_process(timeline, "a1", "a", 1);
