--- a/src/state/timeline_causality.c
+++ b/src/state/timeline_causality.c
@@ -145,17 +145,17 @@
 
 	for (guint i = 0; i < merge->nodes->len; i++) {
 		const struct aub_event *event = aub_timeline_event_at(merge, i);
-		GArray *known;
+		GArray *nodes;
 
 		if (!event->request)
 			continue;
-		known = g_hash_table_lookup(requests, &event->request);
-		if (!known) {
-			known = g_array_new(FALSE, FALSE, sizeof(guint));
+		nodes = g_hash_table_lookup(requests, &event->request);
+		if (!nodes) {
+			nodes = g_array_new(FALSE, FALSE, sizeof(guint));
 			g_hash_table_insert(requests, (gpointer)&event->request,
-					    known);
+					    nodes);
 		}
-		g_array_append_val(known, i);
+		g_array_append_val(nodes, i);
 	}
 	g_hash_table_iter_init(&iterator, requests);
 	while (g_hash_table_iter_next(&iterator, NULL, &list))
--- a/tests/test_dispatch.cc
+++ b/tests/test_dispatch.cc
@@ -322,10 +322,10 @@
 	owner.submit(1);
 	auto sent = owner.take_one();
 	owner.attempt_done(sent, AUB_ATTEMPT_ANSWERED, 9);
-	guint known = aub_dispatcher_export_upstreams(owner.dispatcher, list, 8,
-						      owner.now);
-	ASSERT_EQ(known, 3u);
-	for (guint i = 0; i < known; i++)
+	guint exported = aub_dispatcher_export_upstreams(owner.dispatcher, list,
+							 8, owner.now);
+	ASSERT_EQ(exported, 3u);
+	for (guint i = 0; i < exported; i++)
 		aub_dispatcher_import_upstream(fixture.dispatcher, &list[i],
 					       fixture.now);
 	fixture.now += 250 * AUB_MS;
@@ -339,7 +339,7 @@
 		EXPECT_NE(action.upstream, sent.upstream);
 
 	DispatchFixture late(options, false);
-	for (guint i = 0; i < known; i++)
+	for (guint i = 0; i < exported; i++)
 		aub_dispatcher_import_upstream(late.dispatcher, &list[i],
 					       late.now);
 	late.now += 2 * AUB_SECOND;
