--- a/include/auburnstile/dispatch.h
+++ b/include/auburnstile/dispatch.h
@@ -221,7 +221,7 @@
 	bool draining;
 	guint64 sent;
 	guint64 answered;
-	guint64 lost;
+	guint64 lost; /* attempts with a lost connection or a timeout */
 	guint64 probes;
 	gint64 mean_us; /* smoothed service time, 0: none yet */
 };
--- a/include/auburnstile/internal/request_trace.h
+++ b/include/auburnstile/internal/request_trace.h
@@ -41,7 +41,10 @@
 /* Returns the number of lines of the request itself. */
 guint aub_request_trace_size(const struct aub_request_trace *trace);
 
-/* Returns the trace in causal order, one event per line. Free with g_free(). */
+/*
+ * Returns the trace in order of time, equal times of one process in causal
+ * order, with one event per line. Free with g_free().
+ */
 char *aub_request_trace_text(struct aub_request_trace *trace);
 
 G_END_DECLS
--- a/src/state/dispatch_crash.c
+++ b/src/state/dispatch_crash.c
@@ -5,8 +5,8 @@
  * crash when the upstream refuses connections or reports another boot id, and
  * dropped when the same start of the upstream answers again. A request with two
  * marks (crashes or fresh suspicions) is refused. A request that was answered
- * recently is not blamed, since a request that merely ran concurrently with the
- * crashing one is answered elsewhere.
+ * recently is not suspected, since a request that merely ran concurrently with
+ * the crashing one is answered elsewhere.
  */
 #include <auburnstile/internal/dispatch_internal.h>
 
--- a/src/state/dispatch_warmup.c
+++ b/src/state/dispatch_warmup.c
@@ -29,10 +29,10 @@
 
 /*
  * Returns true if the upstream was not seen recently. An idle upstream may
- * restart without any connection being closed by it; if it then got its full
- * share of the next load peak, it would be overloaded. Its state therefore
- * expires, and it gets the cold share until one answer confirms that it did not
- * restart.
+ * restart unnoticed, since no connection with a request on it is lost; if it
+ * then got its full share of the next load peak, it would be overloaded. Its
+ * state therefore expires, and it gets the cold share until one answer confirms
+ * that it did not restart.
  */
 bool warmup_state_is_stale(const struct upstream *upstream, gint64 now_us)
 {
--- a/src/state/request_trace.c
+++ b/src/state/request_trace.c
@@ -1,6 +1,7 @@
 /*
- * Orders the log lines of a request: by the order of each process, then by time
- * between processes, with causes before their effects.
+ * Orders the log lines of a request by time. Lines of one process with equal
+ * times have causes before their effects; other lines with equal times keep the
+ * order of reading, which within a file is the order of its process.
  */
 #include <auburnstile/internal/json.h>
 #include <auburnstile/internal/log_line.h>
@@ -18,7 +19,7 @@
 
 struct trace_line {
 	gint64 time_ms; /* Unix time, ms */
-	guint read_index; /* position in the order of reading */
+	guint read_index; /* order of reading; in a file, of its process */
 	guint causal_rank; /* index into causal_order */
 	char *node;
 	char *text; /* event name and fields */
@@ -182,7 +183,10 @@
 	return trace->lines->len;
 }
 
-/* Sorts by time; lines of one process with equal times in causal order. */
+/*
+ * Sorts by time, lines of one process with equal times in causal order, and
+ * otherwise by the order of reading.
+ */
 static gint compare_lines(gconstpointer a, gconstpointer b)
 {
 	const struct trace_line *left = *(struct trace_line *const *)a;
