--- a/include/auburnstile/internal/caller_server.h
+++ b/include/auburnstile/internal/caller_server.h
@@ -37,9 +37,10 @@
 
 	/*
 	 * Called when a complete request has been received. The callee owns
-	 * `call`; its id, service and `once` are not set, and deadline_ms is 0
-	 * if the caller sent no deadline. The callee calls
-	 * aub_caller_respond() exactly once unless `gone` is called first.
+	 * `call`; its id, service and `at_most_once` are not set, and
+	 * deadline_ms is 0 if the caller sent no deadline. The callee calls
+	 * aub_caller_respond() exactly once unless `disconnected` is called
+	 * first.
 	 */
 	void (*arrived)(struct aub_caller_request *request,
 			struct aub_call *call, void *context);
@@ -48,7 +49,7 @@
 	 * Called if the caller disconnects before the response is sent.
 	 * `request` must not be used after this call.
 	 */
-	void (*gone)(struct aub_caller_request *request, void *context);
+	void (*disconnected)(struct aub_caller_request *request, void *context);
 
 	/* Returns the maximum body in bytes for `path`. */
 	guint32 (*body_limit)(const char *path, void *context);
--- a/include/auburnstile/message.h
+++ b/include/auburnstile/message.h
@@ -194,7 +194,7 @@
 	enum aub_call_purpose purpose;
 	guint64 receiver; /* target incarnation; any other rejects the call */
 	char *service;
-	bool once; /* must be executed at most once */
+	bool at_most_once; /* must be executed at most once */
 	char *key; /* idempotency key; "" for none */
 	guint32 deadline_ms; /* time left */
 	guint32 retry_budget; /* retries left, in 1/100 of an attempt */
@@ -259,7 +259,7 @@
 /* A request that was in progress when upstreams crashed. */
 struct aub_crash_record {
 	guint64 fingerprint;
-	guint32 deaths; /* number of crashes */
+	guint32 crash_count; /* number of crashes */
 	guint32 age_ms; /* since the last crash */
 };
 
@@ -297,8 +297,9 @@
 	guint64 config_version;
 	guint32 peers; /* other gateways, alive or just announced */
 	bool reply_requested; /* no heartbeat of the receiver received yet */
-	bool current; /* the sender has not been without the store for long */
-	bool hears; /* the store currently answers the sender */
+	bool store_current; /* the sender has not been without the store for
+			       long */
+	bool store_reachable; /* the store currently answers the sender */
 	/* Store revisions up to which the sender is current, by kind. */
 	guint64 revisions[AUB_HEARTBEAT_REVISION_COUNT];
 };
@@ -436,7 +437,7 @@
 /* Result of a probe. */
 struct aub_reported_probe {
 	char *upstream;
-	guint32 end; /* enum aub_probe_result */
+	guint32 result; /* enum aub_probe_result */
 	struct aub_reported_load load;
 };
 
--- a/src/coordination/dispatch_task.c
+++ b/src/coordination/dispatch_task.c
@@ -33,7 +33,7 @@
 	struct service *service;
 	const struct aub_call *call; /* NULL: the caller no longer waits */
 	guint64 id;
-	bool once;
+	bool at_most_once;
 	GPtrArray *attempts; /* of struct attempt, still open */
 	/* Complete answers, awaiting a decision. */
 	struct aub_answer *answers[2];
@@ -336,7 +336,7 @@
 	else if (is_retry)
 		record_event(attempt, AUB_EVENT_RETRIED, action->attempt, NULL);
 	record_event(attempt, AUB_EVENT_DISPATCHED, action->attempt,
-		     request->once ? "once" : NULL);
+		     request->at_most_once ? "once" : NULL);
 	attempt->handle =
 		aub_upstream_send(client, request->call, is_retry,
 				  action->timeout_us, on_attempt_done, attempt);
@@ -487,7 +487,7 @@
 	struct aub_dispatch_request arrival = {
 		.id = call->id,
 		.deadline_us = now_us + call->deadline_ms * AUB_MS,
-		.at_most_once = call->once,
+		.at_most_once = call->at_most_once,
 		.retry_budget = call->retry_budget,
 		.fingerprint = aub_call_fingerprint(call),
 		.zone = zone,
@@ -504,7 +504,7 @@
 	request->service = service;
 	request->call = call;
 	request->id = call->id;
-	request->once = call->once;
+	request->at_most_once = call->at_most_once;
 	request->attempts = g_ptr_array_new();
 	request->callback = callback;
 	request->context = context;
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -322,7 +322,7 @@
 			.write_timeout_ms = WRITE_TIMEOUT_MS,
 			.timers = entry->timers,
 			.arrived = on_caller_request,
-			.gone = on_caller_disconnected,
+			.disconnected = on_caller_disconnected,
 			.body_limit = body_limit,
 			.addresses = addresses,
 			.context = entry,
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -85,7 +85,7 @@
 
 		aub_gateway_add_reported_crashes(node->gateway,
 						 record->fingerprint,
-						 record->deaths);
+						 record->crash_count);
 	}
 }
 
@@ -97,7 +97,7 @@
 	struct aub_crash_record *record = aub_crash_record_new();
 
 	record->fingerprint = fingerprint;
-	record->deaths = crash_count;
+	record->crash_count = crash_count;
 	g_ptr_array_add(message->crashes, record);
 	aub_peers_send_to_all(node->peers, &message->base);
 	aub_message_free(&message->base);
--- a/src/coordination/peers.c
+++ b/src/coordination/peers.c
@@ -104,8 +104,8 @@
 		mark_lost(peers, peer, now);
 	state_changed = !peer->alive || peer->ready != heartbeat->ready ||
 			peer->stopping != heartbeat->stopping ||
-			peer->store_current != heartbeat->current ||
-			peer->store_reachable != heartbeat->hears;
+			peer->store_current != heartbeat->store_current ||
+			peer->store_reachable != heartbeat->store_reachable;
 	if (!peer->alive || (heartbeat->ready && !peer->ready))
 		peers->last_join_us = now;
 	if (strcmp(peer->name, heartbeat->name) != 0)
@@ -117,8 +117,8 @@
 	aub_peers_set_incarnation(peers, peer, heartbeat->incarnation);
 	peer->ready = heartbeat->ready;
 	peer->stopping = heartbeat->stopping;
-	peer->store_current = heartbeat->current;
-	peer->store_reachable = heartbeat->hears;
+	peer->store_current = heartbeat->store_current;
+	peer->store_reachable = heartbeat->store_reachable;
 	peer->last_heartbeat_us = now;
 	announce_revisions(peers, heartbeat);
 	if (state_changed) {
@@ -506,8 +506,8 @@
 	self->store_reachable = state->store_reachable;
 	peers->heartbeat->ready = state->ready;
 	peers->heartbeat->stopping = state->stopping;
-	peers->heartbeat->current = state->store_current;
-	peers->heartbeat->hears = state->store_reachable;
+	peers->heartbeat->store_current = state->store_current;
+	peers->heartbeat->store_reachable = state->store_reachable;
 	peers->heartbeat->config_version = (guint64)state->config_version;
 	if (role_changed || reachability_changed)
 		aub_peers_invalidate_ranks(peers);
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -114,7 +114,7 @@
 	}
 	probed = aub_reported_probe_new();
 	aub_string_set(&probed->upstream, probe->upstream);
-	probed->end = end;
+	probed->result = end;
 	probed->load = aub_load_encode(load);
 	g_ptr_array_add(probed_service->pending_results->probed, probed);
 	if (!placer->report_timer)
@@ -137,10 +137,11 @@
 			g_ptr_array_index(message->probed, i);
 		const struct aub_load load = aub_load_decode(&probed->load);
 
-		if (probed->end <= AUB_PROBE_NO_RESPONSE)
+		if (probed->result <= AUB_PROBE_NO_RESPONSE)
 			aub_placement_probe_received(
 				placement, probed->upstream,
-				(enum aub_probe_result)probed->end, &load, now);
+				(enum aub_probe_result)probed->result, &load,
+				now);
 	}
 	aub_placer_drain_queue(placer, placement);
 }
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -198,7 +198,7 @@
 		routed_request_refuse(request, 428, "key-required", 0);
 		return false;
 	}
-	call->once = rule || *call->key;
+	call->at_most_once = rule || *call->key;
 	if (!aub_entry_view_serving(router->options.view)) {
 		routed_request_refuse(request, 503, "not-serving",
 				      RETRY_LONG_MS);
@@ -278,7 +278,7 @@
 	struct aub_request_router *router = request->router;
 	const struct aub_member *member;
 
-	request->call->once = true;
+	request->call->at_most_once = true;
 	switch (aub_idempotency_locate(router->options.idempotency,
 				       request->call->key, &member)) {
 	case AUB_KEY_LOCATION_HERE:
--- a/src/coordination/request_router_forward.c
+++ b/src/coordination/request_router_forward.c
@@ -140,7 +140,7 @@
 	struct aub_call *call = request->call;
 
 	request->may_have_run = true;
-	if (call->once || call->retry_budget < RETRY_COST_HUNDREDTHS ||
+	if (call->at_most_once || call->retry_budget < RETRY_COST_HUNDREDTHS ||
 	    request->standby_tried) {
 		routed_request_finish(request,
 				      aub_answer_outcome_unknown("entry-lost"));
--- a/src/coordination/upstream_states.c
+++ b/src/coordination/upstream_states.c
@@ -46,7 +46,7 @@
 		struct aub_crash_record *record = aub_crash_record_new();
 
 		record->fingerprint = list[i].fingerprint;
-		record->deaths = list[i].crash_count;
+		record->crash_count = list[i].crash_count;
 		record->age_ms = list[i].age_ms;
 		g_ptr_array_add(states->crashes, record);
 	}
@@ -61,7 +61,7 @@
 			states->crashes->pdata[i];
 		struct aub_crash_mark mark = {
 			.fingerprint = record->fingerprint,
-			.crash_count = record->deaths,
+			.crash_count = record->crash_count,
 			.age_ms = record->age_ms,
 		};
 
--- a/src/protocol/message_fields.c
+++ b/src/protocol/message_fields.c
@@ -197,7 +197,7 @@
 	ENUM(aub_call, purpose, AUB_CALL_OWNER),
 	U64(aub_call, receiver),
 	STRING(aub_call, service, NAME_BYTES_MAX),
-	BOOL(aub_call, once),
+	BOOL_AS(aub_call, at_most_once, "once"),
 	STRING(aub_call, key, HEADER_BYTES_MAX),
 	U32(aub_call, deadline_ms),
 	U32(aub_call, retry_budget),
@@ -240,7 +240,7 @@
 
 static const struct aubi_field crash_record_fields[] = {
 	U64(aub_crash_record, fingerprint),
-	U32(aub_crash_record, deaths),
+	U32_AS(aub_crash_record, crash_count, "deaths"),
 	U32(aub_crash_record, age_ms),
 	END,
 };
@@ -277,7 +277,7 @@
 
 static const struct aubi_field probe_result_fields[] = {
 	STRING(aub_reported_probe, upstream, NAME_BYTES_MAX),
-	U32(aub_reported_probe, end),
+	U32_AS(aub_reported_probe, result, "end"),
 	U32(aub_reported_probe, load.running),
 	U32(aub_reported_probe, load.waiting),
 	U32(aub_reported_probe, load.slots),
@@ -341,8 +341,8 @@
 	U64(aub_heartbeat, config_version),
 	U32(aub_heartbeat, peers),
 	BOOL_AS(aub_heartbeat, reply_requested, "reply"),
-	BOOL(aub_heartbeat, current),
-	BOOL(aub_heartbeat, hears),
+	BOOL_AS(aub_heartbeat, store_current, "current"),
+	BOOL_AS(aub_heartbeat, store_reachable, "hears"),
 	U64(aub_heartbeat, revisions[0]),
 	U64(aub_heartbeat, revisions[1]),
 	U64(aub_heartbeat, revisions[2]),
--- a/src/transport/caller_server.c
+++ b/src/transport/caller_server.c
@@ -90,7 +90,7 @@
 	struct aub_caller_server *server = connection->server;
 	struct aub_caller_request *request = connection->request;
 
-	server->options.gone(request, server->options.context);
+	server->options.disconnected(request, server->options.context);
 	request_free(request);
 }
 
--- a/src/transport/upstream_client.c
+++ b/src/transport/upstream_client.c
@@ -580,8 +580,9 @@
 	 * connection, on which libsoup never resends; until it is established,
 	 * nothing has been executed.
 	 */
-	return attempt_start(client, message, new_connection || call->once,
-			     deadline_us, callback, context);
+	return attempt_start(client, message,
+			     new_connection || call->at_most_once, deadline_us,
+			     callback, context);
 }
 
 struct aub_attempt *aub_upstream_probe(struct aub_upstream_client *client,
--- a/tests/test_admin.cc
+++ b/tests/test_admin.cc
@@ -33,7 +33,7 @@
 	g_error_free(error);
 }
 
-static void hold_request(struct aub_admin_request *request, void *context)
+static void leave_pending(struct aub_admin_request *request, void *context)
 {
 	*static_cast<struct aub_admin_request **>(context) = request;
 }
@@ -66,8 +66,8 @@
 				 nullptr);
 		aub_admin_handle(admin, "GET", "/v1/fail",
 				 respond_with_conflict, nullptr);
-		aub_admin_handle(admin, "GET", "/v1/hold", hold_request,
-				 &held_request);
+		aub_admin_handle(admin, "GET", "/v1/hold", leave_pending,
+				 &pending_request);
 	}
 
 	void TearDown() override
@@ -144,7 +144,7 @@
 	struct aub_event_ring *events = nullptr;
 	struct aub_metrics *metrics = nullptr;
 	struct aub_admin *admin = nullptr;
-	struct aub_admin_request *held_request = nullptr;
+	struct aub_admin_request *pending_request = nullptr;
 	bool ready = true;
 };
 
@@ -278,13 +278,13 @@
 		open_and_send("GET /v1/hold HTTP/1.1\r\nHost: x\r\n"
 			      "Authorization: Bearer correct-token\r\n\r\n");
 
-	while (!held_request)
+	while (!pending_request)
 		g_main_context_iteration(nullptr, TRUE);
 	g_io_stream_close(G_IO_STREAM(connection), nullptr, nullptr);
 	g_object_unref(connection);
 	for (int i = 0; i < 10; i++)
 		g_main_context_iteration(nullptr, FALSE);
-	aub_admin_respond(held_request, 200, g_strdup("{}"));
+	aub_admin_respond(pending_request, 200, g_strdup("{}"));
 	EXPECT_TRUE(contains(send_request("GET /healthz", ""), "200 OK"));
 }
 
@@ -294,11 +294,11 @@
 		open_and_send("GET /v1/hold HTTP/1.1\r\nHost: x\r\n"
 			      "Authorization: Bearer correct-token\r\n\r\n");
 
-	while (!held_request)
+	while (!pending_request)
 		g_main_context_iteration(nullptr, TRUE);
 	aub_admin_free(admin);
 	admin = nullptr;
-	aub_admin_respond(held_request, 200, g_strdup("{}"));
+	aub_admin_respond(pending_request, 200, g_strdup("{}"));
 	g_object_unref(connection);
 }
 
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -96,7 +96,7 @@
 		options.write_timeout_ms = limit_ms;
 		options.timers = timers;
 		options.arrived = on_request_received;
-		options.gone = on_caller_disconnected;
+		options.disconnected = on_caller_disconnected;
 		options.body_limit = body_limit;
 		options.addresses = addresses;
 		options.context = this;
--- a/tests/test_link.cc
+++ b/tests/test_link.cc
@@ -90,13 +90,13 @@
 		address = free_address();
 		server_hello = make_hello("server");
 		server = aub_link_server_new(address.c_str(), server_hello,
-					     on_accepted, &far, &error);
+					     on_accepted, &server_side, &error);
 		ASSERT_NE(server, nullptr) << error->message;
 	}
 	void TearDown() override
 	{
-		aub_link_free(near.link);
-		aub_link_free(far.link);
+		aub_link_free(client_side.link);
+		aub_link_free(server_side.link);
 		aub_link_server_free(server);
 		aub_message_free(&server_hello->base);
 	}
@@ -104,8 +104,9 @@
 	{
 		struct aub_hello *hello = make_hello(name);
 
-		near.link = aub_link_connect(address.c_str(), hello, 2000,
-					     &callbacks, &near);
+		client_side.link =
+			aub_link_connect(address.c_str(), hello, 2000,
+					 &callbacks, &client_side);
 		aub_message_free(&hello->base);
 	}
 	template <class Condition> void run_until(Condition condition)
@@ -117,7 +118,7 @@
 	std::string address;
 	struct aub_hello *server_hello = NULL;
 	struct aub_link_server *server = NULL;
-	struct endpoint near, far;
+	struct endpoint client_side, server_side;
 };
 
 TEST_F(Link, DeliversMessagesInOrderAfterHellos)
@@ -127,12 +128,12 @@
 
 	connect_as("client");
 	for (cancel->id = 1; cancel->id <= 1000; cancel->id++)
-		EXPECT_TRUE(aub_link_send(near.link, &cancel->base));
-	run_until([&] { return far.received_ids.size() == 1000; });
-	EXPECT_EQ(near.peer_name, "server");
-	EXPECT_EQ(far.peer_name, "client");
+		EXPECT_TRUE(aub_link_send(client_side.link, &cancel->base));
+	run_until([&] { return server_side.received_ids.size() == 1000; });
+	EXPECT_EQ(client_side.peer_name, "server");
+	EXPECT_EQ(server_side.peer_name, "client");
 	for (guint64 i = 0; i < 1000; i++)
-		EXPECT_EQ(far.received_ids[i], i + 1);
+		EXPECT_EQ(server_side.received_ids[i], i + 1);
 	aub_message_free(&cancel->base);
 }
 
@@ -147,10 +148,10 @@
 	aub_bytes_set(&answer->body, body.data(), body.size());
 	ping->number = 7;
 	connect_as("client");
-	EXPECT_TRUE(aub_link_send(near.link, &answer->base));
-	EXPECT_TRUE(aub_link_send(near.link, &ping->base));
-	run_until([&] { return near.received_ids.size() == 1; });
-	EXPECT_EQ(near.received_ids[0], 7u);
+	EXPECT_TRUE(aub_link_send(client_side.link, &answer->base));
+	EXPECT_TRUE(aub_link_send(client_side.link, &ping->base));
+	run_until([&] { return client_side.received_ids.size() == 1; });
+	EXPECT_EQ(client_side.received_ids[0], 7u);
 	aub_message_free(&answer->base);
 	aub_message_free(&ping->base);
 }
@@ -172,7 +173,7 @@
 	g_output_stream_write_all(out, request, strlen(request), NULL, NULL,
 				  NULL);
 	connect_as("client");
-	run_until([&] { return far.link && near.link; });
+	run_until([&] { return server_side.link && client_side.link; });
 	GInputStream *in =
 		g_io_stream_get_input_stream(G_IO_STREAM(connection));
 	g_socket_set_blocking(g_socket_connection_get_socket(connection),
@@ -183,7 +184,7 @@
 			g_input_stream_read(in, byte, sizeof(byte), NULL, NULL);
 		return got == 0;
 	});
-	EXPECT_TRUE(aub_link_is_up(near.link));
+	EXPECT_TRUE(aub_link_is_up(client_side.link));
 	g_object_unref(connection);
 	g_object_unref(client);
 }
@@ -191,9 +192,9 @@
 TEST_F(Link, RejectedPeerReceivesDownCallback)
 {
 	connect_as("stranger");
-	run_until([&] { return near.down; });
-	EXPECT_NE(near.error.find(address), std::string::npos);
-	EXPECT_FALSE(far.down);
+	run_until([&] { return client_side.down; });
+	EXPECT_NE(client_side.error.find(address), std::string::npos);
+	EXPECT_FALSE(server_side.down);
 }
 
 TEST_F(Link, ConnectErrorNamesStepAndPeer)
@@ -201,9 +202,10 @@
 	std::string wrong = free_address();
 	struct aub_hello *hello = make_hello("client");
 
-	near.link =
-		aub_link_connect(wrong.c_str(), hello, 2000, &callbacks, &near);
-	run_until([&] { return near.down; });
-	EXPECT_EQ(near.error.find("connect: " + wrong), 0u) << near.error;
+	client_side.link = aub_link_connect(wrong.c_str(), hello, 2000,
+					    &callbacks, &client_side);
+	run_until([&] { return client_side.down; });
+	EXPECT_EQ(client_side.error.find("connect: " + wrong), 0u)
+		<< client_side.error;
 	aub_message_free(&hello->base);
 }
--- a/tests/test_message.cc
+++ b/tests/test_message.cc
@@ -49,7 +49,7 @@
 
 	call->id = G_MAXUINT64;
 	call->purpose = AUB_CALL_OWNER;
-	call->once = true;
+	call->at_most_once = true;
 	aub_string_set(&call->service, "fees");
 	aub_string_set(&call->method, "POST");
 	aub_string_set(&call->path, "/fees/7?x=1");
@@ -66,7 +66,7 @@
 
 	ASSERT_NE(decoded, nullptr);
 	EXPECT_EQ(decoded->id, G_MAXUINT64);
-	EXPECT_TRUE(decoded->once);
+	EXPECT_TRUE(decoded->at_most_once);
 	EXPECT_STREQ(decoded->path, "/fees/7?x=1");
 	ASSERT_EQ(decoded->headers->len, 1u);
 	const struct aub_header *header =
--- a/tests/test_upstream_client.cc
+++ b/tests/test_upstream_client.cc
@@ -85,7 +85,7 @@
 		aub_string_set(&call->method, method);
 		aub_string_set(&call->path, "/a%20b?q=%2F");
 		aub_bytes_set(&call->body, body, strlen(body));
-		call->once = at_most_once;
+		call->at_most_once = at_most_once;
 		call->id = 0xab;
 		call->retry_budget = 100;
 		return call;
