--- a/include/auburnstile/admin.h
+++ b/include/auburnstile/admin.h
@@ -49,9 +49,9 @@
 		      void *context);
 
 const char *aub_admin_path(const struct aub_admin_request *request);
-const char *aub_admin_query(
-	const struct aub_admin_request *request,
-	const char *name); /* NULL if the parameter is missing */
+/* Returns a query parameter; NULL if it is missing. */
+const char *aub_admin_query(const struct aub_admin_request *request,
+			    const char *name);
 const char *aub_admin_body(const struct aub_admin_request *request,
 			   gsize *length);
 
@@ -68,10 +68,7 @@
 void aub_admin_respond_error(struct aub_admin_request *request,
 			     const GError *error);
 
-/*
- * Returns the port the listener is bound to. Useful if the configured port is
- * 0.
- */
+/* Returns the port of the listener, also if the configured port is 0. */
 guint aub_admin_port(const struct aub_admin *admin);
 
 /*
--- a/include/auburnstile/event.h
+++ b/include/auburnstile/event.h
@@ -1,5 +1,5 @@
 /*
- * Event trace of one process: typed events in a bounded ring buffer.
+ * Events of one process: typed records in a bounded ring buffer.
  *
  * Recording is cheap (no allocation, no system call except reading the
  * clocks) and never fails: once the ring is full, the oldest events are
--- a/include/auburnstile/internal/caller_groups.h
+++ b/include/auburnstile/internal/caller_groups.h
@@ -40,12 +40,12 @@
 /* Stops tracking an idle connection that the owner is about to close. */
 void aub_caller_group_release(struct aub_caller_group *group, GSocket *socket);
 
-/* Notes that one of the group's connections has closed. */
+/* Must be called when one of the group's connections has closed. */
 void aub_caller_group_connection_closed(struct aub_caller_group *group);
 
 /*
  * Returns true if the group is full and only a few of its connections are
- * still open. They are then to be closed after their next response so that the
+ * still open. They should then be closed after their next response, so that the
  * group can be freed.
  */
 bool aub_caller_group_should_drain(const struct aub_caller_group *group);
--- a/include/auburnstile/internal/caller_server.h
+++ b/include/auburnstile/internal/caller_server.h
@@ -69,8 +69,8 @@
 void aub_caller_server_free(struct aub_caller_server *server);
 
 /*
- * Sends the response and takes ownership of `answer`. `stale` adds a header by
- * which the caller knows that it should request its list of addresses again.
+ * Sends the response and takes ownership of `answer`. `stale` adds a header
+ * that tells the caller to request its list of addresses again.
  */
 void aub_caller_respond(struct aub_caller_request *request,
 			struct aub_answer *answer, bool stale);
--- a/include/auburnstile/internal/document.h
+++ b/include/auburnstile/internal/document.h
@@ -42,17 +42,20 @@
 gint64 aub_map_integer(const msgpack_object *map, const char *name);
 bool aub_map_boolean(const msgpack_object *map, const char *name);
 
-/* Return the length of a list (0 if it is none) and an element (or NULL). */
+/*
+ * Return the length of a list (0 if `list` is not a list) and an element (NULL
+ * if there is none).
+ */
 guint aub_list_length(const msgpack_object *list);
 const msgpack_object *aub_list_get(const msgpack_object *list, guint index);
 
 /*
  * Returns a copy of a string, which the caller frees with g_free(). NULL if
- * the value is no string, is not UTF-8 or contains a NUL.
+ * the value is not a string, is not UTF-8 or contains a NUL.
  */
 char *aub_value_text(const msgpack_object *value);
 bool aub_value_text_is(const msgpack_object *value, const char *text);
-/* Reads an integer or floating-point value; false for another type. */
+/* Reads an integer or floating-point value; false if it is neither. */
 bool aub_value_number(const msgpack_object *value, double *number);
 
 G_END_DECLS
--- a/include/auburnstile/internal/http_listener.h
+++ b/include/auburnstile/internal/http_listener.h
@@ -19,7 +19,7 @@
 };
 
 /*
- * Fills in the response to one request before it returns. `response` is
+ * Must fill in the response to one request before it returns. `response` is
  * initialised with status 404 and no body.
  */
 typedef void aub_http_listener_handler(const struct aub_http_head *head,
--- a/include/auburnstile/internal/json.h
+++ b/include/auburnstile/internal/json.h
@@ -36,7 +36,7 @@
 bool aub_json_boolean(JsonObject *object, const char *name);
 JsonObject *aub_json_object(JsonObject *object, const char *name);
 JsonArray *aub_json_array(JsonObject *object, const char *name);
-/* Returns an element of an array; NULL if it is no object. */
+/* Returns an element of an array; NULL if it is not an object. */
 JsonObject *aub_json_element(JsonArray *array, guint index);
 
 /*
--- a/include/auburnstile/internal/message_fields.h
+++ b/include/auburnstile/internal/message_fields.h
@@ -29,8 +29,7 @@
 	size_t offset;
 	const char *name;
 	gsize limit;
-	const struct aubi_layout
-		*element; /* layout of a list's elements, else NULL */
+	const struct aubi_layout *element; /* of a list's elements, else NULL */
 };
 
 struct aubi_layout {
--- a/include/auburnstile/internal/problems.h
+++ b/include/auburnstile/internal/problems.h
@@ -21,8 +21,8 @@
 
 /*
  * Adds "source:LINE: FIELD: text (rule RULE)". The field or the rule is
- * omitted if it is NULL, the line if it is 0 (the problem is one of the file
- * as a whole).
+ * omitted if it is NULL, the line if it is 0 (the problem concerns the entire
+ * file).
  */
 void aub_problems_add(struct aub_problems *problems, guint line,
 		      const char *field, const char *rule, const char *format,
@@ -39,9 +39,10 @@
 			 GError **error);
 
 /*
- * Parses "ip:port"; IPv6 addresses stand in brackets. Host names are rejected
- * since they would need a resolver. Returns false if `text` is no such
- * address. `host` (`*host` is then owned by the caller) and `port` may be NULL.
+ * Parses "ip:port"; IPv6 addresses are enclosed in brackets. Host names are
+ * rejected since they would need a resolver. Returns false if `text` is not
+ * such an address. `*host` is owned by the caller; `host` and `port` may be
+ * NULL.
  */
 bool aub_address_parse(const char *text, char **host, guint16 *port);
 
--- a/include/auburnstile/internal/upstream_client.h
+++ b/include/auburnstile/internal/upstream_client.h
@@ -68,7 +68,8 @@
 void aub_attempt_abandon(struct aub_attempt *attempt);
 
 /*
- * Result of a probe (GET /load). `busy` is the value reported by the upstream.
+ * Result of a probe (GET /load). `busy` is the value of that name in the
+ * response.
  * The handle has the same lifetime as that of aub_upstream_send().
  */
 typedef void aub_probe_callback(bool answered,
--- a/include/auburnstile/link.h
+++ b/include/auburnstile/link.h
@@ -53,22 +53,21 @@
  * ends, if the message cannot be encoded or the queue exceeds
  * AUB_LINK_QUEUE_MAX_BYTES.
  */
-#define AUB_LINK_QUEUE_MAX_BYTES \
-	(64u << 20) /* maximum size of the output queue */
+#define AUB_LINK_QUEUE_MAX_BYTES (64u << 20)
 bool aub_link_send(struct aub_link *link, const struct aub_message *message);
 
 bool aub_link_is_up(const struct aub_link *link);
 const char *aub_link_peer(const struct aub_link *link); /* not owned */
 const struct aub_hello *aub_link_peer_hello(const struct aub_link *link);
 gint64 aub_link_last_received_us(const struct aub_link *link); /* monotonic */
-gsize aub_link_queued_bytes(
-	const struct aub_link *link); /* waiting to be written */
+gsize aub_link_queued_bytes(const struct aub_link *link); /* not yet sent */
 
-/* Returns the bytes received and sent over one link. */
+/* Returns the number of bytes received and sent over one link. */
 guint64 aub_link_transferred_bytes(const struct aub_link *link);
 
 /*
- * Sets the bytes received and sent by all links of this process, for metrics.
+ * Stores the number of bytes that all links of this process have received and
+ * sent, for metrics.
  */
 void aub_link_process_bytes(guint64 *bytes_received, guint64 *bytes_sent);
 
--- a/include/auburnstile/message.h
+++ b/include/auburnstile/message.h
@@ -101,7 +101,7 @@
 	char *control_admin;
 	guint64 successor; /* incarnation of the entry that took over its keys,
 			      or 0 */
-	guint32 age_ms; /* since its last update, direct or relayed */
+	guint32 age_ms; /* since the last update from it, direct or relayed */
 	guint64 config_version; /* active at its entry, as last reported */
 	guint32 load_permille; /* load of its entry in 1/1000 */
 	guint64 revision; /* count of changes by its control since its start */
@@ -152,8 +152,8 @@
 	bool store_reachable;
 	guint32 fresh_ms; /* time since the store last confirmed the version */
 	GPtrArray *members; /* of struct aub_member */
-	guint64 number; /* sender's clock, to be echoed; 0: no reply expected */
-	guint64 echo; /* number that this replies to; 0: none */
+	guint64 number; /* sender's clock in ms, echoed; 0: no reply expected */
+	guint64 echo; /* `number` that this message replies to; 0: none */
 	guint64 roster; /* hash of the members known to the sender and their
 			   revisions */
 	guint32 member_count; /* members covered by `roster` */
@@ -205,8 +205,8 @@
 };
 
 /*
- * Whether a request was executed. Returned to the caller in a header. RUN and
- * NOT_RUN are set only if they are certain.
+ * Whether a request was executed by an upstream; returned to the caller in a
+ * header. RUN and NOT_RUN are reported only if they are certain.
  */
 enum aub_outcome {
 	AUB_OUTCOME_RUN = 1,
@@ -259,7 +259,7 @@
 /* A request that was in progress when upstreams crashed. */
 struct aub_crash_record {
 	guint64 fingerprint;
-	guint32 crash_count; /* number of crashes */
+	guint32 crash_count; /* upstreams that crashed during it */
 	guint32 age_ms; /* since the last crash */
 };
 
@@ -299,8 +299,8 @@
 	bool reply_requested; /* no heartbeat of the receiver received yet */
 	bool store_current; /* the sender has not been without the store for
 			       long */
-	bool store_reachable; /* the store currently answers the sender */
-	/* Store revisions up to which the sender is current, by kind. */
+	bool store_reachable; /* the sender currently reaches the store */
+	/* Store revision of the sender's data, by kind of object. */
 	guint64 revisions[AUB_HEARTBEAT_REVISION_COUNT];
 };
 
@@ -360,8 +360,8 @@
 	guint32 running;
 	guint32 waiting;
 	guint32 slots;
-	guint32 slowdown;
-	guint32 warmup_ms;
+	guint32 slowdown; /* service time in percent of the baseline */
+	guint32 warmup_ms; /* remaining warm-up */
 };
 
 struct aub_place_report {
@@ -393,7 +393,7 @@
 	bool down;
 	bool unknown; /* not probed yet */
 	guint32 cold_ms; /* remaining warm-up */
-	guint32 slowdown;
+	guint32 slowdown; /* service time in percent of the baseline */
 };
 
 struct aub_place_health {
@@ -428,9 +428,11 @@
 	guint64 created;
 	guint32 age_ms;
 	guint32 state; /* enum aub_rollout_state */
-	guint64 reached; /* requests sent by this and earlier placers */
+	guint64 reached; /* requests that reached an upstream, counted by this
+			    and earlier placers */
 	guint64 exposed; /* of these, those sent to the new version */
-	guint32 allowance; /* requests of this placer beyond the share */
+	guint32 allowance; /* requests that the placer may send beyond its
+			      share */
 	GPtrArray *evidence; /* of struct aub_place_evidence */
 };
 
@@ -463,7 +465,7 @@
 void aub_string_set(char **field, const char *value);
 void aub_bytes_set(struct aub_bytes *field, const void *data, gsize length);
 
-/* Constructors of message parts. Lists of them are held in a GPtrArray. */
+/* Constructors of message parts. Lists of parts are GPtrArrays. */
 struct aub_member *aub_member_new(void);
 struct aub_member *aub_member_copy(const struct aub_member *member);
 void aub_member_free(struct aub_member *member);
--- a/include/auburnstile/settings.h
+++ b/include/auburnstile/settings.h
@@ -3,7 +3,8 @@
  *
  * Each program passes a table of the keys that it supports. Unknown keys,
  * wrong types and values out of range are reported with file and line. All
- * problems are reported together, and the process doesn't start with any.
+ * problems are reported together, and the process doesn't start if there are
+ * any.
  */
 #ifndef AUBURNSTILE_SETTINGS_H
 #define AUBURNSTILE_SETTINGS_H
--- a/include/auburnstile/timer.h
+++ b/include/auburnstile/timer.h
@@ -22,8 +22,8 @@
 typedef void aub_timer_callback(void *context, gint64 now_us);
 
 /*
- * Returns a timer service, owned by the caller. A `context` of NULL stands
- * for the global default main context.
+ * Returns a timer service, owned by the caller. If `context` is NULL, the
+ * global default main context is used.
  */
 struct aub_timer_service *aub_timer_service_new(GMainContext *context);
 void aub_timer_service_free(struct aub_timer_service *service);
--- a/programs/auburnstile-gateway.c
+++ b/programs/auburnstile-gateway.c
@@ -20,7 +20,10 @@
 
 #define SETTINGS_POLL_S 1 /* how often the file is checked for changes */
 
-/* Free heap memory beyond this is returned to the system: VMs are small. */
+/*
+ * Free memory at the top of the heap beyond this is returned to the system,
+ * since VMs are small.
+ */
 #define MALLOC_TRIM_BYTES (1 << 20)
 
 struct process {
@@ -46,7 +49,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* An invalid file is reported and the current settings stay active. */
+/* If the file is invalid, logs a warning and keeps the current settings. */
 static void reload(struct process *process)
 {
 	struct aub_node_settings settings = { 0 };
@@ -62,6 +65,7 @@
 	aub_settings_clear(aub_node_settings_table, &settings);
 }
 
+/* Returns true if the file was modified since the last call. */
 static bool file_changed(struct process *process)
 {
 	struct stat now;
--- a/programs/ctl/change.c
+++ b/programs/ctl/change.c
@@ -88,17 +88,19 @@
 	guint64 version =
 		(guint64)aub_json_integer(response, "current_version");
 	struct aub_config *base = ctl_config_parse(response, "base_config", 0);
-	struct aub_config *current =
+	struct aub_config *current_config =
 		ctl_config_parse(response, "current_config", 0);
-	struct aub_config *yours =
-		ctl_config_with_text(base ? base : current, text);
-	char *theirs = ctl_diff_text(base, current);
-	char *mine = ctl_diff_text(base ? base : current, yours);
+	struct aub_config *edited_config =
+		ctl_config_with_text(base ? base : current_config, text);
+	char *their_changes = ctl_diff_text(base, current_config);
+	char *your_changes =
+		ctl_diff_text(base ? base : current_config, edited_config);
 
 	if (options->format == CTL_JSON) {
 		json_object_set_string_member(response, "base_to_current",
-					      theirs);
-		json_object_set_string_member(response, "base_to_yours", mine);
+					      their_changes);
+		json_object_set_string_member(response, "base_to_yours",
+					      your_changes);
 		ctl_print_json(response);
 	} else {
 		g_print("conflict: the configuration is at version "
@@ -108,18 +110,18 @@
 		print_lines(
 			base ? "changed since by others (base -> current):" :
 			       "current (the base version is no longer available):",
-			theirs);
+			their_changes);
 		print_lines(base ? "changed by you (base -> yours):" :
 				   "changed by you (current -> yours):",
-			    mine);
+			    your_changes);
 		g_print("edit the current configuration (auburnstilectl show) "
 			"and apply that\n");
 	}
 	aub_config_free(base);
-	aub_config_free(current);
-	aub_config_free(yours);
-	g_free(theirs);
-	g_free(mine);
+	aub_config_free(current_config);
+	aub_config_free(edited_config);
+	g_free(their_changes);
+	g_free(your_changes);
 	return CTL_CONFLICT;
 }
 
@@ -178,7 +180,7 @@
 	return response->status != 0;
 }
 
-/* Prints what is known about a change to which no control responded. */
+/* Prints the error after no control has responded to a change. */
 static int print_no_response(GError *error, bool maybe_applied)
 {
 	if (error->code == AUB_ERROR_INVALID)
@@ -266,7 +268,7 @@
 }
 
 static int send_item_change(struct ctl_options *options, const char *path,
-			    const char *what)
+			    const char *label)
 {
 	JsonObject *body = json_object_new();
 	struct ctl_response response = { 0 };
@@ -283,7 +285,7 @@
 		code = print_no_response(error, maybe_applied);
 	} else if (response.status == SOUP_STATUS_OK && response.body) {
 		if (options->format != CTL_JSON)
-			g_print("%s: ", what);
+			g_print("%s: ", label);
 		code = print_accepted(options, response.body, "in_force");
 	} else {
 		code = print_rejected(&response, maybe_applied);
@@ -296,21 +298,22 @@
 
 /* Runs "zone out NAME" and the like, with one of two possible actions. */
 static int change_item(struct ctl_options *options, char **args, guint count,
-		       const char *kind, const char *first, const char *second)
+		       const char *kind, const char *action,
+		       const char *opposite_action)
 {
 	char *name;
 	char *path;
-	char *what;
+	char *label;
 	int code;
 
-	if (count != 2 ||
-	    (strcmp(args[0], first) != 0 && strcmp(args[0], second) != 0))
+	if (count != 2 || (strcmp(args[0], action) != 0 &&
+			   strcmp(args[0], opposite_action) != 0))
 		return CTL_BAD_ARGUMENTS;
 	name = g_uri_escape_string(args[1], NULL, FALSE);
 	path = g_strdup_printf("/v1/%ss/%s/%s", kind, name, args[0]);
-	what = g_strdup_printf("%s %s %s", kind, args[1], args[0]);
-	code = send_item_change(options, path, what);
-	g_free(what);
+	label = g_strdup_printf("%s %s %s", kind, args[1], args[0]);
+	code = send_item_change(options, path, label);
+	g_free(label);
 	g_free(path);
 	g_free(name);
 	return code;
--- a/programs/ctl/ctl.h
+++ b/programs/ctl/ctl.h
@@ -46,7 +46,7 @@
 /* Response of a control. */
 struct ctl_response {
 	guint status; /* HTTP */
-	JsonObject *body; /* owned; NULL if it is no JSON object */
+	JsonObject *body; /* owned; NULL if it is not a JSON object */
 	bool maybe_received; /* an earlier control may have received the change
 				as well */
 };
@@ -115,7 +115,7 @@
 			 struct aub_inventory **inventory);
 /*
  * Returns a copy of `config` (NULL: an empty one) with the inventory replaced
- * by `text`. Zones, VMs and upstreams that are taken out stay so.
+ * by `text`. Zones, VMs and upstreams that are taken out remain taken out.
  */
 struct aub_config *ctl_config_with_text(const struct aub_config *config,
 					const char *text);
--- a/programs/ctl/events.c
+++ b/programs/ctl/events.c
@@ -7,7 +7,7 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-/* Stops at a process that returns pages of events without end. */
+/* Limit for a process that returns pages of events without end. */
 #define EVENT_PAGES_MAX 8192
 
 static void copy_text(JsonObject *object, const char *name, char *field,
--- a/programs/ctl/http.c
+++ b/programs/ctl/http.c
@@ -60,8 +60,8 @@
 
 /*
  * Checks whether a control accepts connections before a request is sent. An
- * unresponsive host would use up the whole timeout of a change, and its outcome
- * would be unknown; if the connection fails, the host can't have received
+ * unresponsive host would use up the timeout of a change, and its outcome would
+ * be unknown; if the connection fails, the host can't have received
  * anything.
  */
 static bool can_connect(const char *address, GError **error)
@@ -94,7 +94,7 @@
 
 static void set_unavailable(GError **error, const char *address, GError *cause)
 {
-	aub_error_set(error, AUB_ERROR_UNAVAILABLE, "ask control", address,
+	aub_error_set(error, AUB_ERROR_UNAVAILABLE, "call control", address,
 		      "%s", cause->message);
 	g_error_free(cause);
 }
@@ -117,7 +117,7 @@
 
 	*sent = false;
 	if (!aub_address_parse(address, NULL, NULL)) {
-		aub_error_set(error, AUB_ERROR_INVALID, "ask control", address,
+		aub_error_set(error, AUB_ERROR_INVALID, "call control", address,
 			      "not an address \"ip:port\"");
 		return false;
 	}
@@ -135,7 +135,7 @@
 		text = g_bytes_get_data(bytes, &length);
 		response->status = soup_message_get_status(message);
 		response->body = aub_json_parse(text ? text : "", length,
-						"read answer", address, NULL);
+						"read response", address, NULL);
 		g_bytes_unref(bytes);
 	} else {
 		*sent = !was_not_sent(cause);
@@ -157,7 +157,7 @@
 			    options->timeout_ms, response, &sent, error);
 }
 
-/* Another control may be able to process the request. */
+/* Returns true if another control may be able to process the request. */
 static bool is_unavailable(const struct ctl_response *response)
 {
 	return response->status == SOUP_STATUS_SERVICE_UNAVAILABLE ||
@@ -175,7 +175,7 @@
 	if (!load_token(options, error))
 		return false;
 	if (!options->controls->len) {
-		aub_error_set(error, AUB_ERROR_INVALID, "ask control", NULL,
+		aub_error_set(error, AUB_ERROR_INVALID, "call control", NULL,
 			      "no address: use --control or "
 			      "AUBURNSTILE_CONTROL");
 		return false;
@@ -195,7 +195,7 @@
 	if (response->status)
 		return true;
 	if (response->maybe_received)
-		aub_error_set(error, AUB_ERROR_AMBIGUOUS, "ask control", NULL,
+		aub_error_set(error, AUB_ERROR_AMBIGUOUS, "call control", NULL,
 			      "the response was lost (%s)", last->message);
 	else
 		g_propagate_error(error, g_error_copy(last));
--- a/programs/ctl/logs.c
+++ b/programs/ctl/logs.c
@@ -24,7 +24,7 @@
 	/* Returns false if the line is not a log line. */
 	bool (*handle)(const char *line, void *context);
 	void *context;
-	bool second_pass; /* second pass, which skips standard input */
+	bool second_pass; /* skips standard input */
 	guint64 lines;
 	guint64 skipped;
 	guint64 bytes;
--- a/programs/ctl/status.c
+++ b/programs/ctl/status.c
@@ -75,7 +75,7 @@
 		g_print("%s %s is leaving\n", kind, (char *)names->pdata[i]);
 }
 
-/* Prints VMs and upstreams taken out by operators; zones have a table. */
+/* Prints the VMs and upstreams that operators have taken out. */
 static void print_leaving(struct ctl_options *options)
 {
 	int code = CTL_OK;
--- a/src/core/decision_log.c
+++ b/src/core/decision_log.c
@@ -120,10 +120,10 @@
 }
 
 /*
- * A pipe that is nearly full accepts a part of a large write, and a line of
- * another process could then end up inside one of ours. Writes of up to
- * PIPE_BUF bytes are atomic, so each write is at most that long and ends with
- * a complete line.
+ * Writes the buffered lines. A pipe that is nearly full accepts a part of a
+ * large write, and a line of another process could then be written between the
+ * two parts of one of this process. Writes of up to PIPE_BUF bytes are atomic,
+ * so each write is at most that long and ends with a complete line.
  */
 void aub_decision_log_flush(void)
 {
@@ -144,7 +144,7 @@
 	}
 	g_string_erase(decision_log.lines, 0, (gssize)done);
 	if (written < 0 && errno != EAGAIN && errno != EINTR) {
-		/* The reader is gone; the lines can't be delivered. */
+		/* The reader has closed the pipe: discard the lines. */
 		g_string_truncate(decision_log.lines, 0);
 	}
 	if (decision_log.lines->len < SUCCESS_BYTES_MAX)
--- a/src/core/error.c
+++ b/src/core/error.c
@@ -1,5 +1,5 @@
 /*
- * GError domain whose private data holds the step and the peer.
+ * GError domain with the step and the peer as private data.
  */
 #include <auburnstile/error.h>
 
--- a/src/protocol/frame_check.c
+++ b/src/protocol/frame_check.c
@@ -20,7 +20,7 @@
 /* State of the callbacks. The parser's objects carry no value here. */
 struct frame_counter {
 	gsize elements_left; /* elements that may still be announced */
-	bool allow_maps; /* maps are allowed */
+	bool allow_maps; /* true for documents, false for frames */
 };
 
 #define CALLBACK_ERROR (-1)
--- a/src/protocol/message_codec.c
+++ b/src/protocol/message_codec.c
@@ -256,7 +256,7 @@
 	}
 	if (objects[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    objects[0].via.u64 != AUB_PROTOCOL_VERSION) {
-		reject(decoding, "version", "not supported here");
+		reject(decoding, "version", "unsupported version");
 		return NULL;
 	}
 	if (objects[1].type == MSGPACK_OBJECT_POSITIVE_INTEGER)
--- a/src/protocol/problems.c
+++ b/src/protocol/problems.c
@@ -8,7 +8,7 @@
 #include <stdarg.h>
 #include <string.h>
 
-/* Problems that are listed; further ones are only counted. */
+/* Problems listed in the error message; further ones are only counted. */
 #define PROBLEM_LINES_MAX 100
 
 struct problem {
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -68,7 +68,7 @@
 	return true;
 }
 
-/* The comparison is written so that NaN is out of range. */
+/* The same for a real number. The condition also rejects NaN. */
 static bool read_real(struct reader *reader, const struct aub_setting *setting,
 		      const struct aub_toml_node *node)
 {
--- a/src/protocol/toml_reader.cc
+++ b/src/protocol/toml_reader.cc
@@ -56,14 +56,15 @@
 }
 
 static void syntax_error(GError **error, const char *source, guint line,
-			 const std::string &what)
+			 const std::string &description)
 {
 	std::string place = source;
 
 	if (line)
 		place += ":" + std::to_string(line);
 	aub_error_set(error, AUB_ERROR_INVALID, "read TOML", source,
-		      "1 problem\n%s: syntax: %s", place.c_str(), what.c_str());
+		      "1 problem\n%s: syntax: %s", place.c_str(),
+		      description.c_str());
 }
 
 struct aub_toml *aub_toml_parse(const char *text, gsize length,
--- a/src/transport/admin.c
+++ b/src/transport/admin.c
@@ -30,8 +30,7 @@
 	bool (*ready)(void *context);
 	void *context;
 	GArray *routes; /* of struct route */
-	GPtrArray
-		*pending_requests; /* of struct aub_admin_request, not owned */
+	GPtrArray *pending_requests; /* of struct aub_admin_request, borrowed */
 };
 
 struct aub_admin_request {
--- a/src/transport/caller_groups.c
+++ b/src/transport/caller_groups.c
@@ -8,23 +8,28 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-/* Connections not yet accepted; sufficient for the start of a school term. */
+/*
+ * Connections not yet accepted. Sufficient for the load at the start of a
+ * school term.
+ */
 #define LISTEN_BACKLOG 4096
 
 #define EVENTS_PER_ITERATION 64
 
 /*
- * libsoup retains about 4 KB for each closed connection until its group is
- * freed, which favours small groups. Each group needs a descriptor, which
- * favours large ones.
+ * Connections per group. libsoup retains about 4 KB for each closed connection
+ * until its group is freed, which favours small groups. Each group needs a
+ * descriptor, which favours large ones.
  */
 #define GROUP_CONNECTIONS_MAX 32
+
+/* A full group with at most this many open connections is drained. */
 #define GROUP_DRAIN_CONNECTIONS_MAX 8
 
 struct aub_caller_group {
 	struct aub_caller_groups *groups;
 	SoupServer *soup;
-	guint accepted_count; /* connections accepted since the group exists */
+	guint accepted_count; /* all connections of the group, open or closed */
 	guint open_count;
 };
 
@@ -42,7 +47,8 @@
 	int idle_epoll; /* epoll set of connections without input so far */
 	guint idle_source_id;
 	GHashTable *idle_connections; /* GSocket -> struct idle_connection */
-	GPtrArray *all_groups; /* of struct aub_caller_group */
+	/* Of struct aub_caller_group; the last takes new connections. */
+	GPtrArray *all_groups;
 };
 
 static void group_free(void *data)
@@ -142,9 +148,11 @@
 }
 
 /*
+ * Called when idle connections have become readable.
+ *
  * GLib's main loop checks every source in each iteration, so thousands of
  * connections that send nothing delay all requests (13 ms per request with
- * 3900 of them). Connections are therefore kept outside the main loop, in an
+ * 3900 of them). Connections are therefore watched outside the main loop, in an
  * epoll set, until they send their first byte.
  */
 static gboolean on_idle_readable(int fd, GIOCondition condition, void *context)
@@ -207,9 +215,9 @@
 }
 
 /*
- * If only one connection were accepted per iteration of the main loop, which
- * checks every connection each time, the last of thousands of simultaneous
- * connections would wait for seconds.
+ * Accepts several connections per iteration of the main loop. The loop checks
+ * every connection in each iteration, so with one accepted at a time, the last
+ * of thousands of simultaneous connections would wait for seconds.
  */
 static gboolean on_listener_readable(GSocket *listener, GIOCondition condition,
 				     void *context)
--- a/src/transport/caller_server.c
+++ b/src/transport/caller_server.c
@@ -16,8 +16,8 @@
 #include <sys/socket.h>
 
 /*
- * Interval of the checks; also the maximum delay until the disconnection of a
- * waiting caller is detected.
+ * Interval at which connections are checked; also the maximum delay until the
+ * disconnection of a waiting caller is detected.
  */
 #define CHECK_INTERVAL_US (50 * AUB_MS)
 
@@ -85,6 +85,7 @@
 	g_free(request);
 }
 
+/* Reports that the caller has disconnected and frees its request. */
 static void abandon_request(struct connection *connection)
 {
 	struct aub_caller_server *server = connection->server;
@@ -269,8 +270,8 @@
 	/*
 	 * If two HTTP implementations disagree about where a request ends, a
 	 * caller can receive the response to another caller's request (request
-	 * smuggling). Requests with ambiguous framing are rejected and their
-	 * connection is closed.
+	 * smuggling). Requests with ambiguous framing are rejected, and their
+	 * connection is closed so that nothing after them is processed.
 	 */
 	if (!aub_headers_framing_is_unambiguous(headers))
 		respond_not_run_and_close(connection, message,
@@ -390,8 +391,8 @@
 	struct connection *connection = find_connection(server, message);
 
 	/*
-	 * Also sent in responses that libsoup creates itself: the request was
-	 * not executed.
+	 * The default outcome. It remains in responses that libsoup creates
+	 * itself, since such a request was not executed.
 	 */
 	soup_message_headers_append(soup_server_message_get_response_headers(
 					    message),
@@ -421,10 +422,10 @@
 }
 
 /*
- * The request of a caller that has disconnected would continue to use capacity
- * that others wait for. libsoup does not read while a response is pending, so
- * the socket is peeked at: end of stream or an error means that the caller has
- * disconnected.
+ * Returns true if the caller has disconnected; its request would otherwise
+ * continue to use a slot that others wait for. libsoup does not read while a
+ * response is pending, so this peeks at the socket: end of stream or an error
+ * means that the caller has disconnected.
  */
 static bool peer_has_closed(const struct connection *connection)
 {
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 /*
- * Network paths take a few ms. A lost SYN is retransmitted only after a
- * second, so that trying another upstream is faster.
+ * Connecting takes a few ms. A lost SYN is retransmitted only after a second,
+ * so trying another upstream is faster.
  */
 #define CONNECT_TIMEOUT_MS 400
 #define HEAD_MAX_BYTES (64u << 10)
@@ -19,7 +19,7 @@
 struct aub_http_client {
 	struct aub_poller *poller;
 	struct aub_timer_service *timers;
-	GHashTable *pools; /* "address pool" -> GQueue of connections */
+	GHashTable *pools; /* "address pool_name" -> GQueue of connections */
 	guint64 connections_opened;
 };
 
@@ -44,7 +44,7 @@
 	bool request_complete;
 	bool keep_alive;
 	bool discarding; /* the current response belongs to another request */
-	bool not_reusable; /* unexpected responses were received: do not pool */
+	bool not_reusable; /* a response was discarded: do not pool */
 };
 
 static void pooled_connection_free(struct pooled_connection *pooled)
@@ -61,8 +61,8 @@
 }
 
 /*
- * A response without a request would be taken for the response to the next
- * request.
+ * Closes a pooled connection that receives a response without a request: it
+ * would be taken for the response to the next request.
  */
 static void on_pooled_head(const struct aub_http_head *head, void *context)
 {
@@ -153,8 +153,8 @@
 }
 
 /*
- * Removes the most recently used connection from the pool and returns it;
- * returns NULL if it has been idle for too long.
+ * Removes the most recently used connection from the pool and returns it.
+ * Returns NULL if there is none, or if it has been idle for too long.
  */
 static struct aub_http_stream *pool_take(struct aub_http_client *client,
 					 const char *pool_key,
--- a/src/transport/http_listener.c
+++ b/src/transport/http_listener.c
@@ -10,7 +10,7 @@
 
 #define IDLE_TIMEOUT_US (15 * AUB_SECOND)
 #define SWEEP_INTERVAL_US (1 * AUB_SECOND)
-#define CONNECTIONS_MAX 256
+#define CONNECTIONS_MAX 256 /* above this, the oldest is closed */
 #define HEAD_MAX_BYTES (8u << 10)
 
 struct aub_http_listener {
--- a/src/transport/http_stream.c
+++ b/src/transport/http_stream.c
@@ -11,9 +11,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Per read; limits the data handled per iteration of the main loop. */
+/* Bytes per read; limits the data handled per iteration of the main loop. */
 #define READ_MAX_BYTES (64u << 10)
-/* Input received before it may be parsed. */
+/* Limit of input that was received before the owner called resume. */
 #define UNPARSED_MAX_BYTES (64u << 10)
 
 struct header_offsets {
@@ -32,7 +32,7 @@
 	GArray *offsets; /* of struct header_offsets */
 	guint head_bytes;
 	guint head_max_bytes;
-	bool in_value; /* the parser's last callback was for a value */
+	bool in_value; /* the last header callback was for a value */
 	bool head_done; /* header fields that follow are trailers: discarded */
 	GByteArray *unparsed; /* received but not parsed */
 	GByteArray *output;
@@ -41,7 +41,7 @@
 	guint callback_depth;
 	bool connecting;
 	bool reading_paused;
-	bool awaiting_resume; /* a message is complete; waits for resume */
+	bool awaiting_resume; /* complete message; parsing is suspended */
 	bool in_message;
 	bool no_body;
 	bool rejected; /* invalid input: nothing more is read */
@@ -83,7 +83,8 @@
 	struct aub_http_stream *stream = parser->data;
 
 	g_string_truncate(stream->text, 0);
-	g_string_append_c(stream->text, '\0'); /* offset 0: no text */
+	/* Offset 0 is the empty string, for header fields without a value. */
+	g_string_append_c(stream->text, '\0');
 	g_array_set_size(stream->offsets, 0);
 	g_array_set_size(stream->head.headers, 0);
 	stream->head_bytes = 0;
--- a/src/transport/poller.c
+++ b/src/transport/poller.c
@@ -10,8 +10,8 @@
 #include <stdbool.h>
 #include <unistd.h>
 
-#define EVENTS_PER_ITERATION \
-	64 /* then other sources and timers are dispatched */
+/* Limited, so that timers and other sources are not starved. */
+#define EVENTS_PER_ITERATION 64
 
 struct aub_poller {
 	int epoll;
--- a/src/transport/store_exchange.c
+++ b/src/transport/store_exchange.c
@@ -10,7 +10,7 @@
 #include <auburnstile/error.h>
 
 #define BACKOFF_INITIAL_MS 50 /* upper limit of the first delay */
-#define BACKOFF_MAX_MS 2000 /* a recovered store is detected within 2 s */
+#define BACKOFF_MAX_MS 2000 /* a recovered store is found within 2 s */
 #define BACKOFF_DOUBLINGS_MAX 6
 
 struct store_exchange {
--- a/src/transport/store_operation.c
+++ b/src/transport/store_operation.c
@@ -24,8 +24,8 @@
 	guint64 expected_version; /* PUT */
 	char *change_marker; /* PUT */
 	guint64 min_version; /* PUT: reads below this version are stale */
-	bool may_have_applied; /* PUT: may have taken effect */
-	bool reading_back; /* PUT: in the current or next exchange */
+	bool may_have_applied; /* PUT: an earlier attempt may have succeeded */
+	bool reading_back; /* PUT: the current or next exchange is a read */
 	gint64 deadline_us;
 	guint failures;
 	GError *error; /* of the last failed attempt */
@@ -274,10 +274,10 @@
 }
 
 /*
- * Handles the read-back after the response to a write was lost. Repeating the
- * write without it could conflict with the write itself. If the object
- * contains the change marker, the write succeeded. If it has the expected
- * version, the write is repeated. Otherwise another writer may have
+ * Handles the read-back after the response to a write was lost. If the write
+ * were simply repeated, it could conflict with its own first attempt. If the
+ * object contains the change marker, the write succeeded. If it has the
+ * expected version, the write is repeated. Otherwise another writer may have
  * overwritten the change, and the result is ambiguous.
  */
 static void handle_read_back_result(struct operation *operation,
@@ -370,9 +370,9 @@
 }
 
 /*
- * A pooled connection may be unresponsive, which causes timeouts, or libsoup
- * may resend a request on a closed one, which causes a conflict with the
- * client's own write. Writes and retries therefore always open a new
+ * Starts an attempt. A pooled connection may be unresponsive, which causes
+ * timeouts. If it is closed, libsoup may resend the request, and a write would
+ * conflict with itself. Writes and retries therefore always open a new
  * connection.
  */
 static void start_attempt(struct operation *operation)
--- a/src/transport/tcp.c
+++ b/src/transport/tcp.c
@@ -10,12 +10,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A full queue delays callers by seconds, because they resend the SYN. */
+/* If the queue is full, callers are delayed by seconds: the SYN is resent. */
 #define LISTEN_BACKLOG 512
 
 /*
  * If a network path fails or a peer loses power, requests on a pooled
- * connection would wait for their whole deadline. A connection whose data is
+ * connection would wait until their deadline. A connection whose data is
  * not acknowledged within this time is closed; round trips take 20 ms.
  */
 #define USER_TIMEOUT_MS 2000u
--- a/src/transport/upstream_client.c
+++ b/src/transport/upstream_client.c
@@ -105,8 +105,9 @@
 
 /*
  * After a request on a pooled connection got no response, other connections of
- * the pool may be unresponsive too. A session with an empty pool replaces the
- * current one; attempts in flight finish in the old session.
+ * the pool may be unresponsive too, and the next request would wait just as
+ * long. A session with an empty pool replaces the current one; attempts in
+ * flight finish in the old session.
  */
 static void replace_session(struct aub_upstream_client *client)
 {
@@ -216,8 +217,8 @@
 {
 	GError *error = NULL;
 
-	aub_error_set(&error, code, "read answer", attempt->client->peer, "%s",
-		      text);
+	aub_error_set(&error, code, "read response", attempt->client->peer,
+		      "%s", text);
 	fail_attempt(attempt, error);
 	g_error_free(error);
 }
@@ -454,7 +455,7 @@
  * When a pooled connection closes without a response, libsoup resends the
  * request by itself, possibly one that has just crashed the upstream, and the
  * dispatcher would count one attempt instead of two. The attempt is aborted
- * instead and reported as lost.
+ * and reported as lost.
  */
 static void on_restarted(SoupMessage *message, void *context)
 {
@@ -544,7 +545,7 @@
 {
 	struct aub_attempt *attempt = context;
 
-	fail_attempt_with(attempt, AUB_ERROR_INVALID, "not a valid request");
+	fail_attempt_with(attempt, AUB_ERROR_INVALID, "invalid method or path");
 	return G_SOURCE_REMOVE;
 }
 
--- a/src/transport/upstream_signals.c
+++ b/src/transport/upstream_signals.c
@@ -7,7 +7,7 @@
 
 #include <json-glib/json-glib.h>
 
-#define LOAD_MAX_BYTES 4096 /* size of a load object */
+#define LOAD_MAX_BYTES 4096 /* a larger load object is rejected */
 
 void aub_signals_from_response(SoupMessage *message,
 			       struct aub_upstream_signals *signals)
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -203,8 +203,8 @@
 }
 
 /*
- * Requests with ambiguous framing, oversized or malformed requests. Each is
- * rejected as "not-run" and none is delivered.
+ * Requests that are oversized, malformed or have ambiguous framing are rejected
+ * as "not-run" and not delivered.
  */
 TEST_F(CallerServer, RejectsAmbiguousAndOversizedRequests)
 {
--- a/tests/test_core.cc
+++ b/tests/test_core.cc
@@ -13,11 +13,11 @@
 	GError *error = NULL;
 
 	aub_error_set(&error, AUB_ERROR_TIMEOUT, "read hello", "127.0.0.1:9",
-		      "nothing came in %d ms", 5);
+		      "no response within %d ms", 5);
 	GError *copy = g_error_copy(error);
 	g_error_free(error);
 	EXPECT_STREQ(copy->message,
-		     "read hello: 127.0.0.1:9: nothing came in 5 ms");
+		     "read hello: 127.0.0.1:9: no response within 5 ms");
 	EXPECT_STREQ(aub_error_step(copy), "read hello");
 	EXPECT_STREQ(aub_error_peer(copy), "127.0.0.1:9");
 	EXPECT_STREQ(aub_error_code_name((enum aub_error_code)copy->code),
--- a/tests/test_ctl.cc
+++ b/tests/test_ctl.cc
@@ -19,7 +19,7 @@
 #include <thread>
 #include <vector>
 
-#define READY_MS 30000
+#define READY_TIMEOUT_MS 30000
 
 struct outcome {
 	int code;
@@ -84,8 +84,8 @@
 		all.insert(all.end(), arguments.begin(), arguments.end());
 		std::vector<char *> argv;
 
-		for (std::string &word : all)
-			argv.push_back(word.data());
+		for (std::string &argument : all)
+			argv.push_back(argument.data());
 		argv.push_back(nullptr);
 		if (g_spawn_sync(nullptr, argv.data(), nullptr, G_SPAWN_DEFAULT,
 				 nullptr, nullptr, &out, &err, &status,
@@ -356,8 +356,8 @@
 						 { fleet_member(fleet, (guint)i)
 							   ->control_admin });
 			});
-		for (std::thread &it : operators)
-			it.join();
+		for (std::thread &operator_thread : operators)
+			operator_thread.join();
 		g_unlink(files[1].c_str());
 		int winner = results[0].code == 0 ? 0 : 1;
 
@@ -446,7 +446,7 @@
 	guint status = 0;
 
 	apply_inventory();
-	ASSERT_TRUE(fleet_wait_ready(fleet, READY_MS, &error))
+	ASSERT_TRUE(fleet_wait_ready(fleet, READY_TIMEOUT_MS, &error))
 		<< error->message;
 	for (int i = 0; i < 50 && status != 200; i++) {
 		g_free(child_http("GET", url.c_str(), nullptr, nullptr, 5000,
--- a/tests/test_http_stream.cc
+++ b/tests/test_http_stream.cc
@@ -43,7 +43,8 @@
 	{
 		((HttpStream *)context)->log += "complete;";
 	}
-	static void on_refused(enum aub_stream_end_reason reason, void *context)
+	static void on_rejected(enum aub_stream_end_reason reason,
+				void *context)
 	{
 		((HttpStream *)context)->log +=
 			reason == AUB_STREAM_HEAD_TOO_LARGE ? "large;" :
@@ -66,7 +67,7 @@
 			.body = on_body,
 			.complete = on_complete,
 			.drained = NULL,
-			.rejected = on_refused,
+			.rejected = on_rejected,
 			.ended = on_ended,
 		};
 		int fds[2];
--- a/tests/test_message.cc
+++ b/tests/test_message.cc
@@ -175,14 +175,15 @@
 		  "ping: number: not a number" },
 	};
 
-	for (const auto &it : cases) {
+	for (const auto &test_case : cases) {
 		GError *error = NULL;
 
-		EXPECT_EQ(aub_message_decode(it.frame.data(), it.frame.size(),
-					     "p", &error),
+		EXPECT_EQ(aub_message_decode(test_case.frame.data(),
+					     test_case.frame.size(), "p",
+					     &error),
 			  nullptr);
-		ASSERT_NE(error, nullptr) << it.text;
-		EXPECT_NE(strstr(error->message, it.text), nullptr)
+		ASSERT_NE(error, nullptr) << test_case.text;
+		EXPECT_NE(strstr(error->message, test_case.text), nullptr)
 			<< error->message;
 		g_clear_error(&error);
 	}
--- a/tests/test_store_client.cc
+++ b/tests/test_store_client.cc
@@ -192,7 +192,7 @@
  * The store writes a configuration and its response is lost. If the client
  * reported a failure, the operator would apply it again and conflict with
  * their own change. The client reads the object back, finds the change and
- * reports its version, once.
+ * reports its version. The callback is called once.
  */
 TEST_F(Store, LostWriteResponseIsResolvedByReadBack)
 {
--- a/tests/test_upstream_client.cc
+++ b/tests/test_upstream_client.cc
@@ -238,8 +238,8 @@
 }
 
 /*
- * A second response follows on a connection. It must not be taken for the
- * response to the next request, and since it is unknown which of the two
+ * An upstream sends a second response after the first. It must not be taken for
+ * the response to the next request, and since it is unknown which of the two
  * belongs to this request, neither is delivered.
  */
 TEST_F(UpstreamClient, DiscardsExcessResponses)
