--- a/include/auburnstile/internal/node_parts.h
+++ b/include/auburnstile/internal/node_internal.h
@@ -1,6 +1,6 @@
 /* Internals of a gateway process, shared by its source files. */
-#ifndef AUBURNSTILE_INTERNAL_NODE_PARTS_H
-#define AUBURNSTILE_INTERNAL_NODE_PARTS_H
+#ifndef AUBURNSTILE_INTERNAL_NODE_INTERNAL_H
+#define AUBURNSTILE_INTERNAL_NODE_INTERNAL_H
 
 #include <auburnstile/internal/gateway.h>
 #include <auburnstile/internal/http_listener.h>
@@ -28,12 +28,12 @@
 	/* service -> struct stored_order (node_rollouts.c) */
 	GHashTable *rollout_orders;
 	bool rollouts_enabled;
-	guint64 records_refused; /* store objects that could not be read */
-	guint address_ms;
-	guint grace_ms;
+	guint64 unreadable_records; /* store objects that could not be read */
+	guint address_ms; /* how long callers may cache an address list */
+	guint grace_ms; /* maximum duration of a planned stop */
 	gint64 config_version; /* of the active configuration */
-	bool upstreams_listed;
-	/* heartbeats of the other gateways had time to arrive */
+	bool upstreams_listed; /* the first listing is complete */
+	/* heartbeats of the other gateways have had time to arrive */
 	bool startup_grace_over;
 	bool stopping;
 	gint64 stop_start_us; /* start of the planned stop */
@@ -43,7 +43,7 @@
 	/* of char *: listed addresses not yet contacted */
 	GPtrArray *pending_contacts;
 	guint isolation_timer;
-	guint register_timer;
+	guint startup_grace_timer;
 	char *ip; /* IP of the peers' address */
 	guint stop_timer;
 	void (*on_stopped)(void *context);
@@ -72,6 +72,7 @@
 /* Rollout orders. */
 void aub_node_rollouts_init(struct aub_node *node);
 void aub_node_rollouts_clear(struct aub_node *node);
+/* Applies an order as read from the store, or its removal. */
 void aub_node_apply_rollout_order(struct aub_node *node,
 				  const struct aub_record *record);
 /* See struct aub_placer_options; `context` is the node. */
--- a/include/auburnstile/internal/placer.h
+++ b/include/auburnstile/internal/placer.h
@@ -24,10 +24,10 @@
 	const char *address;
 	guint retry_after_ms;
 	const char *placer; /* name of the gateway that decided */
-	gint64 waited_us;
+	gint64 waited_us; /* from the placement request to the decision */
 };
 typedef void aub_placement_result_callback(
-	const struct aub_placement_result *placed, void *context);
+	const struct aub_placement_result *result, void *context);
 
 struct aub_placer_options {
 	const struct aub_platform *platform;
@@ -52,7 +52,7 @@
 struct aub_placer *aub_placer_new(const struct aub_placer_options *options);
 void aub_placer_free(struct aub_placer *placer);
 
-/* Apply objects of the store. */
+/* Apply objects of the store. A NULL `record` removes the upstream. */
 void aub_placer_configure(struct aub_placer *placer,
 			  const struct aub_routing *routing);
 void aub_placer_update_upstream(struct aub_placer *placer, const char *id,
@@ -70,25 +70,27 @@
 void aub_placer_on_order_stored(struct aub_placer *placer, const char *service,
 				const struct aub_rollout_record *record);
 
+/* Applies changed settings. */
 void aub_placer_set_limits(struct aub_placer *placer,
 			   const struct aub_placement_limits *limits);
 
 /* Handles a peer's message and frees it. */
 void aub_placer_handle_message(struct aub_placer *placer,
 			       struct aub_message *message);
+/* Releases the grants of a dead gateway and asks another placer instead. */
 void aub_placer_on_peer_lost(struct aub_placer *placer, guint64 incarnation);
 
 /* Returns a new ticket, unique in the fleet and never 0. */
 guint64 aub_placer_new_ticket(struct aub_placer *placer);
 
 /*
- * Requests an upstream under a new ticket. The callback is called exactly once,
- * possibly before this function returns, unless aub_placer_cancel() is called
- * first.
+ * Requests an upstream under the new ticket `id`. The callback is called
+ * exactly once, possibly before this function returns, unless
+ * aub_placer_cancel() is called first.
  */
 void aub_placer_request(struct aub_placer *placer, const char *service,
 			const struct aub_placement_request *request, guint64 id,
-			aub_placement_result_callback *placed, void *context);
+			aub_placement_result_callback *callback, void *context);
 /* Cancels a request whose caller has disconnected before the decision. */
 void aub_placer_cancel(struct aub_placer *placer, guint64 ticket);
 /* Reports the outcome of a granted request and invalidates the ticket. */
@@ -104,9 +106,10 @@
 		      void *context);
 
 struct aub_placer_counts {
-	guint64 requested;
+	guint64 requested; /* placement requests of this gateway */
 	guint64 placed_here; /* as placer, for any gateway */
-	guint64 placed_in_fallback; /* no placer answered */
+	/* placed locally because no placer answered */
+	guint64 placed_in_fallback;
 	guint64 placers_suspected; /* placers that did not answer in time */
 	guint64 forwarded; /* requests passed on to a higher-ranked gateway */
 	guint64 probes_sent;
--- a/src/coordination/control.c
+++ b/src/coordination/control.c
@@ -1,5 +1,6 @@
 /*
- * The hub of a control: holds the state and informs the tasks when it changes.
+ * The hub of a control: owns the shared state and notifies the tasks when it
+ * changes.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
@@ -10,9 +11,9 @@
 
 #define TICK_INTERVAL_US ((gint64)100000)
 #define METRICS_INTERVAL_US ((gint64)1000000)
-/* For gossip to spread the state STOPPED. */
+/* Time for gossip to spread the state STOPPED. */
 #define STOP_ANNOUNCE_US ((gint64)500000)
-/* After this the entry stays: only the control stops. */
+/* If the entry has not begun to stop by then, only the control stops. */
 #define CONTROL_ONLY_STOP_US ((gint64)2000000)
 
 struct aubi_member_last_state {
@@ -52,13 +53,13 @@
 
 bool aubi_control_owns_services(const struct aubi_control *control)
 {
-	const GPtrArray *lines = control->assignments->list;
+	const GPtrArray *list = control->assignments->list;
 	guint i;
 
-	for (i = 0; i < lines->len; i++) {
-		const struct aub_assignment *line = lines->pdata[i];
+	for (i = 0; i < list->len; i++) {
+		const struct aub_assignment *assignment = list->pdata[i];
 
-		if (!strcmp(line->owner, control->settings->name))
+		if (!strcmp(assignment->owner, control->settings->name))
 			return true;
 	}
 	return false;
--- a/src/coordination/control_peers.c
+++ b/src/coordination/control_peers.c
@@ -11,15 +11,17 @@
 #include <string.h>
 
 #define CONNECT_TIMEOUT_MS 700
-/* For an answer, before the link counts as dead. */
+/* A link whose answer is overdue by this time is closed as unresponsive. */
 #define ANSWER_TIMEOUT_US ((gint64)1000000)
-/* Until an unused link is closed. */
+/* Time after which an unused link is closed. */
 #define LINK_IDLE_TIMEOUT_US ((gint64)60000000)
 #define PULL_TIMEOUT_US ((gint64)1000000) /* before another pull may start */
 #define OBJECT_MAX_BYTES ((gsize)2 << 20) /* the store's limit is 1 MB */
+/* Extra exchanges started for one change. */
 #define EXTRA_EXCHANGE_PEERS 3
-#define EXTRA_EXCHANGES_PER_S 6 /* extra exchanges after member changes */
-/* And after configuration or assignment changes. */
+/* Limit of extra exchanges a second after member changes. */
+#define EXTRA_EXCHANGES_PER_S 6
+/* The same after configuration or assignment changes, which are rare. */
 #define URGENT_EXCHANGES_PER_S 24
 
 /* A link to or from one peer. */
@@ -35,8 +37,8 @@
 struct aubi_peers {
 	struct aubi_control *control;
 	struct aub_link_server *server;
-	GHashTable *outward; /* address -> struct peer, owned */
-	GHashTable *inward; /* set of struct peer, owned */
+	GHashTable *outbound; /* address -> struct peer, owned */
+	GHashTable *inbound; /* set of struct peer, owned */
 	guint gossip_timer;
 	gint64 pulled_us;
 	guint64 pulled_version;
@@ -63,9 +65,9 @@
 static void peer_drop(struct peer *peer)
 {
 	if (peer->address)
-		g_hash_table_remove(peer->task->outward, peer->address);
+		g_hash_table_remove(peer->task->outbound, peer->address);
 	else
-		g_hash_table_remove(peer->task->inward, peer);
+		g_hash_table_remove(peer->task->inbound, peer);
 }
 
 static void peer_send(struct peer *peer, const struct aub_message *message)
@@ -120,7 +122,7 @@
 }
 
 /*
- * Requests what the peer holds and this control does not; one pull at a time.
+ * Requests the newer versions that the peer holds; one pull at a time.
  */
 static void pull(struct peer *peer, const struct aub_gossip *received)
 {
@@ -310,7 +312,7 @@
 	peer->task = task;
 	peer->link = link;
 	peer->used_us = now(task);
-	g_hash_table_add(task->inward, peer);
+	g_hash_table_add(task->inbound, peer);
 	*context = peer;
 	return &peer_callbacks;
 }
@@ -329,7 +331,7 @@
 
 static struct peer *connect_to(struct aubi_peers *task, const char *address)
 {
-	struct peer *peer = g_hash_table_lookup(task->outward, address);
+	struct peer *peer = g_hash_table_lookup(task->outbound, address);
 	struct aub_hello *hello;
 
 	if (peer)
@@ -340,7 +342,7 @@
 	peer->task = task;
 	peer->address = g_strdup(address);
 	peer->used_us = now(task);
-	g_hash_table_insert(task->outward, peer->address, peer);
+	g_hash_table_insert(task->outbound, peer->address, peer);
 	peer->link = aub_link_connect(address, hello, CONNECT_TIMEOUT_MS,
 				      &peer_callbacks, peer);
 	aub_message_free(&hello->base);
@@ -403,8 +405,8 @@
 {
 	struct aubi_peers *task = context;
 
-	g_hash_table_foreach_remove(task->outward, should_close, NULL);
-	g_hash_table_foreach_remove(task->inward, should_close, NULL);
+	g_hash_table_foreach_remove(task->outbound, should_close, NULL);
+	g_hash_table_foreach_remove(task->inbound, should_close, NULL);
 	begin_exchange(task);
 }
 
@@ -414,9 +416,9 @@
 	struct aub_hello *hello;
 
 	task->control = control;
-	task->outward =
+	task->outbound =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, peer_free);
-	task->inward = g_hash_table_new_full(NULL, NULL, peer_free, NULL);
+	task->inbound = g_hash_table_new_full(NULL, NULL, peer_free, NULL);
 	hello = (struct aub_hello *)aub_message_new(AUB_MESSAGE_HELLO);
 	aubi_peers_fill_hello(control, hello);
 	task->server = aub_link_server_new(control->settings->inner, hello,
@@ -438,7 +440,7 @@
 		return;
 	aub_timer_cancel(task->control->timers, task->gossip_timer);
 	aub_link_server_free(task->server);
-	g_hash_table_destroy(task->outward);
-	g_hash_table_destroy(task->inward);
+	g_hash_table_destroy(task->outbound);
+	g_hash_table_destroy(task->inbound);
 	g_free(task);
 }
--- a/src/coordination/gateway_request.c
+++ b/src/coordination/gateway_request.c
@@ -1,6 +1,6 @@
 /* A request from its head to its answer: routing, placement and retries. */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/gateway_parts.h>
+#include <auburnstile/internal/gateway_internal.h>
 
 #include <string.h>
 
@@ -23,10 +23,10 @@
 /* Beyond that wait the answer is late anyway, and only the deadline matters. */
 #define MAX_WAIT_REMAINING_SHARE 0.15 /* share of the remaining time */
 
-/* covers nearly all of the users' request bodies */
+/* Nearly all request bodies are smaller. */
 #define SMALL_BODY_MAX_BYTES (16u << 10)
 
-#define CRASH_RETRY_AFTER_MS 60000 /* lifetime of a crash mark */
+#define CRASH_RETRY_AFTER_MS 60000 /* lifetime of a crash count */
 #define NOT_READY_RETRY_AFTER_MS 1000 /* typical start-up time */
 
 static gint64 request_now_us(const struct aub_request *request)
@@ -42,7 +42,7 @@
 			      const char *reason, const char *detail,
 			      guint retry_after_ms)
 {
-	if (request->retained.head)
+	if (request->retained_answer.head)
 		aub_request_send_retained_answer(request);
 	else if (request->may_have_run)
 		aub_request_fail(request, status, reason, detail);
@@ -138,6 +138,7 @@
 						 remaining_us / AUB_MS);
 }
 
+/* Returns how long the request may wait for a slot to be answered on time. */
 static guint on_time_wait_ms(const struct aub_request *request, gint64 now_us)
 {
 	gint64 remaining_us = (gint64)(MAX_WAIT_TARGET_SHARE *
@@ -148,6 +149,7 @@
 	return (guint)(MAX(remaining_us, 0) / AUB_MS);
 }
 
+/* Returns how long the request may wait for a slot in all. */
 static guint max_wait_ms(const struct aub_request *request, gint64 now_us)
 {
 	gint64 late_wait_ms =
@@ -208,10 +210,10 @@
 }
 
 /*
- * A request may crash each upstream that runs it while its caller keeps
- * resending it, so that the service would lose one upstream after the other.
- * After three crashes in a row, counted over all gateways, the request is
- * refused everywhere.
+ * Returns the key under which the crashes of a request are counted. A request
+ * may crash each upstream that runs it while its caller keeps resending it, so
+ * that the service would lose one upstream after the other. After three crashes
+ * in a row, counted over all gateways, the request is refused everywhere.
  */
 static guint64 request_fingerprint(const struct aub_request *request)
 {
@@ -224,7 +226,7 @@
 	struct aub_gateway *gateway = request->gateway;
 	guint64 fingerprint = request_fingerprint(request);
 	guint crash_count =
-		aub_crash_counts_add(gateway->crash_marks, fingerprint,
+		aub_crash_counts_add(gateway->crash_counts, fingerprint,
 				     request_now_us(request));
 
 	if (gateway->options.on_crash && crash_count > 1)
@@ -235,7 +237,7 @@
 static bool is_known_to_crash(const struct aub_request *request)
 {
 	return request->body_complete &&
-	       aub_crash_counts_is_blocked(request->gateway->crash_marks,
+	       aub_crash_counts_is_blocked(request->gateway->crash_counts,
 					   request_fingerprint(request),
 					   request_now_us(request));
 }
@@ -295,7 +297,10 @@
 void aub_request_begin_streaming(struct aub_request *request,
 				 struct aub_upstream_attempt *attempt)
 {
-	/* Before its turn, no more is read than the buffer holds. */
+	/*
+	 * While earlier requests are unanswered, no more is read than the
+	 * buffer holds.
+	 */
 	if (!aub_request_is_first(request)) {
 		aub_exchange_pause_reading(attempt->exchange, true);
 		return;
@@ -337,7 +342,7 @@
 static void retain_answer(struct aub_request *request,
 			  struct aub_upstream_attempt *attempt)
 {
-	struct aub_retained_answer *retained = &request->retained;
+	struct aub_retained_answer *retained = &request->retained_answer;
 
 	/*
 	 * A 503 would state that the request did not run, but a later attempt
@@ -378,7 +383,7 @@
 					 attempt->buffered_body);
 	}
 	if (request->body_complete && !request->body_discarded)
-		aub_crash_counts_reset(request->gateway->crash_marks,
+		aub_crash_counts_reset(request->gateway->crash_counts,
 				       request_fingerprint(request));
 	aub_request_log(request, AUB_REQUEST_ANSWERED, attempt->status, "",
 			attempt->upstream);
@@ -458,7 +463,7 @@
 void aub_request_on_body_end(struct aub_request *request)
 {
 	request->body_complete = true;
-	if (request->deferred)
+	if (request->placement_deferred)
 		return;
 	if (needs_complete_body(request)) {
 		start_placement(request);
@@ -470,7 +475,7 @@
 	aub_exchange_flush(request->attempt->exchange);
 }
 
-void aub_request_on_turn(struct aub_request *request)
+void aub_request_on_became_first(struct aub_request *request)
 {
 	struct aub_upstream_attempt *attempt = request->attempt;
 
@@ -479,9 +484,9 @@
 		aub_request_begin_streaming(request, attempt);
 		aub_exchange_pause_reading(attempt->exchange, false);
 	}
-	if (!request->deferred)
+	if (!request->placement_deferred)
 		return;
-	request->deferred = false;
+	request->placement_deferred = false;
 	if (request->body_complete || !needs_complete_body(request))
 		start_placement(request);
 }
@@ -599,9 +604,9 @@
 				      on_deadline, request);
 	if (!request->body_complete && aub_http_head_find(head, "Expect"))
 		aub_request_write(request, "HTTP/1.1 100 Continue\r\n\r\n", 25);
-	request->deferred =
+	request->placement_deferred =
 		!aub_request_is_first(request) && !request->route->idempotent;
-	if (!request->deferred && !needs_complete_body(request))
+	if (!request->placement_deferred && !needs_complete_body(request))
 		start_placement(request);
 	return request;
 }
--- a/src/coordination/membership.c
+++ b/src/coordination/membership.c
@@ -30,6 +30,7 @@
 
 #define HASH_STEP G_GUINT64_CONSTANT(0x9e3779b97f4a7c15)
 
+/* The mixing function of SplitMix64. */
 static guint64 mix(guint64 x)
 {
 	x ^= x >> 30;
@@ -119,9 +120,9 @@
 	       record->member->state != AUB_MEMBER_STOPPED;
 }
 
-static gint64 last_sign_us(const struct aubi_member_record *record)
+static gint64 latest_seen_us(const struct aubi_member_record *record)
 {
-	return MAX(record->last_heard_us, record->last_proof_us);
+	return MAX(record->last_seen_us, record->last_proof_us);
 }
 
 static bool is_live(const struct aubi_membership *membership,
@@ -131,15 +132,15 @@
 		return false;
 	if (record == membership->self)
 		return true;
-	return last_sign_us(record) &&
-	       now_us - last_sign_us(record) < AUBI_MEMBER_TIMEOUT_US;
+	return latest_seen_us(record) &&
+	       now_us - latest_seen_us(record) < AUBI_MEMBER_TIMEOUT_US;
 }
 
 guint32 aubi_membership_age_ms(const struct aubi_membership *membership,
 			       const struct aubi_member_record *record,
 			       gint64 now_us)
 {
-	gint64 age_us = now_us - last_sign_us(record);
+	gint64 age_us = now_us - latest_seen_us(record);
 
 	if (record == membership->self)
 		return 0;
@@ -207,7 +208,7 @@
 		return false;
 	}
 	record = aubi_membership_insert(membership, key, stopped);
-	record->last_heard_us = MAX(1, now_us - (gint64)stopped->age_ms * 1000);
+	record->last_seen_us = MAX(1, now_us - (gint64)stopped->age_ms * 1000);
 	return true;
 }
 
@@ -249,7 +250,7 @@
 /*
  * A minority partition that forgot the other members as dead would count itself
  * complete and would serve again, with an old version. Members are only
- * forgotten where a majority is heard, which cannot be true on both sides.
+ * forgotten where a majority is reachable, which cannot be true on both sides.
  */
 static bool can_forget_dead(const struct aubi_membership *membership,
 			    gint64 now_us)
@@ -264,7 +265,7 @@
 		       const struct aubi_member_record *record, bool forget,
 		       gint64 now_us)
 {
-	gint64 age_us = now_us - last_sign_us(record);
+	gint64 age_us = now_us - latest_seen_us(record);
 
 	if (record == membership->self)
 		return false;
@@ -479,7 +480,7 @@
 }
 
 guint aubi_membership_rank(const struct aubi_membership *membership,
-			   aubi_member_filter *same, void *context,
+			   aubi_member_filter *filter, void *context,
 			   gint64 now_us)
 {
 	const struct aub_member *self = membership->self->member;
@@ -492,7 +493,7 @@
 
 		if (!is_live(membership, record, now_us))
 			continue;
-		if (same && !same(record->member, context))
+		if (filter && !filter(record->member, context))
 			continue;
 		if (outranks(record->member, self))
 			rank++;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -4,7 +4,7 @@
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/node_parts.h>
+#include <auburnstile/internal/node_internal.h>
 #include <auburnstile/internal/problems.h>
 
 #include <string.h>
@@ -33,14 +33,16 @@
 #define STOP_CHECK_PERIOD_US (50 * AUB_MS)
 
 /*
- * Each change of a service's placer loses its slot counts, and a store that is
- * slow or drops its watches is back within seconds. Shorter outages don't
- * change the placer.
+ * A gateway without the store for longer ranks behind those that reach it. A
+ * store that is slow or drops its watches is back within seconds, and each
+ * change of a service's placer loses the slot counts, so shorter outages are
+ * tolerated.
  */
 #define STORE_OUTAGE_TOLERATED_US (4000 * AUB_MS)
 
 /*
- * Delay until this process notices that another gateway must watch the store.
+ * Maximum delay until this process notices that the zone needs another store
+ * watcher.
  */
 #define STORE_CHECK_PERIOD_US (500 * AUB_MS)
 
@@ -85,7 +87,7 @@
 
 		aub_gateway_add_reported_crashes(node->gateway,
 						 record->fingerprint,
-						 record->deaths);
+						 record->crash_count);
 	}
 }
 
@@ -97,7 +99,7 @@
 	struct aub_crash_record *record = aub_crash_record_new();
 
 	record->fingerprint = fingerprint;
-	record->deaths = crash_count;
+	record->crash_count = crash_count;
 	g_ptr_array_add(message->crashes, record);
 	aub_peers_send_to_all(node->peers, &message->base);
 	aub_message_free(&message->base);
@@ -284,7 +286,7 @@
 		return;
 	aub_timer_cancel(node->timers, node->store_check_timer);
 	aub_timer_cancel(node->timers, node->isolation_timer);
-	aub_timer_cancel(node->timers, node->register_timer);
+	aub_timer_cancel(node->timers, node->startup_grace_timer);
 	aub_timer_cancel(node->timers, node->stop_timer);
 	aub_node_rollouts_clear(node);
 	aub_store_sync_free(node->store);
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -2,7 +2,7 @@
  * Placement messages between gateways: incoming requests and reports, and
  * outgoing decisions.
  */
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 struct aub_reported_load aub_load_encode(const struct aub_load *load)
 {
@@ -49,7 +49,6 @@
 	aub_message_free(&message->base);
 }
 
-/* Delivers a decision of a local placement to the requesting gateway. */
 void aub_placer_deliver(struct aub_placer *placer,
 			const struct aub_placement_decision *decision)
 {
--- a/src/coordination/placer_periodic.c
+++ b/src/coordination/placer_periodic.c
@@ -4,7 +4,7 @@
  * another gateway can take over as placer or place locally.
  */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 #include <string.h>
 
@@ -250,7 +250,7 @@
 		message->relay = false;
 		aub_peers_send_to_zone(placer->options.peers, &message->base);
 	}
-	if (probed_service && probed_service->all_until_us > now)
+	if (probed_service && probed_service->probe_all_until_us > now)
 		return;
 	aub_placement_reset_health(placement);
 	for (guint i = 0; i < message->rows->len; i++) {
--- a/src/coordination/placer_probes.c
+++ b/src/coordination/placer_probes.c
@@ -1,6 +1,6 @@
 /* Health probes of the upstreams that this gateway places for. */
 #include <auburnstile/internal/decision_log.h>
-#include <auburnstile/internal/placer_parts.h>
+#include <auburnstile/internal/placer_internal.h>
 
 #include <string.h>
 
@@ -45,7 +45,7 @@
  * Logs only changes, since an unhealthy upstream is probed ten times a second.
  */
 static void log_health(const struct probe *probe, const char *health_before,
-		       const char *now, enum aub_probe_result end,
+		       const char *health_now, enum aub_probe_result end,
 		       const struct aub_load *load)
 {
 	static const char *const names[] = {
@@ -55,13 +55,13 @@
 		[AUB_PROBE_NO_RESPONSE] = "silent",
 	};
 
-	if (!strcmp(health_before, now))
+	if (!strcmp(health_before, health_now))
 		return;
 	aub_log_begin(AUB_LOG_HEALTH);
 	aub_log_text("upstream", probe->upstream);
 	aub_log_text("service", probe->service);
 	aub_log_text("was", health_before);
-	aub_log_text("now", now);
+	aub_log_text("now", health_now);
 	aub_log_text("probe", names[end]);
 	aub_log_number("warmup_ms", load->warmup_ms);
 	aub_log_number("running", load->running);
@@ -103,7 +103,7 @@
 	gint64 now = aub_timer_now(placer->options.timers);
 	struct aub_reported_probe *probed;
 
-	if (!probed_service || probed_service->all_until_us >= now)
+	if (!probed_service || probed_service->probe_all_until_us >= now)
 		return;
 	if (!probed_service->pending_results) {
 		probed_service->pending_results =
@@ -114,7 +114,7 @@
 	}
 	probed = aub_reported_probe_new();
 	aub_string_set(&probed->upstream, probe->upstream);
-	probed->end = end;
+	probed->result = end;
 	probed->load = aub_load_encode(load);
 	g_ptr_array_add(probed_service->pending_results->probed, probed);
 	if (!placer->report_timer)
@@ -137,10 +137,11 @@
 			g_ptr_array_index(message->probed, i);
 		const struct aub_load load = aub_load_decode(&probed->load);
 
-		if (probed->end <= AUB_PROBE_NO_RESPONSE)
+		if (probed->result <= AUB_PROBE_NO_RESPONSE)
 			aub_placement_probe_received(
 				placement, probed->upstream,
-				(enum aub_probe_result)probed->end, &load, now);
+				(enum aub_probe_result)probed->result, &load,
+				now);
 	}
 	aub_placer_drain_queue(placer, placement);
 }
@@ -205,10 +206,11 @@
 		struct aub_placement *placement =
 			aub_placer_placement(placer, key);
 		const struct aub_probed_service *probed_service = value;
-		bool is_placer = probed_service->all_until_us >= now_us;
+		bool is_placer = probed_service->probe_all_until_us >= now_us;
 		struct aub_probe due;
 
-		if (!is_placer && probed_service->zone_until_us < now_us) {
+		if (!is_placer &&
+		    probed_service->probe_zone_until_us < now_us) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
@@ -249,17 +251,17 @@
 	struct aub_probed_service *probed_service =
 		activate_probing(placer, service);
 
-	if (probed_service->all_until_us < now) {
+	if (probed_service->probe_all_until_us < now) {
 		aub_log_begin(AUB_LOG_PLACER_ACTIVE);
 		aub_log_text("service", service);
 		aub_log_end();
 	}
-	probed_service->all_until_us = now + PROBING_ACTIVE_US;
+	probed_service->probe_all_until_us = now + PROBING_ACTIVE_US;
 }
 
 void aub_placer_probe_own_zone(struct aub_placer *placer, const char *service)
 {
-	activate_probing(placer, service)->zone_until_us =
+	activate_probing(placer, service)->probe_zone_until_us =
 		aub_timer_now(placer->options.timers) + PROBING_ACTIVE_US;
 }
 
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -11,6 +11,7 @@
 
 #include <string.h>
 
+/* Retry-After of refusals: for a cause that ends soon, and for any other. */
 #define RETRY_SHORT_MS 300
 #define RETRY_LONG_MS 1000
 #define DEADLINE_MAX_MS (10 * 60 * 1000)
@@ -84,8 +85,8 @@
 	/*
 	 * An entry without contact to its control refuses requests, but callers
 	 * would return to it because its outdated view still names it as owner.
-	 * Callers are told to ask other entries, and addresses() omits this
-	 * one.
+	 * The answer directs callers to other entries, and addresses() omits
+	 * this one.
 	 */
 	if (!aub_entry_view_serving(router->options.view))
 		return true;
@@ -198,7 +199,7 @@
 		routed_request_refuse(request, 428, "key-required", 0);
 		return false;
 	}
-	call->once = rule || *call->key;
+	call->at_most_once = rule || *call->key;
 	if (!aub_entry_view_serving(router->options.view)) {
 		routed_request_refuse(request, 503, "not-serving",
 				      RETRY_LONG_MS);
@@ -207,8 +208,8 @@
 	return true;
 }
 
-static void on_key_owner_finished(const struct aub_answer *answer,
-				  void *context)
+static void on_running_request_ended(const struct aub_answer *answer,
+				     void *context)
 {
 	struct routed_request *request = context;
 
@@ -236,7 +237,7 @@
 	struct aub_answer *cached = NULL;
 
 	switch (aub_idempotency_begin(idempotency, request->call,
-				      on_key_owner_finished, request,
+				      on_running_request_ended, request,
 				      &cached)) {
 	case AUB_KEY_NEW:
 		request->holds_key = true;
@@ -278,7 +279,7 @@
 	struct aub_request_router *router = request->router;
 	const struct aub_member *member;
 
-	request->call->once = true;
+	request->call->at_most_once = true;
 	switch (aub_idempotency_locate(router->options.idempotency,
 				       request->call->key, &member)) {
 	case AUB_KEY_LOCATION_HERE:
--- a/src/coordination/store_sync.c
+++ b/src/coordination/store_sync.c
@@ -17,14 +17,14 @@
 #define WATCH_WAIT_MS 4000
 #define WATCH_TIMEOUT_MARGIN_MS 500
 #define FETCH_WAIT_MS 1 /* returns what is available immediately */
-/* Collects changes that occur together. */
+/* Pause before the next call, which collects changes that occur together. */
 #define BATCH_PAUSE_US (250 * AUB_MS)
 
 /*
  * If both watchers of a zone fetched each change, most calls to the store
  * during a replacement of upstreams would return what the other watcher has
  * just shared. The second watcher therefore calls a quarter as often, and
- * becomes the first one as soon as the other no longer hears the store.
+ * becomes the first one as soon as the other no longer reaches the store.
  */
 #define STANDBY_WATCH_WAIT_MS 8000
 #define STANDBY_BATCH_PAUSE_US (1000 * AUB_MS)
@@ -37,8 +37,8 @@
 #define CONNECTION_IDLE_US (20 * AUB_SECOND)
 
 /*
- * Rollout orders are rare, and the time by which one is noticed late is lost
- * for the rollout.
+ * Rollout orders are rare. One that is noticed late loses that part of its
+ * time.
  */
 #define ROLLOUTS_WATCH_WAIT_MS 16000
 
@@ -167,20 +167,21 @@
 static gint64 retry_max_us(const struct aub_store_sync_task *task)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
-	gint64 us =
+	gint64 interval_us =
 		options->fleet_size(options->context) * RETRY_PER_GATEWAY_US;
 
-	return CLAMP(us, AUB_STORE_RETRY_MAX_US, RETRY_LARGE_FLEET_MAX_US);
+	return CLAMP(interval_us, AUB_STORE_RETRY_MAX_US,
+		     RETRY_LARGE_FLEET_MAX_US);
 }
 
 static void store_failed(struct aub_store_sync_task *task, const char *why)
 {
-	gint64 now = aub_timer_now(task->sync->options.timers);
+	gint64 now_us = aub_timer_now(task->sync->options.timers);
 
 	if (!task->failing) {
 		log_store_event(task, AUB_LOG_STORE_LOST, why,
-				now - task->answered_us);
-		task->failing_since_us = now;
+				now_us - task->answered_us);
+		task->failing_since_us = now_us;
 	}
 	task->failing = true;
 	if (!is_recovery_probe(task))
@@ -216,7 +217,7 @@
 		       gsize length)
 {
 	const struct aub_store_sync_options *options = &task->sync->options;
-	gint64 now = aub_timer_now(options->timers);
+	gint64 now_us = aub_timer_now(options->timers);
 	GError *error = NULL;
 	struct aub_store_page *page =
 		options->platform->decode_page(task->kind, body, length,
@@ -230,14 +231,14 @@
 		return;
 	}
 	aub_store_count_result(task->sync, task->kind, AUB_STORE_ANSWERED);
-	store_answered(task, now);
+	store_answered(task, now_us);
 	if (task->step == AUB_STORE_LIST) {
-		aub_store_apply_listing(task, page, now);
+		aub_store_apply_listing(task, page, now_us);
 		run_task(task);
 	} else {
 		gint64 before = task->changed_revision;
 
-		aub_store_apply_changes(task, page, now);
+		aub_store_apply_changes(task, page, now_us);
 		if (page->records->len)
 			options->share(task->kind, before,
 				       task->changed_revision, body, length,
@@ -292,11 +293,11 @@
  */
 static bool may_watch(const struct aub_store_sync_task *task)
 {
-	enum aub_watch_duty now = duty(task);
+	enum aub_watch_duty watch_duty = duty(task);
 
 	if (task->kind == AUB_STORE_ROLLOUTS)
-		return is_followed(task) && now == AUB_WATCH_PRIMARY;
-	return is_followed(task) && now != AUB_WATCH_NONE;
+		return is_followed(task) && watch_duty == AUB_WATCH_PRIMARY;
+	return is_followed(task) && watch_duty != AUB_WATCH_NONE;
 }
 
 static guint watch_ms(const struct aub_store_sync_task *task)
@@ -510,14 +511,14 @@
 
 gint64 aub_store_sync_unavailable_us(const struct aub_store_sync *sync)
 {
-	gint64 now = aub_timer_now(sync->options.timers);
+	gint64 now_us = aub_timer_now(sync->options.timers);
 	gint64 longest = 0;
 
 	for (guint i = 0; i < AUB_STORE_KINDS; i++) {
 		const struct aub_store_sync_task *task = &sync->tasks[i];
 
 		if (i != AUB_STORE_MEMBERS && task->failing)
-			longest = MAX(longest, now - task->failing_since_us);
+			longest = MAX(longest, now_us - task->failing_since_us);
 	}
 	return longest;
 }
--- a/src/state/dispatch_crash.c
+++ b/src/state/dispatch_crash.c
@@ -5,14 +5,14 @@
  * crash when the upstream refuses connections or reports another boot id, and
  * dropped when the same start of the upstream answers again. A request with two
  * marks (crashes or fresh suspicions) is refused. A request that was answered
- * recently is not blamed, since a request that merely ran concurrently with the
- * crashing one is answered elsewhere.
+ * recently is not suspected, since a request that merely ran concurrently with
+ * the crashing one is answered elsewhere.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
-#define SUSPICION_US (2 * AUB_SECOND) /* unless confirmed */
-#define CONFIRMATION_WINDOW_US (30 * AUB_SECOND) /* after the loss */
-#define REFUSAL_BASE_US (30 * AUB_SECOND) /* doubles with each crash */
+#define SUSPICION_US (2 * AUB_SECOND) /* while it is not confirmed */
+#define CONFIRMATION_WINDOW_US (30 * AUB_SECOND) /* after the lost attempt */
+#define REFUSAL_BASE_US (30 * AUB_SECOND) /* doubles with further crashes */
 #define REFUSAL_MAX_US (3600 * AUB_SECOND)
 #define CRASH_FINGERPRINTS_MAX 1024
 #define KNOWN_GOOD_FINGERPRINTS_MAX 4096
@@ -69,11 +69,11 @@
 	guint marks = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		const struct upstream *u = upstream_at(dispatcher, i);
+		const struct upstream *upstream = upstream_at(dispatcher, i);
 
-		for (guint n = 0; n < u->lost_attempts->len; n++) {
+		for (guint n = 0; n < upstream->lost_attempts->len; n++) {
 			const struct lost_attempt *lost =
-				&g_array_index(u->lost_attempts,
+				&g_array_index(upstream->lost_attempts,
 					       struct lost_attempt, n);
 
 			if (lost->fingerprint == fingerprint &&
--- a/src/state/dispatch_warmup.c
+++ b/src/state/dispatch_warmup.c
@@ -9,7 +9,7 @@
  * report of "warm" alone just after a start does not raise the limit, because
  * upstreams have been seen to report it too early.
  */
-#include <auburnstile/internal/dispatch.h>
+#include <auburnstile/internal/dispatch_internal.h>
 
 #define SLOW_ANSWER_MEAN_FACTOR 4 /* times the mean service time */
 #define MEAN_SAMPLES_MIN 64 /* with fewer samples the mean is unreliable */
@@ -29,9 +29,10 @@
 
 /*
  * Returns true if the upstream was not seen recently. An idle upstream may
- * restart without any connection being closed by it; the next peak of load in
- * full would then overload it. Its state therefore expires, and it gets the
- * cold share until one answer confirms that it did not restart.
+ * restart unnoticed, since no connection with a request on it is lost; if it
+ * then got its full share of the next load peak, it would be overloaded. Its
+ * state therefore expires, and it gets the cold share until one answer confirms
+ * that it did not restart.
  */
 bool warmup_state_is_stale(const struct upstream *upstream, gint64 now_us)
 {
@@ -156,21 +157,24 @@
 	guint count = 0;
 
 	for (guint i = 0; i < dispatcher->upstreams->len; i++) {
-		const struct upstream *u = upstream_at(dispatcher, i);
-		gint64 last_seen_us = MAX(u->last_answer_us, u->last_probe_us);
+		const struct upstream *upstream = upstream_at(dispatcher, i);
+		gint64 last_seen_us =
+			MAX(upstream->last_answer_us, upstream->last_probe_us);
 		gint64 age_ms = (now_us - last_seen_us) / AUB_MS;
 
 		if (count == limit)
 			break;
-		if (u->state == UPSTREAM_UNKNOWN || !u->accepts_new)
+		if (upstream->state == UPSTREAM_UNKNOWN ||
+		    !upstream->accepts_new)
 			continue;
 		list[count++] = (struct aub_upstream_snapshot){
-			.name = u->name,
-			.boot_id = u->boot_id,
-			.cold = u->state == UPSTREAM_COLD,
-			.draining = u->draining,
+			.name = upstream->name,
+			.boot_id = upstream->boot_id,
+			.cold = upstream->state == UPSTREAM_COLD,
+			.draining = upstream->draining,
 			.age_ms = (guint32)CLAMP(age_ms, 0, G_MAXUINT32),
-			.mean_us = (guint32)CLAMP(u->mean_us, 0, G_MAXUINT32),
+			.mean_us = (guint32)CLAMP(upstream->mean_us, 0,
+						  G_MAXUINT32),
 		};
 	}
 	return count;
@@ -186,30 +190,30 @@
 }
 
 /*
- * Takes over the owner's knowledge of an upstream. Without it, a successor
- * would not know any upstream as warm, and callers would wait for seconds until
- * all were probed or warmed up. The stand-by receives the state of each within
- * a second; the first answer with its boot id corrects what has changed since.
+ * Imports the owner's state of an upstream. Without it, a successor would not
+ * consider any upstream warm, and callers would wait for seconds until all were
+ * probed or warmed up. The stand-by receives the state of each within a second;
+ * the first answer with its boot id corrects what has changed since.
  */
 void aub_dispatcher_import_upstream(
 	struct aub_dispatcher *dispatcher,
 	const struct aub_upstream_snapshot *snapshot, gint64 now_us)
 {
-	struct upstream *u = find_by_name(dispatcher, snapshot->name);
+	struct upstream *upstream = find_by_name(dispatcher, snapshot->name);
 
-	if (!u || dispatcher->role != AUB_DISPATCH_NONE)
+	if (!upstream || dispatcher->role != AUB_DISPATCH_NONE)
 		return;
-	if (snapshot->boot_id && snapshot->boot_id != u->boot_id) {
-		u->previous_boot_id = u->boot_id;
-		u->boot_id = snapshot->boot_id;
+	if (snapshot->boot_id && snapshot->boot_id != upstream->boot_id) {
+		upstream->previous_boot_id = upstream->boot_id;
+		upstream->boot_id = snapshot->boot_id;
 	}
-	u->draining = snapshot->draining;
-	u->last_answer_us = now_us - (gint64)snapshot->age_ms * AUB_MS;
-	u->mean_us = snapshot->mean_us;
+	upstream->draining = snapshot->draining;
+	upstream->last_answer_us = now_us - (gint64)snapshot->age_ms * AUB_MS;
+	upstream->mean_us = snapshot->mean_us;
 	if (!dispatcher->latency_samples)
 		dispatcher->mean_us = snapshot->mean_us;
-	if (snapshot->cold && u->state != UPSTREAM_COLD)
-		warmup_begin(dispatcher, u, now_us);
+	if (snapshot->cold && upstream->state != UPSTREAM_COLD)
+		warmup_begin(dispatcher, upstream, now_us);
 	else if (!snapshot->cold)
-		u->state = UPSTREAM_WARM;
+		upstream->state = UPSTREAM_WARM;
 }
--- a/src/state/placement_queue.c
+++ b/src/state/placement_queue.c
@@ -10,16 +10,16 @@
 #define SLOT_TIME_DEFAULT_US (250 * AUB_US_PER_MS)
 
 #define RETRY_AFTER_MIN_MS 700
-#define RETRY_AFTER_BUDGET_MS 100 /* only the retry budget was exhausted */
-/* Of the slots; at a lower utilization no request waits. */
+#define RETRY_AFTER_BUDGET_MS 100 /* only the retry budget is exhausted */
+/* Granted share of the slots below which no request has to wait. */
 #define LOW_UTILIZATION_PERCENT 75
 #define RETRY_AFTER_MAX_MS 5000
 /* Upstreams that are down are probed twice in this time. */
 #define RETRY_AFTER_NO_UPSTREAM_MS 500
 
 /*
- * Of the time in which a request can be on time. Once the longest waiting one
- * has used up more, the newest goes first.
+ * A share of the time in which a request can be on time. Once a queued request
+ * has used up more of its own, the newest goes first.
  */
 #define NEWEST_FIRST_WAIT_SHARE 0.3
 
@@ -94,9 +94,9 @@
  * share of their own limit, and the others get the remaining slots.
  */
 struct queue_ends {
-	gint longest_waiting; /* index, or -1; used up the largest share */
-	gint shortest_waiting; /* used up the smallest share */
-	bool newest_first; /* serve shortest_waiting first */
+	gint largest_share; /* index of the one that used up most, or -1 */
+	gint smallest_share; /* index of the one that used up least, or -1 */
+	bool newest_first; /* serve smallest_share first */
 };
 
 /*
@@ -120,8 +120,8 @@
 	double min_share = INFINITY;
 	guint priority = 0;
 
-	*ends = (struct queue_ends){ .longest_waiting = -1,
-				     .shortest_waiting = -1 };
+	*ends = (struct queue_ends){ .largest_share = -1,
+				     .smallest_share = -1 };
 	for (guint i = 0; i < placement->queue->len; i++) {
 		const struct aub_queued_request *queued =
 			g_ptr_array_index(placement->queue, i);
@@ -129,17 +129,17 @@
 
 		if ((queued->on_time_until_us <= now_us) != late)
 			continue;
-		if (ends->longest_waiting >= 0 && queued->priority != priority)
+		if (ends->largest_share >= 0 && queued->priority != priority)
 			break;
 		priority = queued->priority;
 		share = wait_share(queued, now_us);
 		if (share > max_share) {
 			max_share = share;
-			ends->longest_waiting = (gint)i;
+			ends->largest_share = (gint)i;
 		}
 		if (share <= min_share) {
 			min_share = share;
-			ends->shortest_waiting = (gint)i;
+			ends->smallest_share = (gint)i;
 		}
 	}
 	ends->newest_first = max_share > NEWEST_FIRST_WAIT_SHARE;
@@ -189,13 +189,13 @@
 		g_hash_table_lookup(placement->grants, &request->ticket);
 
 	if (grant) {
-		struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement,
-					       grant->endpoint_index);
+		struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement,
+						   grant->upstream_index);
 
 		decision->verdict = AUB_VERDICT_GRANTED;
-		decision->upstream = endpoint->id;
-		decision->address = endpoint->address;
+		decision->upstream = upstream->id;
+		decision->address = upstream->address;
 		return true;
 	}
 	if (aub_placement_find_queued(placement, request->ticket) < 0)
@@ -229,14 +229,14 @@
 /* Returns whether a pending probe may find an upstream for queued requests. */
 static bool is_any_unknown(const struct aub_placement *placement)
 {
-	for (guint i = 0; i < placement->endpoints->len; i++) {
-		const struct aub_endpoint *endpoint =
-			aub_placement_endpoint(placement, i);
-
-		if (endpoint->registered && !endpoint->draining &&
-		    !endpoint->zone_out &&
-		    endpoint->traffic == AUB_VERSION_ACTIVE &&
-		    endpoint->state == AUB_ENDPOINT_UNKNOWN)
+	for (guint i = 0; i < placement->upstreams->len; i++) {
+		const struct aub_placement_upstream *upstream =
+			aub_placement_get_upstream(placement, i);
+
+		if (upstream->registered && !upstream->draining &&
+		    !upstream->zone_out &&
+		    upstream->traffic == AUB_VERSION_ACTIVE &&
+		    upstream->state == AUB_PLACEMENT_UPSTREAM_UNKNOWN)
 			return true;
 	}
 	return false;
@@ -250,7 +250,7 @@
 	aub_grant_count_canary(placement,
 			       g_hash_table_lookup(placement->grants,
 						   &request->ticket),
-			       aub_placement_endpoint(placement, index));
+			       aub_placement_get_upstream(placement, index));
 }
 
 void aub_placement_submit(struct aub_placement *placement,
@@ -386,12 +386,12 @@
 
 	find_queue_ends(placement, false, now_us, &ends);
 	if (ends.newest_first &&
-	    grant_queued(placement, ends.shortest_waiting, now_us, decision))
+	    grant_queued(placement, ends.smallest_share, now_us, decision))
 		return true;
-	if (grant_queued(placement, ends.longest_waiting, now_us, decision))
+	if (grant_queued(placement, ends.largest_share, now_us, decision))
 		return true;
 	find_queue_ends(placement, true, now_us, &ends);
-	if (grant_queued(placement, ends.longest_waiting, now_us, decision))
+	if (grant_queued(placement, ends.largest_share, now_us, decision))
 		return true;
 	return expire_queued(placement, now_us, decision);
 }
--- a/src/state/timeline_svg.c
+++ b/src/state/timeline_svg.c
@@ -7,7 +7,7 @@
  * the right of the previous one, further after a longer pause; the times are
  * written below.
  */
-#include <auburnstile/internal/timeline_data.h>
+#include <auburnstile/internal/timeline_internal.h>
 
 #include <math.h>
 #include <string.h>
@@ -16,11 +16,11 @@
 #define LABELLED_LANE_HEIGHT_PX 84 /* with labels, which slope downwards */
 #define LEFT_MARGIN_PX 150 /* for the names of processes */
 #define RIGHT_MARGIN_PX 40
-#define WIDTH_MIN_PX 1180.0 /* for the legend */
+#define WIDTH_MIN_PX 1180.0 /* the legend on one line */
 #define TOP_MARGIN_PX 96 /* title and legend */
 #define BOTTOM_MARGIN_PX 40
 #define EVENT_DISTANCE_MIN_PX 14.0 /* between two events */
-#define EVENT_DISTANCE_PER_DECADE_PX 9.0 /* per decade of the pause */
+#define EVENT_DISTANCE_PER_DECADE_PX 9.0 /* for each tenfold pause */
 #define LABELLED_EVENTS_MAX 80 /* with more events labels would overlap */
 #define TICK_DISTANCE_MIN_PX 110.0
 
@@ -57,10 +57,10 @@
 struct diagram {
 	const struct aub_timeline *timeline;
 	const GPtrArray *entries;
-	double *x; /* by entry */
+	double *x; /* by entry, px */
 	guint *row; /* by process; G_MAXUINT if it has no event */
 	guint rows;
-	int lane_height; /* in points */
+	int lane_height; /* px, as are all lengths */
 	double width;
 	double height;
 	GString *out;
@@ -170,7 +170,7 @@
 
 	g_string_append_printf(diagram->out,
 			       "<text x=\"16\" y=\"28\" font-size=\"17\" "
-			       "font-weight=\"bold\">Time line: %u events of "
+			       "font-weight=\"bold\">Timeline: %u events of "
 			       "%u processes</text>\n"
 			       "<text x=\"16\" y=\"48\" fill=\"#6b7280\">left "
 			       "to right in causal order; distances are not "
@@ -240,7 +240,7 @@
 		const struct aub_timeline_entry *entry = entry_at(diagram, i);
 		gpointer before;
 		char colour[24];
-		guint j;
+		guint previous;
 
 		if (!entry->event.request)
 			continue;
@@ -249,15 +249,15 @@
 				    GUINT_TO_POINTER(i + 1));
 		if (!before)
 			continue;
-		j = GPOINTER_TO_UINT(before) - 1;
+		previous = GPOINTER_TO_UINT(before) - 1;
 		request_colour(entry->event.request, colour);
 		g_string_append_printf(
 			diagram->out,
 			"<line x1=\"%.1f\" y1=\"%.1f\" x2=\"%.1f\" "
 			"y2=\"%.1f\" stroke=\"%s\" stroke-width=\"2\" "
 			"stroke-opacity=\"0.65\"/>\n",
-			diagram->x[j],
-			lane_y(diagram, entry_at(diagram, j)->process),
+			diagram->x[previous],
+			lane_y(diagram, entry_at(diagram, previous)->process),
 			diagram->x[i], lane_y(diagram, entry->process), colour);
 	}
 	g_hash_table_unref(last);
--- a/src/state/timeline_text.c
+++ b/src/state/timeline_text.c
@@ -1,21 +1,22 @@
 /* Formats the timeline as text and JSON, and a request as sentences. */
 #include <auburnstile/internal/json.h>
-#include <auburnstile/internal/timeline_data.h>
+#include <auburnstile/internal/timeline_internal.h>
 
 #include <string.h>
 
 #define US_PER_SECOND 1000000
 
 /*
- * Returns the UTC time as "23:59:59.000001", optionally preceded by the date.
+ * Returns the UTC time as "23:59:59.000001"; with `with_date`, the date
+ * precedes it.
  */
-static char *time_text(gint64 time_us, bool date)
+static char *time_text(gint64 time_us, bool with_date)
 {
 	GDateTime *moment =
 		g_date_time_new_from_unix_utc(time_us / US_PER_SECOND);
-	char *second =
-		moment ? g_date_time_format(moment, date ? "%F %T" : "%T") :
-			 g_strdup("?");
+	char *second = moment ? g_date_time_format(moment,
+						   with_date ? "%F %T" : "%T") :
+				g_strdup("?");
 	char *text = g_strdup_printf("%s.%06d", second,
 				     (int)(time_us % US_PER_SECOND));
 
@@ -180,10 +181,11 @@
 			last = entry;
 	}
 	if (!last) {
-		g_string_append_printf(out,
-				       "No final answer is on record; it was "
-				       "sent to an upstream %u time%s.\n",
-				       sent, sent == 1 ? "" : "s");
+		g_string_append_printf(
+			out,
+			"No final answer is recorded; the request was "
+			"sent to an upstream %u time%s.\n",
+			sent, sent == 1 ? "" : "s");
 		return;
 	}
 	g_string_append_printf(out,
--- a/tests/test_caller_server.cc
+++ b/tests/test_caller_server.cc
@@ -96,7 +96,7 @@
 		options.write_timeout_ms = limit_ms;
 		options.timers = timers;
 		options.arrived = on_request_received;
-		options.gone = on_caller_disconnected;
+		options.disconnected = on_caller_disconnected;
 		options.body_limit = body_limit;
 		options.addresses = addresses;
 		options.context = this;
@@ -203,8 +203,8 @@
 }
 
 /*
- * Requests with ambiguous framing, oversized or malformed requests. Each is
- * rejected as "not-run" and none is delivered.
+ * Requests that are oversized, malformed or have ambiguous framing are rejected
+ * as "not-run" and not delivered.
  */
 TEST_F(CallerServer, RejectsAmbiguousAndOversizedRequests)
 {
@@ -263,7 +263,7 @@
 		closing.send("GET / HTTP/1.1\r\nHost: h\r\n"
 			     "Connection: close\r\n\r\n");
 		EXPECT_NE(closing.read_answer(), "");
-		run_until([&] { return closing.is_closed(); });
+		run_until([&] { return closing.poll_closed(); });
 		EXPECT_EQ(aub_caller_server_active(server), 0u);
 	}
 	run_until([&] { return !aub_caller_server_connections(server); });
@@ -299,6 +299,6 @@
 
 	header.send("GET / HTTP");
 	body.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\na");
-	run_until([&] { return header.is_closed() && body.is_closed(); });
+	run_until([&] { return header.poll_closed() && body.poll_closed(); });
 	EXPECT_TRUE(calls.empty());
 }
--- a/tests/test_placement.cc
+++ b/tests/test_placement.cc
@@ -32,7 +32,7 @@
 	struct aub_placement_request request = fixture.new_request();
 	std::string first = fixture.submit(request).upstream;
 	EXPECT_EQ(fixture.submit(request).upstream, first);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 1u);
 }
 
 TEST(Placement, PrefersZoneOfRequest)
@@ -150,8 +150,8 @@
 TEST(Placement, RefusesImmediatelyIfAllUpstreamsAreDown)
 {
 	/*
-	 * Guards against callers that wait for a slot in vain. All upstreams
-	 * are down, so the retry time is reported immediately.
+	 * Guards against callers that use up their time in the queue while all
+	 * upstreams are down. The retry time is returned immediately.
 	 */
 	PlacementFixture fixture;
 
@@ -337,7 +337,7 @@
 	EXPECT_GE(granted["healthy"], 150);
 }
 
-TEST(Placement, LearnsSlowUpstreams)
+TEST(Placement, SendsFewRequestsToSlowUpstream)
 {
 	PlacementFixture fixture;
 	int slow = 0;
@@ -387,10 +387,10 @@
 	fixture.add_healthy("u1", 6);
 	for (int i = 0; i < 100; i++) {
 		fixture.report(fixture.submit().ticket);
-		struct aub_placement_request again = fixture.new_request();
+		struct aub_placement_request retry = fixture.new_request();
 
-		again.retry = true;
-		struct aub_placement_decision decision = fixture.submit(again);
+		retry.retry = true;
+		struct aub_placement_decision decision = fixture.submit(retry);
 		if (decision.verdict == AUB_VERDICT_GRANTED) {
 			granted++;
 			fixture.report(decision.ticket);
@@ -415,10 +415,10 @@
 	aub_placement_reconcile(fixture.placement, 7, &tickets[1], 1,
 				fixture.now_us);
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 1u);
 	aub_placement_drop_holder(fixture.placement, 7, fixture.now_us);
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 0u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 0u);
 }
 
 TEST(Placement, AdoptsGrantsOfAnotherPlacer)
@@ -433,9 +433,9 @@
 	aub_placement_adopt(fixture.placement, 9, 78, "unregistered", 600,
 			    fixture.now_us);
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 1u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 1u);
 	fixture.report(77);
-	EXPECT_EQ(fixture.endpoint("u1")->granted, 0u);
+	EXPECT_EQ(fixture.upstream("u1")->granted, 0u);
 }
 
 /* Random operations; the invariants have to hold after each. */
@@ -453,10 +453,11 @@
 	for (int step = 0; step < 3000; step++) {
 		std::string id =
 			"u" + std::to_string(g_rand_int_range(random, 0, 8));
-		guint at = open.empty() ?
-				   0 :
-				   (guint)g_rand_int_range(random, 0,
-							   (gint)open.size());
+		guint position =
+			open.empty() ?
+				0 :
+				(guint)g_rand_int_range(random, 0,
+							(gint)open.size());
 
 		fixture.now_us += g_rand_int_range(random, 0, 20) * US_PER_MS;
 		switch (g_rand_int_range(random, 0, 10)) {
@@ -485,7 +486,7 @@
 			break;
 		case 4:
 			if (!open.empty())
-				fixture.report(open[at],
+				fixture.report(open[position],
 					       (enum aub_grant_result)
 						       g_rand_int_range(random,
 									0, 9));
@@ -507,13 +508,14 @@
 			decision = fixture.submit(request);
 			open.push_back(request.ticket);
 			if (decision.verdict == AUB_VERDICT_GRANTED) {
-				const struct aub_endpoint *endpoint =
-					fixture.endpoint(decision.upstream);
-
-				ASSERT_TRUE(endpoint->registered);
-				ASSERT_FALSE(endpoint->draining);
-				ASSERT_FALSE(endpoint->zone_out);
-				ASSERT_EQ(endpoint->state, AUB_ENDPOINT_UP);
+				const struct aub_placement_upstream *upstream =
+					fixture.upstream(decision.upstream);
+
+				ASSERT_TRUE(upstream->registered);
+				ASSERT_FALSE(upstream->draining);
+				ASSERT_FALSE(upstream->zone_out);
+				ASSERT_EQ(upstream->state,
+					  AUB_PLACEMENT_UPSTREAM_UP);
 			}
 			break;
 		}
@@ -548,15 +550,15 @@
 	}
 	fixture.now_us += 50 * US_PER_MS;
 	EXPECT_FALSE(fixture.next_decision(&decision));
-	EXPECT_EQ(fixture.endpoint("cold")->granted, 0u);
+	EXPECT_EQ(fixture.upstream("cold")->granted, 0u);
 }
 
-TEST(Placement, ReusesEndpointsOfDepartedUpstreams)
+TEST(Placement, ReusesIndexOfDepartedUpstream)
 {
 	/*
-	 * Guards against unbounded growth of the list of endpoints. A service's
-	 * upstreams are replaced one after the other, each with a new id; the
-	 * endpoint of a departed one is kept while it has open grants.
+	 * Guards against unbounded growth of the list of upstreams. A service's
+	 * upstreams are replaced one after the other, each with a new id; a
+	 * departed one is retained while it has open grants.
 	 */
 	PlacementFixture fixture;
 
@@ -573,13 +575,13 @@
 	}
 	aub_placement_check_invariants(fixture.placement);
 	/* Those of one minute, and the one with a grant. */
-	EXPECT_LE(fixture.placement->endpoints->len, 63u);
-	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "u0"), -1);
-	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "outstanding"),
+	EXPECT_LE(fixture.placement->upstreams->len, 63u);
+	EXPECT_EQ(aub_placement_find_upstream(fixture.placement, "u0"), -1);
+	EXPECT_EQ(aub_placement_find_upstream(fixture.placement, "outstanding"),
 		  0);
 	fixture.report(decision.ticket, AUB_GRANT_OK);
 	fixture.add_healthy("last");
 	aub_placement_check_invariants(fixture.placement);
-	EXPECT_EQ(aub_placement_find_endpoint(fixture.placement, "outstanding"),
+	EXPECT_EQ(aub_placement_find_upstream(fixture.placement, "outstanding"),
 		  -1);
 }
--- a/tests/test_upstream_client.cc
+++ b/tests/test_upstream_client.cc
@@ -85,7 +85,7 @@
 		aub_string_set(&call->method, method);
 		aub_string_set(&call->path, "/a%20b?q=%2F");
 		aub_bytes_set(&call->body, body, strlen(body));
-		call->once = at_most_once;
+		call->at_most_once = at_most_once;
 		call->id = 0xab;
 		call->retry_budget = 100;
 		return call;
@@ -238,8 +238,8 @@
 }
 
 /*
- * A second response follows on a connection. It must not be taken for the
- * response to the next request, and since it is unknown which of the two
+ * An upstream sends a second response after the first. It must not be taken for
+ * the response to the next request, and since it is unknown which of the two
  * belongs to this request, neither is delivered.
  */
 TEST_F(UpstreamClient, DiscardsExcessResponses)
