--- a/tests/test_load.cc
+++ b/tests/test_load.cc
@@ -153,7 +153,7 @@
 	EXPECT_EQ(result.comparison.false_run, 2u);
 }
 
-TEST(Load, DetectsEachKindOfInvalidAnswer)
+TEST(Load, ReportsEachKindOfInvalidAnswer)
 {
 	std::vector<Handler> handlers = {
 		[](SoupServerMessage *m, const std::string &n) {
@@ -181,7 +181,7 @@
 		EXPECT_EQ(run_load(handler).stats.outcomes[LOAD_INVALID], 2u);
 }
 
-TEST(Load, RetriesLostAttemptsUnderTheSameKey)
+TEST(Load, RetriesLostAttemptsWithTheSameKey)
 {
 	int attempts = 0;
 	Outcome result = run_load(
@@ -199,7 +199,7 @@
 		EXPECT_TRUE(key == "G/k-1-0" || key == "G/k-1-1");
 }
 
-TEST(Load, ChecksRefusedAndUnknownRequestsAgainstTheOracle)
+TEST(Load, ReportsOutcomesThatContradictTheOracle)
 {
 	auto refuse = [](SoupServerMessage *m, const std::string &) {
 		tool_answer_text(m, 503, "");
--- a/tools/common/child.c
+++ b/tools/common/child.c
@@ -347,24 +347,25 @@
 
 static void on_http_done(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct http_result *wait = data;
+	struct http_result *response = data;
 
-	wait->body = soup_session_send_and_read_finish(SOUP_SESSION(source),
-						       result, &wait->error);
-	wait->done = true;
+	response->body =
+		soup_session_send_and_read_finish(SOUP_SESSION(source), result,
+						  &response->error);
+	response->done = true;
 }
 
 /* Runs the default main loop, so that a load in progress continues. */
 static void http_run_request(SoupMessage *message, guint timeout_ms,
-			     struct http_result *wait)
+			     struct http_result *response)
 {
 	GCancellable *cancellable = g_cancellable_new();
 	SoupSession *session = soup_session_new();
 	guint timer = g_timeout_add(timeout_ms, on_http_timeout, cancellable);
 
 	soup_session_send_and_read_async(session, message, G_PRIORITY_DEFAULT,
-					 cancellable, on_http_done, wait);
-	while (!wait->done)
+					 cancellable, on_http_done, response);
+	while (!response->done)
 		g_main_context_iteration(NULL, TRUE);
 	if (!g_cancellable_is_cancelled(cancellable))
 		g_source_remove(timer);
@@ -375,38 +376,38 @@
 
 bool child_http_send(SoupMessage *message, guint timeout_ms, GError **error)
 {
-	struct http_result wait = { 0 };
+	struct http_result response = { 0 };
 
-	http_run_request(message, timeout_ms, &wait);
-	if (wait.body)
-		g_bytes_unref(wait.body);
-	if (!wait.error)
+	http_run_request(message, timeout_ms, &response);
+	if (response.body)
+		g_bytes_unref(response.body);
+	if (!response.error)
 		return true;
 	aub_error_set(error, AUB_ERROR_CLOSED, "http",
 		      soup_message_get_method(message), "%s",
-		      wait.error->message);
-	g_error_free(wait.error);
+		      response.error->message);
+	g_error_free(response.error);
 	return false;
 }
 
 static char *http_read_text(SoupMessage *message, const char *url,
 			    guint timeout_ms, guint *status, GError **error)
 {
-	struct http_result wait = { 0 };
+	struct http_result response = { 0 };
 	char *text = NULL;
 
-	http_run_request(message, timeout_ms, &wait);
-	if (wait.error)
+	http_run_request(message, timeout_ms, &response);
+	if (response.error)
 		aub_error_set(error, AUB_ERROR_CLOSED, "http", url, "%s",
-			      wait.error->message);
+			      response.error->message);
 	else
-		text = g_strndup(g_bytes_get_data(wait.body, NULL),
-				 g_bytes_get_size(wait.body));
+		text = g_strndup(g_bytes_get_data(response.body, NULL),
+				 g_bytes_get_size(response.body));
 	if (status)
 		*status = soup_message_get_status(message);
-	if (wait.body)
-		g_bytes_unref(wait.body);
-	g_clear_error(&wait.error);
+	if (response.body)
+		g_bytes_unref(response.body);
+	g_clear_error(&response.error);
 	g_object_unref(message);
 	return text;
 }
--- a/tools/fleet/fleet.c
+++ b/tools/fleet/fleet.c
@@ -92,7 +92,7 @@
 static bool start_upstreams(struct fleet *fleet, GError **error)
 {
 	GPtrArray *arguments = g_ptr_array_new_with_free_func(g_free);
-	const char *const *more = fleet->options.upstream_options;
+	const char *const *option = fleet->options.upstream_options;
 	char *log = folder_path(fleet, "upstreams", ".log");
 	double mean_us = fleet->options.mean_us;
 	guint i;
@@ -101,8 +101,8 @@
 						   mean_us ? mean_us : 20000));
 	g_ptr_array_add(arguments,
 			g_strdup_printf("--seed=%u", fleet->options.seed));
-	for (; more && *more; more++)
-		g_ptr_array_add(arguments, g_strdup(*more));
+	for (; option && *option; option++)
+		g_ptr_array_add(arguments, g_strdup(*option));
 	for (i = 0; i < fleet->inventory->upstreams->len; i++)
 		g_ptr_array_add(arguments, format_listen_option(fleet, i));
 	g_ptr_array_add(arguments, NULL);
--- a/tools/fleet/fleet_client.c
+++ b/tools/fleet/fleet_client.c
@@ -27,28 +27,30 @@
 
 static void on_ctl_done(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct ctl_result *wait = data;
-
-	wait->ok = g_subprocess_communicate_utf8_finish(G_SUBPROCESS(source),
-							result, &wait->output,
-							NULL, &wait->error);
-	wait->done = true;
+	struct ctl_result *completion = data;
+
+	completion->ok =
+		g_subprocess_communicate_utf8_finish(G_SUBPROCESS(source),
+						     result,
+						     &completion->output, NULL,
+						     &completion->error);
+	completion->done = true;
 }
 
 /* Runs the main loop meanwhile, so that a load in progress continues. */
 static char *wait_output(GSubprocess *process, int *status, GError **error)
 {
-	struct ctl_result wait = { 0 };
+	struct ctl_result completion = { 0 };
 
 	g_subprocess_communicate_utf8_async(process, NULL, NULL, on_ctl_done,
-					    &wait);
-	while (!wait.done)
+					    &completion);
+	while (!completion.done)
 		g_main_context_iteration(NULL, TRUE);
-	if (!wait.ok)
-		g_propagate_error(error, wait.error);
+	if (!completion.ok)
+		g_propagate_error(error, completion.error);
 	else if (g_subprocess_get_if_exited(process))
 		*status = g_subprocess_get_exit_status(process);
-	return wait.output;
+	return completion.output;
 }
 
 char *fleet_ctl(struct fleet *fleet, const struct fleet_member *member,
--- a/tools/load/request.c
+++ b/tools/load/request.c
@@ -391,8 +391,8 @@
 	g_free(url);
 }
 
-static gint64 attempt_time_us(const struct load_request *request,
-			      gint64 remaining_us)
+static gint64 attempt_timeout_us(const struct load_request *request,
+				 gint64 remaining_us)
 {
 	guint attempt_timeout_ms = request->load->options.attempt_timeout_ms;
 
@@ -430,7 +430,7 @@
 	aub_timer_cancel(load->timers, request->timer);
 	request->timer =
 		aub_timer_at(load->timers, "try timeout",
-			     now_us + attempt_time_us(request, remaining_us),
+			     now_us + attempt_timeout_us(request, remaining_us),
 			     on_attempt_timeout, request);
 	soup_session_send_and_read_async(request->caller->session,
 					 request->message, G_PRIORITY_DEFAULT,
--- a/tools/platform/store.c
+++ b/tools/platform/store.c
@@ -354,7 +354,7 @@
 	}
 }
 
-static void on_watch_end(void *context, gint64 now_us)
+static void on_watch_timeout(void *context, gint64 now_us)
 {
 	struct connection *connection = context;
 
@@ -392,7 +392,7 @@
 	connection->timer =
 		aub_timer_at(store->timers, "watch",
 			     aub_timer_now(store->timers) + wait_ms * AUB_MS,
-			     on_watch_end, connection);
+			     on_watch_timeout, connection);
 }
 
 static void handle_list(struct connection *connection, const char *kind)
--- a/tools/standin-store.c
+++ b/tools/standin-store.c
@@ -153,10 +153,11 @@
 {
 	const struct object *const *first = a;
 	const struct object *const *second = b;
-	guint64 one = object_revision(*first, 0)->version;
-	guint64 two = object_revision(*second, 0)->version;
+	guint64 first_version = object_revision(*first, 0)->version;
+	guint64 second_version = object_revision(*second, 0)->version;
 
-	return (one > two) - (one < two);
+	return (first_version > second_version) -
+	       (first_version < second_version);
 }
 
 /*
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -232,19 +232,18 @@
 
 static void build_runs(struct upstream_shared *shared, JsonBuilder *builder)
 {
-	struct upstream_run *serve;
+	struct upstream_run *run;
 	GHashTableIter iter;
 	const char *nonce;
 
 	json_builder_begin_object(builder);
 	g_hash_table_iter_init(&iter, shared->runs);
-	while (g_hash_table_iter_next(&iter, (void **)&nonce,
-				      (void **)&serve)) {
+	while (g_hash_table_iter_next(&iter, (void **)&nonce, (void **)&run)) {
 		json_builder_set_member_name(builder, nonce);
 		json_builder_begin_array(builder);
-		json_builder_add_int_value(builder, serve->started);
-		json_builder_add_int_value(builder, serve->completed);
-		json_builder_add_int_value(builder, serve->cancelled);
+		json_builder_add_int_value(builder, run->started);
+		json_builder_add_int_value(builder, run->completed);
+		json_builder_add_int_value(builder, run->cancelled);
 		json_builder_end_array(builder);
 	}
 	json_builder_end_object(builder);
@@ -286,12 +285,12 @@
 		      const char *path, GHashTable *query, gpointer data)
 {
 	struct program *program = data;
-	struct upstream_run *serve;
+	struct upstream_run *run;
 	GHashTableIter iter;
 
 	g_hash_table_iter_init(&iter, program->shared->runs);
-	while (g_hash_table_iter_next(&iter, NULL, (void **)&serve))
-		*serve = (struct upstream_run){ 0 };
+	while (g_hash_table_iter_next(&iter, NULL, (void **)&run))
+		*run = (struct upstream_run){ 0 };
 	tool_answer_text(message, 200, "");
 }
 
