--- a/tests/test_load.cc
+++ b/tests/test_load.cc
@@ -1,6 +1,7 @@
 /*
- * Tests that the load detects invalid responses: those of another request,
- * corrupt bodies, missing outcomes, and outcomes that contradict the oracle.
+ * Tests that the load generator detects invalid responses (of another request,
+ * with a corrupt body, or without a valid outcome) and outcomes that contradict
+ * the oracle.
  */
 #include <gtest/gtest.h>
 
--- a/tests/test_proxy.cc
+++ b/tests/test_proxy.cc
@@ -1,6 +1,6 @@
 /*
  * Tests that each fault of the proxy is visible to the client, and that
- * clearing it lets the next call through.
+ * requests succeed again after it has been cleared.
  */
 #include <gtest/gtest.h>
 
--- a/tools/bare-relay.c
+++ b/tools/bare-relay.c
@@ -91,7 +91,7 @@
 
 static const struct argp_option options[] = {
 	{ "listen", 'l', "IP:PORT", 0, "address", 0 },
-	{ "target", 't', "IP:PORT", 0, "where requests are sent", 0 },
+	{ "target", 't', "IP:PORT", 0, "address to forward requests to", 0 },
 	{ 0 },
 };
 
@@ -110,7 +110,7 @@
 		arguments->target = argument;
 	else if (key == ARGP_KEY_END &&
 		 (!arguments->listen || !arguments->target))
-		argp_error(state, "--listen and --target are needed");
+		argp_error(state, "--listen and --target are required");
 	else
 		return ARGP_ERR_UNKNOWN;
 	return 0;
--- a/tools/common/child.c
+++ b/tools/common/child.c
@@ -17,7 +17,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define CHILDREN_MAX 256 /* at a time; the signal handler walks it all */
+#define CHILDREN_MAX 256 /* running; the signal handler walks them all */
 #define FIRST_PORT 21000
 #define PORTS_PER_BLOCK 500
 #define PORT_BLOCK_COUNT 22
--- a/tools/common/child.h
+++ b/tools/common/child.h
@@ -36,7 +36,7 @@
 				 const char *const *arguments, const char *log,
 				 GError **error);
 
-/* Sends a signal. Returns false if the child has exited. */
+/* Sends a signal. Returns false if the child has exited or on failure. */
 bool child_signal(struct child *child, int signal_number);
 
 /* Returns whether the child has exited. Does not block. */
@@ -52,7 +52,7 @@
 void child_free(struct child *child);
 
 /*
- * Kills and reaps all running children. They have still to be freed with
+ * Kills and reaps all running children. The caller must still free them with
  * child_free().
  */
 void child_kill_all(void);
@@ -84,8 +84,9 @@
 		 GError **error);
 
 /*
- * Sends a message that the caller has built; its response's status and headers
- * are read from `message`. Returns false and sets `error` on failure.
+ * Sends a message that the caller has built, and waits in the same way. The
+ * status and the headers of the response are read from `message`. Returns false
+ * and sets `error` on failure.
  */
 bool child_http_send(SoupMessage *message, guint timeout_ms, GError **error);
 
--- a/tools/common/tool.h
+++ b/tools/common/tool.h
@@ -43,7 +43,7 @@
 
 /*
  * These return a member of an object, or `fallback` if `object` is NULL, or the
- * member is absent or no scalar value. A string is borrowed from the object.
+ * member is absent or not a scalar. A string is borrowed from the object.
  */
 gint64 tool_json_int(JsonObject *object, const char *name, gint64 fallback);
 double tool_json_double(JsonObject *object, const char *name, double fallback);
--- a/tools/fleet/fleet.h
+++ b/tools/fleet/fleet.h
@@ -19,13 +19,13 @@
 struct fleet_member {
 	char *name;
 	char *zone;
-	/* Addresses "ip:port"; callers connect to the first. */
+	/* Addresses "ip:port"; callers connect to `callers`. */
 	char *callers;
 	char *inner;
 	char *admin;
 	char *control_inner;
 	char *control_admin;
-	/* Of the proxy in front of `callers`; equals it if there is none. */
+	/* Of the proxy in front of `callers`; without one, the same address. */
 	char *callers_proxy;
 	char *store_url; /* leads through the proxy if there is one */
 	struct child *entry; /* NULL while it is not running */
@@ -61,13 +61,15 @@
 	struct child *upstreams;
 	struct child *proxy; /* NULL if options.proxies is false */
 	GPtrArray *members; /* of struct fleet_member, owned */
-	/* The port of each stand-in (guint16), by upstream handle. */
+	/* Port of each stand-in (guint16), indexed by upstream handle. */
 	GArray *upstream_ports;
 };
 
 /*
  * Starts the store, the upstreams and the proxy. Members are created but not
- * started. Returns NULL and sets `error` on failure.
+ * started. The strings and arrays of `options` must outlive the fleet. Returns
+ * NULL and sets `error` on failure; the caller frees the result with
+ * fleet_free().
  */
 struct fleet *fleet_new(const struct fleet_options *options, GError **error);
 
@@ -90,10 +92,13 @@
 
 /*
  * Waits until all running entries report that they are ready. Returns false and
- * sets AUB_ERROR_TIMEOUT if one does not in time or exits.
+ * sets AUB_ERROR_TIMEOUT if one is not ready in time or exits.
  */
 bool fleet_wait_ready(struct fleet *fleet, guint timeout_ms, GError **error);
-/* Waits until a member's control answers on its admin address. */
+/*
+ * Waits until a member's control answers on its admin address. Returns false
+ * and sets AUB_ERROR_TIMEOUT if it does not in time.
+ */
 bool fleet_wait_control(const struct fleet_member *member, guint timeout_ms,
 			GError **error);
 /* Returns whether the entry reports that it is ready. */
@@ -156,11 +161,14 @@
 			    guint timeout_ms, GError **error);
 
 /*
- * Returns the member that owns a service according to a control; NULL if it has
- * no owner or no control answers.
+ * Returns the member that owns a service according to the first control that
+ * answers, or NULL if the service has no owner or no control answers.
  */
 struct fleet_member *fleet_owner(struct fleet *fleet, const char *service);
-/* Waits until every service of the inventory has an owner. */
+/*
+ * Waits until every service of the inventory has an owner. Returns false and
+ * sets AUB_ERROR_TIMEOUT if one has none in time.
+ */
 bool fleet_wait_owners(struct fleet *fleet, guint timeout_ms, GError **error);
 
 /*
@@ -185,8 +193,9 @@
 			       const struct fleet_member *member,
 			       const char *json);
 /*
- * load_options.connect_address: returns the proxy's address for an entry's
- * address, or `address` itself if it is of no member. `context` is the fleet.
+ * A callback for load_options.connect_address: returns the proxy's address for
+ * an entry's address, or `address` itself if it belongs to no member. `context`
+ * is the fleet; the result is borrowed.
  */
 const char *fleet_connect_address(const char *address, void *context);
 
--- a/tools/fleet/fleet_inventory.h
+++ b/tools/fleet/fleet_inventory.h
@@ -8,9 +8,10 @@
 G_BEGIN_DECLS
 
 /*
- * 0 stands for the default: 2 slots, 1 slot while cold, cold for 2 s, a
- * deadline of 2 s, a queue limit of 200, a probe budget of 10000 us and a probe
- * cost of 1000 us.
+ * A service of the inventory. Except for `upstreams` and `hedge_percent`, 0
+ * stands for the default: 2 slots, 1 slot while cold, cold for 2 s, a deadline
+ * of 2 s, a queue limit of 200, a probe budget of 10000 us and a probe cost of
+ * 1000 us.
  */
 struct fleet_service {
 	const char *name;
--- a/tools/load/load.h
+++ b/tools/load/load.h
@@ -2,12 +2,12 @@
  * Load generator: open-loop arrivals of requests from a number of callers.
  * Every response is validated.
  *
- * A caller looks up at an entry which addresses to use, caches the answer for
- * the time that it names, and sends its requests there. It retries a request
- * that was not run after the time that the response names, and one that was
- * lost or whose outcome is unknown with the same key, alternately through the
- * same and another entry. The final outcome of each request is kept, to be
- * compared with what the upstreams executed.
+ * A caller queries an entry for the addresses to use, caches the answer for as
+ * long as it is valid, and sends its requests there. It retries a request that
+ * was not executed after the delay given in the response. It retries a request
+ * that was lost or whose outcome is unknown with the same key, alternately
+ * through the same entry and another one. The final outcome of each request is
+ * recorded, to be compared with what the upstreams executed.
  */
 #ifndef TOOL_LOAD_H
 #define TOOL_LOAD_H
@@ -34,12 +34,13 @@
 	guint requests; /* number of requests; 0: limited by `seconds` only */
 	double seconds;
 	guint connections; /* maximum from one caller to one entry; 0: 128 */
-	guint callers; /* number of callers, each with its own addresses */
+	/* Number of callers, each with its own addresses; 0: 1. */
+	guint callers;
 	guint deadline_ms; /* of a request, including its retries */
 	guint attempt_timeout_ms; /* of one attempt; 0: until the deadline */
 	bool retry; /* false: the first response is final */
 	guint body_bytes; /* minimum size of the body of a keyed request */
-	guint32 seed;
+	guint32 seed; /* of the arrival times and the choice of services */
 	const char *prefix; /* of the nonces; NULL: "" */
 	/*
 	 * Returns the address to connect to for an entry's address, to put a
@@ -57,7 +58,7 @@
 	LOAD_NOT_RUN, /* not executed */
 	LOAD_UNKNOWN, /* may have been executed */
 	LOAD_ERROR, /* no definite outcome before its deadline */
-	/* The response is incomplete or belongs to another request. */
+	/* The response is incomplete, corrupt or of another request. */
 	LOAD_INVALID,
 	LOAD_OUTCOME_COUNT
 };
@@ -66,13 +67,13 @@
 	struct load *load; /* borrowed */
 	const struct load_service *service;
 	struct load_caller *caller; /* borrowed */
-	char *nonce;
-	char *key; /* NULL for GET and before the first attempt */
+	char *nonce; /* identifies the request in the oracle */
+	char *key; /* NULL for GET and until a key is assigned */
 	char *body; /* NULL for GET */
 	char *entry; /* address of the current or last attempt */
 	gint64 arrived_us;
 	gint64 deadline_us;
-	gint64 latency_us;
+	gint64 latency_us; /* from the arrival to the final outcome */
 	guint attempts;
 	guint connection_failures; /* connections refused or lost */
 	guint unknown_answers; /* responses with the outcome "unknown" so far */
@@ -82,12 +83,17 @@
 	char *reason; /* Auburnstile-Reason of the last response, or NULL */
 	GCancellable *cancellable; /* of the attempt in flight */
 	SoupMessage *message; /* of the attempt in flight */
+	/* Timer handle: lookup deadline, attempt timeout or next retry. */
 	guint timer;
-	bool timed_out;
+	bool timed_out; /* an attempt timed out */
 };
 
 struct load;
 
+/*
+ * Creates a load without starting it. `options` is copied; the strings and
+ * arrays that it points to must outlive the load.
+ */
 struct load *load_new(const struct load_options *options);
 void load_free(struct load *load);
 
@@ -121,9 +127,10 @@
  * reported to the callers.
  */
 struct load_comparison {
-	guint executed_more_than_once; /* keyed, and started repeatedly */
+	guint executed_more_than_once; /* keyed, and started more than once */
 	guint false_not_run; /* outcome "not run", but started */
-	guint false_run; /* outcome "run", but never completed */
+	/* Outcome "run" with a status below 500, but never completed. */
+	guint false_run;
 	guint unknown_not_started; /* outcome "unknown", but never started */
 };
 /*
--- a/tools/load/load_internal.h
+++ b/tools/load/load_internal.h
@@ -15,7 +15,7 @@
 	GPtrArray *samples; /* of char *, descriptions of failed requests */
 	GHashTable *reasons; /* "OUTCOME/REASON" of responses -> count */
 	guint total_weight;
-	guint pending;
+	guint pending; /* requests without a final outcome */
 	guint retries;
 	gint64 started_us;
 	gint64 next_arrival_us;
@@ -33,8 +33,8 @@
 	GPtrArray *waiting;
 	guint next_entry_index; /* in the rotation of entries to query */
 	bool query_in_flight;
-	guint retry_timer; /* timer handle of the next lookup attempt */
-	guint query_timer; /* timer handle that cancels the one in flight */
+	guint retry_timer; /* timer handle of the next query */
+	guint query_timer; /* timer handle: timeout of the query in flight */
 	GCancellable *cancellable;
 };
 
@@ -49,13 +49,15 @@
 	struct load_lookup *lookups; /* one for each service */
 };
 
+/* `first_entry_index` is the position of the first query in the rotation. */
 void load_lookup_init(struct load_lookup *lookup, struct load_caller *caller,
 		      const struct load_service *service,
 		      guint first_entry_index);
 void load_lookup_clear(struct load_lookup *lookup);
+/* Returns the lookup of the request's caller and service; borrowed. */
 struct load_lookup *load_request_lookup(const struct load_request *request);
 
-/* Calls load_request_send() immediately or once the addresses are known. */
+/* Calls load_request_send() immediately or when the addresses are known. */
 void load_lookup_resolve(struct load_lookup *lookup,
 			 struct load_request *request);
 /* Removes a request from those that wait for the addresses. */
--- a/tools/load/lookup.c
+++ b/tools/load/lookup.c
@@ -1,13 +1,13 @@
 /*
  * Looks up the addresses that a caller uses. Any entry that the caller knows
- * can answer. The answer is cached for the time that it names, or until a
- * response says that it is stale.
+ * can answer. The answer is cached for as long as it is valid, or until a
+ * response reports that it is stale.
  */
 #include "load/load_internal.h"
 
 #include "common/tool.h"
 
-#define LOOKUP_TIMEOUT_US (1500 * AUB_MS)
+#define LOOKUP_TIMEOUT_US (1500 * AUB_MS) /* of one query */
 /* Delay before the next entry is queried after a failure. */
 #define LOOKUP_RETRY_DELAY_US (30 * AUB_MS)
 
@@ -127,7 +127,7 @@
 }
 
 struct lookup_query {
-	/* Belongs to this query only while its `cancellable` is the same. */
+	/* Its `cancellable` differs after the query has been abandoned. */
 	struct load_lookup *lookup;
 	GCancellable *cancellable; /* owned reference */
 	SoupMessage *message; /* owned reference */
@@ -153,7 +153,8 @@
 	}
 	if (current && !ok)
 		lookup->retry_timer =
-			aub_timer_at(lookup->caller->load->timers, "ask again",
+			aub_timer_at(lookup->caller->load->timers,
+				     "lookup retry",
 				     g_get_monotonic_time() +
 					     LOOKUP_RETRY_DELAY_US,
 				     on_retry_due, lookup);
@@ -193,7 +194,7 @@
 	lookup->cancellable = g_object_ref(query->cancellable);
 	lookup->query_in_flight = true;
 	lookup->query_timer =
-		aub_timer_at(load->timers, "ask timeout",
+		aub_timer_at(load->timers, "lookup timeout",
 			     g_get_monotonic_time() + LOOKUP_TIMEOUT_US,
 			     on_query_timeout, lookup);
 	soup_session_send_and_read_async(lookup->caller->session,
--- a/tools/load/request.c
+++ b/tools/load/request.c
@@ -1,5 +1,5 @@
 /*
- * Lifecycle of a request of a caller: attempts, validation of the response,
+ * Lifecycle of a caller's request: attempts, validation of the response,
  * retries.
  *
  * A keyed request uses the same key in all attempts, by which the entries
@@ -246,8 +246,8 @@
 	if (!refused)
 		request->maybe_executed = true;
 	/*
-	 * Nothing was ever sent with this key, so that the request may take a
-	 * new key with a new grant.
+	 * No request was ever sent with this key, so the next attempt may use
+	 * a new key under a new grant.
 	 */
 	if (refused && !request->maybe_executed)
 		g_clear_pointer(&request->key, g_free);
@@ -429,7 +429,7 @@
 	attempt->cancellable = g_object_ref(request->cancellable);
 	aub_timer_cancel(load->timers, request->timer);
 	request->timer =
-		aub_timer_at(load->timers, "try timeout",
+		aub_timer_at(load->timers, "attempt timeout",
 			     now_us + attempt_timeout_us(request, remaining_us),
 			     on_attempt_timeout, request);
 	soup_session_send_and_read_async(request->caller->session,
@@ -451,7 +451,7 @@
 	struct load *load = request->load;
 
 	request->timer =
-		aub_timer_at(load->timers, "never asked", request->deadline_us,
-			     on_lookup_deadline, request);
+		aub_timer_at(load->timers, "lookup deadline",
+			     request->deadline_us, on_lookup_deadline, request);
 	load_lookup_resolve(load_request_lookup(request), request);
 }
--- a/tools/platform/body.h
+++ b/tools/platform/body.h
@@ -10,7 +10,7 @@
 G_BEGIN_DECLS
 
 /*
- * Returns JSON text as msgpack; text that is no valid JSON is returned
+ * Returns JSON text as msgpack; text that is not valid JSON is returned
  * unchanged. The caller unreferences the result.
  */
 GBytes *platform_body_pack(const char *text, gsize length);
--- a/tools/platform/store.c
+++ b/tools/platform/store.c
@@ -37,13 +37,13 @@
 	struct aub_poller *poller;
 	struct aub_timer_service *timers;
 	int listener;
-	struct aub_poll_watch *watch;
+	struct aub_poll_watch *watch; /* of the listener */
 	char *address;
 	GPtrArray *objects; /* of struct object, sorted by name */
 	GPtrArray *changes; /* of struct change, oldest first */
 	GPtrArray *connections; /* of struct connection; they free themselves */
 	gint64 revision;
-	/* Changes before it have been dropped: watches from there get 410. */
+	/* Earlier changes have been dropped: watches from before it get 410. */
 	gint64 compacted_revision;
 	enum platform_store_fault fault;
 	guint delay_ms;
--- a/tools/platform/store.h
+++ b/tools/platform/store.h
@@ -36,10 +36,16 @@
  */
 gint64 platform_store_put(struct platform_store *store, const char *kind,
 			  const char *name, const char *spec);
-/* Writes the status of an object; does nothing if there is no such object. */
+/*
+ * Writes the status of an object, JSON; does nothing if there is no such
+ * object. Returns the revision of the store.
+ */
 gint64 platform_store_put_status(struct platform_store *store, const char *kind,
 				 const char *name, const char *status);
-/* The status of an object; borrowed; NULL if there is no such object. */
+/*
+ * Returns the status of an object, borrowed, or NULL if there is no such
+ * object.
+ */
 const char *platform_store_status(struct platform_store *store,
 				  const char *kind, const char *name);
 /* Deletes an object, or marks it as deleting while it has finalizers. */
@@ -50,6 +56,7 @@
  */
 const char *platform_store_get(struct platform_store *store, const char *kind,
 			       const char *name);
+/* Returns the number of objects of a kind. */
 guint platform_store_count(struct platform_store *store, const char *kind);
 
 void platform_store_set_fault(struct platform_store *store,
@@ -69,6 +76,7 @@
 /* Sets the maximum number of objects in a page of a listing. */
 void platform_store_set_page_size(struct platform_store *store, guint objects);
 
+/* Returns the number of calls so far, including those that a fault affected. */
 guint64 platform_store_call_count(const struct platform_store *store);
 
 G_END_DECLS
--- a/tools/platform/upstream.c
+++ b/tools/platform/upstream.c
@@ -15,7 +15,7 @@
 	char *id;
 	char *address;
 	int listener;
-	struct aub_poll_watch *watch;
+	struct aub_poll_watch *watch; /* of the listener */
 	GPtrArray *connections; /* of struct connection; they free themselves */
 	enum platform_answer answer;
 	enum platform_answer next_answer;
@@ -26,7 +26,7 @@
 	guint runs;
 	guint cancelled;
 	guint probes;
-	guint accepted;
+	guint accepted; /* connections */
 	guint64 body_bytes_read_max;
 	platform_upstream_run_callback *on_run;
 	void *on_run_context;
--- a/tools/platform/upstream.h
+++ b/tools/platform/upstream.h
@@ -16,14 +16,14 @@
 enum platform_answer {
 	PLATFORM_ANSWER_COMPLETE,
 	PLATFORM_ANSWER_CHUNKED,
-	/* No length; the end of the connection ends it. */
+	/* Without a length; the body ends with the connection. */
 	PLATFORM_ANSWER_UNFRAMED,
 	/* The connection closes before Content-Length bytes. */
 	PLATFORM_ANSWER_TRUNCATED,
 	/* Executed; the connection is reset without a response. */
 	PLATFORM_ANSWER_RESET,
 	PLATFORM_ANSWER_NONE, /* executed; no response is sent */
-	PLATFORM_ANSWER_GARBAGE, /* bytes that are no HTTP response */
+	PLATFORM_ANSWER_GARBAGE, /* bytes that are not an HTTP response */
 	PLATFORM_ANSWER_DUPLICATED, /* the response, then a second one */
 	/* The response of another request, then its own. */
 	PLATFORM_ANSWER_MISMATCHED_FIRST,
@@ -31,7 +31,7 @@
 	PLATFORM_ANSWER_FAILED, /* 500, executed */
 	PLATFORM_ANSWER_OVERLOADED, /* 503, not executed */
 	PLATFORM_ANSWER_MISDIRECTED, /* 421, not executed */
-	/* 400 before the body has been read; keep-alive. */
+	/* 400 before the body has been read; the connection stays open. */
 	PLATFORM_ANSWER_EARLY_ERROR,
 };
 
@@ -49,13 +49,13 @@
 /* Sets the answer to the next request only. */
 void platform_upstream_set_next_answer(struct platform_upstream *upstream,
 				       enum platform_answer answer);
-/* How long a request executes. */
+/* Sets how long each request executes. */
 void platform_upstream_set_service_time(struct platform_upstream *upstream,
 					guint ms);
-/* Size of the body of a response. */
+/* Sets the size of the body of each response. */
 void platform_upstream_set_body_bytes(struct platform_upstream *upstream,
 				      gsize bytes);
-/* Warmup-Remaining-Ms in the answers to probes; 0: none. */
+/* Sets Warmup-Remaining-Ms in the answers to probes; 0 omits the header. */
 void platform_upstream_set_warmup(struct platform_upstream *upstream, guint ms);
 /*
  * Closes all connections and refuses new ones, as after a crash, or accepts
@@ -73,14 +73,15 @@
 	platform_upstream_run_callback *callback, void *context);
 
 /*
- * Number of requests that started to execute, and of those whose connection
- * closed before their answer.
+ * Return the number of requests that started to execute, and of those whose
+ * connection closed before their answer.
  */
 guint platform_upstream_runs(const struct platform_upstream *upstream);
 guint platform_upstream_cancelled(const struct platform_upstream *upstream);
+/* Return the number of probes received, and of connections accepted. */
 guint platform_upstream_probes(const struct platform_upstream *upstream);
 guint platform_upstream_connections(const struct platform_upstream *upstream);
-/* Largest number of bytes read of one request body. */
+/* Returns the largest number of bytes read of one request body. */
 guint64 platform_upstream_body_bytes_read(
 	const struct platform_upstream *upstream);
 /*
--- a/tools/proxy/proxy.c
+++ b/tools/proxy/proxy.c
@@ -34,7 +34,7 @@
 	gint64 last_due_us;
 	gint64 received_bytes;
 	bool eof; /* no more bytes will arrive from `from` */
-	bool shutdown_sent; /* the end was passed on to `to` */
+	bool shutdown_sent; /* the end of file was propagated to `to` */
 };
 
 struct proxy_pair {
@@ -128,8 +128,8 @@
 }
 
 /*
- * Passes the end of a flow on after its last byte. Returns false if this closed
- * the pair.
+ * Propagates the end of file after the last byte of a flow. Returns false if
+ * this closed the pair.
  */
 static bool flow_shutdown_if_drained(struct flow *flow)
 {
@@ -252,7 +252,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Reads on unless the buffer is full. */
+/* Starts or resumes reading, unless the buffer is full. */
 static void flow_read(struct flow *flow)
 {
 	if (flow->eof || flow->buffered_bytes >= FLOW_BUFFER_BYTES)
--- a/tools/proxy/proxy.h
+++ b/tools/proxy/proxy.h
@@ -16,7 +16,7 @@
 
 struct proxy_fault {
 	guint delay_ms; /* of every byte, in each direction */
-	/* Discard bytes and do not pass closes on. */
+	/* Discard bytes and do not propagate closes. */
 	bool blackhole[PROXY_DIRECTION_COUNT];
 	/* Close after so many bytes; -1: never. */
 	gint64 truncate_bytes[PROXY_DIRECTION_COUNT];
@@ -32,8 +32,8 @@
 	GSource *accept_source;
 	GPtrArray *pairs; /* of struct proxy_pair, owned */
 	struct proxy_fault fault;
-	guint64 accepted;
-	guint64 bytes[PROXY_DIRECTION_COUNT];
+	guint64 accepted; /* connections */
+	guint64 bytes[PROXY_DIRECTION_COUNT]; /* queued for forwarding */
 };
 
 /*
@@ -48,8 +48,8 @@
  * Changes faults according to a JSON object; absent members keep their values:
  *   delay_ms, throttle (bytes per second), refuse,
  *   truncate_up, truncate_down (bytes; -1: never),
- *   silence "none"|"up"|"down"|"both"  discard, on all connections
- *   silence_open 1   discard on the open connections, for good
+ *   silence "none"|"up"|"down"|"both"  discard, on open and new connections
+ *   silence_open 1   discard on the open connections until they are closed
  *   cut 1, reset 1   close the open connections, normally or by RST
  *   clear 1          clear all faults except silence_open
  */
--- a/tools/standin-store.c
+++ b/tools/standin-store.c
@@ -48,7 +48,8 @@
 	guint delay_ms;
 	guint jitter_ms; /* random delay added to it, less than this */
 	enum outage outage;
-	guint stale_writes; /* reads return the revision so many writes ago */
+	/* Reads return the revision before the last so many writes. */
+	guint stale_writes;
 	gint64 lose_answers; /* writes that take effect without a response */
 	gint64 reset; /* calls whose connection is reset */
 };
@@ -68,7 +69,7 @@
 	struct store *store;
 	SoupServerMessage *message; /* owned reference */
 	char *prefix;
-	guint64 since;
+	guint64 since; /* changes after this version are awaited */
 	guint timer;
 };
 
@@ -95,7 +96,7 @@
 	g_free(object);
 }
 
-/* Returns the revision `writes_ago` writes ago, or the oldest one kept. */
+/* Returns the revision `writes_ago` writes ago, or the oldest retained. */
 static const struct revision *object_revision(const struct object *object,
 					      guint writes_ago)
 {
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -279,7 +279,7 @@
 
 /*
  * Resets the counters of all nonces. Jobs in progress have pointers to their
- * counters, so that the entries are zeroed and not removed.
+ * counters, so the counters are zeroed and not removed.
  */
 static void on_forget(SoupServer *server, SoupServerMessage *message,
 		      const char *path, GHashTable *query, gpointer data)
--- a/tools/upstream/upstream.c
+++ b/tools/upstream/upstream.c
@@ -170,7 +170,7 @@
 }
 
 /*
- * Sends a delayed answer. Jobs that wait for it, or never answer, hold a
+ * Sends a delayed answer. Jobs whose answer is late or never sent occupy a
  * connection but no slot.
  */
 static gboolean on_delayed_answer(gpointer data)
@@ -315,6 +315,7 @@
 	}
 }
 
+/* Returns whether this is the first request of its connection. */
 static bool count_connection(struct upstream *upstream, GSocket *socket)
 {
 	static const char seen_key[] = "upstream-seen";
@@ -359,8 +360,8 @@
 }
 
 /*
- * Rejects a request that is not to be queued or executed. Returns true if it
- * did.
+ * Rejects a request over the connection limit, and one that a fault, draining
+ * or shedding affects. Returns whether it did.
  */
 static bool reject_request(struct upstream *upstream,
 			   SoupServerMessage *message)
@@ -445,9 +446,9 @@
 	}
 }
 
-/* A probe whose answer is delayed by the cost of the probe. */
+/* A probe in progress; its answer is delayed by options.probe_us. */
 struct probe {
-	struct upstream *upstream;
+	struct upstream *upstream; /* borrowed */
 	SoupServerMessage *message; /* owned reference */
 };
 
--- a/tools/upstream/upstream.h
+++ b/tools/upstream/upstream.h
@@ -93,21 +93,25 @@
 	gint64 cold_until_us;
 	bool draining;
 	bool report_warm; /* reports "warm" while it is cold */
-	double slow_factor;
+	double slow_factor; /* of the service time until slow_until_us */
 	gint64 slow_until_us;
-	guint answer_delay_ms;
+	guint answer_delay_ms; /* of UPSTREAM_FAULT_LATE_ANSWER */
 	gint64 faults[UPSTREAM_FAULT_COUNT];
 	/* URL called for each request, with the nonce appended, or NULL. */
 	char *call_url;
 	SoupSession *session; /* for these calls; created on first use */
 	GPtrArray *running; /* of struct upstream_job, owned */
-	/* Of struct upstream_job, owned: executed, hold no slot. */
+	/*
+	 * Of struct upstream_job, owned: executed, and answered late or never.
+	 * They occupy no slot.
+	 */
 	GPtrArray *unanswered;
 	GQueue queue; /* of struct upstream_job, owned */
 	GPtrArray *sockets; /* of GSocket, owned: open connections */
 	guint restart_timer;
 	guint crash_source;
-	guint refuse_ms; /* of the pending crash */
+	/* How long the pending crash makes it refuse connections. */
+	guint refuse_ms;
 	struct upstream_oracle oracle;
 };
 
@@ -126,7 +130,7 @@
 	struct upstream_call *call; /* call in progress, or NULL */
 	gint64 deadline_us; /* 0: none */
 	guint timer;
-	bool new_connection;
+	bool new_connection; /* first request of its connection */
 	bool started;
 	gint64 started_us;
 	enum upstream_fault fault; /* UPSTREAM_FAULT_COUNT: none */
--- a/tools/upstream/upstream_call.c
+++ b/tools/upstream/upstream_call.c
@@ -1,14 +1,15 @@
 /*
- * Calls of a stand-in upstream to another service through an entry, once for
- * each request, which makes trees of calls. The request's remaining deadline
- * and retry budget are passed on with the call, as callers are required to do.
+ * Calls of a stand-in upstream to another service through an entry, one for
+ * each request it executes, which makes trees of calls. The request's remaining
+ * deadline and retry budget are passed on with the call, as callers are
+ * required to do.
  */
 #include "upstream/upstream.h"
 
 struct upstream_call {
 	struct upstream_job *job; /* NULL once the job has been freed */
-	GCancellable *cancellable;
-	SoupMessage *message;
+	GCancellable *cancellable; /* owned reference */
+	SoupMessage *message; /* owned reference */
 };
 
 static void copy_header(const struct upstream_job *job, SoupMessage *message,
