--- a/tools/load/lookup.c
+++ b/tools/load/lookup.c
@@ -127,7 +127,7 @@
 }
 
 struct lookup_query {
-	/* Its `cancellable` differs after the query has been abandoned. */
+	/* Its `cancellable` is another one if this query was abandoned. */
 	struct load_lookup *lookup;
 	GCancellable *cancellable; /* owned reference */
 	SoupMessage *message; /* owned reference */
