--- a/tests/run.sh
+++ b/tests/run.sh
@@ -30,12 +30,12 @@
 	failed=$((failed + case_failed))
 	if test $program_status -ne 0; then
 		names=$(sed -n 's/^\[  FAILED  \] \([^ ,]*\).* ms)$/\1/p' "$log")
-		excused=1
-		test -n "$names" || excused=0
+		only_known_red=1
+		test -n "$names" || only_known_red=0
 		for name in $names; do
-			printf '%s\n' "$known_red" | grep -qx "$name" || excused=0
+			printf '%s\n' "$known_red" | grep -qx "$name" || only_known_red=0
 		done
-		if test $excused -eq 1; then
+		if test $only_known_red -eq 1; then
 			echo "known red: $names"
 		else
 			exit_status=1
--- a/tools/bench/bench.h
+++ b/tools/bench/bench.h
@@ -54,7 +54,7 @@
 	/* Number of upstreams that answer 500 immediately. */
 	guint fail_fast;
 	/* Callers retry on their next address. */
-	bool repeat;
+	bool retry;
 };
 
 struct bench_row {
--- a/tools/bench/ideal_queue.c
+++ b/tools/bench/ideal_queue.c
@@ -30,9 +30,9 @@
 
 static double draw_standard_normal(GRand *random)
 {
-	double u = 1.0 - g_rand_double(random);
+	double uniform = 1.0 - g_rand_double(random);
 
-	return sqrt(-2 * log(u)) * cos(2 * G_PI * g_rand_double(random));
+	return sqrt(-2 * log(uniform)) * cos(2 * G_PI * g_rand_double(random));
 }
 
 static double draw_service_time_us(const struct bench_params *params,
--- a/tools/bench/outages.c
+++ b/tools/bench/outages.c
@@ -87,15 +87,15 @@
 
 static void print_summary(const char *name, const struct load *load)
 {
-	struct load_stats f;
+	struct load_stats stats;
 
-	load_get_stats(load, &f);
+	load_get_stats(load, &stats);
 	printf("%s: requests=%u good=%u not_run=%u unknown=%u errors=%u "
 	       "wrong=%u p99_ms=%.1f longest_gap_ms=%.0f\n",
-	       name, f.requests, f.outcomes[LOAD_RUN] - f.failed,
-	       f.outcomes[LOAD_NOT_RUN], f.outcomes[LOAD_UNKNOWN],
-	       f.outcomes[LOAD_ERROR], f.outcomes[LOAD_INVALID], f.p99_ms,
-	       longest_gap_ms(load));
+	       name, stats.requests, stats.outcomes[LOAD_RUN] - stats.failed,
+	       stats.outcomes[LOAD_NOT_RUN], stats.outcomes[LOAD_UNKNOWN],
+	       stats.outcomes[LOAD_ERROR], stats.outcomes[LOAD_INVALID],
+	       stats.p99_ms, longest_gap_ms(load));
 }
 
 static void run_load_until(const struct load *load, gint64 until_us)
@@ -145,10 +145,10 @@
 	gint64 last = command_us;
 
 	for (guint i = 0; i < fleet->inventory->upstreams->len; i++) {
-		const struct aub_upstream *u =
+		const struct aub_upstream *upstream =
 			aub_upstream_at(fleet->inventory, i);
 
-		if (u->zone == 0)
+		if (upstream->zone == 0)
 			last = MAX(last, tool_json_int(fleet_oracle_upstream(
 							       oracle, fleet,
 							       (guint16)i),
@@ -175,7 +175,7 @@
  * Makes the upstreams of the zone cold, as after a restart, while the zone is
  * out.
  */
-static void restart_zone_cold(struct fleet *fleet)
+static void make_zone_cold(struct fleet *fleet)
 {
 	for (guint i = 0; i < fleet->inventory->upstreams->len; i++)
 		if (aub_upstream_at(fleet->inventory, i)->zone == 0)
@@ -191,7 +191,7 @@
 		.shape = shape,
 		.policy = "auburnstile",
 		.load = 0.5,
-		.repeat = true,
+		.retry = true,
 		.members = members,
 		.run = 1,
 	};
@@ -216,7 +216,7 @@
 	threads[0] = start_zone_command(&out_command);
 	run_load_until(load, start_us + (gint64)(seconds * 1e6 / 2));
 	last_new_request_ms = last_new_request_after_ms(fleet, zone_out_us);
-	restart_zone_cold(fleet);
+	make_zone_cold(fleet);
 	threads[1] = start_zone_command(&in_command);
 	run_load_until(load, G_MAXINT64);
 	g_thread_join(threads[0]);
@@ -244,7 +244,7 @@
 		.shape = shape,
 		.policy = "auburnstile",
 		.load = 0.5,
-		.repeat = true,
+		.retry = true,
 		.members = members,
 		.run = 1,
 	};
--- a/tools/bench/run.c
+++ b/tools/bench/run.c
@@ -74,7 +74,7 @@
 		.connections = 256,
 		.callers = 4 * params->members,
 		.deadline_ms = BENCH_DEADLINE_MS,
-		.retry = params->repeat,
+		.retry = params->retry,
 		.seed = seed,
 	};
 
@@ -122,9 +122,9 @@
 	const GPtrArray *requests = load_requests(load);
 	GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(gint64));
 	GArray *refused = g_array_new(FALSE, FALSE, sizeof(gint64));
-	struct load_stats figures;
+	struct load_stats stats;
 
-	load_get_stats(load, &figures);
+	load_get_stats(load, &stats);
 	for (guint i = 0; i < requests->len; i++) {
 		const struct load_request *request = requests->pdata[i];
 
@@ -132,15 +132,14 @@
 		if (request->outcome == LOAD_NOT_RUN)
 			g_array_append_val(refused, request->latency_us);
 	}
-	row->requests = figures.requests;
-	row->refused = figures.outcomes[LOAD_NOT_RUN];
-	row->unknown = figures.outcomes[LOAD_UNKNOWN];
-	row->wrong =
-		figures.outcomes[LOAD_INVALID] + figures.outcomes[LOAD_ERROR];
-	row->failed = figures.failed;
-	row->p50_ms = figures.p50_ms;
-	row->p99_ms = figures.p99_ms;
-	row->p999_ms = figures.p999_ms;
+	row->requests = stats.requests;
+	row->refused = stats.outcomes[LOAD_NOT_RUN];
+	row->unknown = stats.outcomes[LOAD_UNKNOWN];
+	row->wrong = stats.outcomes[LOAD_INVALID] + stats.outcomes[LOAD_ERROR];
+	row->failed = stats.failed;
+	row->p50_ms = stats.p50_ms;
+	row->p99_ms = stats.p99_ms;
+	row->p999_ms = stats.p999_ms;
 	row->refused_p99_ms = bench_quantile_ms(refused, 0.99);
 	row->limit_p99_ms = bench_limit_p99_ms(params, arrivals, slow);
 	g_array_unref(arrivals);
--- a/tools/proofs/cold_start.c
+++ b/tools/proofs/cold_start.c
@@ -76,7 +76,7 @@
 }
 
 /* An upstream becomes cold without a restart; only its answers show it. */
-static void upstreams_turn_cold(struct proof_run *run)
+static void upstreams_become_cold(struct proof_run *run)
 {
 	if (!start_cold_load(run, 6, NORMAL_REQUESTS_PER_S))
 		return;
@@ -129,7 +129,7 @@
 const struct proof proofs_cold_start[] = {
 	{ "cold-upstream", "restarts-under-load", true, upstreams_restart },
 	{ "cold-upstream", "turns-cold-without-warning", false,
-	  upstreams_turn_cold },
+	  upstreams_become_cold },
 	{ "cold-upstream", "owner-killed-17-entries", false, owner_killed },
 	{ "cold-upstream", "owner-frozen-store-down", false, owner_paused },
 	{ 0 }
--- a/tools/proofs/fixtures.c
+++ b/tools/proofs/fixtures.c
@@ -38,14 +38,14 @@
 }
 
 void start_mixed_load(struct proof_run *run, double rate, double seconds,
-		      bool repeat)
+		      bool retry)
 {
 	struct load_options options = {
 		.services = mixed_services,
 		.service_count = G_N_ELEMENTS(mixed_services),
 		.rate = rate,
 		.seconds = seconds,
-		.retry = repeat,
+		.retry = retry,
 		.body_bytes = 300,
 	};
 
--- a/tools/proofs/fixtures.h
+++ b/tools/proofs/fixtures.h
@@ -30,7 +30,7 @@
  * keys.
  */
 void start_mixed_load(struct proof_run *run, double rate, double seconds,
-		      bool repeat);
+		      bool retry);
 void start_keyed_load(struct proof_run *run, double rate, double seconds);
 
 /*
--- a/tools/proofs/not_run.c
+++ b/tools/proofs/not_run.c
@@ -166,7 +166,7 @@
 	fleet_signal(owner, FLEET_BOTH, SIGCONT);
 	finish_and_check_load(run);
 	proof_require(run, run->totals.outcomes[LOAD_UNKNOWN] > 0,
-		      "lost relays");
+		      "relayed requests with an unknown result");
 }
 
 const struct proof proofs_not_run[] = {
--- a/tools/proofs/proof.c
+++ b/tools/proofs/proof.c
@@ -9,22 +9,23 @@
 #define READY_TIMEOUT_MS 20000
 
 static void add_violation(struct proof_run *run, const char *prefix,
-			  const char *what)
+			  const char *violation)
 {
 	g_string_append_printf(run->violations, "%s%s%s",
-			       run->violations->len ? "; " : "", prefix, what);
+			       run->violations->len ? "; " : "", prefix,
+			       violation);
 }
 
-void proof_check(struct proof_run *run, bool holds, const char *what)
+void proof_check(struct proof_run *run, bool holds, const char *violation)
 {
 	if (!holds)
-		add_violation(run, "", what);
+		add_violation(run, "", violation);
 }
 
-void proof_require(struct proof_run *run, bool occurred, const char *what)
+void proof_require(struct proof_run *run, bool occurred, const char *event)
 {
 	if (!occurred)
-		add_violation(run, "did not occur: ", what);
+		add_violation(run, "did not occur: ", event);
 }
 
 void proof_add_figure(struct proof_run *run, const char *name, double value)
@@ -125,13 +126,13 @@
 		json_object_get_object_member(json_node_get_object(run->oracle),
 					      "nonces");
 	load_get_stats(run->load, &run->totals);
-	load_compare(run->load, nonces, &run->verdict);
+	load_compare(run->load, nonces, &run->comparison);
 	proof_add_figure(run, "requests", run->totals.requests);
 	proof_add_figure(run, "whole", run->totals.outcomes[LOAD_RUN]);
 	proof_add_figure(run, "wrong", run->totals.outcomes[LOAD_INVALID]);
-	proof_add_figure(run, "twice", run->verdict.executed_more_than_once);
+	proof_add_figure(run, "twice", run->comparison.executed_more_than_once);
 	proof_add_figure(run, "not_run", run->totals.outcomes[LOAD_NOT_RUN]);
-	proof_add_figure(run, "false_not_run", run->verdict.false_not_run);
+	proof_add_figure(run, "false_not_run", run->comparison.false_not_run);
 	proof_add_figure(run, "unknown", run->totals.outcomes[LOAD_UNKNOWN]);
 	proof_add_figure(run, "unanswered", run->totals.outcomes[LOAD_ERROR]);
 	proof_add_figure(run, "p99_ms", run->totals.p99_ms);
@@ -142,11 +143,11 @@
 void proof_check_load(struct proof_run *run)
 {
 	proof_check(run, !run->totals.outcomes[LOAD_INVALID], "wrong answers");
-	proof_check(run, !run->verdict.executed_more_than_once,
+	proof_check(run, !run->comparison.executed_more_than_once,
 		    "a request was executed more than once");
-	proof_check(run, !run->verdict.false_not_run,
+	proof_check(run, !run->comparison.false_not_run,
 		    "a request reported as \"not run\" was executed");
-	proof_check(run, !run->verdict.false_run,
+	proof_check(run, !run->comparison.false_run,
 		    "a request reported as \"run\" was not executed");
 	proof_require(run, run->totals.outcomes[LOAD_RUN] > 0,
 		      "a complete answer");
--- a/tools/proofs/proof.h
+++ b/tools/proofs/proof.h
@@ -49,17 +49,17 @@
 	GString *figures; /* figures printed in the result line */
 	GString *violations; /* empty if the promise holds */
 	struct load_stats totals;
-	struct load_comparison verdict;
+	struct load_comparison comparison;
 	JsonNode *oracle; /* records of the upstreams, after the load */
 };
 
-/* Records a violation unless `holds`; `what` describes the violation. */
-void proof_check(struct proof_run *run, bool holds, const char *what);
+/* Records the text `violation` unless `holds`. */
+void proof_check(struct proof_run *run, bool holds, const char *violation);
 /*
  * Records a violation unless `occurred`: without the fault or the event that
  * `what` describes, the check would pass without having tested anything.
  */
-void proof_require(struct proof_run *run, bool occurred, const char *what);
+void proof_require(struct proof_run *run, bool occurred, const char *event);
 /* Adds NAME=VALUE to the figures of the result line. */
 void proof_add_figure(struct proof_run *run, const char *name, double value);
 
--- a/tools/proofs/upstream_leaves.c
+++ b/tools/proofs/upstream_leaves.c
@@ -37,10 +37,11 @@
 	proof_add_figure(run, "last_new_ms",
 			 (last_request_us - command_us) / 1000.0);
 	proof_require(run, last_request_us > 0,
-		      "requests to the upstream before");
+		      "requests to the upstream under load");
+	/* Status 4: accepted, but not yet active everywhere. */
 	proof_check(run, status == 0 || status == 4, "the command failed");
 	proof_check(run, last_request_us - command_us < LEAVE_LIMIT_MS * AUB_MS,
-		    "the upstream got new requests after 3 s");
+		    "the upstream got new requests later than 3 s");
 }
 
 static void upstream_leaves(struct proof_run *run)
@@ -98,10 +99,10 @@
 	proof_add_figure(run, "last_new_ms",
 			 (last_request_us - draining_us) / 1000.0);
 	proof_require(run, last_request_us > 0,
-		      "requests to the upstream before");
+		      "requests to the upstream under load");
 	proof_check(run,
 		    last_request_us - draining_us < LEAVE_LIMIT_MS * AUB_MS,
-		    "the upstream got new requests after 3 s");
+		    "the upstream got new requests later than 3 s");
 }
 
 const struct proof proofs_upstream_leaves[] = {
--- a/tools/rollout-model.c
+++ b/tools/rollout-model.c
@@ -116,7 +116,7 @@
 {
 	guint visible = 0, completed = 0, rolled_back = 0, over_bound = 0;
 	guint missed = 0, interrupted = 0;
-	double worst_exposure = 0, after_50th = 0, on_time = 0;
+	double worst_exposure = 0, after_50th_ms = 0, on_time = 0;
 
 	for (guint i = 0; i < count; i++) {
 		const struct model_run *run = &runs[i];
@@ -135,7 +135,7 @@
 			worst_exposure = MAX(worst_exposure,
 					     (double)outcome->exposed /
 						     outcome->exposure_bound);
-		after_50th = MAX(after_50th, outcome->after_50th_bad_ms);
+		after_50th_ms = MAX(after_50th_ms, outcome->after_50th_bad_ms);
 		on_time += (double)outcome->on_time /
 			   MAX(outcome->placement_requests, 1) / count;
 		if (verbose &&
@@ -167,7 +167,7 @@
 	}
 	printf("%-32s %6u %7u %9u %7u %6u %5u %8.2f %7.0f %7u %7.3f\n",
 	       fault->name, count, visible, completed, rolled_back, missed,
-	       over_bound, worst_exposure, after_50th, interrupted, on_time);
+	       over_bound, worst_exposure, after_50th_ms, interrupted, on_time);
 }
 
 static void write_tsv(const char *path, const struct model_run *runs,
--- a/tools/rollout/rollout_model.c
+++ b/tools/rollout/rollout_model.c
@@ -397,7 +397,7 @@
 	const struct request_class *request_class = draw_request_class(model);
 	struct attempt *attempt = g_new0(struct attempt, 1);
 	struct aub_placement_decision decision;
-	struct aub_placement_request ask = {
+	struct aub_placement_request request = {
 		.ticket = ++model->last_ticket,
 		.holder = 1,
 		.zone = "z1",
@@ -408,14 +408,14 @@
 		.route = request_class->route,
 	};
 
-	attempt->ticket = ask.ticket;
+	attempt->ticket = request.ticket;
 	attempt->request_class = request_class;
 	attempt->requested_ms = now_ms;
 	attempt->placer = draw_placer(model, now_ms);
 	g_hash_table_insert(model->waiting, &attempt->ticket, attempt);
 	if (now_ms >= model->order_ms && now_ms < model->deadline_ms)
 		model->outcome->placement_requests++;
-	aub_placement_submit(model->placers[attempt->placer], &ask,
+	aub_placement_submit(model->placers[attempt->placer], &request,
 			     now_ms * US_PER_MS, &decision);
 	apply_decision(model, &decision, now_ms);
 }
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -359,8 +359,9 @@
 	stop_fleet(run);
 }
 
-static void print_fit(struct run *run, const char *scenario, const char *what,
-		      size_t x_offset, bool x_is_double, size_t y_offset)
+static void print_fit(struct run *run, const char *scenario,
+		      const char *quantity, size_t x_offset, bool x_is_double,
+		      size_t y_offset)
 {
 	double x[16];
 	double y[16];
@@ -371,25 +372,26 @@
 	for (i = 0; i < run->rows->len && count < G_N_ELEMENTS(x); i++) {
 		const struct row *row =
 			&g_array_index(run->rows, struct row, i);
-		const char *node = (const char *)row;
+		const char *row_bytes = (const char *)row;
 
 		if (strcmp(row->scenario, scenario) != 0)
 			continue;
-		x[count] = x_is_double ? *(const double *)(node + x_offset) :
-					 *(const guint *)(node + x_offset);
-		y[count++] = *(const double *)(node + y_offset);
+		x[count] = x_is_double ?
+				   *(const double *)(row_bytes + x_offset) :
+				   *(const guint *)(row_bytes + x_offset);
+		y[count++] = *(const double *)(row_bytes + y_offset);
 	}
 	if (count < 2)
 		return;
 	line = slopes_fit(x, y, count);
 	printf("fit\t%s\t%s\t%.4g + %.4g each, largest residual %.3g\n",
-	       scenario, what, line.base, line.slope, line.residual);
+	       scenario, quantity, line.base, line.slope, line.residual);
 }
 
 static void print_fits(struct run *run)
 {
 	static const struct {
-		const char *what;
+		const char *quantity;
 		size_t offset;
 	} outcomes[] = {
 		{ "processor %", offsetof(struct row, processor_percent) },
@@ -412,7 +414,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(inputs); i++)
 		for (j = 0; j < G_N_ELEMENTS(outcomes); j++)
-			print_fit(run, inputs[i].scenario, outcomes[j].what,
+			print_fit(run, inputs[i].scenario, outcomes[j].quantity,
 				  inputs[i].offset, inputs[i].is_double,
 				  outcomes[j].offset);
 }
--- a/tools/slopes/slopes_entry_cost.c
+++ b/tools/slopes/slopes_entry_cost.c
@@ -75,15 +75,15 @@
 		.seed = 1,
 		.prefix = prefix,
 	};
-	struct load_stats figures;
+	struct load_stats stats;
 	struct load *load = load_new(&options);
 
 	load_run(load);
-	load_get_stats(load, &figures);
+	load_get_stats(load, &stats);
 	load_free(load);
 	g_free(prefix);
 	g_free(entries);
-	return figures;
+	return stats;
 }
 
 static void measure_calls(struct fleet *fleet, bool keyed, FILE *out)
@@ -100,20 +100,20 @@
 	for (i = 0; i < G_N_ELEMENTS(rates); i++) {
 		struct usage before = read_usage(pid);
 		gint64 start_us = g_get_monotonic_time();
-		struct load_stats figures =
+		struct load_stats stats =
 			run_load(fleet, keyed, rates[i], MEASURE_S);
 		double seconds =
 			(double)(g_get_monotonic_time() - start_us) / 1e6;
 		struct usage after = read_usage(pid);
 
-		x[i] = figures.requests / seconds;
+		x[i] = stats.requests / seconds;
 		y[i] = 100 * (after.processor_s - before.processor_s) / seconds;
-		calls += figures.requests;
+		calls += stats.requests;
 		fprintf(out,
 			"entry\t%s\t%.0f\t%u\t%u\t%.1f\t%.1f\t%.2f\t%.2f\n",
-			keyed ? "keyed" : "plain", x[i], figures.requests,
-			figures.outcomes[LOAD_RUN], y[i], after.resident_mb,
-			figures.p50_ms, figures.p99_ms);
+			keyed ? "keyed" : "plain", x[i], stats.requests,
+			stats.outcomes[LOAD_RUN], y[i], after.resident_mb,
+			stats.p50_ms, stats.p99_ms);
 	}
 	line = slopes_fit(x, y, G_N_ELEMENTS(rates));
 	fprintf(out,
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -191,7 +191,7 @@
 		  "duration of the faults for each seed (20)", 0 },
 		{ "runs", 'n', "N", 0, "number of consecutive seeds to run (1)",
 		  0 },
-		{ "rollouts", 'r', NULL, 0, "with a rollout in each run", 0 },
+		{ "rollouts", 'r', NULL, 0, "start a rollout in each run", 0 },
 		{ 0 },
 	};
 	const struct argp argp = {
