--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Runs every test program of a sanitizer build, then the short selection of
-# proofs and short soak runs from a release build. The last line is
-# "N passed, N failed".
+# proofs (see tools/proofs/proof.h) and short soak runs from a release build. The
+# last line is "N passed, N failed".
 # Usage: tests/run.sh SANITIZER_BUILD RELEASE_BUILD
 #
 # Tests listed in KNOWN-RED.txt ("Suite.Test", "PROMISE/FAULT" or "soak/NAME")
@@ -90,10 +90,11 @@
 	fi
 	grep '^seed \|^order' "$log"
 }
-# Short runs with fixed seeds. In the run of seed 15, an upstream drains while
-# no gateway can know it, which must not be reported as DRAIN. In that of seed
-# 117, an upstream is switched to refuse requests after it has started one, and
-# must not report that one as "not run" (TWICE).
+# Short runs with fixed seeds. Seeds 15 and 117 guard against violations that
+# the soak itself would cause. With seed 15, an upstream drains while no gateway
+# can know it, which must not be reported as DRAIN. With seed 117, an upstream is
+# switched to refuse requests after it has started one, and must not report that
+# one as "not run": a gateway would execute it elsewhere (TWICE).
 for seed in 1 15 117; do
 	soak $seed --seed $seed --seconds 8
 done
--- a/tools/bench/bench.h
+++ b/tools/bench/bench.h
@@ -33,7 +33,7 @@
 	const char *name;
 	const char *service;
 	guint upstreams;
-	guint slots;
+	guint slots; /* of each upstream */
 	guint zones;
 	guint probe_cost_us;
 	double mean_us; /* mean service time; lognormal */
@@ -45,7 +45,7 @@
 	const char *policy;
 	double load; /* offered load as a share of all slots */
 	double seconds;
-	guint members;
+	guint members; /* number of entry VMs */
 	guint run; /* number of the run; also the random seed */
 	guint hedge_percent;
 	guint probe_budget_us; /* 0 means the default */
@@ -63,7 +63,10 @@
 	double p99_ms;
 	double p999_ms;
 	double limit_p99_ms;
-	/* Successful answers divided by what the slots could serve. */
+	/*
+	 * Successful answers divided by the requests, or by what the slots
+	 * could serve if that is less.
+	 */
 	double goodput_ratio;
 	double probes_per_s;
 	/*
@@ -82,7 +85,7 @@
 	 * answer.
 	 */
 	guint wrong;
-	double refused_p99_ms;
+	double refused_p99_ms; /* time until the refusal */
 };
 
 #define BENCH_SLOW_FACTOR 5
--- a/tools/bench/outages.c
+++ b/tools/bench/outages.c
@@ -62,7 +62,9 @@
 	return good;
 }
 
-/* Returns the longest time without an answer to any request, in ms. */
+/*
+ * Returns the longest time in which no request got a complete answer, in ms.
+ */
 static double longest_gap_ms(const struct load *load)
 {
 	const GPtrArray *requests = load_requests(load);
@@ -76,7 +78,7 @@
 		if (request->outcome == LOAD_RUN)
 			g_array_append_val(ends, end);
 	}
-	bench_quantile_ms(ends, 0);
+	bench_quantile_ms(ends, 0); /* sorts `ends` */
 	for (guint i = 1; i < ends->len; i++)
 		longest = MAX(longest,
 			      g_array_index(ends, gint64, i) -
--- a/tools/fleet-bench.c
+++ b/tools/fleet-bench.c
@@ -11,7 +11,8 @@
 
 /*
  * The mean service times are longer than the 20 ms of the design, so that one
- * load generator process on one machine can keep up with the arrivals.
+ * load generator process on one machine can keep up with the arrivals; see
+ * docs/MEASUREMENTS.md.
  */
 static const struct bench_shape nidito = {
 	"nidito-calendar", "calendar", 12, 2, 3, 1000, 40000
--- a/tools/policy-model.c
+++ b/tools/policy-model.c
@@ -27,10 +27,10 @@
 struct model_options {
 	int policy;
 	guint upstreams;
-	guint slots;
+	guint slots; /* of each upstream */
 	guint entries; /* number of dispatchers; for baselines */
 	double load; /* offered load as a share of all slots */
-	double sigma;
+	double sigma; /* of the lognormal service time */
 	guint hedge_percent;
 	gint64 duration_us;
 	guint32 seed;
@@ -65,8 +65,8 @@
 };
 
 struct model_upstream {
-	guint busy;
-	GQueue waiting; /* of struct job */
+	guint busy; /* number of slots in use */
+	GQueue waiting; /* of struct job, borrowed */
 };
 
 struct model {
@@ -283,6 +283,7 @@
 		.deadline_us = model->now_us + DEADLINE_US,
 		.retry_budget = 100,
 	};
+	/* The time of arrival, followed by the request id as the key. */
 	gint64 *arrival = g_new(gint64, 2);
 
 	if (model->options.policy == AUB_POLICY_AUBURNSTILE)
--- a/tools/proofs/fixtures.h
+++ b/tools/proofs/fixtures.h
@@ -20,8 +20,9 @@
 extern const struct load_service keyed_service[1];
 
 /*
- * Starts six members in three zones that serve both services. Returns false and
- * records a violation on failure.
+ * Starts six members in three zones that serve both services, with a mean
+ * service time of `mean_us` (0 means 20 ms). Returns false and records a
+ * violation on failure.
  */
 bool start_mixed_fleet(struct proof_run *run, bool proxies, double mean_us);
 
--- a/tools/proofs/probe_budget.c
+++ b/tools/proofs/probe_budget.c
@@ -123,7 +123,7 @@
 	check_probe_budget(run, kill_owners_in_turn);
 }
 
-/* All upstreams are unavailable for 3 s, so that all probes time out. */
+/* All upstreams are unavailable for 3 s, so that all probes fail. */
 static void stop_all_upstreams(struct proof_run *run)
 {
 	fleet_upstream_fault(run->fleet, "{\"crash_ms\":3000}");
--- a/tools/proofs/proof.h
+++ b/tools/proofs/proof.h
@@ -45,7 +45,7 @@
 	guint32 seed;
 	struct fleet *fleet;
 	struct load *load;
-	const char **entries;
+	const char **entries; /* addresses of the entries, for callers */
 	GString *figures; /* figures printed in the result line */
 	GString *violations; /* empty if the promise holds */
 	struct load_stats totals;
@@ -57,7 +57,7 @@
 void proof_check(struct proof_run *run, bool holds, const char *violation);
 /*
  * Records a violation unless `occurred`: without the fault or the event that
- * `what` describes, the check would pass without having tested anything.
+ * `event` describes, the check would pass without having tested anything.
  */
 void proof_require(struct proof_run *run, bool occurred, const char *event);
 /* Adds NAME=VALUE to the figures of the result line. */
@@ -69,8 +69,9 @@
 	guint service_count;
 	guint members;
 	guint zones;
-	bool proxies;
-	double mean_us;
+	bool proxies; /* with fault-injecting proxies */
+	double mean_us; /* mean service time; 0 means the default, 20 ms */
+	/* Command line options of the upstreams, or NULL. */
 	const char *const *upstream_options;
 };
 
@@ -93,8 +94,9 @@
 void proof_finish_load(struct proof_run *run);
 
 /*
- * Runs the checks that apply to every load: no wrong answers, no repeated
- * execution and no false "not run" result.
+ * Runs the checks that apply to every load: no wrong answers, no request
+ * executed more than once, no false "run" or "not run" result, and at least one
+ * complete answer.
  */
 void proof_check_load(struct proof_run *run);
 
--- a/tools/proofs/upstream_leaves.c
+++ b/tools/proofs/upstream_leaves.c
@@ -65,7 +65,7 @@
 				  ->name);
 }
 
-/* From the command on, the store delays each call by 400 ms. */
+/* The store delays each call by 400 ms, from before the load until its end. */
 static void store_slow(struct proof_run *run)
 {
 	if (!start_mixed_fleet(run, false, 0))
--- a/tools/proofs/zone_evacuation.c
+++ b/tools/proofs/zone_evacuation.c
@@ -126,7 +126,7 @@
 
 static void partition_from_store(struct proof_run *run, bool on)
 {
-	/* Only the connections of the last member to the store. */
+	/* Affects only the connections of the last member to the store. */
 	struct fleet_member *member = fleet_member(run->fleet, 5);
 	char *json = g_strdup_printf("{\"port\":%s,\"refuse\":%d,\"reset\":1}",
 				     strrchr(member->store_url, ':') + 1, on);
--- a/tools/rollout-model.c
+++ b/tools/rollout-model.c
@@ -111,6 +111,10 @@
 	};
 }
 
+/*
+ * Prints the row of one fault. `missed` counts the faulty versions that were
+ * completed although a statistical test could have noticed the fault.
+ */
 static void print_row(const struct rollout_fault *fault,
 		      const struct model_run *runs, guint count, bool verbose)
 {
--- a/tools/rollout/rollout_model.c
+++ b/tools/rollout/rollout_model.c
@@ -19,11 +19,11 @@
 #define INTERFERENCE_WINDOW_MS 300
 /* Share of the windows in which an upstream has noisy neighbours. */
 #define INTERFERENCE_SHARE 0.25
-#define INTERFERENCE_SLOWDOWN 4.0
+#define INTERFERENCE_SLOWDOWN 4.0 /* factor on the service time */
 #define SATURATION_LOAD 0.8 /* share of the slots in use */
-#define SATURATION_SLOWDOWN 1.7
+#define SATURATION_SLOWDOWN 1.7 /* factor on the service time */
 #define WARM_UP_MS 3000
-#define WARM_UP_SLOWDOWN 2.0
+#define WARM_UP_SLOWDOWN 2.0 /* factor on the service time */
 #define WARM_UP_REQUESTS_PER_S 4.3
 #define HIGH_LOAD 0.7 /* share of the slots in use */
 /* Maximum number of placers, one after another. */
@@ -71,8 +71,8 @@
 struct request_class {
 	guint32 route;
 	double share; /* share of the requests */
-	double work_ms;
-	guint target_ms;
+	double work_ms; /* mean service time */
+	guint target_ms; /* target latency */
 };
 
 static const struct request_class request_classes[] = {
@@ -89,10 +89,10 @@
 	char id[16];
 	char address[24];
 	bool new_version;
-	guint running;
+	guint running; /* number of slots in use */
 	guint interference_offset_ms;
 	enum upstream_health health;
-	gint64 warm_at_ms;
+	gint64 warm_at_ms; /* end of the warm-up */
 };
 
 struct attempt {
@@ -171,6 +171,7 @@
 			       now_ms * US_PER_MS);
 }
 
+/* Returns a record that is valid until the next call in the same thread. */
 static const struct aub_rollout_record *rollout_record_of(
 	const struct model *model, enum aub_rollout_state state)
 {
@@ -255,6 +256,7 @@
 	model->published_state = AUB_ROLLOUT_RUNNING;
 }
 
+/* Returns the factor by which noisy neighbours slow down `upstream`. */
 static double interference_of(const struct model *model,
 			      const struct upstream *upstream, gint64 now_ms)
 {
--- a/tools/rollout/rollout_model.h
+++ b/tools/rollout/rollout_model.h
@@ -23,7 +23,7 @@
 	double slowdown;
 	/* Start of the fault as a share of the duration. */
 	double start_share;
-	bool only_at_high_load; /* only above 70% of the slots */
+	bool only_at_high_load; /* only with over 70% of the slots in use */
 	bool only_rare_route; /* only on the route with the fewest requests */
 };
 
@@ -33,7 +33,7 @@
 struct rollout_spec {
 	const struct rollout_fault *fault;
 	guint upstreams; /* of each version */
-	guint slots;
+	guint slots; /* of each upstream */
 	/* Mean arrival rate; load_wave and load_bursts vary it. */
 	double requests_per_s;
 	double duration_s;
@@ -45,7 +45,8 @@
 	bool load_bursts;
 	bool placer_crashes; /* placers crash one after another */
 	bool two_placers; /* for a third of the duration */
-	bool store_unavailable; /* around the time of completion */
+	/* From 50% to 80% of the duration, around the time of completion. */
+	bool store_unavailable;
 	/* Some upstreams of both versions fail, hang or are slow. */
 	bool unhealthy_upstreams;
 	guint64 seed;
@@ -65,11 +66,13 @@
 	double decision_ms;
 	/* Time from the order to the start of the fault. */
 	double first_bad_ms;
-	/* Time from the 50th bad answer to the last request. */
+	/* Time from the 50th bad answer to the last exposed request. */
 	double after_50th_bad_ms;
 	/* Requests still running at the old version upon completion. */
 	guint64 interrupted;
+	/* Placement requests between the order and the deadline. */
 	guint64 placement_requests;
+	/* Of these, answered without failure within the target latency. */
 	guint64 on_time;
 	/* Maximum of `exposed` divided by `exposure_bound`. */
 	double peak_share;
--- a/tools/slopes/slopes.h
+++ b/tools/slopes/slopes.h
@@ -20,7 +20,7 @@
 struct slopes_entry {
 	const struct fleet_member *member; /* borrowed */
 	struct aub_link *link;
-	guint timer;
+	guint timer; /* to reconnect; 0 if none */
 	guint64 incarnation;
 	guint64 config_version;
 	gint64 config_received_us; /* when that version arrived */
@@ -28,6 +28,10 @@
 	bool serve;
 };
 
+/*
+ * Connects to the control of `member`, which has to outlive the entry. Freed
+ * with slopes_entry_free().
+ */
 struct slopes_entry *slopes_entry_new(const struct fleet_member *member,
 				      guint64 incarnation);
 void slopes_entry_free(struct slopes_entry *entry);
--- a/tools/slopes/slopes_entry_cost.c
+++ b/tools/slopes/slopes_entry_cost.c
@@ -123,7 +123,7 @@
 		(read_usage(pid).resident_mb - initial_mb) * 1024 / calls);
 }
 
-/* Connections of callers that send no requests. */
+/* Measures the memory for connections of callers that send no requests. */
 static void measure_idle_connections(struct fleet *fleet, FILE *out)
 {
 	const struct fleet_member *member = fleet_member(fleet, 0);
--- a/tools/slopes/slopes_metrics.c
+++ b/tools/slopes/slopes_metrics.c
@@ -1,4 +1,4 @@
-/* Reads counters, posts changes and fits lines. */
+/* Builds the inventory, reads counters, posts changes and fits lines. */
 #include "slopes/slopes.h"
 
 #include <libsoup/soup.h>
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -13,7 +13,7 @@
 G_BEGIN_DECLS
 
 #define GATEWAY_COUNT 5
-#define FIRST_HOST_NUMBER 10
+#define FIRST_HOST_NUMBER 10 /* last byte of the first gateway address */
 #define GATEWAY_PORT_COUNT 5 /* listeners of a gateway */
 #define UPSTREAM_COUNT 8
 #define CALLER_COUNT 12 /* fewer than the slots of one zone */
@@ -89,9 +89,9 @@
 	guint last_request_id;
 	guint config_version;
 	gint64 store_repair_us; /* end of its fault; 0 if healthy */
-	/* Time of the last repair. */
+	/* Time of the last repair of the store. */
 	gint64 store_healthy_us;
-	/* Start of the last fault. */
+	/* Start of the last fault of the store. */
 	gint64 store_faulty_us;
 	gint64 next_fault_us;
 	gint64 faults_end_us; /* no fault starts later */
--- a/tools/soak/soak_rollout.c
+++ b/tools/soak/soak_rollout.c
@@ -116,7 +116,11 @@
 		stop_old_version(rollout);
 }
 
-/* Requests that a gateway had accepted before it was paused are not counted. */
+/*
+ * Returns whether requests at the new version violate the roll-back. A pause of
+ * a gateway extends the grace time, because the gateway may have accepted
+ * requests before it.
+ */
 static bool is_after_rollback(const struct rollout *rollout, gint64 now_us)
 {
 	gint64 last_change_us =
