--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -37,7 +37,7 @@
 	guint attempts;
 	char *json; /* the configuration being written */
 	guint64 version; /* the version written; 0: not yet */
-	gint64 accepted_us;
+	gint64 wait_start_us;
 };
 
 struct aubi_config_changes {
@@ -145,7 +145,7 @@
 	    !aub_config_has_change(current, change->change_id))
 		return false;
 	change->version = current->version;
-	change->accepted_us = aub_timer_now(change->owner->control->timers);
+	change->wait_start_us = aub_timer_now(change->owner->control->timers);
 	return true;
 }
 
@@ -182,7 +182,7 @@
 		return;
 	}
 	change->version = version;
-	change->accepted_us = aub_timer_now(control->timers);
+	change->wait_start_us = aub_timer_now(control->timers);
 	aubi_control_adopt_config(control, change->json, strlen(change->json),
 				  version, "operator");
 }
@@ -226,7 +226,7 @@
 	} else if (!edited) {
 		change->version =
 			change->owner->control->agreement.config_version;
-		change->accepted_us = aub_timer_now(control->timers);
+		change->wait_start_us = aub_timer_now(control->timers);
 	} else if (!can_accept(change)) {
 		change_refuse(
 			change, AUB_ERROR_UNAVAILABLE,
@@ -293,7 +293,7 @@
 }
 
 /* Reports that the change was written, but no majority is known to hold it. */
-static void change_undecided(struct change *change)
+static void change_fail_undecided(struct change *change)
 {
 	GError *error = NULL;
 
@@ -315,7 +315,7 @@
 
 	for (i = changes->open->len; i > 0; i--) {
 		struct change *change = changes->open->pdata[i - 1];
-		gint64 waited_us = now_us - change->accepted_us;
+		gint64 waited_us = now_us - change->wait_start_us;
 
 		if (!change->version || waited_us < ANSWER_DELAY_US)
 			continue;
@@ -326,7 +326,7 @@
 		if (is_accepted(change))
 			change_complete(change, now_us);
 		else if (waited_us >= ACTIVATION_TIMEOUT_US)
-			change_undecided(change);
+			change_fail_undecided(change);
 	}
 }
 
--- a/tests/test_link.cc
+++ b/tests/test_link.cc
@@ -180,9 +180,9 @@
 			      FALSE);
 	run_until([&] {
 		char byte[512];
-		gssize got =
+		gssize length =
 			g_input_stream_read(in, byte, sizeof(byte), NULL, NULL);
-		return got == 0;
+		return length == 0;
 	});
 	EXPECT_TRUE(aub_link_is_up(client_side.link));
 	g_object_unref(connection);
@@ -199,13 +199,13 @@
 
 TEST_F(Link, ConnectErrorNamesStepAndPeer)
 {
-	std::string wrong = free_address();
+	std::string unused_address = free_address();
 	struct aub_hello *hello = make_hello("client");
 
-	client_side.link = aub_link_connect(wrong.c_str(), hello, 2000,
+	client_side.link = aub_link_connect(unused_address.c_str(), hello, 2000,
 					    &callbacks, &client_side);
 	run_until([&] { return client_side.down; });
-	EXPECT_EQ(client_side.error.find("connect: " + wrong), 0u)
+	EXPECT_EQ(client_side.error.find("connect: " + unused_address), 0u)
 		<< client_side.error;
 	aub_message_free(&hello->base);
 }
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -87,16 +87,16 @@
 
 static void print_progress(const struct demo *demo, const char *phase)
 {
-	struct load_stats figures = { 0 };
+	struct load_stats stats = { 0 };
 	double seconds = 0;
 
 	if (demo->load) {
-		load_get_stats(demo->load, &figures);
+		load_get_stats(demo->load, &stats);
 		seconds = (g_get_monotonic_time() - demo->start_us) / 1e6;
 	}
 	printf("%6.1f s  %-28s sent %5u  whole %5u  not run %3u  unknown %3u\n",
-	       seconds, phase, figures.requests, figures.outcomes[LOAD_RUN],
-	       figures.outcomes[LOAD_NOT_RUN], figures.outcomes[LOAD_UNKNOWN]);
+	       seconds, phase, stats.requests, stats.outcomes[LOAD_RUN],
+	       stats.outcomes[LOAD_NOT_RUN], stats.outcomes[LOAD_UNKNOWN]);
 	fflush(stdout);
 }
 
@@ -263,8 +263,7 @@
 	       counts[LOAD_NOT_RUN], counts[LOAD_UNKNOWN] + counts[LOAD_ERROR]);
 }
 
-static void print_table(const struct demo *demo,
-			const struct load_stats *figures)
+static void print_table(const struct demo *demo, const struct load_stats *stats)
 {
 	char *reasons = load_reasons_text(demo->load);
 	guint i;
@@ -275,8 +274,8 @@
 		print_service_row(demo, &services[i]);
 	printf("\n  latency ms: p50 %.1f, p99 %.1f, p99.9 %.1f, max %.1f; "
 	       "retries by callers: %u\n",
-	       figures->p50_ms, figures->p99_ms, figures->p999_ms,
-	       figures->max_ms, figures->retries);
+	       stats->p50_ms, stats->p99_ms, stats->p999_ms, stats->max_ms,
+	       stats->retries);
 	if (*reasons)
 		printf("  attempts without a \"run\" result: %s\n", reasons);
 	g_free(reasons);
@@ -290,25 +289,26 @@
 static bool report(struct demo *demo)
 {
 	JsonNode *oracle = fleet_oracle(demo->fleet);
-	struct load_comparison verdict;
-	struct load_stats figures;
+	struct load_comparison comparison;
+	struct load_stats stats;
 
-	load_get_stats(demo->load, &figures);
+	load_get_stats(demo->load, &stats);
 	load_compare(demo->load,
 		     json_object_get_object_member(json_node_get_object(oracle),
 						   "nonces"),
-		     &verdict);
+		     &comparison);
 	json_node_unref(oracle);
-	print_table(demo, &figures);
+	print_table(demo, &stats);
 	printf("demo: requests=%u whole=%u wrong=%u twice=%u not_run=%u "
 	       "unknown=%u zone_out_last_new_ms=%" G_GINT64_FORMAT "\n",
-	       figures.requests, figures.outcomes[LOAD_RUN],
-	       figures.outcomes[LOAD_INVALID], verdict.executed_more_than_once,
-	       figures.outcomes[LOAD_NOT_RUN],
-	       figures.outcomes[LOAD_UNKNOWN] + figures.outcomes[LOAD_ERROR],
+	       stats.requests, stats.outcomes[LOAD_RUN],
+	       stats.outcomes[LOAD_INVALID], comparison.executed_more_than_once,
+	       stats.outcomes[LOAD_NOT_RUN],
+	       stats.outcomes[LOAD_UNKNOWN] + stats.outcomes[LOAD_ERROR],
 	       MAX(demo->last_new_us, 0) / 1000);
-	return !figures.outcomes[LOAD_INVALID] &&
-	       !verdict.executed_more_than_once && figures.outcomes[LOAD_RUN] &&
+	return !stats.outcomes[LOAD_INVALID] &&
+	       !comparison.executed_more_than_once &&
+	       stats.outcomes[LOAD_RUN] &&
 	       demo->last_new_us <= ZONE_DRAIN_LIMIT_MS * AUB_MS &&
 	       demo->requests_after_return > 0;
 }
