--- a/include/auburnstile/internal/caller_message.h
+++ b/include/auburnstile/internal/caller_message.h
@@ -16,7 +16,10 @@
  */
 struct aub_call *aub_caller_parse_request(SoupServerMessage *message);
 
-/* Fills in the HTTP response. Moves the body out of `answer`. */
+/*
+ * Fills in the HTTP response. Moves the body out of `answer`. `stale` adds a
+ * header that notifies the caller that its cached addresses are outdated.
+ */
 void aub_caller_write_response(SoupServerMessage *message,
 			       struct aub_answer *answer, bool stale);
 
--- a/src/coordination/control_apply.c
+++ b/src/coordination/control_apply.c
@@ -1,11 +1,11 @@
 /*
- * Configuration changes by operators: reads the newest configuration, edits it,
- * writes it on condition that it was not changed meanwhile, and waits until it
- * is active.
+ * Applies operators' changes of the configuration: edits the newest
+ * configuration, writes it on condition that it was not changed meanwhile, and
+ * waits until it is active.
  *
- * A change of the inventory names the version it was based on and is never
- * applied to another one. Taking something out of service or returning it is
- * rebased automatically.
+ * A new inventory names the version that it is based on and is never applied to
+ * another one. An edit that takes a zone, VM or upstream out of service, or
+ * returns it, is rebased automatically.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/internal/control.h>
@@ -18,7 +18,10 @@
 
 /* Maximum wait for a change to become active; the brief requires 9 s. */
 #define ACTIVATION_TIMEOUT_US ((gint64)9000000)
-/* Delay of the answer, so that peers can report activation. */
+/*
+ * Minimum time between the write and the answer, so that peers can report
+ * activation.
+ */
 #define ANSWER_DELAY_US ((gint64)300000)
 #define WRITE_ATTEMPTS_MAX 5 /* for a change that is rebased automatically */
 #define ERROR_STEP "apply change"
@@ -28,7 +31,7 @@
 	struct aub_admin_request *request;
 	const struct aubi_edit *edit; /* NULL: replaces the whole inventory */
 	char *name; /* of the object that is edited */
-	char *text; /* of the new inventory */
+	char *text; /* the new inventory, TOML */
 	char *author;
 	char *change_id;
 	bool client_chosen_id; /* the request contained "change" */
@@ -36,8 +39,8 @@
 	bool override; /* accept without a reachable majority */
 	guint attempts;
 	char *json; /* the configuration being written */
-	guint64 version; /* the version written; 0: not yet */
-	gint64 wait_start_us;
+	guint64 version; /* the version that contains the change; 0: none yet */
+	gint64 wait_start_us; /* of the wait for activation */
 };
 
 struct aubi_config_changes {
@@ -57,7 +60,7 @@
 	g_free(change);
 }
 
-/* Ends the change; the request must have been answered. */
+/* Removes and frees the change; its request must have been answered. */
 static void change_end(struct change *change)
 {
 	g_ptr_array_remove_fast(change->owner->open, change);
@@ -130,11 +133,11 @@
 static void change_read_store(struct change *change);
 
 /*
- * If the answer to an accepted change was lost, the operator's command sends
- * the change again. It would be reported as a conflict with itself, or be
- * written again over later changes. If the id chosen by the client is among
- * those of the current configuration, the change was accepted and nothing is
- * written.
+ * Returns whether the id chosen by the client is among those of the current
+ * configuration; then the change was accepted before and must not be written.
+ * The operator's command sends a change again if the answer was lost. Without
+ * this check, the change would be reported as a conflict with itself, or be
+ * written again over later changes.
  */
 static bool is_applied_already(struct change *change)
 {
@@ -188,9 +191,9 @@
 }
 
 /*
- * A change written in a minority partition would not reach entries in the other
- * partition that continue to serve, and they would send requests to a zone that
- * operators consider empty. Nothing is written unless a majority is
+ * A change written in a minority partition would not reach the entries in the
+ * other partition. They would continue to serve and send requests to a zone
+ * that operators consider empty. Nothing is written unless a majority is
  * reachable; is_accepted() covers a partition that begins during the write.
  */
 static bool can_accept(struct change *change)
@@ -292,16 +295,16 @@
 					  control->membership, change->version);
 }
 
-/* Reports that the change was written, but no majority is known to hold it. */
+/* Answers that the change was written, but is not known to have a majority. */
 static void change_fail_undecided(struct change *change)
 {
 	GError *error = NULL;
 
 	aub_error_set(&error, AUB_ERROR_AMBIGUOUS, ERROR_STEP, NULL,
 		      "written as version %" G_GUINT64_FORMAT
-		      ", change %s, but no majority of the members is known "
-		      "to hold it: until then it is only in effect at members "
-		      "that have received it (see /v1/in-force)",
+		      ", change %s, but it is not known whether a majority of "
+		      "the members has received it: until one has, it is only "
+		      "in effect at those that have (see /v1/in-force)",
 		      change->version,
 		      change->change_id ? change->change_id : "");
 	change_fail(change, error);
@@ -331,11 +334,11 @@
 }
 
 /*
- * Reads from the store may be stale or slow while writes work, and an
- * operator's change would be refused although peers have the newest version.
- * The change is therefore applied to the local configuration; the condition of
- * the write detects whether that was not the newest, and only then the store is
- * read.
+ * Starts with the local configuration instead of a read from the store. Reads
+ * may be stale or slow while writes work, and the change would be refused
+ * although peers have the newest version. The store is only read if the
+ * condition of the write fails because the local configuration was not the
+ * newest.
  */
 static void change_start(struct change *change)
 {
@@ -373,8 +376,8 @@
 }
 
 /*
- * Forgets all dead members, because the operator knows that they are
- * permanently gone.
+ * Removes all dead members: with an override, the operator asserts that they
+ * will not return.
  */
 static void forget_dead(struct aubi_control *control)
 {
@@ -412,8 +415,9 @@
 #define CHANGE_ID_RULE "\"change\" must be 8 to 64 letters, digits or hyphens"
 
 /*
- * Change ids are searched for in the text of the configuration and must be
- * distinguishable there.
+ * If the response to a write is lost, the store client searches the text of the
+ * stored configuration for the change id, so ids must not occur there by
+ * chance.
  */
 static bool change_id_is_valid(const struct change *change)
 {
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -1,5 +1,6 @@
 /*
- * A gateway process: store, peers, placer, data path and auxiliary endpoints.
+ * A gateway process: store, peers, placer, data path, and the HTTP endpoints
+ * for address lookups, readiness and metrics.
  */
 #include <auburnstile/error.h>
 #include <auburnstile/incarnation.h>
@@ -17,11 +18,12 @@
 #define RETRY_SLACK_SHARE 0.4
 
 /*
- * Callers cache addresses, some for three times as long as they should. A
- * stopping VM keeps serving until they have resolved again.
+ * Callers cache addresses, some for three times as long as they should
+ * (address_ms). A stopping VM keeps serving until they have looked up their
+ * addresses again.
  */
 #define ADDRESS_CACHE_FACTOR 3
-/* part of the grace time reserved for process exit */
+/* Part of the grace time that is reserved for the process exit. */
 #define STOP_RESERVE_MS 200
 
 /*
@@ -33,10 +35,10 @@
 #define STOP_CHECK_PERIOD_US (50 * AUB_MS)
 
 /*
- * A gateway without the store for longer ranks behind those that reach it. A
- * store that is slow or drops its watches is back within seconds, and each
- * change of a service's placer loses the slot counts, so shorter outages are
- * tolerated.
+ * A gateway that has not reached the store for longer than this ranks behind
+ * those that reach it. Shorter outages are tolerated: a store that is slow or
+ * drops its watches is back within seconds, and each change of a service's
+ * placer loses the placer's slot counts.
  */
 #define STORE_OUTAGE_TOLERATED_US (4000 * AUB_MS)
 
--- a/src/coordination/placer_messages.c
+++ b/src/coordination/placer_messages.c
@@ -65,10 +65,13 @@
 }
 
 /*
- * A gateway that has just started may not know the first-ranked gateway and ask
- * another. That one would probe every upstream and grant slots that the
- * first-ranked one also counts. It therefore forwards the request, once; the
- * decision is sent to the requesting gateway.
+ * Forwards a placement request to the gateway that ranks first for the service.
+ * Returns false if this gateway has to decide.
+ *
+ * A gateway that has just started may not know the first-ranked gateway and
+ * send its request to another one, which would probe every upstream and grant
+ * slots that the first-ranked gateway counts as well. A request is forwarded
+ * only one time; the decision goes directly to the requesting gateway.
  */
 static bool forward_request(struct aub_placer *placer,
 			    const struct aub_peer *holder,
@@ -114,8 +117,8 @@
 
 	/*
 	 * A grant to an unknown gateway would lose the slot, since no decision
-	 * reaches that gateway and no report comes back. It is added as a peer
-	 * first; the holder resends the request shortly.
+	 * reaches that gateway and no report comes back. The gateway is added
+	 * as a peer first and resends the request shortly.
 	 */
 	if (!holder) {
 		if (message->address[0])
@@ -159,7 +162,7 @@
 	aub_ticket_send_report(placer, &ticket, &report);
 }
 
-/* After an answer, the next suspicion of the peer starts short again. */
+/* Resets the suspicion time of a peer that answered; otherwise it doubles. */
 static void clear_suspicion(struct aub_placer *placer, guint64 incarnation)
 {
 	struct aub_peer *peer =
@@ -186,6 +189,10 @@
 		return;
 	if (!ticket || !ticket->callback || ticket->placed_locally ||
 	    (ticket->asked_placer != message->placer && !ticket->forwardable)) {
+		/*
+		 * The ticket does not await this decision. A grant is returned
+		 * unless it repeats the one that the ticket has.
+		 */
 		bool already_granted =
 			ticket && ticket->granted_by == message->placer;
 
@@ -220,6 +227,7 @@
 
 	if (message->end > AUB_GRANT_UNUSED)
 		return;
+	/* Grants that were returned unused name no service. */
 	if (message->service[0]) {
 		aub_placer_apply_report(placer, message->service, &report);
 		return;
--- a/src/protocol/frame_check.c
+++ b/src/protocol/frame_check.c
@@ -17,9 +17,9 @@
 #include <msgpack/unpack.h>
 #include <msgpack/unpack_define.h>
 
-/* State of the callbacks. The parser's objects carry no value here. */
+/* State of the callbacks. The parser's result objects are not used. */
 struct frame_counter {
-	gsize elements_left; /* elements that may still be announced */
+	gsize elements_left; /* number that may still be announced */
 	bool allow_maps; /* true for documents, false for frames */
 };
 
@@ -115,7 +115,7 @@
 
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wsign-compare"
-/* The template has a variable for map keys that may remain unset. */
+/* The template's variable for map keys may remain unset. */
 #pragma GCC diagnostic ignored "-Wmaybe-uninitialized"
 #include <msgpack/unpack_template.h>
 #pragma GCC diagnostic pop
--- a/src/state/crash_counts.c
+++ b/src/state/crash_counts.c
@@ -8,8 +8,8 @@
 
 /*
  * A lost response has many possible causes; three in a row without a single
- * response are taken for a crash caused by the request. This limits the
- * upstreams that such a request may take down.
+ * response are attributed to the request. This is also the number of upstreams
+ * that a crashing request may take down.
  */
 #define LOSSES_MAX 3
 #define EXPIRY_US (60 * G_GINT64_CONSTANT(1000000)) /* since the last loss */
@@ -53,7 +53,8 @@
 	guint64 fingerprint;
 
 	/*
-	 * Includes the NULs, so that no two pairs have the same concatenation.
+	 * The terminating NULs are included, so that no two pairs of line and
+	 * host have the same concatenation.
 	 */
 	g_checksum_update(checksum, (const guchar *)line,
 			  (gssize)strlen(line) + 1);
@@ -73,6 +74,10 @@
 	return now_us - ((struct crash_count *)value)->last_loss_us > EXPIRY_US;
 }
 
+/*
+ * Returns the count of the request, a new one if there is none, or NULL if the
+ * table is full. An expired count is reset.
+ */
 static struct crash_count *crash_count_get(struct aub_crash_counts *counts,
 					   guint64 fingerprint, gint64 now_us)
 {
--- a/tests/test_link.cc
+++ b/tests/test_link.cc
@@ -1,6 +1,6 @@
 /*
- * Tests of links: hello first, complete messages in order, errors that name
- * the peer.
+ * Tests of links: hellos precede all other messages, messages arrive complete
+ * and in order, and errors name the peer.
  */
 #include "addresses.h"
 
--- a/tests/test_placement_load.cc
+++ b/tests/test_placement_load.cc
@@ -1,5 +1,6 @@
 /*
- * On-time responses of a placement under simulated load.
+ * Tests the share of requests that a placement serves on time under simulated
+ * load.
  */
 #include "placement_load.h"
 
@@ -35,11 +36,12 @@
 TEST(PlacementLoad, LearnsTheSaturationPoint)
 {
 	/*
-	 * Guards against filling upstreams past saturation: the fifth of six
-	 * requests at an upstream takes 1.7 times as long, so that five
-	 * complete fewer requests per second than four. With four, the
-	 * upstreams without a busy neighbour (three of four) complete 325
-	 * requests per second; at four fifths of that, nine requests of ten
+	 * Guards against late responses because upstreams are filled past
+	 * saturation although others have room: the fifth of six concurrent
+	 * requests at an upstream takes 1.7 times as long, so that an upstream
+	 * completes fewer requests per second with five than with four. With
+	 * four, the upstreams without a busy neighbour (three of four) complete
+	 * 325 requests per second; at four fifths of that, nine requests of ten
 	 * have to be on time.
 	 */
 	LoadSpec spec;
@@ -66,10 +68,10 @@
 }
 
 /*
- * Deployments with other parameters of the model that the choice of an upstream
- * is based on. `min_on_time_share` is the share of requests on time with a
- * choice that has service times, saturation points and bursts as constants;
- * with the learned values it must not be lower.
+ * A deployment that differs from the defaults in properties that the choice of
+ * an upstream depends on. `min_on_time_share` is the share of requests on time
+ * if the choice knows service times, saturation points and interference bursts
+ * in advance, as constants; with learned values it must not be lower.
  */
 struct Deployment {
 	const char *name;
--- a/tools/caller-load.c
+++ b/tools/caller-load.c
@@ -44,10 +44,11 @@
 	{ "rate", 'r', "N", 0, "mean arrivals per second", 0 },
 	{ "seconds", 't', "N", 0, "duration of the load", 0 },
 	{ "requests", 'n', "N", 0, "number of requests", 0 },
-	{ "connections", 'c', "N", 0, "maximum of a caller to one entry", 0 },
+	{ "connections", 'c', "N", 0,
+	  "maximum connections from a caller to one entry", 0 },
 	{ "callers", 'k', "N", 0, "number of callers", 0 },
-	{ "deadline-ms", 'd', "N", 0, "of a request, including its retries",
-	  0 },
+	{ "deadline-ms", 'd', "N", 0,
+	  "deadline of a request, including its retries", 0 },
 	{ "try-ms", 'y', "N", 0, "time limit of one attempt", 0 },
 	{ "no-repeat", 'R', NULL, 0, "do not retry", 0 },
 	{ "body-bytes", 'b', "N", 0, "minimum body size of a keyed request",
@@ -70,7 +71,7 @@
 		break;
 	case 's':
 		if (!add_service(program, argument))
-			argp_error(state, "bad --service %s", argument);
+			argp_error(state, "invalid --service %s", argument);
 		break;
 	case 'r':
 		options->rate = g_ascii_strtod(argument, NULL);
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -1,11 +1,11 @@
 /*
- * Demonstration: a complete fleet on loopback serves a load of the shape of the
+ * Demonstration: a complete fleet on loopback serves the traffic mix of the
  * Nidito deployment while a zone is taken out and brought back.
  *
  * Exits with 0 only if no answer was wrong, no at-most-once request was
  * executed more than once, the zone received no new requests later than 3 s
- * after the command, and the zone received requests again after its return. The
- * requests that were executed are read from the upstreams.
+ * after the command to take it out, and the zone received requests again after
+ * its return. Which requests were executed is read from the upstreams.
  */
 #include "common/child.h"
 #include "common/tool.h"
@@ -23,7 +23,7 @@
 #define ZONE_OUT_AT_MS 3000
 #define ZONE_IN_AT_MS 9000
 #define LOAD_END_MS 14000
-/* Upper bound for the last new request in the zone after the command. */
+/* Maximum delay from the command to the last new request in the zone. */
 #define ZONE_DRAIN_LIMIT_MS 3000
 #define STOP_TIMEOUT_MS 12000
 #define REQUESTS_PER_S 200
@@ -328,7 +328,7 @@
 	for (i = 0; i < demo->fleet->members->len; i++)
 		clean_stops += fleet_stop(fleet_member(demo->fleet, i),
 					  FLEET_BOTH, STOP_TIMEOUT_MS);
-	printf("stopped in order: %u of %u members\n", clean_stops,
+	printf("stopped cleanly: %u of %u members\n", clean_stops,
 	       demo->fleet->members->len);
 	if (keep)
 		printf("logs: %s\n", demo->fleet->folder);
