--- a/tests/test_load.cc
+++ b/tests/test_load.cc
@@ -1,6 +1,7 @@
 /*
- * Tests that the load detects invalid responses: those of another request,
- * corrupt bodies, missing outcomes, and outcomes that contradict the oracle.
+ * Tests that the load generator detects invalid responses (of another request,
+ * with a corrupt body, or without a valid outcome) and outcomes that contradict
+ * the oracle.
  */
 #include <gtest/gtest.h>
 
@@ -153,7 +154,7 @@
 	EXPECT_EQ(result.comparison.false_run, 2u);
 }
 
-TEST(Load, DetectsEachKindOfInvalidAnswer)
+TEST(Load, ReportsEachKindOfInvalidAnswer)
 {
 	std::vector<Handler> handlers = {
 		[](SoupServerMessage *m, const std::string &n) {
@@ -181,7 +182,7 @@
 		EXPECT_EQ(run_load(handler).stats.outcomes[LOAD_INVALID], 2u);
 }
 
-TEST(Load, RetriesLostAttemptsUnderTheSameKey)
+TEST(Load, RetriesLostAttemptsWithTheSameKey)
 {
 	int attempts = 0;
 	Outcome result = run_load(
@@ -199,7 +200,7 @@
 		EXPECT_TRUE(key == "G/k-1-0" || key == "G/k-1-1");
 }
 
-TEST(Load, ChecksRefusedAndUnknownRequestsAgainstTheOracle)
+TEST(Load, ReportsOutcomesThatContradictTheOracle)
 {
 	auto refuse = [](SoupServerMessage *m, const std::string &) {
 		tool_answer_text(m, 503, "");
--- a/tools/platform/store.c
+++ b/tools/platform/store.c
@@ -37,13 +37,13 @@
 	struct aub_poller *poller;
 	struct aub_timer_service *timers;
 	int listener;
-	struct aub_poll_watch *watch;
+	struct aub_poll_watch *watch; /* of the listener */
 	char *address;
 	GPtrArray *objects; /* of struct object, sorted by name */
 	GPtrArray *changes; /* of struct change, oldest first */
 	GPtrArray *connections; /* of struct connection; they free themselves */
 	gint64 revision;
-	/* Changes before it have been dropped: watches from there get 410. */
+	/* Earlier changes have been dropped: watches from before it get 410. */
 	gint64 compacted_revision;
 	enum platform_store_fault fault;
 	guint delay_ms;
@@ -354,7 +354,7 @@
 	}
 }
 
-static void on_watch_end(void *context, gint64 now_us)
+static void on_watch_timeout(void *context, gint64 now_us)
 {
 	struct connection *connection = context;
 
@@ -392,7 +392,7 @@
 	connection->timer =
 		aub_timer_at(store->timers, "watch",
 			     aub_timer_now(store->timers) + wait_ms * AUB_MS,
-			     on_watch_end, connection);
+			     on_watch_timeout, connection);
 }
 
 static void handle_list(struct connection *connection, const char *kind)
