--- a/include/auburnstile/internal/membership.h
+++ b/include/auburnstile/internal/membership.h
@@ -73,7 +73,7 @@
 
 /*
  * Processes a received message. Returns true if a record was added, changed or
- * removed. `from` is the name of the sender, `start` the incarnation of its
+ * removed. `from` is the name of the sender, `sender_incarnation` that of its
  * control. Messages 1 and 4 carry no ages.
  */
 bool aubi_membership_receive(struct aubi_membership *membership,
